--- a/tests/cluster/compatibility_wire_test.cpp
+++ b/tests/cluster/compatibility_wire_test.cpp
@@ -8,6 +8,7 @@
 
 #include "cluster/wire/cluster.pb.h"
 #include "compatibility/proto_fields.hpp"
+#include "compatibility/recorded_lines.hpp"
 
 namespace wire = winchhall::cluster::wire;
 using namespace winchhall::compatibility;
--- a/tests/compatibility/proto_fields.hpp
+++ b/tests/compatibility/proto_fields.hpp
@@ -5,6 +5,7 @@
 // names are not part of the result, since they are not part of the wire format.
 #pragma once
 
+#include <algorithm>
 #include <cctype>
 #include <filesystem>
 #include <fstream>
@@ -22,17 +23,6 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// The lines of a recorded list: sorted, without comments (lines that begin with '#') and empty lines.
-inline std::set<std::string> read_recorded_lines(const std::filesystem::path& path) {
-  std::ifstream file(path);
-  if (!file) throw std::runtime_error(path.string() + ": cannot be read");
-  std::set<std::string> lines;
-  for (std::string line; std::getline(file, line);) {
-    if (!line.empty() && line.front() != '#') lines.insert(line);
-  }
-  return lines;
-}
-
 // Parses the subset of proto3 that the project uses. Anything else is an error, so that nothing is passed
 // over.
 class ProtoFieldReader {
@@ -223,13 +213,4 @@
   return lines;
 }
 
-// The lines of `some` that are not in `others`, one a line.
-inline std::string lines_missing(const std::set<std::string>& some, const std::set<std::string>& others) {
-  std::string missing;
-  for (const std::string& line : some) {
-    if (others.count(line) == 0) missing += line + "\n";
-  }
-  return missing;
-}
-
 }  // namespace winchhall::compatibility
