--- a/tests/cluster/compatibility_store_test.cpp
+++ b/tests/cluster/compatibility_store_test.cpp
@@ -122,12 +122,13 @@
   return false;
 }
 
+// The state of ended jobs may be asked for longer than this data will be used: they are not forgotten.
 std::string settings_of(const std::string& ip, const std::string& data) {
   return "node_name = \"restored\"\nrole = \"control\"\nip = \"" + ip +
          "\"\nzone = \"a\"\nregion = \"r\"\ninternal_ports = [7380,7395]\nseeds = [\"" + ip +
          ":8144\"]\nbootstrap = false\ncounts_for_quorum = true\nheartbeat_ms = 1500\ndata_dir = \"" + data +
          "\"\ncommands = \"heartbeat\"\n[bind_addrs]\ncontrol = \"" + ip +
-         ":8144\"\n[bounds]\nhold_max_ms = 6000\n";
+         ":8144\"\n[bounds]\nhold_max_ms = 6000\nstatus_s = 2000000000\n";
 }
 
 }  // namespace
