--- a/bench/ranges_bench.cpp
+++ b/bench/ranges_bench.cpp
@@ -8,8 +8,8 @@
 #include <map>
 #include <random>
 
-#include "ranges/change.hpp"
-#include "ranges/planner.hpp"
+#include "aggregator/ranges/change.hpp"
+#include "aggregator/ranges/planner.hpp"
 
 namespace {
 
--- a/examples/by_hand.cpp
+++ b/examples/by_hand.cpp
@@ -4,9 +4,9 @@
 #include <variant>
 #include <vector>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
-using namespace pewterrill;
+using namespace winchhall;
 
 int main() {
   Settings settings;
--- a/examples/toy_leaf.cpp
+++ b/examples/toy_leaf.cpp
@@ -5,9 +5,9 @@
 #include <set>
 #include <string>
 
-#include "net/loop.hpp"
-#include "net/stream.hpp"
-#include "platform/frames.hpp"
+#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/http/frames.hpp"
 
 using namespace winchhall;
 
--- a/include/pewterrill/coordinator.hpp
+++ b/include/winchhall/coordinator.hpp
@@ -1,4 +1,4 @@
-// The interface of pewterrill: settings and events go in, actions come out. All of them are plain values.
+// The interface of winchhall: settings and events go in, actions come out. All of them are plain values.
 //
 // A Coordinator is one broker's view. It has no clock, no I/O, no threads and no globals: the caller brings
 // the time (milliseconds, any origin) and the seed, and carries out the returned actions in order. The same
@@ -15,7 +15,7 @@
 #include <variant>
 #include <vector>
 
-namespace pewterrill {
+namespace winchhall {
 
 using Millis = double;
 
@@ -274,4 +274,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace pewterrill
+}  // namespace winchhall
--- a/include/pewterrill/estimate.hpp
+++ b/include/winchhall/estimate.hpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
-namespace pewterrill::detail {
+namespace winchhall::detail {
 
 constexpr double kMeanGain = 1.0 / 8;  // smoothing of means, as in TCP's round-trip estimate (RFC 6298)
 constexpr double kDevGain = 1.0 / 4;   // smoothing of deviations, likewise
@@ -44,4 +44,4 @@
   }
 };
 
-}  // namespace pewterrill::detail
+}  // namespace winchhall::detail
--- a/sim/simhost.cpp
+++ b/sim/simulation_adapter.cpp
@@ -1,5 +1,5 @@
-// pewterrill_simhost: hosts Coordinators on the simulator's wire. Translation only; it decides nothing.
-// Batches come on standard input, one JSON array a line; replies go to standard output.
+// winchhall-simulation-adapter: hosts Coordinators on the simulator's wire. Translation only; it decides
+// nothing. Batches come on standard input, one JSON array a line; replies go to standard output.
 
 #include <exception>
 #include <iostream>
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
 using nlohmann::json;
-using namespace pewterrill;
+using namespace winchhall;
 
 namespace {
 
@@ -353,7 +353,7 @@
     try {
       if (host.read(json::parse(line))) host.reply();
     } catch (const std::exception& error) {
-      std::cerr << "pewterrill_simhost: line " << number << ": " << error.what() << '\n';
+      std::cerr << "winchhall-simulation-adapter: line " << number << ": " << error.what() << '\n';
       return 1;
     }
   }
--- a/src/door/door.cpp
+++ b/src/aggregator/admin/door.cpp
@@ -1,4 +1,4 @@
-#include "door/door.hpp"
+#include "aggregator/admin/door.hpp"
 
 #include <poll.h>
 #include <sys/eventfd.h>
--- a/src/door/door.hpp
+++ b/src/aggregator/admin/door.hpp
@@ -10,9 +10,9 @@
 #include <functional>
 #include <thread>
 
-#include "door/words.hpp"
-#include "net/fd.hpp"
-#include "net/loop.hpp"
+#include "aggregator/admin/words.hpp"
+#include "aggregator/event_loop/fd.hpp"
+#include "aggregator/event_loop/loop.hpp"
 
 namespace winchhall::door {
 
--- a/src/door/words.cpp
+++ b/src/aggregator/admin/words.cpp
@@ -1,4 +1,4 @@
-#include "door/words.hpp"
+#include "aggregator/admin/words.hpp"
 
 #include <algorithm>
 
--- a/src/app/check_files.cpp
+++ b/src/aggregator/app/check_files.cpp
@@ -1,4 +1,4 @@
-#include "app/check_files.hpp"
+#include "aggregator/app/check_files.hpp"
 
 #include <algorithm>
 #include <cstdlib>
@@ -8,8 +8,8 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "app/config.hpp"
-#include "platform/range_words.hpp"
+#include "aggregator/app/config.hpp"
+#include "aggregator/http/range_words.hpp"
 
 namespace winchhall::app {
 namespace {
--- a/src/app/check_files.hpp
+++ b/src/aggregator/app/check_files.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "app/operator_file.hpp"
+#include "aggregator/app/operator_file.hpp"
 
 namespace winchhall::app {
 
--- a/src/app/command_line.cpp
+++ b/src/aggregator/app/command_line.cpp
@@ -1,4 +1,4 @@
-#include "app/command_line.hpp"
+#include "aggregator/app/command_line.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,11 +6,11 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "app/beside.hpp"
-#include "app/check_files.hpp"
-#include "app/control_command.hpp"
-#include "app/files_command.hpp"
-#include "app/ranges_command.hpp"
+#include "aggregator/app/beside.hpp"
+#include "aggregator/app/check_files.hpp"
+#include "aggregator/app/control_command.hpp"
+#include "aggregator/app/files_command.hpp"
+#include "aggregator/app/ranges_command.hpp"
 
 namespace winchhall::app {
 namespace {
@@ -50,9 +50,9 @@
   if (!config.empty()) setenv("LB_CONFIG", config.c_str(), 1);
   if (!operator_file.empty()) setenv("WINCHHALL_OPERATOR", operator_file.c_str(), 1);
   if (!level.empty()) setenv("WINCHHALL_LOG", level.c_str(), 1);
-  std::string program = beside_program("winchhall");
+  std::string program = beside_program("winchhall-aggregator");
   execl(program.c_str(), program.c_str(), nullptr);
-  throw std::runtime_error("no winchhall beside this program");
+  throw std::runtime_error("no winchhall-aggregator beside this program");
 }
 
 }  // namespace
--- a/src/app/config.cpp
+++ b/src/aggregator/app/config.cpp
@@ -1,4 +1,4 @@
-#include "app/config.hpp"
+#include "aggregator/app/config.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -10,15 +10,15 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "app/settings_check.hpp"
-#include "net/stream.hpp"
-#include "platform/members.hpp"
+#include "aggregator/app/settings_check.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/membership/members.hpp"
 
 namespace winchhall::app {
 namespace {
 
 using nlohmann::json;
-using namespace pewterrill;
+using namespace winchhall;
 
 constexpr std::size_t kSocketsLeast = 16;  // with fewer no client and leaf meet
 
--- a/src/app/config.hpp
+++ b/src/aggregator/app/config.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "app/operator_file.hpp"
-#include "core/exchange.hpp"
+#include "aggregator/app/operator_file.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::app {
 
@@ -18,7 +18,7 @@
   std::vector<core::Member> known{};
   long long known_revision = 0;
   bool known_read = true;  // false: the file's last list cannot be read
-  pewterrill::Settings settings{};
+  winchhall::Settings settings{};
   int shards = 0;                // 0: not stated
   int batch = 1;                 // parts in one call
   int streams_per_conn = 1;      // parts on one connection
--- a/src/app/control_command.cpp
+++ b/src/aggregator/app/control_command.cpp
@@ -1,4 +1,4 @@
-#include "app/control_command.hpp"
+#include "aggregator/app/control_command.hpp"
 
 #include <sys/socket.h>
 #include <sys/time.h>
@@ -10,10 +10,10 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "app/config.hpp"
-#include "door/words.hpp"
-#include "net/address.hpp"
-#include "net/fd.hpp"
+#include "aggregator/admin/words.hpp"
+#include "aggregator/app/config.hpp"
+#include "aggregator/event_loop/address.hpp"
+#include "aggregator/event_loop/fd.hpp"
 
 namespace winchhall::app {
 namespace {
--- a/src/app/files_command.cpp
+++ b/src/aggregator/app/files_command.cpp
@@ -1,4 +1,4 @@
-#include "app/files_command.hpp"
+#include "aggregator/app/files_command.hpp"
 
 #include <chrono>
 #include <iostream>
@@ -6,10 +6,10 @@
 #include <stdexcept>
 #include <thread>
 
-#include "app/operator_file.hpp"
-#include "files/folder.hpp"
-#include "generations/generation.hpp"
-#include "store/store.hpp"
+#include "aggregator/app/operator_file.hpp"
+#include "aggregator/dynamic_config/folder.hpp"
+#include "aggregator/dynamic_config/generation.hpp"
+#include "aggregator/dynamic_config/store.hpp"
 
 namespace winchhall::app {
 namespace {
--- a/src/app/lifecycle.cpp
+++ b/src/aggregator/app/lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "app/lifecycle.hpp"
+#include "aggregator/app/lifecycle.hpp"
 
 namespace winchhall::app {
 namespace {
--- a/src/main.cpp
+++ b/src/aggregator/app/main.cpp
@@ -6,8 +6,8 @@
 #include <cstdlib>
 #include <exception>
 
-#include "app/beside.hpp"
-#include "app/serve.hpp"
+#include "aggregator/app/beside.hpp"
+#include "aggregator/app/serve.hpp"
 
 int main(int argc, char** argv) {
   using namespace winchhall;
--- a/src/app/module.cpp
+++ b/src/aggregator/app/module.cpp
@@ -1,8 +1,8 @@
-#include "app/module.hpp"
+#include "aggregator/app/module.hpp"
 
 #include <dlfcn.h>
 
-#include "app/beside.hpp"
+#include "aggregator/app/beside.hpp"
 
 namespace winchhall::app {
 
--- a/src/app/neighbours.cpp
+++ b/src/aggregator/app/neighbours.cpp
@@ -1,4 +1,4 @@
-#include "app/neighbours.hpp"
+#include "aggregator/app/neighbours.hpp"
 
 #include <spdlog/spdlog.h>
 #include <unistd.h>
--- a/src/app/neighbours.hpp
+++ b/src/aggregator/app/neighbours.hpp
@@ -6,10 +6,10 @@
 #include <memory>
 #include <string>
 
-#include "net/loop.hpp"
-#include "net/worker.hpp"
-#include "takeover/folder.hpp"
-#include "takeover/pairing.hpp"
+#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/event_loop/worker.hpp"
+#include "aggregator/hot_restart/folder.hpp"
+#include "aggregator/hot_restart/pairing.hpp"
 
 namespace winchhall::app {
 
--- a/src/app/operator_file.cpp
+++ b/src/aggregator/app/operator_file.cpp
@@ -1,6 +1,6 @@
-#include "app/operator_file.hpp"
+#include "aggregator/app/operator_file.hpp"
 
-#include "app/module.hpp"
+#include "aggregator/app/module.hpp"
 
 namespace winchhall::app {
 namespace {
--- a/src/app/operator_file.hpp
+++ b/src/aggregator/app/operator_file.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "generations/rows.hpp"
+#include "aggregator/dynamic_config/rows.hpp"
 
 namespace winchhall::app {
 
--- a/src/app/ranges_command.cpp
+++ b/src/aggregator/app/ranges_command.cpp
@@ -1,4 +1,4 @@
-#include "app/ranges_command.hpp"
+#include "aggregator/app/ranges_command.hpp"
 
 #include <charconv>
 #include <cstdio>
@@ -6,12 +6,12 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "app/check_files.hpp"
-#include "net/loop.hpp"
-#include "net/stream.hpp"
-#include "platform/http.hpp"
-#include "platform/range_words.hpp"
-#include "ranges/follower.hpp"
+#include "aggregator/app/check_files.hpp"
+#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/http/http.hpp"
+#include "aggregator/http/range_words.hpp"
+#include "aggregator/ranges/follower.hpp"
 
 namespace winchhall::app {
 namespace {
--- a/src/app/ranges_command.hpp
+++ b/src/aggregator/app/ranges_command.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "ranges/map.hpp"
-#include "ranges/planner.hpp"
+#include "aggregator/ranges/map.hpp"
+#include "aggregator/ranges/planner.hpp"
 
 namespace winchhall::app {
 
--- a/src/app/serve.cpp
+++ b/src/aggregator/app/serve.cpp
@@ -1,4 +1,4 @@
-#include "app/serve.hpp"
+#include "aggregator/app/serve.hpp"
 
 #include <signal.h>
 #include <spdlog/spdlog.h>
@@ -11,19 +11,19 @@
 #include <memory>
 #include <stdexcept>
 
-#include "app/lifecycle.hpp"
-#include "app/neighbours.hpp"
-#include "core/exchange.hpp"
-#include "core/retuning.hpp"
-#include "door/door.hpp"
-#include "files/files_source.hpp"
-#include "flight/flight_pool.hpp"
-#include "flight/flight_server.hpp"
-#include "net/loop.hpp"
-#include "platform/client_front.hpp"
-#include "platform/discovery.hpp"
-#include "platform/leaf_pool.hpp"
-#include "platform/range_directory.hpp"
+#include "aggregator/admin/door.hpp"
+#include "aggregator/app/lifecycle.hpp"
+#include "aggregator/app/neighbours.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/retuning.hpp"
+#include "aggregator/dynamic_config/files_source.hpp"
+#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/flight/flight_pool.hpp"
+#include "aggregator/flight/flight_server.hpp"
+#include "aggregator/http/client_front.hpp"
+#include "aggregator/http/leaf_pool.hpp"
+#include "aggregator/http/range_directory.hpp"
+#include "aggregator/membership/discovery.hpp"
 
 namespace winchhall::app {
 namespace {
@@ -53,8 +53,8 @@
 }
 
 // Files tell of themselves; nobody has to be asked for the list.
-pewterrill::Settings settings_of(const Config& config) {
-  pewterrill::Settings s = config.settings;
+winchhall::Settings settings_of(const Config& config) {
+  winchhall::Settings s = config.settings;
   if (config.ops.files.enabled) s.list_on_request = s.list_watched = false;
   if (config.discovery.empty()) s.list_watched = false;  // pushed by nobody: the list is what it is
   s.weights_count = config.ops.files.enabled;
@@ -257,7 +257,7 @@
   }
 
   // What acts from now on, in all that goes by settings.
-  auto act_by = [&](const pewterrill::Settings& settings) {
+  auto act_by = [&](const winchhall::Settings& settings) {
     exchange.retune(takeover::share_of(settings, processes));
     front.shards(file.config().shards);
     front.room(front_room());
--- a/src/app/serve.hpp
+++ b/src/aggregator/app/serve.hpp
@@ -1,7 +1,7 @@
 // The serving program: wiring of core, fronts, carriers and sources, from start to exit.
 #pragma once
 
-#include "app/config.hpp"
+#include "aggregator/app/config.hpp"
 
 namespace winchhall::app {
 
--- a/src/app/settings_check.cpp
+++ b/src/aggregator/app/settings_check.cpp
@@ -1,4 +1,4 @@
-#include "app/settings_check.hpp"
+#include "aggregator/app/settings_check.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/tool_main.cpp
+++ b/src/aggregator/app/tool_main.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <exception>
 
-#include "app/command_line.hpp"
+#include "aggregator/app/command_line.hpp"
 
 int main(int argc, char** argv) {
   spdlog::set_default_logger(spdlog::stderr_logger_st("winchhall"));
--- a/src/app/xml/document.cpp
+++ b/src/aggregator/app/xml/document.cpp
@@ -1,4 +1,4 @@
-#include "app/xml/document.hpp"
+#include "aggregator/app/xml/document.hpp"
 
 namespace winchhall::app::xml {
 namespace {
--- a/src/app/xml/operator_module.cpp
+++ b/src/aggregator/app/xml/operator_module.cpp
@@ -4,10 +4,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "app/operator_file.hpp"
-#include "app/xml/document.hpp"
+#include "aggregator/app/operator_file.hpp"
+#include "aggregator/app/xml/document.hpp"
+#include "aggregator/event_loop/address.hpp"
 #include "files_schema.hpp"
-#include "net/address.hpp"
 #include "operator_schema.hpp"
 
 namespace winchhall::app {
--- a/src/core/check.cpp
+++ b/src/aggregator/coordination/check.cpp
@@ -1,4 +1,4 @@
-#include "core/check.hpp"
+#include "aggregator/coordination/check.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/check.hpp
+++ b/src/aggregator/coordination/check.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "core/exchange.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::core {
 
--- a/src/core/class_table.cpp
+++ b/src/aggregator/coordination/class_table.cpp
@@ -1,12 +1,12 @@
-#include "core/class_table.hpp"
+#include "aggregator/coordination/class_table.hpp"
 
 #include <algorithm>
 
 namespace winchhall::core {
 
-using pewterrill::ClassSettings;
-using pewterrill::Repeat;
-using pewterrill::Settings;
+using winchhall::ClassSettings;
+using winchhall::Repeat;
+using winchhall::Settings;
 
 ClassTable::ClassTable(std::vector<ClassSettings> classes)
     : classes_(std::move(classes)), open_(classes_.size(), 0) {
--- a/src/core/class_table.hpp
+++ b/src/aggregator/coordination/class_table.hpp
@@ -6,21 +6,21 @@
 #include <string>
 #include <vector>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
 namespace winchhall::core {
 
 class ClassTable {
  public:
-  explicit ClassTable(std::vector<pewterrill::ClassSettings> classes);
+  explicit ClassTable(std::vector<winchhall::ClassSettings> classes);
 
   // The classes from now on. Those that are as they were keep their index; the others get one that nothing
   // open refers to. `from[i]`: the index whose learned figures hold for i as well, or -1.
   struct Change {
-    std::vector<pewterrill::ClassSettings> classes{};  // by index; without a name: of open queries only
+    std::vector<winchhall::ClassSettings> classes{};  // by index; without a name: of open queries only
     std::vector<int> from{};
   };
-  Change change(const std::vector<pewterrill::ClassSettings>& fresh);
+  Change change(const std::vector<winchhall::ClassSettings>& fresh);
 
   void opened(int index) { ++open_[static_cast<std::size_t>(index)]; }
   void closed(int index) { --open_[static_cast<std::size_t>(index)]; }
@@ -29,17 +29,17 @@
   const std::string& name(int index) const { return names_[static_cast<std::size_t>(index)]; }
 
  private:
-  std::vector<pewterrill::ClassSettings> classes_;
+  std::vector<winchhall::ClassSettings> classes_;
   std::vector<std::string> names_;
   std::vector<int> open_;  // queries that came under it and are not over
 };
 
 // Rules that hold under both the old and the new settings of a class: for the time in which clients may go by
 // either.
-pewterrill::ClassSettings safe_under_both(const pewterrill::ClassSettings& old,
-                                          const pewterrill::ClassSettings& fresh);
+winchhall::ClassSettings safe_under_both(const winchhall::ClassSettings& old,
+                                         const winchhall::ClassSettings& fresh);
 // The same of whole settings. Classes that either has are there: a dropped one may still be asked for, and an
 // added one already.
-pewterrill::Settings safe_under_both(const pewterrill::Settings& old, const pewterrill::Settings& fresh);
+winchhall::Settings safe_under_both(const winchhall::Settings& old, const winchhall::Settings& fresh);
 
 }  // namespace winchhall::core
--- a/src/core/exchange.cpp
+++ b/src/aggregator/coordination/exchange.cpp
@@ -1,15 +1,15 @@
-#include "core/exchange.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <limits>
 #include <utility>
 
-#include "core/check.hpp"
+#include "aggregator/coordination/check.hpp"
 
 namespace winchhall::core {
 
-using namespace pewterrill;
+using namespace winchhall;
 
 Exchange::Exchange(Settings settings, std::uint64_t seed, std::function<Millis()> clock,
                    std::function<void(const std::string&)> log)
--- a/src/core/exchange.hpp
+++ b/src/aggregator/coordination/exchange.hpp
@@ -14,14 +14,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/class_table.hpp"
-#include "pewterrill/coordinator.hpp"
-#include "ranges/replan.hpp"
+#include "aggregator/coordination/class_table.hpp"
+#include "aggregator/ranges/replan.hpp"
+#include "winchhall/coordinator.hpp"
 
 namespace winchhall::core {
 
-using pewterrill::Millis;
-using pewterrill::Outcome;
+using winchhall::Millis;
+using winchhall::Outcome;
 
 // ---- Client side
 
@@ -137,7 +137,7 @@
 };
 
 struct Member {
-  pewterrill::ServerEntry entry{};
+  winchhall::ServerEntry entry{};
   std::string endpoint{};
 };
 
@@ -169,7 +169,7 @@
 
 class Exchange {
  public:
-  Exchange(pewterrill::Settings settings, std::uint64_t seed, std::function<Millis()> clock,
+  Exchange(winchhall::Settings settings, std::uint64_t seed, std::function<Millis()> clock,
            std::function<void(const std::string&)> log);
 
   void attach(Carrier& carrier, MembershipSource& members, RangeSource* ranges = nullptr);
@@ -183,8 +183,8 @@
   void attempt_ended(AttemptNumber attempt, Result result);
   void probe_ended(const std::string& server, Outcome outcome, Millis elapsed, const Load& load);
   // `end`, of a call that failed: how. `revision` of the list that these members make; 0: it has none.
-  void list(pewterrill::ServerList::Kind kind, const std::vector<Member>& members,
-            pewterrill::CallEnd end = pewterrill::CallEnd::failed, long long revision = 0);
+  void list(winchhall::ServerList::Kind kind, const std::vector<Member>& members,
+            winchhall::CallEnd end = winchhall::CallEnd::failed, long long revision = 0);
   void list_heard();  // the watch wrote something, if only its empty line
   void list_moved();  // the service is asked elsewhere from now on; the watch of before is void
   // The map from now on. Queries that are open are planned again where it touches them.
@@ -192,13 +192,13 @@
 
   // Other settings from now on, of classes as of all else; queries that are open keep the class they came
   // under.
-  void retune(const pewterrill::Settings& settings);
+  void retune(const winchhall::Settings& settings);
 
   // Carries events to the module and its actions out, until nothing is due. Call whenever the above were.
   void run();
   Millis next_due() const;
 
-  const pewterrill::Settings& settings() const { return settings_; }
+  const winchhall::Settings& settings() const { return settings_; }
   // By class as the settings of the start have them, and then by the order in which other names came.
   const std::vector<Figures>& figures() const { return figures_; }
   const std::string& figures_name(std::size_t i) const { return figures_names_[i]; }
@@ -258,9 +258,9 @@
   Figures& figures_for(int query_class) {
     return figures_[figures_of_[static_cast<std::size_t>(query_class)]];
   }
-  void handle(const pewterrill::Event& event);
-  void act(const pewterrill::Action& action);
-  void send(const pewterrill::SendPart& action);
+  void handle(const winchhall::Event& event);
+  void act(const winchhall::Action& action);
+  void send(const winchhall::SendPart& action);
   void finish_attempt(AttemptNumber attempt, Result result);
   void finish(QueryNumber number, Verdict verdict);
   void recall_unsent(QueryNumber number);
@@ -282,10 +282,10 @@
   static std::string part_id(QueryNumber number, std::size_t part);
   std::pair<QueryNumber, std::size_t> part_of(const std::string& id) const;
 
-  pewterrill::Settings settings_;
+  winchhall::Settings settings_;
   std::function<Millis()> clock_;
   std::function<void(const std::string&)> log_;
-  pewterrill::Coordinator coordinator_;
+  winchhall::Coordinator coordinator_;
   Carrier* carrier_ = nullptr;
   MembershipSource* members_ = nullptr;
   long long list_revision_ = 0;
--- a/src/core/exchange_recall.cpp
+++ b/src/aggregator/coordination/exchange_recall.cpp
@@ -1,5 +1,5 @@
 // Attempts of the exchange that are taken back before anything of them is written.
-#include "core/exchange.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::core {
 
--- a/src/core/exchange_settings.cpp
+++ b/src/aggregator/coordination/exchange_settings.cpp
@@ -1,11 +1,11 @@
 // Settings that change while queries run, in the exchange.
 #include <utility>
 
-#include "core/exchange.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::core {
 
-using namespace pewterrill;
+using namespace winchhall;
 
 void Exchange::name_figures() {
   figures_of_.resize(settings_.classes.size());
--- a/src/core/exchange_spans.cpp
+++ b/src/aggregator/coordination/exchange_spans.cpp
@@ -2,12 +2,12 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/check.hpp"
-#include "core/exchange.hpp"
+#include "aggregator/coordination/check.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::core {
 
-using namespace pewterrill;
+using namespace winchhall;
 using ranges::Decision;
 using ranges::OpenPart;
 using ranges::PlannedPart;
--- a/src/core/retuning.cpp
+++ b/src/aggregator/coordination/retuning.cpp
@@ -1,11 +1,11 @@
-#include "core/retuning.hpp"
+#include "aggregator/coordination/retuning.hpp"
 
-#include "core/class_table.hpp"
+#include "aggregator/coordination/class_table.hpp"
 
 namespace winchhall::core {
 
-using pewterrill::Millis;
-using pewterrill::Settings;
+using winchhall::Millis;
+using winchhall::Settings;
 
 const Settings& Retuning::order(const Settings& fresh, Millis now) {
   acting_ = safe_under_both(acting_, fresh);
--- a/src/core/retuning.hpp
+++ b/src/aggregator/coordination/retuning.hpp
@@ -5,30 +5,30 @@
 #include <limits>
 #include <optional>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
 namespace winchhall::core {
 
 class Retuning {
  public:
-  explicit Retuning(const pewterrill::Settings& settings) : acting_(settings), target_(settings) {}
+  explicit Retuning(const winchhall::Settings& settings) : acting_(settings), target_(settings) {}
 
   // New settings were ordered: what acts from now on. A second order before the first has settled is safe
   // under all.
-  const pewterrill::Settings& order(const pewterrill::Settings& fresh, pewterrill::Millis now);
+  const winchhall::Settings& order(const winchhall::Settings& fresh, winchhall::Millis now);
   // What acts from now on, once clients go by the new settings alone; nothing before and after.
-  std::optional<pewterrill::Settings> settle(pewterrill::Millis now);
+  std::optional<winchhall::Settings> settle(winchhall::Millis now);
 
-  pewterrill::Millis due() const { return settle_at_; }
-  const pewterrill::Settings& acting() const { return acting_; }
+  winchhall::Millis due() const { return settle_at_; }
+  const winchhall::Settings& acting() const { return acting_; }
 
   // ms: clients go by new settings from 1.2 s after the order (operators' page), and what they sent before
   // that is still on its way for a moment.
-  static constexpr pewterrill::Millis kSettle = 1600;
+  static constexpr winchhall::Millis kSettle = 1600;
 
  private:
-  pewterrill::Settings acting_, target_;
-  pewterrill::Millis settle_at_ = std::numeric_limits<pewterrill::Millis>::infinity();
+  winchhall::Settings acting_, target_;
+  winchhall::Millis settle_at_ = std::numeric_limits<winchhall::Millis>::infinity();
 };
 
 }  // namespace winchhall::core
--- a/src/policy/choice.cpp
+++ b/src/aggregator/decision/choice.cpp
@@ -1,11 +1,11 @@
-// Every decision of pewterrill; the interface is include/pewterrill/coordinator.hpp. Ordinary path
+// Every decision of the aggregator; the interface is include/winchhall/coordinator.hpp. Ordinary path
 // (docs/design.md): on arrival, parts are placed largest hint first, each on the replica of its shard with
 // the smallest (own outstanding hinted cost + reported load + this part), ties at random. All else departs
 // from that only under the condition stated where it stands.
 
-#include "policy/queries.hpp"
+#include "aggregator/decision/queries.hpp"
 
-namespace pewterrill {
+namespace winchhall {
 
 using namespace detail;
 
@@ -227,4 +227,4 @@
 std::vector<Action> Coordinator::start() { return impl_->start(); }
 std::vector<Action> Coordinator::handle(Millis now, const Event& event) { return impl_->handle(now, event); }
 
-}  // namespace pewterrill
+}  // namespace winchhall
--- a/src/policy/queries.hpp
+++ b/src/aggregator/decision/queries.hpp
@@ -1,9 +1,9 @@
 // A query's life: its parts are placed, sent, sent again, and it gets its one final answer.
 #pragma once
 
-#include "policy/tier.hpp"
+#include "aggregator/decision/tier.hpp"
 
-namespace pewterrill::detail {
+namespace winchhall::detail {
 
 class Queries : public Tier {
  protected:
@@ -324,4 +324,4 @@
   std::deque<Millis> further_;
 };
 
-}  // namespace pewterrill::detail
+}  // namespace winchhall::detail
--- a/src/policy/state.hpp
+++ b/src/aggregator/decision/state.hpp
@@ -6,9 +6,9 @@
 #include <set>
 #include <utility>
 
-#include "policy/tuning.hpp"
+#include "aggregator/decision/tuning.hpp"
 
-namespace pewterrill::detail {
+namespace winchhall::detail {
 
 struct Attempt {
   int server = -1;
@@ -86,4 +86,4 @@
   std::deque<std::pair<Millis, double>> cold_sent{};  // what this broker sent while it was cold
 };
 
-}  // namespace pewterrill::detail
+}  // namespace winchhall::detail
--- a/src/policy/tier.hpp
+++ b/src/aggregator/decision/tier.hpp
@@ -3,11 +3,11 @@
 
 #include <random>
 
-#include "fleet/list_clock.hpp"
+#include "aggregator/decision/state.hpp"
+#include "aggregator/membership/list_clock.hpp"
 #include "placement/least_cost.hpp"
-#include "policy/state.hpp"
 
-namespace pewterrill::detail {
+namespace winchhall::detail {
 
 class Tier {
  protected:
@@ -324,4 +324,4 @@
   Millis logged_at_ = now_;
 };
 
-}  // namespace pewterrill::detail
+}  // namespace winchhall::detail
--- a/src/policy/tuning.hpp
+++ b/src/aggregator/decision/tuning.hpp
@@ -1,9 +1,9 @@
 // Tuned values, unit and reason beside each.
 #pragma once
 
-#include "pewterrill/estimate.hpp"
+#include "winchhall/estimate.hpp"
 
-namespace pewterrill::detail {
+namespace winchhall::detail {
 
 constexpr double kHintClamp = 8;        // x class mean: a hint further off than this is taken for an error
 constexpr int kTrusted = 12;            // samples before a learned figure replaces its starting value
@@ -42,4 +42,4 @@
 constexpr double kWeightSlack = 5e-5;  // sums of weights may fall short by rounding ...
 constexpr double kLeastSlack = 1e-9;   // ... and by so much however they were made
 
-}  // namespace pewterrill::detail
+}  // namespace winchhall::detail
--- a/src/generations/digest.cpp
+++ b/src/aggregator/dynamic_config/digest.cpp
@@ -1,4 +1,4 @@
-#include "generations/digest.hpp"
+#include "aggregator/dynamic_config/digest.hpp"
 
 #include <xxhash.h>
 
--- a/src/generations/digest.hpp
+++ b/src/aggregator/dynamic_config/digest.hpp
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "generations/rows.hpp"
+#include "aggregator/dynamic_config/rows.hpp"
 
 namespace winchhall::generations {
 
--- a/src/files/files_source.cpp
+++ b/src/aggregator/dynamic_config/files_source.cpp
@@ -1,4 +1,4 @@
-#include "files/files_source.hpp"
+#include "aggregator/dynamic_config/files_source.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -11,7 +11,7 @@
 
 using generations::Fault;
 using generations::Verdict;
-using Kind = pewterrill::ServerList::Kind;
+using Kind = winchhall::ServerList::Kind;
 constexpr net::Millis kOrdersEvery = 500;  // ms between looks for an operator's words in the store
 constexpr std::size_t kLoggedMost = 10;    // faults of one set; `winchhall files check` tells all
 }  // namespace
--- a/src/files/files_source.hpp
+++ b/src/aggregator/dynamic_config/files_source.hpp
@@ -5,12 +5,12 @@
 #include <memory>
 #include <string>
 
-#include "core/exchange.hpp"
-#include "files/folder.hpp"
-#include "generations/keeper.hpp"
-#include "generations/settling.hpp"
-#include "net/worker.hpp"
-#include "store/store.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/dynamic_config/folder.hpp"
+#include "aggregator/dynamic_config/keeper.hpp"
+#include "aggregator/dynamic_config/settling.hpp"
+#include "aggregator/dynamic_config/store.hpp"
+#include "aggregator/event_loop/worker.hpp"
 
 namespace winchhall::files {
 
--- a/src/files/folder.cpp
+++ b/src/aggregator/dynamic_config/folder.cpp
@@ -1,4 +1,4 @@
-#include "files/folder.hpp"
+#include "aggregator/dynamic_config/folder.hpp"
 
 #include <fcntl.h>
 #include <sys/inotify.h>
--- a/src/files/folder.hpp
+++ b/src/aggregator/dynamic_config/folder.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "generations/rows.hpp"
-#include "net/fd.hpp"
-#include "net/loop.hpp"
+#include "aggregator/dynamic_config/rows.hpp"
+#include "aggregator/event_loop/fd.hpp"
+#include "aggregator/event_loop/loop.hpp"
 
 namespace winchhall::files {
 
--- a/src/generations/generation.cpp
+++ b/src/aggregator/dynamic_config/generation.cpp
@@ -1,4 +1,4 @@
-#include "generations/generation.hpp"
+#include "aggregator/dynamic_config/generation.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -57,7 +57,7 @@
       core::Member m;
       m.entry.server = row.id;
       m.entry.cell = static_cast<int>(row.cell);
-      m.entry.state = row.draining ? pewterrill::ServerState::draining : pewterrill::ServerState::ready;
+      m.entry.state = row.draining ? winchhall::ServerState::draining : winchhall::ServerState::ready;
       m.endpoint = row.address;
       g.members.push_back(std::move(m));
     }
@@ -171,8 +171,8 @@
   return text;
 }
 
-const char* name_of(pewterrill::ServerState state) {
-  return state == pewterrill::ServerState::ready ? "ready" : "draining";
+const char* name_of(winchhall::ServerState state) {
+  return state == winchhall::ServerState::ready ? "ready" : "draining";
 }
 
 }  // namespace
--- a/src/generations/generation.hpp
+++ b/src/aggregator/dynamic_config/generation.hpp
@@ -4,10 +4,10 @@
 #include <memory>
 #include <set>
 
-#include "core/exchange.hpp"
-#include "generations/digest.hpp"
-#include "generations/rows.hpp"
-#include "ranges/map.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/dynamic_config/digest.hpp"
+#include "aggregator/dynamic_config/rows.hpp"
+#include "aggregator/ranges/map.hpp"
 
 namespace winchhall::generations {
 
--- a/src/generations/keeper.cpp
+++ b/src/aggregator/dynamic_config/keeper.cpp
@@ -1,4 +1,4 @@
-#include "generations/keeper.hpp"
+#include "aggregator/dynamic_config/keeper.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -99,7 +99,7 @@
     for (const core::Member& m : current_->members)
       if (!next->member(m.entry.server)) still.push_back({m, now + limits_.drain_time});
   dropped_ = std::move(still);
-  for (Dropped& d : dropped_) d.member.entry.state = pewterrill::ServerState::draining;
+  for (Dropped& d : dropped_) d.member.entry.state = winchhall::ServerState::draining;
   current_ = std::move(next);
   held_ = nullptr;
   refused_digest_ = 0;
--- a/src/generations/keeper.hpp
+++ b/src/aggregator/dynamic_config/keeper.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "generations/generation.hpp"
+#include "aggregator/dynamic_config/generation.hpp"
 
 namespace winchhall::generations {
 
--- a/src/generations/rows.cpp
+++ b/src/aggregator/dynamic_config/rows.cpp
@@ -1,4 +1,4 @@
-#include "generations/rows.hpp"
+#include "aggregator/dynamic_config/rows.hpp"
 
 namespace winchhall::generations {
 
--- a/src/store/sqlite_store.cpp
+++ b/src/aggregator/dynamic_config/sqlite_store.cpp
@@ -5,8 +5,8 @@
 #include <cstdio>
 #include <filesystem>
 
-#include "generations/digest.hpp"
-#include "store/store.hpp"
+#include "aggregator/dynamic_config/digest.hpp"
+#include "aggregator/dynamic_config/store.hpp"
 
 namespace winchhall::store {
 namespace {
--- a/src/store/store.cpp
+++ b/src/aggregator/dynamic_config/store.cpp
@@ -1,6 +1,6 @@
-#include "store/store.hpp"
+#include "aggregator/dynamic_config/store.hpp"
 
-#include "app/module.hpp"
+#include "aggregator/app/module.hpp"
 
 namespace winchhall::store {
 
--- a/src/store/store.hpp
+++ b/src/aggregator/dynamic_config/store.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "generations/rows.hpp"
+#include "aggregator/dynamic_config/rows.hpp"
 
 namespace winchhall::store {
 
--- a/src/net/address.cpp
+++ b/src/aggregator/event_loop/address.cpp
@@ -1,4 +1,4 @@
-#include "net/address.hpp"
+#include "aggregator/event_loop/address.hpp"
 
 #include <arpa/inet.h>
 
--- a/src/net/lingering.hpp
+++ b/src/aggregator/event_loop/lingering.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <utility>
 
-#include "net/stream.hpp"
+#include "aggregator/event_loop/stream.hpp"
 
 namespace winchhall::net {
 
--- a/src/net/listener.cpp
+++ b/src/aggregator/event_loop/listener.cpp
@@ -4,7 +4,7 @@
 #include <cerrno>
 #include <system_error>
 
-#include "net/stream.hpp"
+#include "aggregator/event_loop/stream.hpp"
 
 namespace winchhall::net {
 namespace {
--- a/src/net/loop.cpp
+++ b/src/aggregator/event_loop/loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "aggregator/event_loop/loop.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/src/net/stream.cpp
+++ b/src/aggregator/event_loop/stream.cpp
@@ -1,4 +1,4 @@
-#include "net/stream.hpp"
+#include "aggregator/event_loop/stream.hpp"
 
 #include <fcntl.h>
 #include <netinet/tcp.h>
--- a/src/net/stream.hpp
+++ b/src/aggregator/event_loop/stream.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "net/address.hpp"
-#include "net/fd.hpp"
-#include "net/loop.hpp"
+#include "aggregator/event_loop/address.hpp"
+#include "aggregator/event_loop/fd.hpp"
+#include "aggregator/event_loop/loop.hpp"
 
 namespace winchhall::net {
 
--- a/src/net/worker.cpp
+++ b/src/aggregator/event_loop/worker.cpp
@@ -1,4 +1,4 @@
-#include "net/worker.hpp"
+#include "aggregator/event_loop/worker.hpp"
 
 #include <sys/eventfd.h>
 
--- a/src/net/worker.hpp
+++ b/src/aggregator/event_loop/worker.hpp
@@ -8,8 +8,8 @@
 #include <mutex>
 #include <thread>
 
-#include "net/fd.hpp"
-#include "net/loop.hpp"
+#include "aggregator/event_loop/fd.hpp"
+#include "aggregator/event_loop/loop.hpp"
 
 namespace winchhall::net {
 
--- a/src/flight/arrow.cpp
+++ b/src/aggregator/flight/arrow.cpp
@@ -1,4 +1,4 @@
-#include "flight/arrow.hpp"
+#include "aggregator/flight/arrow.hpp"
 
 #include <cstdint>
 #include <cstring>
--- a/src/flight/arrow.hpp
+++ b/src/aggregator/flight/arrow.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "ranges/types.hpp"
+#include "aggregator/ranges/types.hpp"
 
 namespace winchhall::flight {
 
--- a/src/flight/flight_pool.cpp
+++ b/src/aggregator/flight/flight_pool.cpp
@@ -1,14 +1,14 @@
-#include "flight/flight_pool.hpp"
+#include "aggregator/flight/flight_pool.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
+#include "aggregator/flight/arrow.hpp"
+#include "aggregator/flight/grpc.hpp"
+#include "aggregator/http/frames.hpp"
 #include "command.pb.h"
 #include "flight.pb.h"
-#include "flight/arrow.hpp"
-#include "flight/grpc.hpp"
-#include "platform/frames.hpp"
 
 namespace winchhall::flight {
 
--- a/src/flight/flight_server.cpp
+++ b/src/aggregator/flight/flight_server.cpp
@@ -1,15 +1,15 @@
-#include "flight/flight_server.hpp"
+#include "aggregator/flight/flight_server.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <map>
 #include <optional>
 
+#include "aggregator/coordination/check.hpp"
+#include "aggregator/flight/arrow.hpp"
+#include "aggregator/flight/grpc.hpp"
 #include "command.pb.h"
-#include "core/check.hpp"
 #include "flight.pb.h"
-#include "flight/arrow.hpp"
-#include "flight/grpc.hpp"
 
 namespace winchhall::flight {
 namespace {
@@ -35,7 +35,7 @@
   std::string message{};
 };
 
-Refusal read_command(const std::string& bytes, const pewterrill::Settings& settings, int shards, bool spans,
+Refusal read_command(const std::string& bytes, const winchhall::Settings& settings, int shards, bool spans,
                      core::QuerySpec& q) {
   QueryCommand command;
   if (!command.ParseFromString(bytes)) return {Status::invalid_argument, "the command cannot be read"};
--- a/src/flight/flight_server.hpp
+++ b/src/aggregator/flight/flight_server.hpp
@@ -7,8 +7,8 @@
 #include <set>
 #include <string>
 
-#include "core/exchange.hpp"
-#include "net/stream.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/event_loop/stream.hpp"
 
 namespace winchhall::flight {
 
--- a/src/flight/grpc.cpp
+++ b/src/aggregator/flight/grpc.cpp
@@ -1,4 +1,4 @@
-#include "flight/grpc.hpp"
+#include "aggregator/flight/grpc.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/flight/grpc.hpp
+++ b/src/aggregator/flight/grpc.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <string_view>
 
-#include "flight/http2.hpp"
-#include "ranges/replan.hpp"
+#include "aggregator/flight/http2.hpp"
+#include "aggregator/ranges/replan.hpp"
 
 namespace winchhall::flight {
 
--- a/src/flight/http2.cpp
+++ b/src/aggregator/flight/http2.cpp
@@ -1,4 +1,4 @@
-#include "flight/http2.hpp"
+#include "aggregator/flight/http2.hpp"
 
 #include <algorithm>
 #include <cstring>
--- a/src/flight/http2.hpp
+++ b/src/aggregator/flight/http2.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/stream.hpp"
+#include "aggregator/event_loop/stream.hpp"
 
 namespace winchhall::flight {
 
--- a/src/takeover/folder.cpp
+++ b/src/aggregator/hot_restart/folder.cpp
@@ -1,4 +1,4 @@
-#include "takeover/folder.hpp"
+#include "aggregator/hot_restart/folder.hpp"
 
 #include <filesystem>
 #include <fstream>
--- a/src/takeover/folder.hpp
+++ b/src/aggregator/hot_restart/folder.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "takeover/state.hpp"
+#include "aggregator/hot_restart/state.hpp"
 
 namespace winchhall::takeover {
 
--- a/src/takeover/pairing.cpp
+++ b/src/aggregator/hot_restart/pairing.cpp
@@ -1,4 +1,4 @@
-#include "takeover/pairing.hpp"
+#include "aggregator/hot_restart/pairing.hpp"
 
 #include <algorithm>
 
@@ -65,7 +65,7 @@
   return best;
 }
 
-pewterrill::Settings share_of(pewterrill::Settings s, int processes) {
+winchhall::Settings share_of(winchhall::Settings s, int processes) {
   processes = std::max(1, processes);
   s.brokers = std::max(1, s.brokers) * processes;
   s.budget_free /= processes;  // shares of what each took add up by themselves
--- a/src/takeover/pairing.hpp
+++ b/src/aggregator/hot_restart/pairing.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "takeover/state.hpp"
+#include "aggregator/hot_restart/state.hpp"
 
 namespace winchhall::takeover {
 
@@ -50,6 +50,6 @@
 };
 
 // What one of so many processes of one aggregator may spend: together they come to no more than one.
-pewterrill::Settings share_of(pewterrill::Settings settings, int processes);
+winchhall::Settings share_of(winchhall::Settings settings, int processes);
 
 }  // namespace winchhall::takeover
--- a/src/takeover/state.cpp
+++ b/src/aggregator/hot_restart/state.cpp
@@ -1,4 +1,4 @@
-#include "takeover/state.hpp"
+#include "aggregator/hot_restart/state.hpp"
 
 #include <xxhash.h>
 
@@ -79,9 +79,9 @@
     m.entry.cell = server.cell();
     m.entry.size = std::isfinite(server.size()) && server.size() > 0 ? server.size() : 1;
     int state = server.state();
-    m.entry.state = state == 0   ? pewterrill::ServerState::ready
-                    : state == 1 ? pewterrill::ServerState::draining
-                                 : pewterrill::ServerState::gone;
+    m.entry.state = state == 0   ? winchhall::ServerState::ready
+                    : state == 1 ? winchhall::ServerState::draining
+                                 : winchhall::ServerState::gone;
     if (server.start_known()) m.entry.started = server.started_ms();
     m.endpoint = server.endpoint();
     s.members.push_back(std::move(m));
--- a/src/takeover/state.hpp
+++ b/src/aggregator/hot_restart/state.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/exchange.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::takeover {
 
--- a/src/platform/client_front.cpp
+++ b/src/aggregator/http/client_front.cpp
@@ -1,4 +1,4 @@
-#include "platform/client_front.hpp"
+#include "aggregator/http/client_front.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/platform/client_front.hpp
+++ b/src/aggregator/http/client_front.hpp
@@ -5,9 +5,9 @@
 #include <memory>
 #include <set>
 
-#include "core/exchange.hpp"
-#include "net/lingering.hpp"
-#include "platform/request.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/event_loop/lingering.hpp"
+#include "aggregator/http/request.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/frames.cpp
+++ b/src/aggregator/http/frames.cpp
@@ -1,4 +1,4 @@
-#include "platform/frames.hpp"
+#include "aggregator/http/frames.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/platform/frames.hpp
+++ b/src/aggregator/http/frames.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/exchange.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/http.cpp
+++ b/src/aggregator/http/http.cpp
@@ -1,4 +1,4 @@
-#include "platform/http.hpp"
+#include "aggregator/http/http.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/platform/leaf_connection.cpp
+++ b/src/aggregator/http/leaf_connection.cpp
@@ -1,11 +1,11 @@
-#include "platform/leaf_connection.hpp"
+#include "aggregator/http/leaf_connection.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "platform/range_words.hpp"
+#include "aggregator/http/range_words.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/leaf_connection.hpp
+++ b/src/aggregator/http/leaf_connection.hpp
@@ -8,8 +8,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "platform/frames.hpp"
-#include "platform/leaf_pool.hpp"
+#include "aggregator/http/frames.hpp"
+#include "aggregator/http/leaf_pool.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/leaf_pool.cpp
+++ b/src/aggregator/http/leaf_pool.cpp
@@ -1,10 +1,10 @@
-#include "platform/leaf_pool.hpp"
+#include "aggregator/http/leaf_pool.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "platform/leaf_connection.hpp"
+#include "aggregator/http/leaf_connection.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/leaf_pool.hpp
+++ b/src/aggregator/http/leaf_pool.hpp
@@ -7,8 +7,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/exchange.hpp"
-#include "net/lingering.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/event_loop/lingering.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/range_directory.cpp
+++ b/src/aggregator/http/range_directory.cpp
@@ -1,11 +1,11 @@
-#include "platform/range_directory.hpp"
+#include "aggregator/http/range_directory.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "platform/http.hpp"
-#include "platform/range_words.hpp"
+#include "aggregator/http/http.hpp"
+#include "aggregator/http/range_words.hpp"
 
 namespace winchhall::platform {
 namespace {
--- a/src/platform/range_directory.hpp
+++ b/src/aggregator/http/range_directory.hpp
@@ -1,5 +1,5 @@
-// The directory of ranges over HTTP/1.1: one watch at a time, whose lines go to a Follower (src/ranges/),
-// which decides what is taken and when to ask again.
+// The directory of ranges over HTTP/1.1: one watch at a time, whose lines go to a Follower
+// (src/aggregator/ranges/), which decides what is taken and when to ask again.
 //
 //   GET /v1/ranges?watch=1&incarnation=3&after=41   changes after that revision, or the whole map in pages
 //                                                   where the directory can't give them; then changes as they
@@ -10,9 +10,9 @@
 #include <memory>
 #include <string>
 
-#include "core/exchange.hpp"
-#include "net/stream.hpp"
-#include "ranges/follower.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/ranges/follower.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/range_words.cpp
+++ b/src/aggregator/http/range_words.cpp
@@ -1,4 +1,4 @@
-#include "platform/range_words.hpp"
+#include "aggregator/http/range_words.hpp"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
--- a/src/platform/range_words.hpp
+++ b/src/aggregator/http/range_words.hpp
@@ -13,8 +13,8 @@
 #include <optional>
 #include <string>
 
-#include "ranges/follower.hpp"
-#include "ranges/replan.hpp"
+#include "aggregator/ranges/follower.hpp"
+#include "aggregator/ranges/replan.hpp"
 
 namespace winchhall::platform {
 
--- a/src/platform/request.cpp
+++ b/src/aggregator/http/request.cpp
@@ -1,11 +1,11 @@
-#include "platform/request.hpp"
+#include "aggregator/http/request.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "core/check.hpp"
+#include "aggregator/coordination/check.hpp"
 
 namespace winchhall::platform {
 namespace {
@@ -24,7 +24,7 @@
 
 constexpr std::size_t kShown = 60;  // signs of a client's own word that are told back to it
 
-std::string names_of(const std::vector<pewterrill::ClassSettings>& classes) {
+std::string names_of(const std::vector<winchhall::ClassSettings>& classes) {
   std::string all;
   for (const auto& c : classes) all += (all.empty() ? "" : ", ") + c.name;
   return all;
--- a/src/platform/request.hpp
+++ b/src/aggregator/http/request.hpp
@@ -3,13 +3,13 @@
 
 #include <string>
 
-#include "core/exchange.hpp"
-#include "platform/http.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/http/http.hpp"
 
 namespace winchhall::platform {
 
 struct ClientNames {  // what a request may name, from the settings
-  const pewterrill::Settings& settings;
+  const winchhall::Settings& settings;
   int shards = 0;      // 0: not stated
   bool spans = false;  // a directory of ranges is followed: queries may name accounts
 };
--- a/src/platform/discovery.cpp
+++ b/src/aggregator/membership/discovery.cpp
@@ -1,13 +1,13 @@
-#include "platform/discovery.hpp"
+#include "aggregator/membership/discovery.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "platform/members.hpp"
+#include "aggregator/membership/members.hpp"
 
 namespace winchhall::platform {
 namespace {
-using pewterrill::CallEnd;
-using Kind = pewterrill::ServerList::Kind;
+using winchhall::CallEnd;
+using Kind = winchhall::ServerList::Kind;
 // ms until a call's first line: a call waits in its turn for 2 s at the most before the service fails it.
 constexpr net::Millis kFirstAnswer = 2200;
 constexpr std::size_t kLineMost = 4 * 1024 * 1024;
--- a/src/platform/discovery.hpp
+++ b/src/aggregator/membership/discovery.hpp
@@ -4,9 +4,9 @@
 #include <memory>
 #include <string>
 
-#include "core/exchange.hpp"
-#include "net/stream.hpp"
-#include "platform/http.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/http/http.hpp"
 
 namespace winchhall::platform {
 
--- a/src/fleet/escrow.cpp
+++ b/src/aggregator/membership/escrow.cpp
@@ -1,4 +1,4 @@
-#include "fleet/escrow.hpp"
+#include "aggregator/membership/escrow.hpp"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/fleet/list_clock.cpp
+++ b/src/aggregator/membership/list_clock.cpp
@@ -1,4 +1,4 @@
-#include "fleet/list_clock.hpp"
+#include "aggregator/membership/list_clock.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/fleet/list_clock.hpp
+++ b/src/aggregator/membership/list_clock.hpp
@@ -14,7 +14,7 @@
 #include <limits>
 #include <random>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
 namespace winchhall::fleet {
 
@@ -28,7 +28,7 @@
   Millis grace = 0;        // a send still counts as in time this long after its server's drain was told
 };
 
-using pewterrill::CallEnd;
+using winchhall::CallEnd;
 
 class ListClock {
  public:
--- a/src/platform/members.cpp
+++ b/src/aggregator/membership/members.cpp
@@ -1,11 +1,11 @@
-#include "platform/members.hpp"
+#include "aggregator/membership/members.hpp"
 
 #include <nlohmann/json.hpp>
 
 namespace winchhall::platform {
 
 using nlohmann::json;
-using pewterrill::ServerState;
+using winchhall::ServerState;
 
 ObjectCutter::Piece ObjectCutter::next(std::string& object) {
   object.clear();
--- a/src/platform/members.hpp
+++ b/src/aggregator/membership/members.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/exchange.hpp"
+#include "aggregator/coordination/exchange.hpp"
 
 namespace winchhall::platform {
 
--- a/src/ranges/change.cpp
+++ b/src/aggregator/ranges/change.cpp
@@ -1,4 +1,4 @@
-#include "ranges/change.hpp"
+#include "aggregator/ranges/change.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/ranges/change.hpp
+++ b/src/aggregator/ranges/change.hpp
@@ -5,7 +5,7 @@
 #include <variant>
 #include <vector>
 
-#include "ranges/map.hpp"
+#include "aggregator/ranges/map.hpp"
 
 namespace winchhall::ranges {
 
--- a/src/ranges/coverage.cpp
+++ b/src/aggregator/ranges/coverage.cpp
@@ -1,4 +1,4 @@
-#include "ranges/coverage.hpp"
+#include "aggregator/ranges/coverage.hpp"
 
 #include <algorithm>
 
--- a/src/ranges/coverage.hpp
+++ b/src/aggregator/ranges/coverage.hpp
@@ -7,7 +7,7 @@
 
 #include <vector>
 
-#include "ranges/spans.hpp"
+#include "aggregator/ranges/spans.hpp"
 
 namespace winchhall::ranges {
 
--- a/src/ranges/follower.cpp
+++ b/src/aggregator/ranges/follower.cpp
@@ -1,4 +1,4 @@
-#include "ranges/follower.hpp"
+#include "aggregator/ranges/follower.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/src/ranges/follower.hpp
+++ b/src/aggregator/ranges/follower.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "ranges/change.hpp"
+#include "aggregator/ranges/change.hpp"
 
 namespace winchhall::ranges {
 
--- a/src/ranges/map.cpp
+++ b/src/aggregator/ranges/map.cpp
@@ -1,4 +1,4 @@
-#include "ranges/map.hpp"
+#include "aggregator/ranges/map.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/ranges/planner.cpp
+++ b/src/aggregator/ranges/planner.cpp
@@ -1,4 +1,4 @@
-#include "ranges/planner.hpp"
+#include "aggregator/ranges/planner.hpp"
 
 #include <algorithm>
 
--- a/src/ranges/planner.hpp
+++ b/src/aggregator/ranges/planner.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "ranges/coverage.hpp"
-#include "ranges/map.hpp"
+#include "aggregator/ranges/coverage.hpp"
+#include "aggregator/ranges/map.hpp"
 
 namespace winchhall::ranges {
 
--- a/src/ranges/replan.cpp
+++ b/src/aggregator/ranges/replan.cpp
@@ -1,4 +1,4 @@
-#include "ranges/replan.hpp"
+#include "aggregator/ranges/replan.hpp"
 
 #include <algorithm>
 
--- a/src/ranges/replan.hpp
+++ b/src/aggregator/ranges/replan.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "ranges/planner.hpp"
+#include "aggregator/ranges/planner.hpp"
 
 namespace winchhall::ranges {
 
--- a/src/ranges/spans.cpp
+++ b/src/aggregator/ranges/spans.cpp
@@ -1,4 +1,4 @@
-#include "ranges/spans.hpp"
+#include "aggregator/ranges/spans.hpp"
 
 #include <algorithm>
 
--- a/src/ranges/types.cpp
+++ b/src/aggregator/ranges/types.cpp
@@ -1,4 +1,4 @@
-#include "ranges/types.hpp"
+#include "aggregator/ranges/types.hpp"
 
 #include <algorithm>
 
--- a/src/cluster/store/control_state.cpp
+++ b/src/cluster/store/control_state.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Keys as consensus/ writes them; tests/cluster/store_tools_test.cpp holds the two together.
+// Keys as consensus/ writes them; tests/cluster/store/tools_test.cpp holds the two together.
 const std::string kIdentityKey = "identity";
 const std::string kMembersKey = "members";
 const std::string kRegisterPrefix = "register/";
--- a/src/cluster/store/database.hpp
+++ b/src/cluster/store/database.hpp
@@ -14,7 +14,7 @@
 
 namespace winchhall::cluster {
 
-// Sizes that bound disk and memory, measured by tests/cluster/store_size_test.cpp, and times.
+// Sizes that bound disk and memory, measured by tests/cluster/store/size_test.cpp, and times.
 struct StoreTuning {
   std::size_t write_buffer_bytes = 1 << 20;
   std::size_t file_bytes = 1 << 20;
--- a/lab/checker.cpp
+++ b/testbed/checker.cpp
@@ -1,10 +1,10 @@
-#include "lab/checker.hpp"
+#include "testbed/checker.hpp"
 
 #include <algorithm>
 
-#include "ranges/spans.hpp"
+#include "aggregator/ranges/spans.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace {
 constexpr std::size_t kCasesMost = 20;
 constexpr Millis kGrace = 250;         // ms of a busy machine, on top of a client's time
@@ -151,4 +151,4 @@
   }
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/checker.hpp
+++ b/testbed/checker.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/clients.hpp"
-#include "lab/histogram.hpp"
-#include "lab/node.hpp"
+#include "testbed/clients.hpp"
+#include "testbed/histogram.hpp"
+#include "testbed/node.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 struct ClassRule {
   std::string name{};
@@ -67,4 +67,4 @@
   std::vector<std::string> cases_;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/clients.cpp
+++ b/testbed/clients.cpp
@@ -1,15 +1,15 @@
-#include "lab/clients.hpp"
+#include "testbed/clients.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
+#include "aggregator/flight/arrow.hpp"
+#include "aggregator/flight/grpc.hpp"
 #include "command.pb.h"
 #include "flight.pb.h"
-#include "flight/arrow.hpp"
-#include "flight/grpc.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 using nlohmann::json;
 namespace wire = arrow::flight::protocol;
@@ -258,4 +258,4 @@
   c->ask(asked, std::move(told));
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/clients.hpp
+++ b/testbed/clients.hpp
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "flight/http2.hpp"
-#include "lab/truth.hpp"
-#include "net/stream.hpp"
-#include "platform/http.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/flight/http2.hpp"
+#include "aggregator/http/http.hpp"
+#include "testbed/truth.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 using Millis = double;
 
@@ -70,4 +70,4 @@
 
 Reply read_http_reply(const platform::HttpMessage& message);
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/cluster/http_call.cpp
+++ b/testbed/cluster/http_call.cpp
@@ -1,10 +1,10 @@
-#include "lab/cluster/http_call.hpp"
+#include "testbed/cluster/http_call.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 
-namespace winchhall::lab::cluster {
+namespace winchhall::testbed::cluster {
 
 namespace {
 
@@ -69,4 +69,4 @@
   return exchange.answer();
 }
 
-}  // namespace winchhall::lab::cluster
+}  // namespace winchhall::testbed::cluster
--- a/lab/cluster/http_call.hpp
+++ b/testbed/cluster/http_call.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace winchhall::lab::cluster {
+namespace winchhall::testbed::cluster {
 
 struct HttpHeader {
   std::string name;
@@ -31,4 +31,4 @@
 // Carries out one call on a connection of its own and waits for its end.
 HttpAnswer carry_out(const HttpCall& call);
 
-}  // namespace winchhall::lab::cluster
+}  // namespace winchhall::testbed::cluster
--- a/lab/cluster/local_cluster.cpp
+++ b/testbed/cluster/local_cluster.cpp
@@ -1,4 +1,4 @@
-#include "lab/cluster/local_cluster.hpp"
+#include "testbed/cluster/local_cluster.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <system_error>
 
-namespace winchhall::lab::cluster {
+namespace winchhall::testbed::cluster {
 
 namespace {
 
@@ -149,4 +149,4 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-}  // namespace winchhall::lab::cluster
+}  // namespace winchhall::testbed::cluster
--- a/lab/cluster/local_cluster.hpp
+++ b/testbed/cluster/local_cluster.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace winchhall::lab::cluster {
+namespace winchhall::testbed::cluster {
 
 // One process of the cluster.
 struct LocalProcess {
@@ -58,4 +58,4 @@
   bool first_start_ = true;
 };
 
-}  // namespace winchhall::lab::cluster
+}  // namespace winchhall::testbed::cluster
--- a/lab/cluster/main.cpp
+++ b/testbed/cluster/main.cpp
@@ -1,4 +1,4 @@
-// winchhall-cluster-lab: a whole cluster on loopback, for a look at it.
+// winchhall-cluster-testbed: a whole cluster on loopback, for a look at it.
 #include <unistd.h>
 
 #include <chrono>
@@ -7,13 +7,13 @@
 #include <memory>
 #include <thread>
 
-#include "lab/cluster/http_call.hpp"
-#include "lab/cluster/local_cluster.hpp"
-#include "lab/cluster/stand_in_leaf.hpp"
+#include "testbed/cluster/http_call.hpp"
+#include "testbed/cluster/local_cluster.hpp"
+#include "testbed/cluster/stand_in_leaf.hpp"
 
 namespace {
 
-using namespace winchhall::lab::cluster;
+using namespace winchhall::testbed::cluster;
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::seconds kPatience{30};
--- a/lab/cluster/stand_in_leaf.cpp
+++ b/testbed/cluster/stand_in_leaf.cpp
@@ -1,8 +1,8 @@
-#include "lab/cluster/stand_in_leaf.hpp"
+#include "testbed/cluster/stand_in_leaf.hpp"
 
 #include <boost/json.hpp>
 
-namespace winchhall::lab::cluster {
+namespace winchhall::testbed::cluster {
 
 namespace {
 
@@ -54,7 +54,7 @@
     call.target = "/v1/Instances.Heartbeat/" + options_.id;
     call.body = heartbeat_body();
     call.timeout = milliseconds(1000);
-    next = Clock::now() + carry_out_answer(lab::cluster::carry_out(call), now);
+    next = Clock::now() + carry_out_answer(testbed::cluster::carry_out(call), now);
   }
 }
 
@@ -135,4 +135,4 @@
   starts_.push_back({task, run, now, now, false});
 }
 
-}  // namespace winchhall::lab::cluster
+}  // namespace winchhall::testbed::cluster
--- a/lab/cluster/stand_in_leaf.hpp
+++ b/testbed/cluster/stand_in_leaf.hpp
@@ -11,9 +11,9 @@
 #include <thread>
 #include <vector>
 
-#include "lab/cluster/http_call.hpp"
+#include "testbed/cluster/http_call.hpp"
 
-namespace winchhall::lab::cluster {
+namespace winchhall::testbed::cluster {
 
 struct LeafOptions {
   std::string agent;  // "ip:port" of the worker-agent beside it
@@ -80,4 +80,4 @@
   std::thread thread_;
 };
 
-}  // namespace winchhall::lab::cluster
+}  // namespace winchhall::testbed::cluster
--- a/lab/demo.cpp
+++ b/testbed/demo.cpp
@@ -1,9 +1,9 @@
 #include <cstdio>
 
-#include "lab/experiments.hpp"
-#include "lab/fleet.hpp"
+#include "testbed/experiments.hpp"
+#include "testbed/fleet.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 int demo(const Common& common) {
   FleetOptions options;
@@ -53,4 +53,4 @@
   return answered == 2 && fleet.checker().broken().empty() ? 0 : 1;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/directory.cpp
+++ b/testbed/directory.cpp
@@ -1,12 +1,12 @@
-#include "lab/directory.hpp"
+#include "testbed/directory.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-#include "platform/range_words.hpp"
+#include "aggregator/http/range_words.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace {
 constexpr Millis kBeat = 2000;      // ms between empty lines, as the protocol has it
 constexpr std::size_t kPage = 200;  // ranges in one line of a whole map
@@ -152,4 +152,4 @@
   return it == told_at_.end() ? 0 : it->second;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/directory.hpp
+++ b/testbed/directory.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/http_stand_in.hpp"
-#include "lab/world.hpp"
+#include "testbed/http_stand_in.hpp"
+#include "testbed/world.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class Directory {
  public:
@@ -80,4 +80,4 @@
   net::TimerId beat_{};
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/experiments.hpp
+++ b/testbed/experiments.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 struct Common {
   std::uint64_t seed = 1;
@@ -51,4 +51,4 @@
 // One aggregator, a few nodes, one query over each front; prints what was asked and what came back.
 int demo(const Common& common);
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet.hpp"
+#include "testbed/fleet.hpp"
 
 #include <signal.h>
 
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 using nlohmann::json;
 
@@ -254,4 +254,4 @@
       if (a.process->count(words) > 0) checker_.broke("module's word", std::string("the log says: ") + words);
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/fleet.hpp
+++ b/testbed/fleet.hpp
@@ -6,15 +6,15 @@
 #include <string>
 #include <vector>
 
-#include "lab/checker.hpp"
-#include "lab/clients.hpp"
-#include "lab/directory.hpp"
-#include "lab/node.hpp"
-#include "lab/process.hpp"
-#include "lab/truth.hpp"
-#include "lab/world.hpp"
+#include "testbed/checker.hpp"
+#include "testbed/clients.hpp"
+#include "testbed/directory.hpp"
+#include "testbed/node.hpp"
+#include "testbed/process.hpp"
+#include "testbed/truth.hpp"
+#include "testbed/world.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 struct FleetOptions {
   std::uint64_t seed = 1;
@@ -93,4 +93,4 @@
   std::size_t open_ = 0;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/histogram.hpp
+++ b/testbed/histogram.hpp
@@ -6,7 +6,7 @@
 #include <bit>
 #include <cstdint>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class Histogram {
  public:
@@ -52,4 +52,4 @@
   double sum_ = 0, most_ = 0;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/http_stand_in.cpp
+++ b/testbed/http_stand_in.cpp
@@ -1,8 +1,8 @@
-#include "lab/http_stand_in.hpp"
+#include "testbed/http_stand_in.hpp"
 
 #include <cstdio>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 void HttpStandIn::Connection::answer(int status, const std::string& body) {
   stream_->write("HTTP/1.1 " + std::to_string(status) +
@@ -69,4 +69,4 @@
   if (connections_.erase(c) > 0) loop_.destroy_later(std::move(c));
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/http_stand_in.hpp
+++ b/testbed/http_stand_in.hpp
@@ -7,10 +7,10 @@
 #include <set>
 #include <string>
 
-#include "net/stream.hpp"
-#include "platform/http.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/http/http.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class HttpStandIn {
  public:
@@ -53,4 +53,4 @@
   std::set<std::shared_ptr<Connection>> connections_;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/main.cpp
+++ b/testbed/main.cpp
@@ -1,4 +1,4 @@
-// winchhall-lab: stand-ins, load, faults and checkers, on loopback only and with every bound stated.
+// winchhall-testbed: stand-ins, load, faults and checkers, on loopback only and with every bound stated.
 #include <spdlog/spdlog.h>
 #include <unistd.h>
 
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <exception>
 
-#include "lab/experiments.hpp"
+#include "testbed/experiments.hpp"
 
 namespace {
 
@@ -17,7 +17,7 @@
   return program.substr(0, program.rfind('/') + 1) + name;
 }
 
-void common_options(CLI::App& app, winchhall::lab::Common& c) {
+void common_options(CLI::App& app, winchhall::testbed::Common& c) {
   c.program = beside("winchhall");
   app.add_option("--seed", c.seed, "of all that is drawn")->capture_default_str();
   app.add_option("--seconds", c.seconds, "of each run")->check(CLI::Range(2.0, 600.0))->capture_default_str();
@@ -33,12 +33,12 @@
 int main(int argc, char** argv) {
   using namespace winchhall;
   spdlog::set_level(spdlog::level::off);
-  CLI::App app{"winchhall-lab: experiments on loopback; exit code 1 where a rule breaks"};
+  CLI::App app{"winchhall-testbed: experiments on loopback; exit code 1 where a rule breaks"};
   app.require_subcommand(1);
   CLI::App* experiment = app.add_subcommand("experiment", "run one");
   experiment->require_subcommand(1);
 
-  lab::MovingRanges moving;
+  testbed::MovingRanges moving;
   CLI::App* m = experiment->add_subcommand("moving-ranges", "ranges split, merge and move while queries run");
   common_options(*m, moving.common);
   m->add_option("--rate", moving.rate, "queries a second")
@@ -51,7 +51,7 @@
       ->capture_default_str();
   m->add_flag("!--no-faults", moving.faults, "neither pauses nor deaths nor a directory in trouble");
 
-  lab::WatchedFiles files;
+  testbed::WatchedFiles files;
   CLI::App* w =
       experiment->add_subcommand("watched-files", "files rewritten without pause, a third of them spoilt");
   common_options(*w, files.common);
@@ -63,14 +63,14 @@
   w->add_option("--service-least", files.service_least, "of the run whose files stand still")
       ->capture_default_str();
 
-  lab::Operations ops;
+  testbed::Operations ops;
   CLI::App* o =
       experiment->add_subcommand("operations", "drained, retuned, replaced, killed and stopped under load");
   common_options(*o, ops.common);
   o->add_option("--clients", ops.clients)->check(CLI::Range(1, 400))->capture_default_str();
   o->add_option("--leafs", ops.leafs)->check(CLI::Range(3, 64))->capture_default_str();
 
-  lab::PlatformCost cost;
+  testbed::PlatformCost cost;
   CLI::App* c = experiment->add_subcommand("platform-cost", "start, memory and CPU of two programs in turns");
   common_options(*c, cost.common);
   c->add_option("--before", cost.before, "the program to compare with")->check(CLI::ExistingFile)->required();
@@ -80,20 +80,20 @@
       ->capture_default_str();
   c->add_option("--most", cost.most, "CPU a query, x that of before")->capture_default_str();
 
-  lab::Common shown;
+  testbed::Common shown;
   shown.program = beside("winchhall");
   CLI::App* demo = app.add_subcommand("demo", "one aggregator, a few nodes, one query over each front");
   demo->add_option("--program", shown.program, "the aggregator to run")->check(CLI::ExistingFile);
 
   CLI11_PARSE(app, argc, argv);
   try {
-    if (demo->parsed()) return lab::demo(shown);
-    if (o->parsed()) return lab::operations(ops);
-    if (w->parsed()) return lab::watched_files(files);
-    if (c->parsed()) return lab::platform_cost(cost);
-    return lab::moving_ranges(moving);
+    if (demo->parsed()) return testbed::demo(shown);
+    if (o->parsed()) return testbed::operations(ops);
+    if (w->parsed()) return testbed::watched_files(files);
+    if (c->parsed()) return testbed::platform_cost(cost);
+    return testbed::moving_ranges(moving);
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "winchhall-lab: %s\n", error.what());
+    std::fprintf(stderr, "winchhall-testbed: %s\n", error.what());
     return 1;
   }
 }
--- a/lab/moving_ranges.cpp
+++ b/testbed/moving_ranges.cpp
@@ -7,10 +7,10 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "lab/experiments.hpp"
-#include "lab/fleet.hpp"
+#include "testbed/experiments.hpp"
+#include "testbed/fleet.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace {
 
 using nlohmann::json;
@@ -254,4 +254,4 @@
   return sound ? 0 : 1;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/node.cpp
+++ b/testbed/node.cpp
@@ -1,17 +1,17 @@
-#include "lab/node.hpp"
+#include "testbed/node.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
 
+#include "aggregator/flight/arrow.hpp"
+#include "aggregator/flight/grpc.hpp"
+#include "aggregator/http/frames.hpp"
+#include "aggregator/http/range_words.hpp"
 #include "command.pb.h"
 #include "flight.pb.h"
-#include "flight/arrow.hpp"
-#include "flight/grpc.hpp"
-#include "platform/frames.hpp"
-#include "platform/range_words.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 namespace wire = arrow::flight::protocol;
 using flight::Headers;
@@ -346,4 +346,4 @@
   listen();
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/node.hpp
+++ b/testbed/node.hpp
@@ -10,12 +10,12 @@
 #include <set>
 #include <string>
 
-#include "lab/random.hpp"
-#include "lab/truth.hpp"
-#include "lab/world.hpp"
-#include "net/stream.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "testbed/random.hpp"
+#include "testbed/truth.hpp"
+#include "testbed/world.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 struct NodeOptions {
   std::size_t cores = 2, waiting = 200;
@@ -99,4 +99,4 @@
   Counts counts_;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/operations.cpp
+++ b/testbed/operations.cpp
@@ -10,14 +10,14 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "lab/directory.hpp"
-#include "lab/experiments.hpp"
-#include "lab/operations_parts.hpp"
-#include "lab/process.hpp"
-#include "lab/prompt_leaf.hpp"
-#include "lab/random.hpp"
+#include "testbed/directory.hpp"
+#include "testbed/experiments.hpp"
+#include "testbed/operations_parts.hpp"
+#include "testbed/process.hpp"
+#include "testbed/prompt_leaf.hpp"
+#include "testbed/random.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace {
 
 using nlohmann::json;
@@ -397,4 +397,4 @@
   return broken > 0 || f.whole == 0 ? 1 : 0;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/operations_parts.hpp
+++ b/testbed/operations_parts.hpp
@@ -8,11 +8,11 @@
 #include <utility>
 #include <vector>
 
-#include "lab/experiments.hpp"
-#include "net/stream.hpp"
-#include "platform/http.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/http/http.hpp"
+#include "testbed/experiments.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 using Millis = double;
 
@@ -75,4 +75,4 @@
                         {"cases", f.cases}};
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/platform_cost.cpp
+++ b/testbed/platform_cost.cpp
@@ -9,13 +9,13 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "lab/clients.hpp"
-#include "lab/experiments.hpp"
-#include "lab/histogram.hpp"
-#include "lab/process.hpp"
-#include "lab/prompt_leaf.hpp"
+#include "testbed/clients.hpp"
+#include "testbed/experiments.hpp"
+#include "testbed/histogram.hpp"
+#include "testbed/process.hpp"
+#include "testbed/prompt_leaf.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace {
 
 using nlohmann::json;
@@ -163,4 +163,4 @@
   return ratio <= o.most ? 0 : 1;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/process.cpp
+++ b/testbed/process.cpp
@@ -1,4 +1,4 @@
-#include "lab/process.hpp"
+#include "testbed/process.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace {
 constexpr std::size_t kLogMost = 32 * 1024 * 1024;  // bytes kept of a log
 
@@ -19,7 +19,7 @@
 Process::Process(net::Loop& loop, std::string program, const std::string& config, const std::string& ops)
     : loop_(loop), program_(std::move(program)), has_ops_(!ops.empty()) {
   const char* dir = std::getenv("TMPDIR");
-  folder_ = std::string(dir ? dir : "/tmp") + "/winchhall-lab-XXXXXX";
+  folder_ = std::string(dir ? dir : "/tmp") + "/winchhall-testbed-XXXXXX";
   if (!mkdtemp(folder_.data())) throw std::runtime_error("no folder for a process");
   configure(config);
   if (has_ops_) operate(ops);
@@ -94,4 +94,4 @@
   return n;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/process.hpp
+++ b/testbed/process.hpp
@@ -7,10 +7,10 @@
 #include <functional>
 #include <string>
 
-#include "net/fd.hpp"
-#include "net/loop.hpp"
+#include "aggregator/event_loop/fd.hpp"
+#include "aggregator/event_loop/loop.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class Process {
  public:
@@ -43,4 +43,4 @@
   net::UniqueFd pipe_;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/prompt_leaf.hpp
+++ b/testbed/prompt_leaf.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "net/stream.hpp"
-#include "platform/frames.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/http/frames.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class PromptLeaf {
  public:
@@ -50,4 +50,4 @@
   std::vector<std::shared_ptr<Side>> sides_;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/random.hpp
+++ b/testbed/random.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <pcg_random.hpp>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class Random {
  public:
@@ -21,4 +21,4 @@
   pcg64 engine_;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/rewriter.cpp
+++ b/testbed/rewriter.cpp
@@ -1,9 +1,9 @@
-#include "lab/rewriter.hpp"
+#include "testbed/rewriter.hpp"
 
 #include <algorithm>
 #include <fstream>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace fs = std::filesystem;
 
 namespace {
@@ -101,4 +101,4 @@
     if (fs::exists(fs::path(folder()), ignored)) put(fs::path(folder()) / name, bytes);
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/rewriter.hpp
+++ b/testbed/rewriter.hpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/random.hpp"
-#include "lab/world.hpp"
+#include "testbed/random.hpp"
+#include "testbed/world.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class Rewriter {
  public:
@@ -49,4 +49,4 @@
   bool last_was_spoilt_ = false;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/truth.cpp
+++ b/testbed/truth.cpp
@@ -1,13 +1,13 @@
-#include "lab/truth.hpp"
+#include "testbed/truth.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
 #include <set>
 
-#include "lab/random.hpp"
+#include "testbed/random.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 using ranges::Key;
 
@@ -77,4 +77,4 @@
   return c;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/truth.hpp
+++ b/testbed/truth.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "ranges/types.hpp"
+#include "aggregator/ranges/types.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 class Truth {
  public:
@@ -40,4 +40,4 @@
   std::vector<ranges::Key> keys_;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/watched_files.cpp
+++ b/testbed/watched_files.cpp
@@ -9,11 +9,11 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "lab/experiments.hpp"
-#include "lab/fleet.hpp"
-#include "lab/rewriter.hpp"
+#include "testbed/experiments.hpp"
+#include "testbed/fleet.hpp"
+#include "testbed/rewriter.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 namespace {
 
 using nlohmann::json;
@@ -41,7 +41,7 @@
 }
 
 Outcome run(const WatchedFiles& o, bool moves) {
-  std::string root = fs::temp_directory_path() / "winchhall-lab-files-XXXXXX";
+  std::string root = fs::temp_directory_path() / "winchhall-testbed-files-XXXXXX";
   if (!mkdtemp(root.data())) throw std::runtime_error("no folder for files");
   FleetOptions options;
   options.seed = o.common.seed;
@@ -184,4 +184,4 @@
   return sound ? 0 : 1;
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/world.cpp
+++ b/testbed/world.cpp
@@ -1,9 +1,9 @@
-#include "lab/world.hpp"
+#include "testbed/world.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 using namespace ranges;
 
@@ -188,4 +188,4 @@
   history_.emplace_back(now, map_);
 }
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/lab/world.hpp
+++ b/testbed/world.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/random.hpp"
-#include "ranges/change.hpp"
-#include "ranges/spans.hpp"
+#include "aggregator/ranges/change.hpp"
+#include "aggregator/ranges/spans.hpp"
+#include "testbed/random.hpp"
 
-namespace winchhall::lab {
+namespace winchhall::testbed {
 
 using Millis = double;
 
@@ -75,4 +75,4 @@
   std::uint64_t first_number_ = 1;
 };
 
-}  // namespace winchhall::lab
+}  // namespace winchhall::testbed
--- a/tests/operations_stories.cpp
+++ b/tests/aggregator/app/operations_integration_test.cpp
@@ -6,8 +6,8 @@
 #include <filesystem>
 #include <nlohmann/json.hpp>
 
-#include "program.hpp"
-#include "takeover/state.hpp"
+#include "aggregator/hot_restart/state.hpp"
+#include "tests/aggregator/support/program.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
--- a/tests/operations_test.cpp
+++ b/tests/aggregator/app/operations_test.cpp
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-#include "app/lifecycle.hpp"
-#include "app/settings_check.hpp"
-#include "core/class_table.hpp"
-#include "core/retuning.hpp"
-#include "door/words.hpp"
+#include "aggregator/admin/words.hpp"
+#include "aggregator/app/lifecycle.hpp"
+#include "aggregator/app/settings_check.hpp"
+#include "aggregator/coordination/class_table.hpp"
+#include "aggregator/coordination/retuning.hpp"
 
 using namespace winchhall;
 using app::Lifecycle;
 using app::Order;
 using app::Phase;
-using pewterrill::ClassSettings;
-using pewterrill::Repeat;
-using pewterrill::Settings;
+using winchhall::ClassSettings;
+using winchhall::Repeat;
+using winchhall::Settings;
 
 TEST_CASE("the phases do what a plain account of the orders says, whatever comes in whatever order") {
   CHECK(rc::check([] {
--- a/tests/program_test.cpp
+++ b/tests/aggregator/app/program_test.cpp
@@ -1,6 +1,6 @@
 // Starts the program as an operator would and speaks to it over sockets.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "program.hpp"
+#include "tests/aggregator/support/program.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
--- a/tests/shutdown_stories.cpp
+++ b/tests/aggregator/app/shutdown_integration_test.cpp
@@ -1,6 +1,6 @@
 // Closings, and clients that leave: what comes in the very moment in which a side ends a connection.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "late_door.hpp"
+#include "tests/aggregator/support/late_door.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -9,7 +9,7 @@
 
 // One query open, whose part is with a leaf that says nothing.
 struct Open : Stage {
-  explicit Open(pewterrill::Settings settings = patient()) : Stage(std::move(settings)), leaf(loop) {
+  explicit Open(winchhall::Settings settings = patient()) : Stage(std::move(settings)), leaf(loop) {
     leaf.on_part = [](const ScriptedLeaf::Part&) {};
     begin({member("a", leaf.listener.port(), 0)});
     client = dial();
@@ -103,9 +103,9 @@
   auto client = s.dial();
   client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
   s.until([&] { return s.exchange.attempts_out() == 1; });
-  s.exchange.list(pewterrill::ServerList::Kind::changes,
-                  {member("a", door.port(), 0, pewterrill::ServerState::draining),
-                   member("b", other.listener.port(), 1)});
+  s.exchange.list(
+      winchhall::ServerList::Kind::changes,
+      {member("a", door.port(), 0, winchhall::ServerState::draining), member("b", other.listener.port(), 1)});
   CHECK(has(s.answer(*client), "\"exact\":true"));
 }
 
--- a/tests/core_stories.cpp
+++ b/tests/aggregator/coordination/request_router_integration_test.cpp
@@ -5,8 +5,8 @@
 
 #include <map>
 
-#include "core/exchange.hpp"
-#include "desk.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "tests/aggregator/support/desk.hpp"
 
 using namespace winchhall;
 using core::Outcome;
@@ -74,12 +74,12 @@
 
 TEST_CASE("weights count where an installation states them, and nowhere else") {
   for (bool count : {false, true}) {
-    pewterrill::Settings settings = testing::two_classes();
+    winchhall::Settings settings = testing::two_classes();
     settings.weights_count = count;
     Desk d(settings);
     core::Member heavy = testing::member("a", 1, 0);
     heavy.entry.size = 4;
-    d.exchange.list(pewterrill::ServerList::Kind::changes, {heavy});
+    d.exchange.list(winchhall::ServerList::Kind::changes, {heavy});
     for (int i = 0; i < 20; ++i) d.ask(0, 5000, 2);
     std::size_t to_heavy = 0;
     for (const auto& [n, order] : d.out) to_heavy += order.server == "a";
@@ -93,8 +93,8 @@
 TEST_CASE("the list's revision rises when its members are taken up, not before") {
   Desk d;
   const std::size_t before = d.exchange.members().size();
-  d.exchange.list(pewterrill::ServerList::Kind::changes, {testing::member("c", 1, 0)},
-                  pewterrill::CallEnd::failed, 9);
+  d.exchange.list(winchhall::ServerList::Kind::changes, {testing::member("c", 1, 0)},
+                  winchhall::CallEnd::failed, 9);
   CHECK(d.exchange.list_revision() == 0);
   CHECK(d.exchange.members().size() == before);
   d.exchange.run();
@@ -103,7 +103,7 @@
 }
 
 TEST_CASE("what is over the limit is refused at once, with a time to come back") {
-  pewterrill::Settings settings = testing::two_classes();
+  winchhall::Settings settings = testing::two_classes();
   settings.max_open = 5;
   Desk d(settings);
   d.ask(0, 2000);
@@ -134,7 +134,7 @@
     // Each round all servers are new; the old ones are gone for longer than anything is owed on their
     // account.
     std::string a = "a" + std::to_string(round), b = "b" + std::to_string(round);
-    d.exchange.list(pewterrill::ServerList::Kind::complete,
+    d.exchange.list(winchhall::ServerList::Kind::complete,
                     {testing::member(a, 1, 0), testing::member(b, 2, 1)});
     for (int i = 0; i < 10; ++i) {
       d.ask(0, 2000, 2);
@@ -151,18 +151,18 @@
 }
 
 TEST_CASE("the module's log goes on after a bad hour, at a bounded rate") {
-  pewterrill::Settings settings = testing::two_classes();
+  winchhall::Settings settings = testing::two_classes();
   settings.list_on_request = true;
-  pewterrill::Coordinator module(settings, 3, 0);
+  winchhall::Coordinator module(settings, 3, 0);
   int lines = 0;
   for (int i = 0; i < 1000; ++i)
     for (const auto& action :
-         module.handle(i * 1000.0, pewterrill::ServerList{pewterrill::ServerList::Kind::failed, {}}))
-      lines += std::holds_alternative<pewterrill::LogLine>(action);
+         module.handle(i * 1000.0, winchhall::ServerList{winchhall::ServerList::Kind::failed, {}}))
+      lines += std::holds_alternative<winchhall::LogLine>(action);
   CHECK(lines > 900);
   for (int i = 0; i < 1000; ++i)
     for (const auto& action :
-         module.handle(1e6, pewterrill::ServerList{pewterrill::ServerList::Kind::failed, {}}))
-      lines += std::holds_alternative<pewterrill::LogLine>(action);
+         module.handle(1e6, winchhall::ServerList{winchhall::ServerList::Kind::failed, {}}))
+      lines += std::holds_alternative<winchhall::LogLine>(action);
   CHECK(lines < 1300);
 }
--- a/tests/cold_fleet_test.cpp
+++ b/tests/aggregator/decision/cold_fleet_test.cpp
@@ -10,9 +10,9 @@
 #include <set>
 #include <vector>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
-using namespace pewterrill;
+using namespace winchhall;
 
 namespace {
 
--- a/tests/coordinator_choice_test.cpp
+++ b/tests/aggregator/decision/coordinator_choice_test.cpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "driver.hpp"
+#include "tests/aggregator/decision/driver.hpp"
 
-namespace pewterrill::testing {
+namespace winchhall::testing {
 namespace {
 
 TEST(Choice, LargestPartFirstOnTheLeastSum) {
@@ -230,4 +230,4 @@
 }
 
 }  // namespace
-}  // namespace pewterrill::testing
+}  // namespace winchhall::testing
--- a/tests/coordinator_health_test.cpp
+++ b/tests/aggregator/decision/coordinator_health_test.cpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "driver.hpp"
-#include "teach.hpp"
+#include "tests/aggregator/decision/driver.hpp"
+#include "tests/aggregator/support/teach.hpp"
 
-namespace pewterrill::testing {
+namespace winchhall::testing {
 namespace {
 
 TEST(Health, AServerThatErrsIsSetAsideThoughItsSumIsLeast) {
@@ -297,4 +297,4 @@
 }
 
 }  // namespace
-}  // namespace pewterrill::testing
+}  // namespace winchhall::testing
--- a/tests/coordinator_rules_test.cpp
+++ b/tests/aggregator/decision/coordinator_rules_test.cpp
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "driver.hpp"
+#include "tests/aggregator/decision/driver.hpp"
 
-namespace pewterrill::testing {
+namespace winchhall::testing {
 namespace {
 
 TEST(Rules, AnUnsafePartThatMayHaveRunIsNotRepeatedNorRefused) {
@@ -172,4 +172,4 @@
 }
 
 }  // namespace
-}  // namespace pewterrill::testing
+}  // namespace winchhall::testing
--- a/tests/coordinator_sparse_test.cpp
+++ b/tests/aggregator/decision/coordinator_sparse_test.cpp
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "driver.hpp"
-#include "teach.hpp"
+#include "tests/aggregator/decision/driver.hpp"
+#include "tests/aggregator/support/teach.hpp"
 
-namespace pewterrill::testing {
+namespace winchhall::testing {
 namespace {
 
 // ---- Many brokers, each seeing little
@@ -227,4 +227,4 @@
 }
 
 }  // namespace
-}  // namespace pewterrill::testing
+}  // namespace winchhall::testing
--- a/tests/driver.hpp
+++ b/tests/aggregator/decision/driver.hpp
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "pewterrill/coordinator.hpp"
+#include "winchhall/coordinator.hpp"
 
-namespace pewterrill::testing {
+namespace winchhall::testing {
 
 inline Settings plain_settings(int servers_per_shard_attempts = 3) {
   Settings s;
@@ -99,4 +99,4 @@
   std::vector<Action> last;
 };
 
-}  // namespace pewterrill::testing
+}  // namespace winchhall::testing
--- a/tests/rules_test.cpp
+++ b/tests/aggregator/decision/rules_test.cpp
@@ -8,9 +8,9 @@
 #include <random>
 #include <set>
 
-#include "driver.hpp"
+#include "tests/aggregator/decision/driver.hpp"
 
-namespace pewterrill::testing {
+namespace winchhall::testing {
 namespace {
 
 struct PartSeen {
@@ -397,4 +397,4 @@
 }
 
 }  // namespace
-}  // namespace pewterrill::testing
+}  // namespace winchhall::testing
--- a/tests/files_stories.cpp
+++ b/tests/aggregator/dynamic_config/files_integration_test.cpp
@@ -8,9 +8,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "app/operator_file.hpp"
-#include "desk.hpp"
-#include "files/files_source.hpp"
+#include "aggregator/app/operator_file.hpp"
+#include "aggregator/dynamic_config/files_source.hpp"
+#include "tests/aggregator/support/desk.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -220,7 +220,7 @@
   s.until_used(7);
   bool draining = false;
   for (const auto& m : s.source.keeper().members(s.loop.now()))
-    if (m.entry.server == "n7") draining = m.entry.state == pewterrill::ServerState::draining;
+    if (m.entry.server == "n7") draining = m.entry.state == winchhall::ServerState::draining;
   CHECK(draining);
   CHECK(s.exchange.known_servers() == 8);  // until it is gone, what it has may be answered
 }
--- a/tests/generations_test.cpp
+++ b/tests/aggregator/dynamic_config/generations_test.cpp
@@ -7,8 +7,8 @@
 #include <limits>
 #include <random>
 
-#include "generations/keeper.hpp"
-#include "generations/settling.hpp"
+#include "aggregator/dynamic_config/keeper.hpp"
+#include "aggregator/dynamic_config/settling.hpp"
 
 using namespace winchhall::generations;
 using winchhall::ranges::kKeyEnd;
@@ -187,7 +187,7 @@
   auto list = k.members(1000);
   REQUIRE(list.size() == 8);
   CHECK(list[7].entry.server == "n7");
-  CHECK(list[7].entry.state == pewterrill::ServerState::draining);
+  CHECK(list[7].entry.state == winchhall::ServerState::draining);
   CHECK(k.next_gone() == 11000);
   CHECK(k.members(10999).size() == 8);
   CHECK(k.members(11000).size() == 7);
@@ -196,7 +196,7 @@
   k.found(nodes(7), 4, {}, 13000);
   list = k.members(13001);
   REQUIRE(list.size() == 7);
-  CHECK(list[6].entry.state == pewterrill::ServerState::ready);
+  CHECK(list[6].entry.state == winchhall::ServerState::ready);
 }
 
 TEST_CASE("a rollback holds until the files change") {
@@ -291,7 +291,7 @@
       for (const auto& m : k.members(now)) {
         RC_ASSERT(names.insert(m.entry.server).second);
         bool named = k.current()->member(m.entry.server) != nullptr;
-        RC_ASSERT(named == (m.entry.state == pewterrill::ServerState::ready));
+        RC_ASSERT(named == (m.entry.state == winchhall::ServerState::ready));
       }
     }
   }));
--- a/tests/store_stories.cpp
+++ b/tests/aggregator/dynamic_config/store_integration_test.cpp
@@ -13,8 +13,8 @@
 #include <fstream>
 #include <random>
 
-#include "generations/digest.hpp"
-#include "store/store.hpp"
+#include "aggregator/dynamic_config/digest.hpp"
+#include "aggregator/dynamic_config/store.hpp"
 
 using namespace winchhall;
 using generations::Kind;
--- a/tests/flight_stories.cpp
+++ b/tests/aggregator/flight/flight_integration_test.cpp
@@ -1,6 +1,6 @@
 // Stories of the Flight front and of Flight calls to nodes, against a stand-in node and a client written
 // here.
-#include "flight_stage.hpp"
+#include "tests/aggregator/flight/flight_stage.hpp"
 
 using namespace winchhall;
 using namespace winchhall::flight;
@@ -136,7 +136,7 @@
 }
 
 TEST_CASE("what ends a call is a proper status") {
-  pewterrill::Settings settings = two_classes();
+  winchhall::Settings settings = two_classes();
   settings.max_open = 3;
   FlightStage s(settings);
   StandIn node(s.loop);
@@ -277,8 +277,8 @@
   FlightStage s;
   StandIn a(s.loop), b(s.loop);
   s.begin({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
-  s.exchange.list(pewterrill::ServerList::Kind::changes,
-                  {member("a", a.listener.port(), 0, pewterrill::ServerState::draining)});
+  s.exchange.list(winchhall::ServerList::Kind::changes,
+                  {member("a", a.listener.port(), 0, winchhall::ServerState::draining)});
   for (int i = 0; i < 5; ++i) CHECK(s.finish(s.get(FlightStage::command({1, 2}))).status() == 0);
   CHECK(a.asked.empty());
   b.on_part = [](const StandIn::Part&) {};
--- a/tests/flight_stage.hpp
+++ b/tests/aggregator/flight/flight_stage.hpp
@@ -1,13 +1,13 @@
 // A node and a client that speak Flight, for stories of the Flight front and of Flight calls to nodes.
 #pragma once
 
+#include "aggregator/flight/arrow.hpp"
+#include "aggregator/flight/flight_pool.hpp"
+#include "aggregator/flight/flight_server.hpp"
+#include "aggregator/flight/grpc.hpp"
 #include "command.pb.h"
 #include "flight.pb.h"
-#include "flight/arrow.hpp"
-#include "flight/flight_pool.hpp"
-#include "flight/flight_server.hpp"
-#include "flight/grpc.hpp"
-#include "stage.hpp"
+#include "tests/aggregator/support/stage.hpp"
 
 namespace winchhall::flight::testing {
 
@@ -95,7 +95,7 @@
 
 // The Flight side of a stage: nodes over Flight, the Flight front, and an analyst's client.
 struct FlightStage : Http2::Handler {
-  explicit FlightStage(pewterrill::Settings settings = two_classes())
+  explicit FlightStage(winchhall::Settings settings = two_classes())
       : exchange(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
         pool(loop, exchange, {}),
--- a/tests/takeover_test.cpp
+++ b/tests/aggregator/hot_restart/hot_restart_test.cpp
@@ -7,8 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "takeover/folder.hpp"
-#include "takeover/pairing.hpp"
+#include "aggregator/hot_restart/folder.hpp"
+#include "aggregator/hot_restart/pairing.hpp"
 
 using namespace winchhall::takeover;
 namespace fs = std::filesystem;
@@ -24,7 +24,7 @@
   s.listens = listens;
   s.revision = 41;
   winchhall::core::Member m;
-  m.entry = {"s-1", 3, 1.5, pewterrill::ServerState::draining, 123.25};
+  m.entry = {"s-1", 3, 1.5, winchhall::ServerState::draining, 123.25};
   m.endpoint = "127.0.0.1:9";
   s.members.push_back(m);
   return s;
@@ -48,7 +48,7 @@
   CHECK(read->heard_of == s.heard_of);
   CHECK(read->revision == 41);
   CHECK(read->members[0].entry.started == 123.25);
-  CHECK(read->members[0].entry.state == pewterrill::ServerState::draining);
+  CHECK(read->members[0].entry.state == winchhall::ServerState::draining);
   CHECK(read->members[0].endpoint == "127.0.0.1:9");
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
     why.clear();
@@ -143,11 +143,11 @@
 
 TEST_CASE("whatever number of processes, what they may spend together is never more than one may") {
   CHECK(rc::check([] {
-    pewterrill::Settings s;
+    winchhall::Settings s;
     s.brokers = *rc::gen::inRange(1, 400);
     s.budget_free = *rc::gen::inRange(0, 50);
     int processes = *rc::gen::inRange(1, 4);
-    pewterrill::Settings each = share_of(s, processes);
+    winchhall::Settings each = share_of(s, processes);
     RC_ASSERT(processes * (1.0 / each.brokers) <= 1.0 / s.brokers + 1e-12);
     RC_ASSERT(processes * each.budget_free <= s.budget_free + 1e-9);
     RC_ASSERT(each.budget_share == s.budget_share);
--- a/tests/platform_client_stories.cpp
+++ b/tests/aggregator/http/client_integration_test.cpp
@@ -1,5 +1,5 @@
 // Stories of the platform's front and its clients. Each guards against one failure.
-#include "stage.hpp"
+#include "tests/aggregator/support/stage.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
--- a/tests/connection_stories.cpp
+++ b/tests/aggregator/http/connection_integration_test.cpp
@@ -1,6 +1,6 @@
 // Connections to leafs that come up late, rest, end in the wrong moment; attempts that never left.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "late_door.hpp"
+#include "tests/aggregator/support/late_door.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -98,6 +98,6 @@
   auto client = s.dial();
   client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
   s.until([&] { return s.exchange.figures()[0].attempts >= 3 && s.exchange.attempts_out() == 0; });
-  s.exchange.list(pewterrill::ServerList::Kind::changes, {member("d", sound.listener.port(), 1)});
+  s.exchange.list(winchhall::ServerList::Kind::changes, {member("d", sound.listener.port(), 1)});
   CHECK(has(s.answer(*client), "\"exact\":true"));
 }
--- a/tests/platform_leaf_stories.cpp
+++ b/tests/aggregator/http/leaf_integration_test.cpp
@@ -1,9 +1,9 @@
 // Stories of the platform's leafs and the connections to them. Each guards against one failure.
-#include "stage.hpp"
+#include "tests/aggregator/support/stage.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
-using pewterrill::ServerState;
+using winchhall::ServerState;
 
 TEST_CASE("a connection that breaks under a part, or is refused, costs an attempt and no answer") {
   Stage s;
@@ -115,7 +115,7 @@
   CHECK(has(s.answer(*client), "\"exact\":true"));
   CHECK(a.peers.size() == 2);
   a.on_part = b.on_part = [](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, 200, "-"); };
-  s.exchange.list(pewterrill::ServerList::Kind::changes, {member("b", b.listener.port(), 1)});
+  s.exchange.list(winchhall::ServerList::Kind::changes, {member("b", b.listener.port(), 1)});
   for (int i = 0; i < 20; ++i)
     s.ask(*client, Stage::query("r" + std::to_string(i), kTwoParts, "lookup", 50000));
   CHECK(a.parts.size() > 10);
@@ -160,9 +160,9 @@
   auto gone = member("a", old.listener.port(), 0, ServerState::gone);
   auto next = member("b", fresh.listener.port(), 0);
   if (named)
-    s.exchange.list(pewterrill::ServerList::Kind::changes, {gone, next});
+    s.exchange.list(winchhall::ServerList::Kind::changes, {gone, next});
   else
-    s.exchange.list(pewterrill::ServerList::Kind::complete, {next});
+    s.exchange.list(winchhall::ServerList::Kind::complete, {next});
   s.until([&] { return old.peers[0]->over; });
   CHECK(s.exchange.known_servers() == 1);
   CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
@@ -199,7 +199,7 @@
 }
 
 TEST_CASE("a connection that falls silent is left, and its leaf is called on a new one") {
-  pewterrill::Settings settings = patient();
+  winchhall::Settings settings = patient();
   settings.classes[0].aim = 400;  // patience is half of it
   Stage s(settings);
   ScriptedLeaf leaf(s.loop), other(s.loop);
@@ -226,7 +226,7 @@
   auto client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "200 OK"));
   m.entry.started = 1000.0;
-  s.exchange.list(pewterrill::ServerList::Kind::changes, {m});
+  s.exchange.list(winchhall::ServerList::Kind::changes, {m});
   s.until([&] { return leaf.peers[0]->over; });
   CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
   CHECK(leaf.peers.size() == 2);
--- a/tests/platform_discovery_stories.cpp
+++ b/tests/aggregator/membership/discovery_integration_test.cpp
@@ -1,13 +1,13 @@
 // Stories of the platform's discovery. Each guards against one failure.
-#include "platform/members.hpp"
-#include "stage.hpp"
+#include "aggregator/membership/members.hpp"
+#include "tests/aggregator/support/stage.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
-using pewterrill::ServerState;
+using winchhall::ServerState;
 
 TEST_CASE("discovery that fails is asked again, the list is kept, and a drain is obeyed") {
-  pewterrill::Settings settings = two_classes();
+  winchhall::Settings settings = two_classes();
   settings.list_on_request = true;
   settings.must_ask_in = 1000;
   Stage s(settings);
--- a/tests/fleet_test.cpp
+++ b/tests/aggregator/membership/fleet_test.cpp
@@ -8,7 +8,7 @@
 #include <queue>
 #include <stdexcept>
 
-#include "fleet/escrow.hpp"
+#include "aggregator/membership/escrow.hpp"
 
 using namespace winchhall::fleet;
 
--- a/tests/list_clock_test.cpp
+++ b/tests/aggregator/membership/list_clock_test.cpp
@@ -1,13 +1,13 @@
 // When the list is asked for and until when it may be gone by, at its limits and over whole fleets.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "fleet/list_clock.hpp"
+#include "aggregator/membership/list_clock.hpp"
 
 #include <doctest/doctest.h>
 
 #include <algorithm>
 #include <vector>
 
-#include "platform/members.hpp"
+#include "aggregator/membership/members.hpp"
 
 using namespace winchhall;
 using fleet::CallEnd;
--- a/tests/list_stories.cpp
+++ b/tests/aggregator/membership/list_integration_test.cpp
@@ -2,7 +2,7 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <sys/socket.h>
 
-#include "desk.hpp"
+#include "tests/aggregator/support/desk.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
--- a/tests/ranges_follower_test.cpp
+++ b/tests/aggregator/ranges/follower_test.cpp
@@ -1,9 +1,10 @@
 // What a follower of the directory takes and refuses, and when it asks again. No sockets, no clock.
+#include "aggregator/ranges/follower.hpp"
+
 #include <doctest/doctest.h>
 
-#include "ranges/follower.hpp"
-#include "ranges/replan.hpp"
-#include "ranges_fixture.hpp"
+#include "aggregator/ranges/replan.hpp"
+#include "tests/aggregator/ranges/ranges_fixture.hpp"
 
 using namespace winchhall::ranges;
 using namespace winchhall::ranges::testing;
--- a/tests/ranges_histories_test.cpp
+++ b/tests/aggregator/ranges/histories_test.cpp
@@ -5,9 +5,9 @@
 
 #include <set>
 
-#include "ranges/follower.hpp"
-#include "ranges/replan.hpp"
-#include "ranges_fixture.hpp"
+#include "aggregator/ranges/follower.hpp"
+#include "aggregator/ranges/replan.hpp"
+#include "tests/aggregator/ranges/ranges_fixture.hpp"
 
 using namespace winchhall::ranges;
 using namespace winchhall::ranges::testing;
--- a/tests/ranges_fixture.hpp
+++ b/tests/aggregator/ranges/ranges_fixture.hpp
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "ranges/change.hpp"
-#include "ranges/map.hpp"
-#include "ranges/planner.hpp"
+#include "aggregator/ranges/change.hpp"
+#include "aggregator/ranges/map.hpp"
+#include "aggregator/ranges/planner.hpp"
 
 namespace winchhall::ranges::testing {
 
--- a/tests/spans_directory_stories.cpp
+++ b/tests/aggregator/ranges/spans_directory_integration_test.cpp
@@ -1,9 +1,9 @@
 // The watch of the directory of ranges.
-#include "desk.hpp"
-#include "platform/range_directory.hpp"
-#include "platform/range_words.hpp"
-#include "ranges/change.hpp"
-#include "spans_fixture.hpp"
+#include "aggregator/http/range_directory.hpp"
+#include "aggregator/http/range_words.hpp"
+#include "aggregator/ranges/change.hpp"
+#include "tests/aggregator/ranges/spans_fixture.hpp"
+#include "tests/aggregator/support/desk.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
--- a/tests/spans_fixture.hpp
+++ b/tests/aggregator/ranges/spans_fixture.hpp
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "ranges/change.hpp"
-#include "ranges/map.hpp"
+#include "aggregator/ranges/change.hpp"
+#include "aggregator/ranges/map.hpp"
 
 namespace winchhall::ranges::testing {
 
--- a/tests/spans_moves_stories.cpp
+++ b/tests/aggregator/ranges/spans_moves_integration_test.cpp
@@ -1,8 +1,8 @@
 // Queries over accounts while ranges move, on the exchange alone: splits, merges and holders. Each story
 // causes one of the hard cases of docs/ranges.md.
-#include "desk.hpp"
-#include "ranges/change.hpp"
-#include "spans_fixture.hpp"
+#include "aggregator/ranges/change.hpp"
+#include "tests/aggregator/ranges/spans_fixture.hpp"
+#include "tests/aggregator/support/desk.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -169,7 +169,7 @@
 }
 
 TEST_CASE("the only holder that is left starts cold: it is not pushed over") {
-  pewterrill::Settings s = two_classes();
+  winchhall::Settings s = two_classes();
   s.cold_time = 10000;
   s.cold_share = 0.25;
   s.fall_multiple = 4;
@@ -178,7 +178,7 @@
   d.pass(1200);  // so long after our own start that what others sent before it is over
   core::Member cold = member("c", 3, 0);
   cold.entry.started = d.now;
-  d.exchange.list(pewterrill::ServerList::Kind::changes, {cold});
+  d.exchange.list(winchhall::ServerList::Kind::changes, {cold});
   d.exchange.run();
   std::string why;
   RangeMap map = *RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"c"})}}, why);
--- a/tests/spans_not_mine_stories.cpp
+++ b/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
@@ -1,8 +1,8 @@
 // Queries over accounts while ranges move, on the exchange alone: nodes that say not mine, and maps that come
 // late. Each story causes one of the hard cases of docs/ranges.md.
-#include "desk.hpp"
-#include "ranges/change.hpp"
-#include "spans_fixture.hpp"
+#include "aggregator/ranges/change.hpp"
+#include "tests/aggregator/ranges/spans_fixture.hpp"
+#include "tests/aggregator/support/desk.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
--- a/tests/spans_wire_stories.cpp
+++ b/tests/aggregator/ranges/spans_wire_integration_test.cpp
@@ -1,14 +1,14 @@
 // Queries over accounts on the wires: both fronts and both carriers.
+#include "aggregator/flight/arrow.hpp"
+#include "aggregator/flight/flight_pool.hpp"
+#include "aggregator/flight/flight_server.hpp"
+#include "aggregator/flight/grpc.hpp"
+#include "aggregator/http/range_words.hpp"
+#include "aggregator/ranges/change.hpp"
 #include "command.pb.h"
-#include "desk.hpp"
 #include "flight.pb.h"
-#include "flight/arrow.hpp"
-#include "flight/flight_pool.hpp"
-#include "flight/flight_server.hpp"
-#include "flight/grpc.hpp"
-#include "platform/range_words.hpp"
-#include "ranges/change.hpp"
-#include "spans_fixture.hpp"
+#include "tests/aggregator/ranges/spans_fixture.hpp"
+#include "tests/aggregator/support/desk.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -19,7 +19,7 @@
 
 // Platform's fronts and carriers with spans on, and a directory whose word is the test's.
 struct SpanStage {
-  explicit SpanStage(pewterrill::Settings settings = patient())
+  explicit SpanStage(winchhall::Settings settings = patient())
       : exchange(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
         pool(loop, exchange, {1, 32, 250, 30000, 50, true}),
--- a/tests/desk.hpp
+++ b/tests/aggregator/support/desk.hpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "stage.hpp"
+#include "tests/aggregator/support/stage.hpp"
 
 namespace winchhall::testing {
 
@@ -20,7 +20,7 @@
 
 // The exchange by itself, on a clock that the test sets; the test is carrier, roster and directory of ranges.
 struct Desk : core::Carrier, core::MembershipSource, core::RangeSource {
-  explicit Desk(pewterrill::Settings settings = two_classes())
+  explicit Desk(winchhall::Settings settings = two_classes())
       : exchange(
             std::move(settings), 3, [this] { return now; }, [](const std::string&) {}) {
     exchange.attach(*this, *this, this);
--- a/tests/late_door.hpp
+++ b/tests/aggregator/support/late_door.hpp
@@ -3,7 +3,7 @@
 
 #include <sys/socket.h>
 
-#include "stage.hpp"
+#include "tests/aggregator/support/stage.hpp"
 
 namespace winchhall::testing {
 
--- a/tests/program.hpp
+++ b/tests/aggregator/support/program.hpp
@@ -10,7 +10,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "stage.hpp"
+#include "tests/aggregator/support/stage.hpp"
 
 namespace winchhall::testing {
 
--- a/tests/stage.hpp
+++ b/tests/aggregator/support/stage.hpp
@@ -11,18 +11,18 @@
 #include <string>
 #include <vector>
 
-#include "core/exchange.hpp"
-#include "net/loop.hpp"
-#include "net/stream.hpp"
-#include "platform/client_front.hpp"
-#include "platform/discovery.hpp"
-#include "platform/frames.hpp"
-#include "platform/leaf_pool.hpp"
+#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/event_loop/stream.hpp"
+#include "aggregator/http/client_front.hpp"
+#include "aggregator/http/frames.hpp"
+#include "aggregator/http/leaf_pool.hpp"
+#include "aggregator/membership/discovery.hpp"
 
 namespace winchhall::testing {
 
-inline pewterrill::Settings two_classes() {
-  pewterrill::Settings s;
+inline winchhall::Settings two_classes() {
+  winchhall::Settings s;
   s.classes.push_back({.name = "lookup", .aim = 2000, .deadline = 8000, .late_worth = 0.3});
   s.classes.push_back({.name = "report",
                        .aim = 300,
@@ -40,13 +40,13 @@
   s.retry_after_heard = true;
   s.max_retry_after = 2000;
   s.reports = true;
-  s.report_fields = {pewterrill::ReportField::in_flight};
+  s.report_fields = {winchhall::ReportField::in_flight};
   return s;
 }
 
 // Times so long that no verdict depends on how fast the machine is.
-inline pewterrill::Settings patient() {
-  pewterrill::Settings s = two_classes();
+inline winchhall::Settings patient() {
+  winchhall::Settings s = two_classes();
   for (auto& c : s.classes) {
     c.aim = 30000;
     c.deadline = 60000;
@@ -57,7 +57,7 @@
 inline sockaddr_in loopback(int port) { return *net::parse_address("127.0.0.1:" + std::to_string(port)); }
 
 inline core::Member member(const std::string& id, int port, int cell,
-                           pewterrill::ServerState state = pewterrill::ServerState::ready) {
+                           winchhall::ServerState state = winchhall::ServerState::ready) {
   core::Member m;
   m.entry.server = id;
   m.entry.cell = cell;
@@ -192,7 +192,7 @@
 
 class Stage {
  public:
-  explicit Stage(pewterrill::Settings settings = two_classes(),
+  explicit Stage(winchhall::Settings settings = two_classes(),
                  platform::LeafLimits limits = {1, 32, 250, 30000, 50})
       : exchange(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
--- a/tests/teach.hpp
+++ b/tests/aggregator/support/teach.hpp
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "driver.hpp"
+#include "tests/aggregator/decision/driver.hpp"
 
-namespace pewterrill::testing {
+namespace winchhall::testing {
 
 // Answers `rounds` single-part queries so that the learned figures are trusted; each takes `took` ms.
 inline void teach(Driver& d, int rounds, Millis took, double hint = 100) {
@@ -18,4 +18,4 @@
   }
 }
 
-}  // namespace pewterrill::testing
+}  // namespace winchhall::testing
--- a/tests/cluster/agent_fixture.hpp
+++ b/tests/cluster/agent/agent_fixture.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cluster/agent/agent.hpp"
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 namespace winchhall::cluster::testing {
 
--- a/tests/cluster/agent_configuration_test.cpp
+++ b/tests/cluster/agent/configuration_test.cpp
@@ -1,7 +1,7 @@
 // How an agent keeps up with the control group and feeds its ingress.
 #include <catch2/catch.hpp>
 
-#include "agent_fixture.hpp"
+#include "tests/cluster/agent/agent_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/agent_retry_budget_test.cpp
+++ b/tests/cluster/agent/retry_budget_test.cpp
@@ -1,8 +1,8 @@
 // Retries are bounded to a share of the first tries plus a floor.
-#include <catch2/catch.hpp>
-
 #include "cluster/agent/retry_budget.hpp"
 
+#include <catch2/catch.hpp>
+
 using namespace winchhall::cluster;
 
 namespace {
--- a/tests/cluster/agent_route_history_test.cpp
+++ b/tests/cluster/agent/route_history_test.cpp
@@ -1,8 +1,9 @@
 // Which services a queue was sent to earlier.
+#include "cluster/agent/route_history.hpp"
+
 #include <catch2/catch.hpp>
 
-#include "cluster/agent/route_history.hpp"
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
 using testing::configuration_json;
--- a/tests/cluster/settings_watcher_test.cpp
+++ b/tests/cluster/common/settings_watcher_test.cpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
 using winchhall::cluster::testing::FakeRuntime;
--- a/tests/cluster/configuration_document_test.cpp
+++ b/tests/cluster/config/configuration_document_test.cpp
@@ -5,7 +5,7 @@
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "cluster/configuration_fixture.hpp"
+#include "tests/cluster/support/configuration_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::configuration_test;
--- a/tests/cluster/configuration_values_test.cpp
+++ b/tests/cluster/config/configuration_values_test.cpp
@@ -5,7 +5,7 @@
 
 #include "cluster/config/json_fields.hpp"
 #include "cluster/config/utf8.hpp"
-#include "cluster/configuration_fixture.hpp"
+#include "tests/cluster/support/configuration_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::configuration_test;
--- a/tests/cluster/consensus_acceptor_test.cpp
+++ b/tests/cluster/consensus/acceptor_test.cpp
@@ -1,10 +1,11 @@
 // One acceptor: what it refuses, what it answers only once durable, what it knows after a restart.
+#include "cluster/consensus/acceptor.hpp"
+
 #include <catch2/catch.hpp>
 
-#include "cluster/consensus/acceptor.hpp"
 #include "cluster/consensus/ballot.hpp"
 #include "cluster/consensus/lease_terms.hpp"
-#include "sim_runtime.hpp"
+#include "tests/cluster/support/sim_runtime.hpp"
 
 namespace winchhall::cluster {
 namespace {
--- a/tests/cluster/consensus_catch_up_test.cpp
+++ b/tests/cluster/consensus/catch_up_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 #include <cstdio>
 
-#include "consensus_candidate.hpp"
+#include "tests/cluster/consensus/consensus_candidate.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/consensus_calls.hpp
+++ b/tests/cluster/consensus/consensus_calls.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "consensus_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 
--- a/tests/cluster/consensus_candidate.hpp
+++ b/tests/cluster/consensus/consensus_candidate.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "consensus_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 
--- a/tests/cluster/consensus_cut_leader_test.cpp
+++ b/tests/cluster/consensus/cut_leader_test.cpp
@@ -2,7 +2,7 @@
 // nobody.
 #include <catch2/catch.hpp>
 
-#include "consensus_candidate.hpp"
+#include "tests/cluster/consensus/consensus_candidate.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/consensus_established_test.cpp
+++ b/tests/cluster/consensus/established_test.cpp
@@ -2,7 +2,7 @@
 // only.
 #include <catch2/catch.hpp>
 
-#include "consensus_candidate.hpp"
+#include "tests/cluster/consensus/consensus_candidate.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/consensus_exploration_test.cpp
+++ b/tests/cluster/consensus/exploration_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <unordered_set>
 
-#include "explored_course.hpp"
+#include "tests/cluster/consensus/explored_course.hpp"
 
 namespace winchhall::cluster::explore {
 namespace {
--- a/tests/cluster/explored_course.hpp
+++ b/tests/cluster/consensus/explored_course.hpp
@@ -1,7 +1,7 @@
 // One course of events of an explored world: proposers, a newcomer and what may befall them.
 #pragma once
 
-#include "explored_world.hpp"
+#include "tests/cluster/consensus/explored_world.hpp"
 
 namespace winchhall::cluster::explore {
 
--- a/tests/cluster/consensus_members_test.cpp
+++ b/tests/cluster/consensus/members_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "cluster/consensus/member_record.hpp"
-#include "consensus_calls.hpp"
+#include "tests/cluster/consensus/consensus_calls.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/consensus_parts_test.cpp
+++ b/tests/cluster/consensus/parts_test.cpp
@@ -5,7 +5,7 @@
 #include "cluster/consensus/ballot.hpp"
 #include "cluster/consensus/register_attempt.hpp"
 #include "cluster/consensus/shard_follower.hpp"
-#include "sim_runtime.hpp"
+#include "tests/cluster/support/sim_runtime.hpp"
 
 namespace winchhall::cluster {
 namespace {
--- a/tests/cluster/consensus_second_loss_test.cpp
+++ b/tests/cluster/consensus/second_loss_test.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 
 #include "cluster/consensus/member_record.hpp"
-#include "consensus_calls.hpp"
+#include "tests/cluster/consensus/consensus_calls.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/consensus_shard_test.cpp
+++ b/tests/cluster/consensus/shard_test.cpp
@@ -2,7 +2,7 @@
 // had.
 #include <catch2/catch.hpp>
 
-#include "consensus_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/consensus_store_test.cpp
+++ b/tests/cluster/consensus/store_test.cpp
@@ -10,7 +10,7 @@
 
 #include "cluster/consensus/journal.hpp"
 #include "cluster/store/level_store.hpp"
-#include "sim_runtime.hpp"
+#include "tests/cluster/support/sim_runtime.hpp"
 
 namespace winchhall::cluster {
 namespace {
--- a/tests/cluster/consensus_versions_test.cpp
+++ b/tests/cluster/consensus/versions_test.cpp
@@ -2,7 +2,7 @@
 // a later one adds fields that nobody here knows.
 #include <catch2/catch.hpp>
 
-#include "consensus_candidate.hpp"
+#include "tests/cluster/consensus/consensus_candidate.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "cluster/control/control_node.hpp"
-#include "configuration_fixture.hpp"
-#include "consensus_fixture.hpp"
+#include "tests/cluster/support/configuration_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 
--- a/tests/cluster/configuration_history_test.cpp
+++ b/tests/cluster/control/configuration_history_test.cpp
@@ -1,10 +1,10 @@
 // Orders and reads at control nodes that are cut off, frozen, wiped or overtaken: every answer that any
 // operator saw fits one course of events.
-#include "configuration_history.hpp"
+#include "tests/cluster/control/configuration_history.hpp"
 
 #include <catch2/catch.hpp>
 
-#include "long_troubles.hpp"
+#include "tests/cluster/support/long_troubles.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/configuration_service_test.cpp
+++ b/tests/cluster/control/configuration_service_test.cpp
@@ -1,9 +1,9 @@
 // The operator's changes: lost answers, races, repeats, invalid ones; watches.
 #include <catch2/catch.hpp>
 
-#include "cluster/configuration_fixture.hpp"
 #include "cluster/control/configuration_answers.hpp"
-#include "cluster/worker_fixture.hpp"
+#include "tests/cluster/support/configuration_fixture.hpp"
+#include "tests/cluster/worker_agent/worker_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::configuration_test;
--- a/tests/cluster/job_history_test.cpp
+++ b/tests/cluster/control/job_history_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "cluster/control/service_leader.hpp"
-#include "long_troubles.hpp"
+#include "tests/cluster/support/long_troubles.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/operator_api_test.cpp
+++ b/tests/cluster/control/operator_api_test.cpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <set>
 
-#include "configuration_fixture.hpp"
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/configuration_fixture.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
 namespace http = boost::beast::http;
--- a/tests/cluster/control_restart_test.cpp
+++ b/tests/cluster/control/restart_test.cpp
@@ -3,8 +3,8 @@
 #include <catch2/catch.hpp>
 
 #include "cluster/control/control_node.hpp"
-#include "configuration_fixture.hpp"
-#include "consensus_fixture.hpp"
+#include "tests/cluster/support/configuration_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::sim;
--- a/tests/cluster/delivery_fixture.hpp
+++ b/tests/cluster/delivery/delivery_fixture.hpp
@@ -10,7 +10,7 @@
 #include "cluster/delivery/configuration_replica.hpp"
 #include "cluster/delivery/difference_fetcher.hpp"
 #include "cluster/delivery/difference_server.hpp"
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 namespace winchhall::cluster::testing {
 
--- a/tests/cluster/delivery_difference_test.cpp
+++ b/tests/cluster/delivery/difference_test.cpp
@@ -1,7 +1,7 @@
 // Differences between versions of the configuration: how they are made, checked and applied.
 #include <catch2/catch.hpp>
 
-#include "delivery_fixture.hpp"
+#include "tests/cluster/delivery/delivery_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/delivery_fetch_test.cpp
+++ b/tests/cluster/delivery/fetch_test.cpp
@@ -1,7 +1,7 @@
 // Fetching the configuration part by part: narrow links, cuts, late and doubled parts, versions passed over.
 #include <catch2/catch.hpp>
 
-#include "delivery_fixture.hpp"
+#include "tests/cluster/delivery/delivery_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/http_server_test.cpp
+++ b/tests/cluster/http/server_test.cpp
@@ -1,9 +1,10 @@
 // The HTTP server on loopback sockets; the event loop is run by the tests themselves.
+#include "cluster/http/server.hpp"
+
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "cluster/http/server.hpp"
-#include "loopback_client.hpp"
+#include "tests/cluster/support/loopback_client.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/ingress_feed_test.cpp
+++ b/tests/cluster/ingress/configuration_feed_test.cpp
@@ -1,8 +1,9 @@
 // How an ingress keeps its configuration.
+#include "cluster/ingress/configuration_feed.hpp"
+
 #include <catch2/catch.hpp>
 
-#include "cluster/ingress/configuration_feed.hpp"
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/ingress_gateway_test.cpp
+++ b/tests/cluster/ingress/job_gateway_test.cpp
@@ -1,8 +1,9 @@
 // What clients are answered.
+#include "cluster/ingress/job_gateway.hpp"
+
 #include <catch2/catch.hpp>
 
-#include "cluster/ingress/job_gateway.hpp"
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/ingress_job_json_test.cpp
+++ b/tests/cluster/ingress/job_json_test.cpp
@@ -1,8 +1,8 @@
 // Reading submitted jobs.
-#include <catch2/catch.hpp>
-
 #include "cluster/ingress/job_json.hpp"
 
+#include <catch2/catch.hpp>
+
 using namespace winchhall::cluster;
 
 namespace {
--- a/tests/cluster/ingress_shutdown_test.cpp
+++ b/tests/cluster/ingress/shutdown_test.cpp
@@ -3,8 +3,8 @@
 #include <optional>
 
 #include "cluster/ingress/ingress.hpp"
-#include "fake_runtime.hpp"
-#include "loopback_client.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
+#include "tests/cluster/support/loopback_client.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/processes_test.cpp
+++ b/tests/cluster/integration/processes_test.cpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <thread>
 
-#include "lab/cluster/http_call.hpp"
-#include "lab/cluster/local_cluster.hpp"
-#include "lab/cluster/stand_in_leaf.hpp"
+#include "testbed/cluster/http_call.hpp"
+#include "testbed/cluster/local_cluster.hpp"
+#include "testbed/cluster/stand_in_leaf.hpp"
 
-using namespace winchhall::lab::cluster;
+using namespace winchhall::testbed::cluster;
 
 namespace {
 
--- a/tests/cluster/membership_sampler_test.cpp
+++ b/tests/cluster/membership/sampler_test.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "cluster/membership/peer_sampler.hpp"
-#include "fake_runtime.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
 using winchhall::cluster::testing::FakeRuntime;
--- a/tests/cluster/membership_sources_test.cpp
+++ b/tests/cluster/membership/sources_test.cpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "agent_fixture.hpp"
 #include "cluster/worker_agent/leader_finder.hpp"
-#include "consensus_fixture.hpp"
+#include "tests/cluster/agent/agent_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
--- a/tests/cluster/metrics_test.cpp
+++ b/tests/cluster/metrics/collectors_test.cpp
@@ -1,10 +1,11 @@
 // Metrics: their text, and the loopback server.
+#include "cluster/metrics/collectors.hpp"
+
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "cluster/metrics/collectors.hpp"
 #include "cluster/metrics/metrics_server.hpp"
-#include "loopback_client.hpp"
+#include "tests/cluster/support/loopback_client.hpp"
 
 using namespace winchhall::cluster;
 
--- a/tests/cluster/scheduler_course_test.cpp
+++ b/tests/cluster/scheduler/course_test.cpp
@@ -1,7 +1,7 @@
 // Courses of single jobs, step by step, against a scripted worker-agent.
 #include <catch2/catch.hpp>
 
-#include "scheduler_script.hpp"
+#include "tests/cluster/scheduler/scheduler_script.hpp"
 
 namespace winchhall::cluster {
 namespace {
--- a/tests/cluster/scheduler_ended_jobs_test.cpp
+++ b/tests/cluster/scheduler/ended_jobs_test.cpp
@@ -1,7 +1,7 @@
 // What is kept of jobs that have ended: little, and only once their end is durable.
 #include <catch2/catch.hpp>
 
-#include "scheduler_script.hpp"
+#include "tests/cluster/scheduler/scheduler_script.hpp"
 
 namespace winchhall::cluster {
 namespace {
--- a/tests/cluster/scheduler_preemption_test.cpp
+++ b/tests/cluster/scheduler/preemption_test.cpp
@@ -3,7 +3,7 @@
 
 #include "cluster/scheduler/leaf_health.hpp"
 #include "cluster/scheduler/waiting_queue.hpp"
-#include "scheduler_script.hpp"
+#include "tests/cluster/scheduler/scheduler_script.hpp"
 
 namespace winchhall::cluster {
 namespace {
--- a/tests/cluster/scheduler_rules_test.cpp
+++ b/tests/cluster/scheduler/rules_test.cpp
@@ -1,7 +1,7 @@
 // The rules for jobs, under random work and troubles by seed.
 #include <catch2/catch.hpp>
 
-#include "scheduler_sim_impl.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_impl.hpp"
 
 namespace winchhall::cluster::test {
 namespace {
--- a/tests/cluster/scheduler_sim.hpp
+++ b/tests/cluster/scheduler/scheduler_sim.hpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "cluster/scheduler/scheduler.hpp"
-#include "scheduler_sim_checker.hpp"
-#include "scheduler_sim_worker.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_checker.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_worker.hpp"
 
 namespace winchhall::cluster::test {
 
--- a/tests/cluster/scheduler_sim_checker.hpp
+++ b/tests/cluster/scheduler/scheduler_sim_checker.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "cluster/common/settings.hpp"
-#include "scheduler_sim_leaf.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_leaf.hpp"
 
 namespace winchhall::cluster::test {
 
--- a/tests/cluster/scheduler_sim_impl.hpp
+++ b/tests/cluster/scheduler/scheduler_sim_impl.hpp
@@ -1,7 +1,7 @@
 // The simulated service's own steps.
 #pragma once
 
-#include "scheduler_sim.hpp"
+#include "tests/cluster/scheduler/scheduler_sim.hpp"
 
 namespace winchhall::cluster::test {
 
@@ -185,4 +185,4 @@
 
 }  // namespace winchhall::cluster::test
 
-#include "scheduler_sim_leaves.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_leaves.hpp"
--- a/tests/cluster/scheduler_sim_leaves.hpp
+++ b/tests/cluster/scheduler/scheduler_sim_leaves.hpp
@@ -1,7 +1,7 @@
 // The simulated service's leaves and worker-agents at work.
 #pragma once
 
-#include "scheduler_sim.hpp"
+#include "tests/cluster/scheduler/scheduler_sim.hpp"
 
 namespace winchhall::cluster::test {
 
--- a/tests/cluster/scheduler_sim_worker.hpp
+++ b/tests/cluster/scheduler/scheduler_sim_worker.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "scheduler_sim_leaf.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_leaf.hpp"
 
 namespace winchhall::cluster::test {
 
--- a/tests/cluster/store_damage_test.cpp
+++ b/tests/cluster/store/damage_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "cluster/store/log_scan.hpp"
-#include "store_fixture.hpp"
+#include "tests/cluster/store/store_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/store_power_loss_test.cpp
+++ b/tests/cluster/store/power_loss_test.cpp
@@ -2,7 +2,7 @@
 // there in part.
 #include <catch2/catch.hpp>
 
-#include "store_fixture.hpp"
+#include "tests/cluster/store/store_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/store_refusal_test.cpp
+++ b/tests/cluster/store/refusal_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 #include <chrono>
 
-#include "store_fixture.hpp"
+#include "tests/cluster/store/store_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/store_fixture.hpp
+++ b/tests/cluster/store/store_fixture.hpp
@@ -12,7 +12,7 @@
 #include <string>
 
 #include "cluster/store/level_store.hpp"
-#include "simulated_disk.hpp"
+#include "tests/cluster/support/simulated_disk.hpp"
 
 namespace winchhall::cluster::sim {
 
--- a/tests/cluster/store_tools_test.cpp
+++ b/tests/cluster/store/tools_test.cpp
@@ -9,8 +9,8 @@
 #include "cluster/store/backup_file.hpp"
 #include "cluster/store/control_state.hpp"
 #include "cluster/store/offline_store.hpp"
-#include "consensus_fixture.hpp"
-#include "store_fixture.hpp"
+#include "tests/cluster/store/store_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
--- a/tests/cluster/consensus_fixture.hpp
+++ b/tests/cluster/support/consensus_fixture.hpp
@@ -7,7 +7,7 @@
 
 #include "cluster/common/settings.hpp"
 #include "cluster/consensus/control_group.hpp"
-#include "sim_runtime.hpp"
+#include "tests/cluster/support/sim_runtime.hpp"
 
 namespace winchhall::cluster::sim {
 
--- a/tests/cluster/long_troubles.hpp
+++ b/tests/cluster/support/long_troubles.hpp
@@ -2,7 +2,7 @@
 // time, beside short ones.
 #pragma once
 
-#include "consensus_fixture.hpp"
+#include "tests/cluster/support/consensus_fixture.hpp"
 
 namespace winchhall::cluster::sim {
 
--- a/tests/cluster/sim_runtime.hpp
+++ b/tests/cluster/support/sim_runtime.hpp
@@ -375,4 +375,4 @@
 
 }  // namespace winchhall::cluster::sim
 
-#include "sim_store_impl.hpp"
+#include "tests/cluster/support/sim_store_impl.hpp"
--- a/tests/cluster/simulated_disk.hpp
+++ b/tests/cluster/support/simulated_disk.hpp
@@ -303,4 +303,4 @@
 
 }  // namespace winchhall::cluster::sim
 
-#include "simulated_disk_impl.hpp"
+#include "tests/cluster/support/simulated_disk_impl.hpp"
--- a/tests/cluster/simulated_disk_impl.hpp
+++ b/tests/cluster/support/simulated_disk_impl.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstring>
 
-#include "simulated_disk.hpp"
+#include "tests/cluster/support/simulated_disk.hpp"
 
 namespace winchhall::cluster::sim {
 
--- a/tests/cluster/worker_agent_heartbeat_test.cpp
+++ b/tests/cluster/worker_agent/heartbeat_test.cpp
@@ -1,7 +1,7 @@
 // The leaf's JSON: what is read, what is refused, what is written.
 #include <catch2/catch.hpp>
 
-#include "cluster/worker_fixture.hpp"
+#include "tests/cluster/worker_agent/worker_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::worker_test;
--- a/tests/cluster/worker_agent_http_test.cpp
+++ b/tests/cluster/worker_agent/http_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "cluster/worker_agent/worker_http.hpp"
-#include "cluster/worker_fixture.hpp"
+#include "tests/cluster/worker_agent/worker_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::worker_test;
--- a/tests/cluster/worker_agent_property_test.cpp
+++ b/tests/cluster/worker_agent/property_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <set>
 
-#include "cluster/worker_fixture.hpp"
+#include "tests/cluster/worker_agent/worker_fixture.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::worker_test;
--- a/tests/fuzz/set_fuzz.cpp
+++ b/tests/fuzz/set_fuzz.cpp
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "app/operator_file.hpp"
-#include "generations/generation.hpp"
+#include "aggregator/app/operator_file.hpp"
+#include "aggregator/dynamic_config/generation.hpp"
 
 extern "C" void winchhall_read_set(const winchhall::generations::Bytes&, winchhall::generations::Rows&,
                                    std::vector<winchhall::generations::Fault>&);
--- a/tests/fuzz/store_fuzz.cpp
+++ b/tests/fuzz/store_fuzz.cpp
@@ -7,8 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "generations/digest.hpp"
-#include "store/store.hpp"
+#include "aggregator/dynamic_config/digest.hpp"
+#include "aggregator/dynamic_config/store.hpp"
 
 extern "C" void winchhall_open_store(const std::string&, bool, winchhall::store::Opened&);
 
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -2,7 +2,7 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "platform/range_words.hpp"
+#include "aggregator/http/range_words.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace winchhall;
