--- a/src/cluster/agent/cluster_view.cpp
+++ b/src/cluster/agent/cluster_view.cpp
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-ViewChanges ClusterView::absorb(const wire::ConfigurationUpdate& update, TimePoint now) {
+ViewChanges ClusterView::apply_update(const wire::ConfigurationUpdate& update, TimePoint now) {
   ViewChanges changes;
-  changes.configuration = absorb_configuration(update, now, changes.unusable);
+  changes.configuration = apply_configuration(update, now, changes.rejected);
   for (const wire::ShardLeader& leader : update.leaders()) {
-    const bool changed = absorb_leader(leader);
+    const bool changed = apply_leader(leader);
     changes.leaders = changes.leaders || changed;
   }
-  changes.members = absorb_members(update);
+  changes.members = apply_members(update);
   return changes;
 }
 
@@ -31,19 +31,21 @@
   return found == leaders_.end() ? Address() : found->second.address();
 }
 
-bool ClusterView::absorb_configuration(const wire::ConfigurationUpdate& update, TimePoint now,
-                                       bool& unusable) {
+bool ClusterView::apply_configuration(const wire::ConfigurationUpdate& update, TimePoint now,
+                                      bool& rejected) {
   if (update.version() <= version() || update.configuration().empty()) return false;
-  const TakeOutcome outcome = replica_.take_json(update.configuration(), kControlSource);
-  unusable = outcome == TakeOutcome::unusable;
-  if (outcome != TakeOutcome::taken) return false;
-  on_difference(now);
+  const ApplyOutcome outcome = replica_.apply_json(update.configuration(), kControlSource);
+  rejected = outcome == ApplyOutcome::rejected;
+  if (outcome != ApplyOutcome::applied) return false;
+  on_difference_applied(now);
   return true;
 }
 
-void ClusterView::on_difference(TimePoint now) { history_.observe(replica_.last_route_changes(), now); }
+void ClusterView::on_difference_applied(TimePoint now) {
+  history_.record_changes(replica_.last_route_changes(), now);
+}
 
-bool ClusterView::absorb_leader(const wire::ShardLeader& leader) {
+bool ClusterView::apply_leader(const wire::ShardLeader& leader) {
   wire::ShardLeader& known = leaders_[leader.shard()];
   const bool newer = leader.epoch() > known.epoch();
   const bool completes = leader.epoch() == known.epoch() && known.address().empty();
@@ -54,7 +56,7 @@
 }
 
 // A node that is cut off may hold an old list.
-bool ClusterView::absorb_members(const wire::ConfigurationUpdate& update) {
+bool ClusterView::apply_members(const wire::ConfigurationUpdate& update) {
   if (!update.in_touch() || update.members().empty()) return false;
   const auto& members = update.members();
   const bool same = std::equal(members.begin(), members.end(), members_.begin(), members_.end(), same_member);
--- a/src/cluster/agent/cluster_view.hpp
+++ b/src/cluster/agent/cluster_view.hpp
@@ -17,17 +17,17 @@
   bool configuration = false;
   bool leaders = false;
   bool members = false;
-  bool unusable = false;  // the update's configuration could not be read
+  bool rejected = false;  // the update's configuration could not be read
 };
 
 class ClusterView {
  public:
   // Takes in what is newer of leaders, members and, where it came whole, the configuration; what is older
   // changes nothing.
-  ViewChanges absorb(const wire::ConfigurationUpdate& update, TimePoint now);
+  ViewChanges apply_update(const wire::ConfigurationUpdate& update, TimePoint now);
 
   // The replica has taken a difference.
-  void on_difference(TimePoint now);
+  void on_difference_applied(TimePoint now);
 
   // 0: no configuration yet.
   std::uint64_t version() const { return replica_.version(); }
@@ -41,9 +41,9 @@
   const RouteHistory& history() const { return history_; }
 
  private:
-  bool absorb_configuration(const wire::ConfigurationUpdate& update, TimePoint now, bool& unusable);
-  bool absorb_leader(const wire::ShardLeader& leader);
-  bool absorb_members(const wire::ConfigurationUpdate& update);
+  bool apply_configuration(const wire::ConfigurationUpdate& update, TimePoint now, bool& rejected);
+  bool apply_leader(const wire::ShardLeader& leader);
+  bool apply_members(const wire::ConfigurationUpdate& update);
 
   ConfigurationReplica replica_;
   std::map<std::string, wire::ShardLeader> leaders_;  // by shard
--- a/src/cluster/agent/watch_server.cpp
+++ b/src/cluster/agent/configuration_watch_server.cpp
@@ -1,40 +1,40 @@
-#include "cluster/agent/watch_server.hpp"
+#include "cluster/agent/configuration_watch_server.hpp"
 
 #include <algorithm>
 
 namespace winchhall::cluster {
 
-WatchServer::WatchServer(Runtime& runtime, const ClusterView& view)
+ConfigurationWatchServer::ConfigurationWatchServer(Runtime& runtime, const ClusterView& view)
     : runtime_(runtime), view_(view), differences_(view.replica().table()) {}
 
-void WatchServer::watch(const wire::ConfigurationWatch& watch, const Replier& reply) {
+void ConfigurationWatchServer::watch(const wire::ConfigurationWatch& watch, const ReplyCallback& reply) {
   polls_.push_back({watch.version(), watch.fetches(), reply, nullptr});
   const auto poll = std::prev(polls_.end());
-  const Millis wait = std::min(Millis(watch.wait_ms()), longest_wait_);
+  const Millis wait = std::min(Millis(watch.wait_ms()), max_wait_);
   if (view_.version() > watch.version() || wait == Millis::zero()) return answer(poll);
   poll->timer = runtime_.after(wait, [this, poll] { answer(poll); });
 }
 
-void WatchServer::on_newer_configuration() {
+void ConfigurationWatchServer::on_newer_configuration() {
   for (auto next = polls_.begin(); next != polls_.end();) {
     const auto poll = next++;
     if (view_.version() > poll->version) answer(poll);
   }
 }
 
-void WatchServer::set_in_touch(bool in_touch) {
+void ConfigurationWatchServer::set_in_touch(bool in_touch) {
   if (in_touch == in_touch_) return;
   in_touch_ = in_touch;
   answer_all();
 }
 
-void WatchServer::set_longest_wait(Millis longest_wait) {
-  longest_wait_ = longest_wait;
+void ConfigurationWatchServer::set_max_wait(Millis longest_wait) {
+  max_wait_ = longest_wait;
   answer_all();
 }
 
 // An ingress with a newer configuration than this process has is told nothing of the older one.
-void WatchServer::answer(Polls::iterator poll) {
+void ConfigurationWatchServer::answer(Polls::iterator poll) {
   wire::Envelope envelope;
   auto& update = *envelope.mutable_configuration_update();
   update.set_version(view_.version());
@@ -46,7 +46,7 @@
   poll->reply(std::move(envelope));
 }
 
-void WatchServer::answer_all() {
+void ConfigurationWatchServer::answer_all() {
   while (!polls_.empty()) answer(polls_.begin());
 }
 
--- a/src/cluster/agent/watch_server.hpp
+++ b/src/cluster/agent/configuration_watch_server.hpp
@@ -6,16 +6,16 @@
 
 #include "cluster/agent/cluster_view.hpp"
 #include "cluster/common/runtime.hpp"
-#include "cluster/delivery/difference_server.hpp"
+#include "cluster/delivery/configuration_transfer_server.hpp"
 
 namespace winchhall::cluster {
 
-class WatchServer {
+class ConfigurationWatchServer {
  public:
-  WatchServer(Runtime& runtime, const ClusterView& view);
+  ConfigurationWatchServer(Runtime& runtime, const ClusterView& view);
 
-  void watch(const wire::ConfigurationWatch& watch, const Replier& reply);
-  void fetch(const wire::ConfigurationFetch& fetch, const Replier& reply) {
+  void watch(const wire::ConfigurationWatch& watch, const ReplyCallback& reply);
+  void fetch(const wire::ConfigurationFetch& fetch, const ReplyCallback& reply) {
     differences_.handle(fetch, reply);
   }
   // The view has a newer configuration: answers all polls that wait for one.
@@ -23,13 +23,13 @@
   // What is told of the link to the control group; a change answers all polls.
   void set_in_touch(bool in_touch);
   // Polls are held no longer than this.
-  void set_longest_wait(Millis longest_wait);
+  void set_max_wait(Millis longest_wait);
 
  private:
   struct Poll {
     std::uint64_t version = 0;
     bool fetches = false;
-    Replier reply;
+    ReplyCallback reply;
     std::unique_ptr<Timer> timer;
   };
   using Polls = std::list<Poll>;
@@ -39,10 +39,10 @@
 
   Runtime& runtime_;
   const ClusterView& view_;
-  DifferenceServer differences_;
+  ConfigurationTransferServer differences_;
   Polls polls_;
   bool in_touch_ = false;
-  Millis longest_wait_{10000};
+  Millis max_wait_{10000};
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/control_directory.cpp
+++ b/src/cluster/agent/control_directory.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 // A node that failed is asked again after this long; doubled with each failure in a row.
-constexpr Millis kFirstRest{200};
-constexpr unsigned kMostDoublings = 4;
+constexpr Millis kInitialBackoff{200};
+constexpr unsigned kMaxBackoffDoublings = 4;
 
 }  // namespace
 
 ControlDirectory::ControlDirectory(Runtime& runtime, const NodeSettings& settings)
     : runtime_(runtime), own_zone_(settings.zone) {
-  set_seeds(settings.seed_listeners());
+  set_seeds(settings.seed_internal_addresses());
 }
 
 void ControlDirectory::set_seeds(const std::vector<Address>& seeds) {
   for (Node& node : nodes_) node.seed = false;
   for (const Address& seed : seeds) add(seed).seed = true;
-  drop_unlisted();
+  remove_unlisted();
 }
 
 void ControlDirectory::set_members(const std::vector<wire::Member>& members) {
@@ -30,16 +30,16 @@
     node.member = true;
     node.zone = member.zone();
   }
-  drop_unlisted();
+  remove_unlisted();
 }
 
 void ControlDirectory::set_sampled(const std::vector<Address>& nodes) {
   for (Node& node : nodes_) node.sampled = false;
   for (const Address& node : nodes) add(node).sampled = true;
-  drop_unlisted();
+  remove_unlisted();
 }
 
-void ControlDirectory::drop_unlisted() {
+void ControlDirectory::remove_unlisted() {
   std::erase_if(nodes_, [](const Node& node) { return !node.seed && !node.member && !node.sampled; });
 }
 
@@ -54,7 +54,7 @@
     if (better || (equal && runtime_.random() % ties == 0)) best = &node;
   }
   if (best == nullptr) return std::nullopt;
-  return ControlChoice{best->address, best->rests_until <= runtime_.now()};
+  return ControlChoice{best->address, best->backoff_until <= runtime_.now()};
 }
 
 Address ControlDirectory::choose_any(const Address& excluded) const {
@@ -63,24 +63,25 @@
   for (const Node& node : nodes_) {
     if (node.address == excluded) continue;
     const bool listed = node.seed || node.member;
-    const bool first_choice = listed && node.rests_until <= runtime_.now();
+    const bool first_choice = listed && node.backoff_until <= runtime_.now();
     (first_choice ? rested : others).push_back(&node);
   }
   const auto& from = rested.empty() ? others : rested;
   return from.empty() ? Address() : from[runtime_.random() % from.size()]->address;
 }
 
-void ControlDirectory::note_answer(const Address& address) {
+void ControlDirectory::record_success(const Address& address) {
   Node* node = find(address);
   if (node == nullptr) return;
   node->failures = 0;
-  node->rests_until = TimePoint();
+  node->backoff_until = TimePoint();
 }
 
-void ControlDirectory::note_failure(const Address& address) {
+void ControlDirectory::record_failure(const Address& address) {
   Node* node = find(address);
   if (node == nullptr) return;
-  node->rests_until = runtime_.now() + kFirstRest * (1u << std::min(node->failures, kMostDoublings));
+  node->backoff_until =
+      runtime_.now() + kInitialBackoff * (1u << std::min(node->failures, kMaxBackoffDoublings));
   ++node->failures;
 }
 
@@ -105,7 +106,7 @@
   constexpr int kNoMember = 2;
   constexpr int kOtherZone = 1;
   int rank = 0;
-  if (node.rests_until > runtime_.now()) rank += kResting;
+  if (node.backoff_until > runtime_.now()) rank += kResting;
   if (!node.member && !node.seed) rank += kOnlySampled;
   if (!node.member) rank += kNoMember;
   if (node.zone != own_zone_) rank += kOtherZone;
--- a/src/cluster/agent/control_directory.hpp
+++ b/src/cluster/agent/control_directory.hpp
@@ -35,8 +35,8 @@
   // Any node but `excluded`, by preference one that has not failed lately; empty: there is none.
   Address choose_any(const Address& excluded) const;
 
-  void note_answer(const Address& address);
-  void note_failure(const Address& address);
+  void record_success(const Address& address);
+  void record_failure(const Address& address);
 
  private:
   struct Node {
@@ -46,13 +46,13 @@
     bool member = false;
     bool sampled = false;
     unsigned failures = 0;  // in a row
-    TimePoint rests_until;
+    TimePoint backoff_until;
   };
 
   Node* find(const Address& address);
   Node& add(const Address& address);
   // Drops the nodes that no source lists.
-  void drop_unlisted();
+  void remove_unlisted();
   int rank(const Node& node) const;
 
   Runtime& runtime_;
--- a/src/cluster/agent/control_watcher.hpp
+++ b/src/cluster/agent/control_watcher.hpp
@@ -11,7 +11,7 @@
 #include "cluster/agent/cluster_view.hpp"
 #include "cluster/agent/control_directory.hpp"
 #include "cluster/common/runtime.hpp"
-#include "cluster/delivery/difference_fetcher.hpp"
+#include "cluster/delivery/configuration_fetcher.hpp"
 
 namespace winchhall::cluster {
 
@@ -38,13 +38,13 @@
     std::unique_ptr<Timer> timer;
   };
 
-  void fill(std::size_t number);
+  void assign_peer(std::size_t number);
   void poll(std::size_t number);
   void poll_later(std::size_t number, Millis pause);
   void on_answer(std::size_t number, const CallResult& result);
-  void replace(std::size_t number);
+  void replace_peer(std::size_t number);
   std::set<Address> peers() const;
-  ViewChanges absorb(const Address& peer, const wire::ConfigurationUpdate& update);
+  ViewChanges apply_update(const Address& peer, const wire::ConfigurationUpdate& update);
   // A difference was fetched and taken.
   void on_fetched();
   void on_refreshed(const Address& peer, const CallResult& result);
@@ -55,9 +55,9 @@
   ClusterView& view_;
   ControlDirectory& directory_;
   OnChange on_change_;
-  DifferenceFetcher fetcher_;
+  ConfigurationFetcher fetcher_;
   std::array<Slot, kSlots> slots_;
-  std::optional<TimePoint> last_in_touch_;
+  std::optional<TimePoint> last_quorum_contact_;
   bool refreshing_ = false;
   std::optional<TimePoint> last_refresh_;
 };
--- a/src/cluster/agent/agent.cpp
+++ b/src/cluster/agent/edge_agent.cpp
@@ -1,4 +1,4 @@
-#include "cluster/agent/agent.hpp"
+#include "cluster/agent/edge_agent.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr Millis kLinkCheck{500};
-constexpr Millis kEndCheck{100};
+constexpr Millis kLinkCheckInterval{500};
+constexpr Millis kShutdownCheckInterval{100};
 // Kept back of the grace period for the process' end; less than the ingress keeps, which ends first.
-constexpr Millis kEndReserve{500};
+constexpr Millis kShutdownReserve{500};
 // While ending, polls of the ingress are held this long, so that its silence shows soon.
-constexpr Millis kPollWhileEnding{300};
-constexpr Millis kIngressSilence{1000};
+constexpr Millis kMaxWaitWhileDraining{300};
+constexpr Millis kIngressIdleTimeout{1000};
 
 }  // namespace
 
-Agent::Agent(Runtime& runtime, const NodeSettings& settings)
+EdgeAgent::EdgeAgent(Runtime& runtime, const NodeSettings& settings)
     : runtime_(runtime),
       settings_(settings),
       directory_(runtime, settings),
@@ -29,12 +29,12 @@
       relay_(LeaderCallContext{runtime, view_, watcher_, budget_}),
       last_ingress_call_(runtime.now()) {}
 
-void Agent::start() {
+void EdgeAgent::start() {
   watcher_.start();
-  check_link();
+  check_control_link();
 }
 
-bool Agent::handle(const wire::Envelope& request, const Replier& reply) {
+bool EdgeAgent::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   if (request.has_configuration_watch()) {
     last_ingress_call_ = runtime_.now();
     watch_server_.watch(request.configuration_watch(), reply);
@@ -53,17 +53,17 @@
   return false;
 }
 
-void Agent::shut_down(std::function<void()> done) {
+void EdgeAgent::shut_down(std::function<void()> done) {
   if (done_) return;
   done_ = std::move(done);
-  end_ = runtime_.now() + std::max(settings_.bounds.grace_period - kEndReserve, Millis(0));
+  end_ = runtime_.now() + std::max(settings_.bounds.grace_period - kShutdownReserve, Millis(0));
   last_ingress_call_ = runtime_.now();
-  watch_server_.set_longest_wait(kPollWhileEnding);
-  watch_end();
+  watch_server_.set_max_wait(kMaxWaitWhileDraining);
+  check_shutdown();
 }
 
-void Agent::on_change(const ViewChanges& changes) {
-  note_link();
+void EdgeAgent::on_change(const ViewChanges& changes) {
+  update_control_link();
   if (changes.configuration) {
     log_event(LogLevel::info, "configuration", {{"version", static_cast<std::int64_t>(view_.version())}});
     watch_server_.on_newer_configuration();
@@ -71,28 +71,28 @@
   if (changes.leaders) relay_.on_leaders_changed();
 }
 
-void Agent::note_link() {
+void EdgeAgent::update_control_link() {
   const bool in_touch = watcher_.in_touch();
   if (std::exchange(in_touch_, in_touch) == in_touch) return;
   log_event(LogLevel::info, in_touch ? "control_group_found" : "control_group_lost");
   watch_server_.set_in_touch(in_touch);
 }
 
-void Agent::check_link() {
-  note_link();
-  link_timer_ = runtime_.after(kLinkCheck, [this] { check_link(); });
+void EdgeAgent::check_control_link() {
+  update_control_link();
+  link_timer_ = runtime_.after(kLinkCheckInterval, [this] { check_control_link(); });
 }
 
-void Agent::watch_end() {
-  if (ingress_is_gone() || runtime_.now() >= end_) {
+void EdgeAgent::check_shutdown() {
+  if (is_ingress_idle() || runtime_.now() >= end_) {
     const auto finished = std::move(done_);
     return finished();
   }
-  end_timer_ = runtime_.after(kEndCheck, [this] { watch_end(); });
+  end_timer_ = runtime_.after(kShutdownCheckInterval, [this] { check_shutdown(); });
 }
 
-bool Agent::ingress_is_gone() const {
-  return relay_.open() == 0 && runtime_.now() - last_ingress_call_ >= kIngressSilence;
+bool EdgeAgent::is_ingress_idle() const {
+  return relay_.open() == 0 && runtime_.now() - last_ingress_call_ >= kIngressIdleTimeout;
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/agent.hpp
+++ b/src/cluster/agent/edge_agent.hpp
@@ -6,20 +6,20 @@
 #include <memory>
 
 #include "cluster/agent/cluster_view.hpp"
+#include "cluster/agent/configuration_watch_server.hpp"
 #include "cluster/agent/control_directory.hpp"
 #include "cluster/agent/control_watcher.hpp"
 #include "cluster/agent/job_relay.hpp"
 #include "cluster/agent/retry_budget.hpp"
-#include "cluster/agent/watch_server.hpp"
 #include "cluster/common/runtime.hpp"
 #include "cluster/common/settings.hpp"
 
 namespace winchhall::cluster {
 
-class Agent {
+class EdgeAgent {
  public:
   // Of `settings` are used: seeds, internal ports, zone and the grace period.
-  Agent(Runtime& runtime, const NodeSettings& settings);
+  EdgeAgent(Runtime& runtime, const NodeSettings& settings);
 
   void start();
   // Internal listeners of the seeds, after a change of the settings.
@@ -27,7 +27,7 @@
   // Control nodes that peer sampling brought up: a further source beside seeds and members.
   void set_sampled_control(const std::vector<Address>& nodes) { directory_.set_sampled(nodes); }
   // Takes ConfigurationWatch, ConfigurationFetch and JobRequest, of the ingress on this machine.
-  bool handle(const wire::Envelope& request, const Replier& reply);
+  bool handle(const wire::Envelope& request, const ReplyCallback& reply);
   // Planned end: serves on for as long as the ingress asks, then calls `done`; shortly before the grace
   // period ends at the latest.
   void shut_down(std::function<void()> done);
@@ -39,17 +39,17 @@
  private:
   void on_change(const ViewChanges& changes);
   // Tells the ingress when the control group is lost or found.
-  void note_link();
-  void check_link();
-  void watch_end();
-  bool ingress_is_gone() const;
+  void update_control_link();
+  void check_control_link();
+  void check_shutdown();
+  bool is_ingress_idle() const;
 
   Runtime& runtime_;
   NodeSettings settings_;
   ClusterView view_;
   ControlDirectory directory_;
   ControlWatcher watcher_;
-  WatchServer watch_server_;
+  ConfigurationWatchServer watch_server_;
   RetryBudget budget_;
   JobRelay relay_;
   TimePoint last_ingress_call_;
--- a/src/cluster/agent/job_relay.cpp
+++ b/src/cluster/agent/job_relay.cpp
@@ -8,7 +8,7 @@
 
 constexpr Millis kDefaultDeadline{3000};
 // A request that joined a relay and has this much more time than it gets a relay of its own.
-constexpr Millis kWorthRelayingAnew{200};
+constexpr Millis kMinTimeToRelayAgain{200};
 
 std::string key_of(const wire::JobRequest& request) {
   return std::to_string(request.verb()) + "/" + request.service() + "/" + request.terms().queue() + "/" +
@@ -22,17 +22,17 @@
 }
 
 // Gathers the replies of several services into one.
-class ReplyGathering {
+class ReplyAggregator {
  public:
-  ReplyGathering(std::size_t expected, LeaderCall::Done done) : missing_(expected), done_(std::move(done)) {}
+  ReplyAggregator(std::size_t expected, LeaderCall::Done done) : missing_(expected), done_(std::move(done)) {}
 
   void add(const wire::JobReply& reply) {
     if (!done_) return;
     --missing_;
     if (reply.outcome() == wire::JOB_OK) return finish(reply);
-    if (reply.outcome() != wire::JOB_NOT_FOUND) all_clear_ = false;
+    if (reply.outcome() != wire::JOB_NOT_FOUND) all_not_found_ = false;
     if (missing_ > 0) return;
-    finish(reply_of(all_clear_ ? wire::JOB_NOT_FOUND : wire::JOB_IN_DOUBT));
+    finish(reply_of(all_not_found_ ? wire::JOB_NOT_FOUND : wire::JOB_IN_DOUBT));
   }
 
  private:
@@ -43,7 +43,7 @@
   }
 
   std::size_t missing_;
-  bool all_clear_ = true;
+  bool all_not_found_ = true;
   LeaderCall::Done done_;
 };
 
@@ -51,7 +51,7 @@
 
 JobRelay::JobRelay(const LeaderCallContext& context) : context_(context) {}
 
-void JobRelay::handle(const wire::JobRequest& request, const Replier& reply) {
+void JobRelay::handle(const wire::JobRequest& request, const ReplyCallback& reply) {
   const Millis time = request.deadline_ms() == 0 ? kDefaultDeadline : Millis(request.deadline_ms());
   const TimePoint deadline = context_.runtime.now() + time;
   const std::string key = key_of(request);
@@ -70,9 +70,9 @@
       return submit(request, deadline, done);
     case wire::JOB_QUERY:
     case wire::JOB_CANCEL:
-      return find_and(request, deadline, done);
+      return search_services(request, deadline, done);
     case wire::JOB_COUNT:
-      return ask(request, deadline, done);
+      return call_leader(request, deadline, done);
     default:
       return done(reply_of(wire::JOB_INVALID));
   }
@@ -86,7 +86,7 @@
   const bool out_of_time = answer.outcome() == wire::JOB_IN_DOUBT && now >= finished.deadline;
   for (const Waiting& waiting : finished.waiting) {
     const auto left = std::chrono::duration_cast<Millis>(waiting.deadline - now);
-    if (out_of_time && left >= kWorthRelayingAnew) {
+    if (out_of_time && left >= kMinTimeToRelayAgain) {
       wire::JobRequest again = finished.request;
       again.set_deadline_ms(static_cast<std::uint32_t>(left.count()));
       handle(again, waiting.reply);
@@ -109,31 +109,31 @@
 
 // A job that a service took before its queue moved must not be taken by a second one.
 void JobRelay::submit(const wire::JobRequest& request, TimePoint deadline, const Done& done) {
-  const auto earlier = earlier_services(request);
-  if (earlier.empty()) return ask(request, deadline, done);
+  const auto earlier = previous_services(request);
+  if (earlier.empty()) return call_leader(request, deadline, done);
   wire::JobRequest query = request;
   query.set_verb(wire::JOB_QUERY);
   query.clear_spec();
-  ask_all(earlier, query, deadline, [this, request, deadline, done](const wire::JobReply& reply) {
+  call_leaders(earlier, query, deadline, [this, request, deadline, done](const wire::JobReply& reply) {
     if (reply.outcome() != wire::JOB_NOT_FOUND) return done(reply);
-    ask(request, deadline, done);
+    call_leader(request, deadline, done);
   });
 }
 
-void JobRelay::find_and(const wire::JobRequest& request, TimePoint deadline, const Done& done) {
-  ask(request, deadline, [this, request, deadline, done](const wire::JobReply& reply) {
+void JobRelay::search_services(const wire::JobRequest& request, TimePoint deadline, const Done& done) {
+  call_leader(request, deadline, [this, request, deadline, done](const wire::JobReply& reply) {
     if (reply.outcome() != wire::JOB_NOT_FOUND) return done(reply);
     const auto others = all_other_services(request);
     if (others.empty()) return done(reply);
-    ask_all(others, request, deadline, done);
+    call_leaders(others, request, deadline, done);
   });
 }
 
-std::vector<std::string> JobRelay::earlier_services(const wire::JobRequest& request) const {
+std::vector<std::string> JobRelay::previous_services(const wire::JobRequest& request) const {
   const Configuration* configuration = context_.view.configuration();
   if (configuration == nullptr) return {};
-  auto services = context_.view.history().other_services(request.terms().queue(), request.service(),
-                                                         context_.runtime.now());
+  auto services = context_.view.history().recent_other_services(request.terms().queue(), request.service(),
+                                                                context_.runtime.now());
   const auto not_in_force = [&](const std::string& name) {
     return configuration->find_service(name) == nullptr;
   };
@@ -151,17 +151,18 @@
   return services;
 }
 
-void JobRelay::ask_all(const std::vector<std::string>& services, const wire::JobRequest& request,
-                       TimePoint deadline, const Done& done) {
-  const auto gathering = std::make_shared<ReplyGathering>(services.size(), done);
+void JobRelay::call_leaders(const std::vector<std::string>& services, const wire::JobRequest& request,
+                            TimePoint deadline, const Done& done) {
+  const auto gathering = std::make_shared<ReplyAggregator>(services.size(), done);
   for (const std::string& service : services) {
     wire::JobRequest copy = request;
     copy.set_service(service);
-    ask(std::move(copy), deadline, [gathering](const wire::JobReply& reply) { gathering->add(reply); });
+    call_leader(std::move(copy), deadline,
+                [gathering](const wire::JobReply& reply) { gathering->add(reply); });
   }
 }
 
-void JobRelay::ask(wire::JobRequest request, TimePoint deadline, Done done) {
+void JobRelay::call_leader(wire::JobRequest request, TimePoint deadline, Done done) {
   const auto place = calls_.emplace(calls_.end());
   const auto ended = [this, place, done = std::move(done)](const wire::JobReply& reply) {
     const auto keep = std::move(*place);
--- a/src/cluster/agent/job_relay.hpp
+++ b/src/cluster/agent/job_relay.hpp
@@ -17,7 +17,7 @@
  public:
   explicit JobRelay(const LeaderCallContext& context);
 
-  void handle(const wire::JobRequest& request, const Replier& reply);
+  void handle(const wire::JobRequest& request, const ReplyCallback& reply);
   void on_leaders_changed();
   // Requests that are not answered yet.
   std::size_t open() const { return open_.size(); }
@@ -28,7 +28,7 @@
   // The same request, perhaps sent several times: one relay serves all.
   struct Waiting {
     TimePoint deadline;
-    Replier reply;
+    ReplyCallback reply;
   };
   struct OpenRequest {
     wire::JobRequest request;
@@ -40,15 +40,15 @@
   void start(const wire::JobRequest& request, TimePoint deadline, const Done& done);
   void finish(const std::string& key, const wire::JobReply& answer);
   void submit(const wire::JobRequest& request, TimePoint deadline, const Done& done);
-  void find_and(const wire::JobRequest& request, TimePoint deadline, const Done& done);
+  void search_services(const wire::JobRequest& request, TimePoint deadline, const Done& done);
   // Services in force other than the request's that the queue was sent to lately.
-  std::vector<std::string> earlier_services(const wire::JobRequest& request) const;
+  std::vector<std::string> previous_services(const wire::JobRequest& request) const;
   std::vector<std::string> all_other_services(const wire::JobRequest& request) const;
   // Sends the request to several services at once: the first JOB_OK counts; JOB_NOT_FOUND if all say so; else
   // JOB_IN_DOUBT.
-  void ask_all(const std::vector<std::string>& services, const wire::JobRequest& request, TimePoint deadline,
-               const Done& done);
-  void ask(wire::JobRequest request, TimePoint deadline, Done done);
+  void call_leaders(const std::vector<std::string>& services, const wire::JobRequest& request,
+                    TimePoint deadline, const Done& done);
+  void call_leader(wire::JobRequest request, TimePoint deadline, Done done);
 
   LeaderCallContext context_;
   std::list<std::shared_ptr<LeaderCall>> calls_;  // that have not ended
--- a/src/cluster/agent/leader_call.hpp
+++ b/src/cluster/agent/leader_call.hpp
@@ -33,7 +33,7 @@
   void on_leaders_changed();
 
  private:
-  void next_try();
+  void begin_attempt();
   void send(const Address& target);
   void on_result(unsigned try_number, const Address& target, const CallResult& result);
   void on_reply(const wire::JobReply& reply, const Address& target);
@@ -42,8 +42,8 @@
   void back_off();
   void wait(Millis pause);
   // Nothing was sent that may have been taken.
-  bool certainly_not_taken() const { return tries_ == 0; }
-  TimePoint patience_end() const;
+  bool was_never_sent() const { return attempts_ == 0; }
+  TimePoint unsent_deadline() const;
   void give_up();
   void finish(const wire::JobReply& reply);
   Millis left_until(TimePoint end) const;
@@ -54,11 +54,11 @@
   TimePoint deadline_;
   Done done_;
   bool finished_ = false;
-  bool unclear_ = false;  // a try ended without a clear answer
-  unsigned tries_ = 0;    // the number of the newest one
-  Address out_at_;        // where it is under way; empty: it has ended
-  Address hint_;          // leader named by a node that does not lead
-  unsigned hints_followed_ = 0;
+  bool unclear_ = false;    // a try ended without a clear answer
+  unsigned attempts_ = 0;   // the number of the newest one
+  Address attempt_target_;  // where it is under way; empty: it has ended
+  Address hint_;            // leader named by a node that does not lead
+  unsigned redirects_followed_ = 0;
   Millis backoff_;
   std::unique_ptr<Timer> timer_;
   std::unique_ptr<Timer> end_timer_;
--- a/src/cluster/agent/retry_budget.cpp
+++ b/src/cluster/agent/retry_budget.cpp
@@ -4,22 +4,22 @@
 
 namespace winchhall::cluster {
 
-void RetryBudget::note_first_try(TimePoint now) {
+void RetryBudget::record_first_attempt(TimePoint now) {
   refill(now);
-  saved_ = std::min(kMostSaved, saved_ + kShare);
+  tokens_ = std::min(kMaxTokens, tokens_ + kRetryRatio);
 }
 
-bool RetryBudget::take(TimePoint now) {
+bool RetryBudget::try_acquire(TimePoint now) {
   refill(now);
-  if (saved_ < 1) return false;
-  saved_ -= 1;
+  if (tokens_ < 1) return false;
+  tokens_ -= 1;
   return true;
 }
 
 void RetryBudget::refill(TimePoint now) {
-  const std::chrono::duration<double> passed = now - refilled_;
-  refilled_ = now;
-  saved_ = std::min(kMostSaved, saved_ + passed.count() * kFloorPerSecond);
+  const std::chrono::duration<double> passed = now - refilled_at_;
+  refilled_at_ = now;
+  tokens_ = std::min(kMaxTokens, tokens_ + passed.count() * kMinRetriesPerSecond);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/retry_budget.hpp
+++ b/src/cluster/agent/retry_budget.hpp
@@ -8,22 +8,22 @@
 class RetryBudget {
  public:
   // Retries allowed for each first try, and a second without any.
-  static constexpr double kShare = 0.2;
-  static constexpr double kFloorPerSecond = 20;
+  static constexpr double kRetryRatio = 0.2;
+  static constexpr double kMinRetriesPerSecond = 20;
   // Retries that may be saved up: the floor's of ten seconds.
-  static constexpr double kMostSaved = 200;
+  static constexpr double kMaxTokens = 200;
 
-  explicit RetryBudget(TimePoint now) : refilled_(now) {}
+  explicit RetryBudget(TimePoint now) : refilled_at_(now) {}
 
-  void note_first_try(TimePoint now);
+  void record_first_attempt(TimePoint now);
   // Takes one retry; false: none is left, wait and ask again.
-  bool take(TimePoint now);
+  bool try_acquire(TimePoint now);
 
  private:
   void refill(TimePoint now);
 
-  TimePoint refilled_;
-  double saved_ = kFloorPerSecond;
+  TimePoint refilled_at_;
+  double tokens_ = kMinRetriesPerSecond;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/configuration_command.cpp
+++ b/src/cluster/cli/configuration_command.cpp
@@ -3,7 +3,7 @@
 #include <iostream>
 #include <iterator>
 
-#include "cluster/cli/control_answers.hpp"
+#include "cluster/cli/control_responses.hpp"
 #include "cluster/cli/operator_commands.hpp"
 #include "cluster/config/configuration.hpp"
 
@@ -25,7 +25,7 @@
 
 // Version that a change builds on where the command line names none: the one in force, 0 where there is none.
 leaf::result<std::uint64_t> current_version(ControlClient& client) {
-  ControlCall call;
+  ControlRequest call;
   call.target = kGetPath;
   BOOST_LEAF_AUTO(answer, client.call(call));
   if (answer.status == 404) return std::uint64_t{0};
@@ -34,7 +34,7 @@
 }
 
 leaf::result<void> get_configuration(ControlClient& client, std::ostream& out) {
-  ControlCall call;
+  ControlRequest call;
   call.target = kGetPath;
   BOOST_LEAF_AUTO(answer, client.call(call));
   BOOST_LEAF_AUTO(success, require_success(answer, "configuration"));
@@ -45,7 +45,7 @@
 leaf::result<void> change_configuration(const CommandLine& line, ControlClient& client, const char* path,
                                         std::ostream& out) {
   BOOST_LEAF_AUTO(body, read_file(line.word(2)));
-  ControlCall call;
+  ControlRequest call;
   call.method = boost::beast::http::verb::post;
   call.target = path;
   call.body = std::move(body);
@@ -79,7 +79,7 @@
     return leaf::new_error(UsageError{"config get, config put FILE, config patch FILE or config check FILE"});
   }
   BOOST_LEAF_AUTO(nodes, control_nodes(line));
-  ControlClient client(ControlClientTerms{std::move(nodes)});
+  ControlClient client(ControlClientOptions{std::move(nodes)});
   if (gets) return get_configuration(client, out);
   return change_configuration(line, client, puts ? "/v1/Config.Put" : "/v1/Config.Patch", out);
 }
--- a/src/cluster/cli/control_client.cpp
+++ b/src/cluster/cli/control_client.cpp
@@ -25,14 +25,14 @@
 constexpr std::string_view kScheme = "http://";
 
 struct Exchanged {
-  ControlAnswer answer;
+  ControlResponse answer;
   std::string location;  // of a redirect
 };
 
 // One request on a connection of its own.
 class Exchange {
  public:
-  Exchange(const Address& node, const ControlCall& call, Millis timeout) : stream_(loop_) {
+  Exchange(const Address& node, const ControlRequest& call, Millis timeout) : stream_(loop_) {
     stream_.expires_after(timeout);
     request_.method(call.method);
     request_.target(call.target);
@@ -93,9 +93,9 @@
 
 }  // namespace
 
-leaf::result<ControlAnswer> ControlClient::try_node(const Address& node, const ControlCall& call) const {
+leaf::result<ControlResponse> ControlClient::try_node(const Address& node, const ControlRequest& call) const {
   Address asked = node;
-  ControlCall asking = call;
+  ControlRequest asking = call;
   for (unsigned redirects = 0;; ++redirects) {
     BOOST_LEAF_AUTO(endpoint, parse_endpoint(asked));
     BOOST_LEAF_AUTO(exchanged, Exchange(asked, asking, terms_.timeout).run(endpoint));
@@ -115,7 +115,7 @@
   }
 }
 
-leaf::result<ControlAnswer> ControlClient::call(const ControlCall& call) {
+leaf::result<ControlResponse> ControlClient::call(const ControlRequest& call) {
   std::string last_failure = "no control node is named";
   Millis pause = terms_.first_pause;
   for (unsigned round = 0; round < terms_.rounds && !terms_.nodes.empty(); ++round) {
@@ -125,7 +125,7 @@
     }
     for (std::size_t tried = 0; tried < terms_.nodes.size(); ++tried) {
       const Address& node = terms_.nodes[next_ % terms_.nodes.size()];
-      std::optional<ControlAnswer> answer;
+      std::optional<ControlResponse> answer;
       BOOST_LEAF_CHECK(leaf::try_handle_some(
           [&]() -> leaf::result<void> {
             BOOST_LEAF_ASSIGN(answer, try_node(node, call));
--- a/src/cluster/cli/control_client.hpp
+++ b/src/cluster/cli/control_client.hpp
@@ -12,19 +12,19 @@
 
 namespace winchhall::cluster {
 
-struct ControlCall {
+struct ControlRequest {
   boost::beast::http::verb method = boost::beast::http::verb::get;
   std::string target = "/";  // path and query
   std::string body;
   std::optional<std::uint64_t> base_version;
 };
 
-struct ControlAnswer {
+struct ControlResponse {
   unsigned status = 0;
   std::string body;
 };
 
-struct ControlClientTerms {
+struct ControlClientOptions {
   std::vector<Address> nodes;
   Millis timeout{5000};     // of one try
   Millis first_pause{100};  // after all nodes failed; doubled each time
@@ -33,16 +33,16 @@
 
 class ControlClient {
  public:
-  explicit ControlClient(ControlClientTerms terms) : terms_(std::move(terms)) {}
+  explicit ControlClient(ControlClientOptions terms) : terms_(std::move(terms)) {}
 
   // A node that can't be reached, or answers 408, 429 or 5xx, is left for the next one; a 307 is followed
   // twice. Blocks. The same call may reach several nodes. Errors: ControlUnavailable.
-  leaf::result<ControlAnswer> call(const ControlCall& call);
+  leaf::result<ControlResponse> call(const ControlRequest& call);
 
  private:
-  leaf::result<ControlAnswer> try_node(const Address& node, const ControlCall& call) const;
+  leaf::result<ControlResponse> try_node(const Address& node, const ControlRequest& call) const;
 
-  ControlClientTerms terms_;
+  ControlClientOptions terms_;
   std::size_t next_ = 0;  // node that answered last
 };
 
--- a/src/cluster/cli/control_answers.cpp
+++ b/src/cluster/cli/control_responses.cpp
@@ -1,4 +1,4 @@
-#include "cluster/cli/control_answers.hpp"
+#include "cluster/cli/control_responses.hpp"
 
 #include <boost/json.hpp>
 #include <string_view>
@@ -54,23 +54,23 @@
   const json::object* object_;
 };
 
-leaf::result<json::value> parse_body(const ControlAnswer& answer) {
+leaf::result<json::value> parse_body(const ControlResponse& answer) {
   json::error_code error;
   json::value body = json::parse(answer.body, error);
   if (error || !body.is_object()) return leaf::new_error(ControlUnavailable{"unreadable answer"});
   return body;
 }
 
-MemberAnswer read_member(const Fields& fields) {
+MemberInfo read_member(const Fields& fields) {
   return {fields.number("id"), fields.text("zone"), fields.text("address"), fields.text("http_address")};
 }
 
-LeaderAnswer read_leader(const Fields& fields) {
+LeaderInfo read_leader(const Fields& fields) {
   return {fields.text("shard"), fields.number("epoch"), fields.number("member"), fields.text("address")};
 }
 
-ServiceAnswer read_service(const Fields& fields) {
-  ServiceAnswer service;
+ServiceInfo read_service(const Fields& fields) {
+  ServiceInfo service;
   service.service = fields.text("service");
   service.leads = fields.flag("leads");
   service.epoch = fields.number("epoch");
@@ -81,8 +81,8 @@
   return service;
 }
 
-JobAnswer read_job(const Fields& fields, const std::string& service) {
-  JobAnswer job;
+JobInfo read_job(const Fields& fields, const std::string& service) {
+  JobInfo job;
   job.service = service;
   job.id = fields.text("id");
   job.queue = fields.text("queue");
@@ -102,8 +102,8 @@
   return labels;
 }
 
-NodeAnswer read_node(const Fields& fields, const std::string& service) {
-  NodeAnswer node;
+NodeInfo read_node(const Fields& fields, const std::string& service) {
+  NodeInfo node;
   node.service = service;
   node.id = fields.text("id");
   node.node = fields.text("node");
@@ -116,7 +116,7 @@
   return node;
 }
 
-InvalidInput read_invalid_input(const ControlAnswer& answer) {
+InvalidInput read_invalid_input(const ControlResponse& answer) {
   json::error_code ignored;
   const json::value body = json::parse(answer.body, ignored);
   const Fields error = Fields(body).inner("error");
@@ -129,10 +129,10 @@
 
 }  // namespace
 
-leaf::result<StatusAnswer> read_status(const ControlAnswer& answer) {
+leaf::result<StatusResponse> read_status(const ControlResponse& answer) {
   BOOST_LEAF_AUTO(body, parse_body(answer));
   const Fields fields(body);
-  StatusAnswer status;
+  StatusResponse status;
   status.json = answer.body;
   status.node = fields.text("node");
   status.zone = fields.text("zone");
@@ -149,9 +149,9 @@
   return status;
 }
 
-leaf::result<std::vector<JobAnswer>> read_jobs(const ControlAnswer& answer) {
+leaf::result<std::vector<JobInfo>> read_jobs(const ControlResponse& answer) {
   BOOST_LEAF_AUTO(body, parse_body(answer));
-  std::vector<JobAnswer> jobs;
+  std::vector<JobInfo> jobs;
   for (const json::value& item : Fields(body).list("services")) {
     const Fields service(item);
     for (const json::value& job : service.list("jobs")) {
@@ -161,9 +161,9 @@
   return jobs;
 }
 
-leaf::result<std::vector<NodeAnswer>> read_nodes(const ControlAnswer& answer) {
+leaf::result<std::vector<NodeInfo>> read_nodes(const ControlResponse& answer) {
   BOOST_LEAF_AUTO(body, parse_body(answer));
-  std::vector<NodeAnswer> nodes;
+  std::vector<NodeInfo> nodes;
   for (const json::value& item : Fields(body).list("services")) {
     const Fields service(item);
     for (const json::value& node : service.list("nodes")) {
@@ -173,12 +173,12 @@
   return nodes;
 }
 
-leaf::result<std::uint64_t> read_version(const ControlAnswer& answer) {
+leaf::result<std::uint64_t> read_version(const ControlResponse& answer) {
   BOOST_LEAF_AUTO(body, parse_body(answer));
   return Fields(body).number("version");
 }
 
-leaf::result<ControlAnswer> require_success(const ControlAnswer& answer, const std::string& what) {
+leaf::result<ControlResponse> require_success(const ControlResponse& answer, const std::string& what) {
   switch (answer.status) {
     case 200:
       return answer;
--- a/src/cluster/cli/control_answers.hpp
+++ b/src/cluster/cli/control_responses.hpp
@@ -10,21 +10,21 @@
 
 namespace winchhall::cluster {
 
-struct MemberAnswer {
+struct MemberInfo {
   std::uint64_t id = 0;
   std::string zone;
   std::string address;
   std::string http_address;
 };
 
-struct LeaderAnswer {
+struct LeaderInfo {
   std::string shard;
   std::uint64_t epoch = 0;
   std::uint64_t member = 0;
   std::string address;
 };
 
-struct ServiceAnswer {
+struct ServiceInfo {
   std::string service;
   bool leads = false;
   std::uint64_t epoch = 0;
@@ -34,7 +34,7 @@
   std::uint64_t nodes = 0;
 };
 
-struct StatusAnswer {
+struct StatusResponse {
   std::string node;
   std::string zone;
   std::uint64_t member_id = 0;
@@ -42,13 +42,13 @@
   bool in_touch = false;
   std::uint64_t configuration_version = 0;
   std::uint64_t member_epoch = 0;
-  std::vector<MemberAnswer> members;
-  std::vector<LeaderAnswer> leaders;
-  std::vector<ServiceAnswer> services;
+  std::vector<MemberInfo> members;
+  std::vector<LeaderInfo> leaders;
+  std::vector<ServiceInfo> services;
   std::string json;  // as answered
 };
 
-struct JobAnswer {
+struct JobInfo {
   std::string service;
   std::string id;
   std::string queue;
@@ -57,7 +57,7 @@
   std::uint64_t runs = 0;
 };
 
-struct NodeAnswer {
+struct NodeInfo {
   std::string service;
   std::string id;
   std::string node;
@@ -70,14 +70,14 @@
 };
 
 // Errors: ControlUnavailable where the answer can't be read.
-leaf::result<StatusAnswer> read_status(const ControlAnswer& answer);
-leaf::result<std::vector<JobAnswer>> read_jobs(const ControlAnswer& answer);
-leaf::result<std::vector<NodeAnswer>> read_nodes(const ControlAnswer& answer);
+leaf::result<StatusResponse> read_status(const ControlResponse& answer);
+leaf::result<std::vector<JobInfo>> read_jobs(const ControlResponse& answer);
+leaf::result<std::vector<NodeInfo>> read_nodes(const ControlResponse& answer);
 // Version of a whole configuration or of the answer to a change.
-leaf::result<std::uint64_t> read_version(const ControlAnswer& answer);
+leaf::result<std::uint64_t> read_version(const ControlResponse& answer);
 
 // The answer if it is a 200; else the error that its status means: InvalidInput, VersionConflict, NotFound
 // (of `what`), ControlUnavailable.
-leaf::result<ControlAnswer> require_success(const ControlAnswer& answer, const std::string& what);
+leaf::result<ControlResponse> require_success(const ControlResponse& answer, const std::string& what);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/failure_report.cpp
+++ b/src/cluster/cli/error_report.cpp
@@ -1,11 +1,11 @@
-#include "cluster/cli/failure_report.hpp"
+#include "cluster/cli/error_report.hpp"
 
 #include <boost/system/system_error.hpp>
 
 #include "cluster/cli/command_line.hpp"
 #include "cluster/cli/exit_codes.hpp"
 #include "cluster/cli/operator_errors.hpp"
-#include "cluster/rpc/socket.hpp"
+#include "cluster/rpc/nng_message.hpp"
 
 namespace winchhall::cluster {
 
@@ -45,11 +45,11 @@
     tell("store", error.path + ": " + error.operation + ": " + error.detail);
     return kExitUnavailable;
   }
-  int operator()(const DamagedStore& error) const {
+  int operator()(const StoreCorruption& error) const {
     tell("store", error.path + ": damaged: " + error.detail);
     return kExitUnavailable;
   }
-  int operator()(const UnknownStoreFormat& error) const {
+  int operator()(const UnsupportedStoreFormat& error) const {
     tell("store", error.path + ": format '" + error.found + "'; supported: " + error.supported);
     return kExitUnavailable;
   }
@@ -83,8 +83,8 @@
         [&](const VersionConflict& error) { return report(error); },
         [&](const NotFound& error) { return report(error); },
         [&](const StoreFailure& error) { return report(error); },
-        [&](const DamagedStore& error) { return report(error); },
-        [&](const UnknownStoreFormat& error) { return report(error); },
+        [&](const StoreCorruption& error) { return report(error); },
+        [&](const UnsupportedStoreFormat& error) { return report(error); },
         [&](const NngFailure& error) { return report(error); }, [&] { return report(); });
   } catch (const boost::system::system_error& error) {
     errors << "winchhall-cluster: network: " << error.what() << '\n';
--- a/src/cluster/cli/jobs_command.cpp
+++ b/src/cluster/cli/jobs_command.cpp
@@ -2,8 +2,8 @@
 #include <boost/json.hpp>
 #include <optional>
 
+#include "cluster/cli/leader_calls.hpp"
 #include "cluster/cli/operator_commands.hpp"
-#include "cluster/cli/service_calls.hpp"
 #include "cluster/cli/text_table.hpp"
 
 namespace winchhall::cluster {
@@ -15,7 +15,7 @@
 // Answers of several leaders with {"services":[...]} as one.
 class MergedServices {
  public:
-  void add(const ControlAnswer& answer) {
+  void add(const ControlResponse& answer) {
     boost::json::error_code ignored;
     const boost::json::value body = boost::json::parse(answer.body, ignored);
     const boost::json::object* object = body.if_object();
@@ -30,26 +30,26 @@
 };
 
 // Asks all leaders for a list of theirs.
-leaf::result<ControlAnswer> ask_all(const CommandLine& line, ControlClient& client, const std::string& path,
-                                    const std::string& query) {
-  BOOST_LEAF_AUTO(services, services_of(line, client));
+leaf::result<ControlResponse> ask_all(const CommandLine& line, ControlClient& client, const std::string& path,
+                                      const std::string& query) {
+  BOOST_LEAF_AUTO(services, resolve_services(line, client));
   MergedServices merged;
   for (const std::string& service : services) {
-    ControlCall call;
+    ControlRequest call;
     call.target = path;
-    BOOST_LEAF_AUTO(answer, ask_leader(client, call, service, query));
+    BOOST_LEAF_AUTO(answer, call_leader(client, call, service, query));
     BOOST_LEAF_AUTO(success, require_success(answer, "service " + service));
     merged.add(success);
   }
-  return ControlAnswer{200, merged.json()};
+  return ControlResponse{200, merged.json()};
 }
 
 // Asks one leader after another for a job.
-leaf::result<ControlAnswer> ask_for_job(const CommandLine& line, ControlClient& client,
-                                        const ControlCall& call, const std::string& id) {
-  BOOST_LEAF_AUTO(services, services_of(line, client));
+leaf::result<ControlResponse> call_leader_of_job(const CommandLine& line, ControlClient& client,
+                                                 const ControlRequest& call, const std::string& id) {
+  BOOST_LEAF_AUTO(services, resolve_services(line, client));
   for (const std::string& service : services) {
-    BOOST_LEAF_AUTO(answer, ask_leader(client, call, service));
+    BOOST_LEAF_AUTO(answer, call_leader(client, call, service));
     if (answer.status != 404) return require_success(answer, "job " + id);
   }
   return leaf::new_error(NotFound{"job " + id});
@@ -63,7 +63,7 @@
   }
   BOOST_LEAF_AUTO(jobs, read_jobs(answer));
   TextTable table({"SERVICE", "ID", "QUEUE", "STATE", "PRIORITY", "RUNS"});
-  for (const JobAnswer& job : jobs) {
+  for (const JobInfo& job : jobs) {
     table.add(
         {job.service, job.id, job.queue, job.state, std::to_string(job.priority), std::to_string(job.runs)});
   }
@@ -74,9 +74,9 @@
 leaf::result<void> show_job(const CommandLine& line, ControlClient& client, std::ostream& out) {
   const std::string id = line.word(2);
   BOOST_LEAF_CHECK(check_path_text("ID", id));
-  ControlCall call;
+  ControlRequest call;
   call.target = "/v1/jobs/" + id;
-  BOOST_LEAF_AUTO(answer, ask_for_job(line, client, call, id));
+  BOOST_LEAF_AUTO(answer, call_leader_of_job(line, client, call, id));
   out << answer.body << '\n';
   return {};
 }
@@ -84,10 +84,10 @@
 leaf::result<void> cancel_job(const CommandLine& line, ControlClient& client, std::ostream& out) {
   const std::string id = line.word(2);
   BOOST_LEAF_CHECK(check_path_text("ID", id));
-  ControlCall call;
+  ControlRequest call;
   call.method = http::verb::post;
   call.target = "/v1/jobs/" + id + "/cancel";
-  BOOST_LEAF_AUTO(answer, ask_for_job(line, client, call, id));
+  BOOST_LEAF_AUTO(answer, call_leader_of_job(line, client, call, id));
   out << answer.body << '\n';
   return {};
 }
@@ -110,7 +110,7 @@
   }
   BOOST_LEAF_AUTO(nodes, read_nodes(answer));
   TextTable table({"SERVICE", "LEAF", "NODE", "LABELS", "CPU", "RUNS", "DRAINING", "REPORT_AGE_MS"});
-  for (const NodeAnswer& node : nodes) {
+  for (const NodeInfo& node : nodes) {
     table.add({node.service, node.id, node.node, node.labels,
                std::to_string(node.cpu_reserved) + "/" + std::to_string(node.cpu), std::to_string(node.runs),
                node.draining ? "yes" : "no", std::to_string(node.report_age_ms)});
--- a/src/cluster/cli/service_calls.cpp
+++ b/src/cluster/cli/leader_calls.cpp
@@ -1,4 +1,4 @@
-#include "cluster/cli/service_calls.hpp"
+#include "cluster/cli/leader_calls.hpp"
 
 namespace winchhall::cluster {
 
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-leaf::result<StatusAnswer> ask_status(ControlClient& client) {
-  ControlCall call;
+leaf::result<StatusResponse> fetch_status(ControlClient& client) {
+  ControlRequest call;
   call.target = "/v1/status";
   BOOST_LEAF_AUTO(answer, client.call(call));
   BOOST_LEAF_AUTO(success, require_success(answer, "status"));
@@ -30,19 +30,19 @@
       InvalidInput{"command line", field, text, "printable ASCII without space, slash, ?, &, # and %"});
 }
 
-leaf::result<std::vector<std::string>> services_of(const CommandLine& line, ControlClient& client) {
+leaf::result<std::vector<std::string>> resolve_services(const CommandLine& line, ControlClient& client) {
   if (!line.service.empty()) {
     BOOST_LEAF_CHECK(check_path_text("service", line.service));
     return std::vector<std::string>{line.service};
   }
-  BOOST_LEAF_AUTO(status, ask_status(client));
+  BOOST_LEAF_AUTO(status, fetch_status(client));
   std::vector<std::string> services;
-  for (const ServiceAnswer& service : status.services) services.push_back(service.service);
+  for (const ServiceInfo& service : status.services) services.push_back(service.service);
   return services;
 }
 
-leaf::result<ControlAnswer> ask_leader(ControlClient& client, ControlCall call, const std::string& service,
-                                       const std::string& query) {
+leaf::result<ControlResponse> call_leader(ControlClient& client, ControlRequest call,
+                                          const std::string& service, const std::string& query) {
   call.target += "?service=" + service;
   if (!query.empty()) call.target += "&" + query;
   return client.call(call);
--- a/src/cluster/cli/operator_commands.cpp
+++ b/src/cluster/cli/operator_commands.cpp
@@ -53,7 +53,7 @@
   const OperatorCommand* command = find_command(line.command());
   if (!command) return leaf::new_error(UsageError{"unknown command " + line.command()});
   BOOST_LEAF_AUTO(nodes, control_nodes(line));
-  ControlClient client(ControlClientTerms{std::move(nodes)});
+  ControlClient client(ControlClientOptions{std::move(nodes)});
   return command->run(line, client, out);
 }
 
--- a/src/cluster/cli/sampling.cpp
+++ b/src/cluster/cli/peer_sampling.cpp
@@ -1,4 +1,4 @@
-#include "cluster/cli/sampling.hpp"
+#include "cluster/cli/peer_sampling.hpp"
 
 #include <nng/nng.h>
 
@@ -13,7 +13,7 @@
 }
 
 void listen_for_shuffles(Process& process, PeerSampler& sampler) {
-  const RequestHandler handler = [&sampler](const wire::Envelope& request, const Replier& reply) {
+  const RequestHandler handler = [&sampler](const wire::Envelope& request, const ReplyCallback& reply) {
     return sampler.handle(request, reply);
   };
   leaf::try_handle_all(
@@ -21,9 +21,9 @@
       [&](const NngFailure& error) {
         const std::string reason = nng_strerror(error.code);
         log_event(LogLevel::warning, "listen_failed", {{"operation", error.operation}, {"reason", reason}});
-        sampler.be_caller_only();
+        sampler.set_caller_only();
       },
-      [&] { sampler.be_caller_only(); });
+      [&] { sampler.set_caller_only(); });
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/process.cpp
+++ b/src/cluster/cli/process.cpp
@@ -20,7 +20,7 @@
 }
 
 leaf::result<void> Process::listen(const Address& address, RequestHandler handler) {
-  BOOST_LEAF_AUTO(listener, NngListener::open(loop_, address, std::move(handler)));
+  BOOST_LEAF_AUTO(listener, RpcServer::open(loop_, address, std::move(handler)));
   listeners_.push_back(std::move(listener));
   return {};
 }
--- a/src/cluster/cli/process.hpp
+++ b/src/cluster/cli/process.hpp
@@ -10,8 +10,8 @@
 #include "cluster/common/asio_runtime.hpp"
 #include "cluster/common/settings.hpp"
 #include "cluster/common/settings_watcher.hpp"
-#include "cluster/rpc/dialer.hpp"
-#include "cluster/rpc/listener.hpp"
+#include "cluster/rpc/rpc_client.hpp"
+#include "cluster/rpc/rpc_server.hpp"
 
 namespace winchhall::cluster {
 
@@ -41,8 +41,8 @@
   NodeSettings settings_;
   boost::asio::io_context loop_{1};
   AsioRuntime runtime_;
-  NngDialer dialer_;
-  std::vector<std::shared_ptr<NngListener>> listeners_;
+  RpcClient dialer_;
+  std::vector<std::shared_ptr<RpcServer>> listeners_;
   boost::asio::signal_set signals_;
   SettingsWatcher settings_watcher_;
   std::function<void(const NodeSettings&)> on_settings_;
--- a/src/cluster/cli/status_command.cpp
+++ b/src/cluster/cli/status_command.cpp
@@ -3,8 +3,8 @@
 #include <chrono>
 #include <thread>
 
+#include "cluster/cli/leader_calls.hpp"
 #include "cluster/cli/operator_commands.hpp"
-#include "cluster/cli/service_calls.hpp"
 #include "cluster/cli/text_table.hpp"
 
 namespace winchhall::cluster {
@@ -15,33 +15,33 @@
 
 // A member's own view, or that it did not answer.
 struct MemberView {
-  MemberAnswer member;
-  std::optional<StatusAnswer> status;
+  MemberInfo member;
+  std::optional<StatusResponse> status;
 };
 
-leaf::result<std::optional<StatusAnswer>> ask_member(const MemberAnswer& member) {
-  ControlClientTerms terms;
+leaf::result<std::optional<StatusResponse>> ask_member(const MemberInfo& member) {
+  ControlClientOptions terms;
   terms.nodes = {member.http_address};
   terms.timeout = kMemberTimeout;
   terms.rounds = 1;
   ControlClient client(std::move(terms));
   return leaf::try_handle_some(
-      [&]() -> leaf::result<std::optional<StatusAnswer>> {
-        BOOST_LEAF_AUTO(status, ask_status(client));
-        return std::optional<StatusAnswer>(std::move(status));
+      [&]() -> leaf::result<std::optional<StatusResponse>> {
+        BOOST_LEAF_AUTO(status, fetch_status(client));
+        return std::optional<StatusResponse>(std::move(status));
       },
-      [](const ControlUnavailable&) -> leaf::result<std::optional<StatusAnswer>> {
-        return std::optional<StatusAnswer>();
+      [](const ControlUnavailable&) -> leaf::result<std::optional<StatusResponse>> {
+        return std::optional<StatusResponse>();
       },
-      [](const InvalidInput&) -> leaf::result<std::optional<StatusAnswer>> {  // it names no address
-        return std::optional<StatusAnswer>();
+      [](const InvalidInput&) -> leaf::result<std::optional<StatusResponse>> {  // it names no address
+        return std::optional<StatusResponse>();
       });
 }
 
-leaf::result<std::vector<MemberView>> ask_members(ControlClient& client) {
-  BOOST_LEAF_AUTO(first, ask_status(client));
+leaf::result<std::vector<MemberView>> fetch_member_views(ControlClient& client) {
+  BOOST_LEAF_AUTO(first, fetch_status(client));
   std::vector<MemberView> views;
-  for (const MemberAnswer& member : first.members) {
+  for (const MemberInfo& member : first.members) {
     BOOST_LEAF_AUTO(status, ask_member(member));
     views.push_back({member, std::move(status)});
   }
@@ -50,8 +50,8 @@
 
 std::string yes_or_no(bool value) { return value ? "yes" : "no"; }
 
-std::string member_name(const std::vector<MemberAnswer>& members, std::uint64_t id) {
-  for (const MemberAnswer& member : members) {
+std::string member_name(const std::vector<MemberInfo>& members, std::uint64_t id) {
+  for (const MemberInfo& member : members) {
     if (member.id == id) return member.http_address;
   }
   return std::to_string(id);
@@ -65,7 +65,7 @@
       table.add({id, "unreachable", view.member.zone, view.member.http_address, "-", "-", "-", "-"});
       continue;
     }
-    const StatusAnswer& status = *view.status;
+    const StatusResponse& status = *view.status;
     table.add({id, status.node, status.zone, view.member.http_address, yes_or_no(status.votes),
                yes_or_no(status.in_touch), std::to_string(status.member_epoch),
                std::to_string(status.configuration_version)});
@@ -77,7 +77,7 @@
   TextTable table({"SERVICE", "LED_BY", "EPOCH", "JOBS", "WAITING", "RUNNING", "LEAVES"});
   for (const MemberView& view : views) {
     if (!view.status) continue;
-    for (const ServiceAnswer& service : view.status->services) {
+    for (const ServiceInfo& service : view.status->services) {
       if (!service.leads) continue;
       table.add({service.service, view.status->node, std::to_string(service.epoch),
                  std::to_string(service.jobs), std::to_string(service.waiting),
@@ -101,13 +101,13 @@
 }  // namespace
 
 leaf::result<void> run_members_command(const CommandLine& line, ControlClient& client, std::ostream& out) {
-  BOOST_LEAF_AUTO(status, ask_status(client));
+  BOOST_LEAF_AUTO(status, fetch_status(client));
   if (line.json) {
     out << status.json << '\n';
     return {};
   }
   TextTable table({"MEMBER", "ZONE", "ADDRESS", "OPERATOR_API"});
-  for (const MemberAnswer& member : status.members) {
+  for (const MemberInfo& member : status.members) {
     table.add({std::to_string(member.id), member.zone, member.address, member.http_address});
   }
   out << "member record " << status.member_epoch << '\n';
@@ -116,13 +116,13 @@
 }
 
 leaf::result<void> run_leader_command(const CommandLine& line, ControlClient& client, std::ostream& out) {
-  BOOST_LEAF_AUTO(status, ask_status(client));
+  BOOST_LEAF_AUTO(status, fetch_status(client));
   if (line.json) {
     out << status.json << '\n';
     return {};
   }
   TextTable table({"SHARD", "EPOCH", "MEMBER", "OPERATOR_API"});
-  for (const LeaderAnswer& leader : status.leaders) {
+  for (const LeaderInfo& leader : status.leaders) {
     table.add({leader.shard, std::to_string(leader.epoch), std::to_string(leader.member),
                member_name(status.members, leader.member)});
   }
@@ -131,7 +131,7 @@
 }
 
 leaf::result<void> run_status_command(const CommandLine& line, ControlClient& client, std::ostream& out) {
-  BOOST_LEAF_AUTO(views, ask_members(client));
+  BOOST_LEAF_AUTO(views, fetch_member_views(client));
   if (line.json) {
     out << views_json(views) << '\n';
     return {};
--- a/src/cluster/cli/store_command.cpp
+++ b/src/cluster/cli/store_command.cpp
@@ -6,8 +6,8 @@
 #include <random>
 
 #include "cluster/store/backup_file.hpp"
-#include "cluster/store/control_state.hpp"
 #include "cluster/store/offline_store.hpp"
+#include "cluster/store/state_summary.hpp"
 
 namespace winchhall::cluster {
 
@@ -63,7 +63,7 @@
 }
 
 leaf::result<int> check(const Arguments& arguments) {
-  BOOST_LEAF_AUTO(entries, read_offline(arguments.paths[0]));
+  BOOST_LEAF_AUTO(entries, read_offline_store(arguments.paths[0]));
   const StateSummary summary = summarize_state(entries);
   std::printf("%s: %zu entries, %zu bytes: %zu registers, %zu shards, %zu records; %s\n",
               arguments.paths[0].c_str(), summary.entries, summary.bytes, summary.registers, summary.shards,
@@ -73,7 +73,7 @@
 }
 
 leaf::result<int> show(const Arguments& arguments) {
-  BOOST_LEAF_AUTO(entries, read_offline(arguments.paths[0]));
+  BOOST_LEAF_AUTO(entries, read_offline_store(arguments.paths[0]));
   for (const StoreEntry& entry : entries) {
     const std::string line = describe_entry(entry);
     if (line.starts_with(arguments.prefix)) std::printf("%s\n", line.c_str());
@@ -82,7 +82,7 @@
 }
 
 leaf::result<int> backup(const Arguments& arguments) {
-  BOOST_LEAF_AUTO(entries, read_offline(arguments.paths[0]));
+  BOOST_LEAF_AUTO(entries, read_offline_store(arguments.paths[0]));
   BOOST_LEAF_CHECK(write_backup(arguments.paths[1], entries));
   std::printf("%s: %zu entries\n", arguments.paths[1].c_str(), entries.size());
   return EXIT_SUCCESS;
@@ -96,8 +96,9 @@
 
 leaf::result<int> restore(const Arguments& arguments) {
   BOOST_LEAF_AUTO(entries, read_backup(arguments.paths[0]));
-  BOOST_LEAF_AUTO(fenced, fenced_state(entries, fresh_id(), arguments.address, arguments.http_address));
-  BOOST_LEAF_CHECK(write_offline(arguments.paths[1], fenced));
+  BOOST_LEAF_AUTO(fenced,
+                  make_restored_state(entries, fresh_id(), arguments.address, arguments.http_address));
+  BOOST_LEAF_CHECK(create_offline_store(arguments.paths[1], fenced));
   std::printf("%s: %zu entries, for a new group of one member\n", arguments.paths[1].c_str(), fenced.size());
   return EXIT_SUCCESS;
 }
@@ -107,7 +108,7 @@
 
 leaf::result<int> run_action(const ActionEntry& action, const Arguments& arguments) {
   return leaf::try_handle_some([&] { return action.run(arguments); },
-                               [](const DamagedStore& damaged) -> leaf::result<int> {
+                               [](const StoreCorruption& damaged) -> leaf::result<int> {
                                  std::fprintf(stderr, "store %s: damaged: %s\n", damaged.path.c_str(),
                                               damaged.detail.c_str());
                                  return kExitDamaged;
--- a/src/cluster/cli/store_command.hpp
+++ b/src/cluster/cli/store_command.hpp
@@ -16,7 +16,7 @@
 namespace winchhall::cluster {
 
 // `arguments` follow the word "store". The status for the caller to end with; 2: wrong usage. Errors:
-// StoreFailure, UnknownStoreFormat, InvalidInput. A damaged store is reported here, with status 1.
+// StoreFailure, UnsupportedStoreFormat, InvalidInput. A damaged store is reported here, with status 1.
 leaf::result<int> run_store_command(const std::vector<std::string>& arguments);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/common/asio_runtime.hpp
+++ b/src/cluster/common/asio_runtime.hpp
@@ -1,4 +1,4 @@
-// Runtime of the program: timers of the Asio loop, the machine's clocks, calls through a `CallChannel`.
+// Runtime of the program: timers of the Asio loop, the machine's clocks, calls through a `RpcChannel`.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,9 +9,9 @@
 namespace winchhall::cluster {
 
 // Carries requests to other processes; see `Runtime::call` for what is promised.
-class CallChannel {
+class RpcChannel {
  public:
-  virtual ~CallChannel() = default;
+  virtual ~RpcChannel() = default;
   virtual void call(const Address& peer, wire::Envelope request, Millis timeout,
                     std::function<void(CallResult)> done) = 0;
 };
@@ -21,7 +21,7 @@
   explicit AsioRuntime(boost::asio::io_context& loop);
 
   // The channel is given after construction, as it needs a runtime itself. It must outlive the runtime's use.
-  void use(CallChannel& channel) { channel_ = &channel; }
+  void use(RpcChannel& channel) { channel_ = &channel; }
 
   TimePoint now() const override { return SteadyClock::now(); }
   std::int64_t wall_clock_ms() const override;
@@ -32,7 +32,7 @@
 
  private:
   boost::asio::io_context& loop_;
-  CallChannel* channel_ = nullptr;
+  RpcChannel* channel_ = nullptr;
   std::mt19937_64 generator_;
 };
 
--- a/src/cluster/common/digest.hpp
+++ b/src/cluster/common/digest.hpp
@@ -10,9 +10,9 @@
  public:
   // Adds the text alone, so that "ab" then "c" equals "abc".
   void add_bytes(std::string_view text) {
-    for (const char letter : text) add_letter(letter);
+    for (const char letter : text) add_char(letter);
   }
-  void add_letter(char letter) { add_byte(static_cast<unsigned char>(letter)); }
+  void add_char(char letter) { add_byte(static_cast<unsigned char>(letter)); }
   // Adds the text with its length: the borders between texts count.
   void add(std::string_view text) {
     add(text.size());
--- a/src/cluster/common/errors.hpp
+++ b/src/cluster/common/errors.hpp
@@ -41,13 +41,13 @@
 };
 
 // What the local store synced is gone or changed: it can't be relied on any more.
-struct DamagedStore {
+struct StoreCorruption {
   std::string path;
   std::string detail;
 };
 
 // The local store was written by an unknown version of the program.
-struct UnknownStoreFormat {
+struct UnsupportedStoreFormat {
   std::string path;
   std::string found;
   std::string supported;
--- a/src/cluster/common/log.cpp
+++ b/src/cluster/common/log.cpp
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-void start_log(const std::string& node_name, const std::string& role, LogLevel level) {
+void initialize_logging(const std::string& node_name, const std::string& role, LogLevel level) {
   std::optional<LogState>& state = log_state();
   state.emplace();
   constexpr bool kToStandardError = true;
--- a/src/cluster/common/log.hpp
+++ b/src/cluster/common/log.hpp
@@ -21,7 +21,7 @@
 };
 
 // Starts logging for this process. Lines below `level` are dropped.
-void start_log(const std::string& node_name, const std::string& role, LogLevel level);
+void initialize_logging(const std::string& node_name, const std::string& role, LogLevel level);
 
 // True if lines of this level are written: for fields that cost much to gather.
 bool log_enabled(LogLevel level);
--- a/src/cluster/common/runtime.hpp
+++ b/src/cluster/common/runtime.hpp
@@ -54,9 +54,9 @@
 };
 
 // Answers one request, at any later time. Answers after the first are dropped.
-using Replier = std::function<void(wire::Envelope)>;
+using ReplyCallback = std::function<void(wire::Envelope)>;
 
 // Handles one kind or more of incoming requests; false: not of a kind that it handles.
-using RequestHandler = std::function<bool(const wire::Envelope& request, const Replier& reply)>;
+using RequestHandler = std::function<bool(const wire::Envelope& request, const ReplyCallback& reply)>;
 
 }  // namespace winchhall::cluster
--- a/src/cluster/common/settings.cpp
+++ b/src/cluster/common/settings.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view kSource = "settings";
-constexpr std::size_t kValueShown = 80;  // bytes of a bad value that are shown
+constexpr std::size_t kMaxShownValueBytes = 80;  // bytes of a bad value that are shown
 constexpr std::int64_t kHighestPort = 65535;
 
 // Reads fields of one table; the first bad field is kept as the error of the whole.
@@ -118,7 +118,7 @@
  private:
   void set_error(const char* name, const std::string& value, std::string allowed, std::uint32_t line) {
     if (error_) return;
-    error_ = InvalidInput{std::string(kSource), path_ + name, value.substr(0, kValueShown),
+    error_ = InvalidInput{std::string(kSource), path_ + name, value.substr(0, kMaxShownValueBytes),
                           std::move(allowed), line};
   }
 
@@ -226,7 +226,7 @@
 
 }  // namespace
 
-std::vector<Address> NodeSettings::seed_listeners() const {
+std::vector<Address> NodeSettings::seed_internal_addresses() const {
   std::vector<Address> listeners;
   for (const Address& seed : seeds) listeners.push_back(internal_address_of(seed));
   return listeners;
--- a/src/cluster/common/settings.hpp
+++ b/src/cluster/common/settings.hpp
@@ -78,9 +78,9 @@
     return control_address.substr(0, control_address.rfind(':')) + ":" + std::to_string(internal_port_first);
   }
   // Internal listeners of the seeds.
-  std::vector<Address> seed_listeners() const;
+  std::vector<Address> seed_internal_addresses() const;
   // Loopback listener of an agent for the ingress beside it (the second internal port).
-  Address feed_address() const { return "127.0.0.1:" + std::to_string(internal_port_first + 1); }
+  Address agent_listener_address() const { return "127.0.0.1:" + std::to_string(internal_port_first + 1); }
 };
 
 // Reads and checks a settings file. Errors: InvalidInput. Unknown fields are ignored.
--- a/src/cluster/config/configuration.cpp
+++ b/src/cluster/config/configuration.cpp
@@ -12,15 +12,15 @@
 constexpr std::uint64_t kLargestCount = 1'000'000'000;
 constexpr double kLargestStretch = 1e6;
 
-constexpr NumberRange kVersionRange{1, kLargestVersion, std::nullopt};
-constexpr NumberRange kTimeoutRange{1, kLongestMillis, std::nullopt};
-constexpr NumberRange kOptionalTimeoutRange{1, kLongestMillis, 1};
-constexpr NumberRange kMillisRange{0, kLongestMillis, 0};
-constexpr NumberRange kCountRange{0, kLargestCount, 0};
+constexpr IntegerRange kVersionRange{1, kLargestVersion, std::nullopt};
+constexpr IntegerRange kTimeoutRange{1, kLongestMillis, std::nullopt};
+constexpr IntegerRange kOptionalTimeoutRange{1, kLongestMillis, 1};
+constexpr IntegerRange kMillisRange{0, kLongestMillis, 0};
+constexpr IntegerRange kCountRange{0, kLargestCount, 0};
 
 leaf::result<std::uint32_t> small_number(const FieldScope& scope, const Json::Value& object, const char* name,
-                                         const NumberRange& range) {
-  BOOST_LEAF_AUTO(number, whole_number(scope, object, name, range));
+                                         const IntegerRange& range) {
+  BOOST_LEAF_AUTO(number, integer_field(scope, object, name, range));
   return static_cast<std::uint32_t>(number);
 }
 
@@ -68,7 +68,7 @@
 
 leaf::result<void> read_limit(const FieldScope& scope, const Json::Value& object, const char* name,
                               std::uint64_t most, std::uint32_t& limit) {
-  BOOST_LEAF_ASSIGN(limit, small_number(scope, object, name, NumberRange{1, most, limit}));
+  BOOST_LEAF_ASSIGN(limit, small_number(scope, object, name, IntegerRange{1, most, limit}));
   return {};
 }
 
@@ -110,30 +110,30 @@
 leaf::result<Service> read_service(const FieldScope& scope, const Json::Value& item) {
   if (!item.isObject()) return invalid_field(scope, "", item, "an object");
   Service service;
-  BOOST_LEAF_ASSIGN(service.name, required_text(scope, item, "name"));
-  BOOST_LEAF_ASSIGN(service.health_check_path, optional_text(scope, item, "health_check_path"));
+  BOOST_LEAF_ASSIGN(service.name, required_string(scope, item, "name"));
+  BOOST_LEAF_ASSIGN(service.health_check_path, optional_string(scope, item, "health_check_path"));
   BOOST_LEAF_ASSIGN(service.max_connections, small_number(scope, item, "max_connections", kCountRange));
-  BOOST_LEAF_ASSIGN(service.preconditions, optional_flag(scope, item, "preconditions", false));
-  BOOST_LEAF_CHECK(whole_number(scope, item, "timeout_ms", kOptionalTimeoutRange));
+  BOOST_LEAF_ASSIGN(service.preconditions, optional_bool(scope, item, "preconditions", false));
+  BOOST_LEAF_CHECK(integer_field(scope, item, "timeout_ms", kOptionalTimeoutRange));
   return service;
 }
 
 leaf::result<Route> read_route(const FieldScope& scope, const Json::Value& item) {
   if (!item.isObject()) return invalid_field(scope, "", item, "an object");
   Route route;
-  BOOST_LEAF_ASSIGN(route.name, required_text(scope, item, "name"));
-  BOOST_LEAF_ASSIGN(route.hostname, required_text(scope, item, "hostname"));
-  BOOST_LEAF_ASSIGN(route.path_prefix, required_text(scope, item, "path_prefix"));
+  BOOST_LEAF_ASSIGN(route.name, required_string(scope, item, "name"));
+  BOOST_LEAF_ASSIGN(route.hostname, required_string(scope, item, "hostname"));
+  BOOST_LEAF_ASSIGN(route.path_prefix, required_string(scope, item, "path_prefix"));
   if (route.path_prefix.front() != '/') {
     return invalid_field(scope, "path_prefix", item["path_prefix"], "a path that begins with /");
   }
-  BOOST_LEAF_ASSIGN(route.route_type, optional_text(scope, item, "route_type"));
+  BOOST_LEAF_ASSIGN(route.route_type, optional_string(scope, item, "route_type"));
   BOOST_LEAF_ASSIGN(route.timeout_ms, small_number(scope, item, "timeout_ms", kTimeoutRange));
   BOOST_LEAF_ASSIGN(route.target_latency_ms, small_number(scope, item, "target_latency_ms", kMillisRange));
   BOOST_LEAF_ASSIGN(route.priority, small_number(scope, item, "priority", kCountRange));
-  BOOST_LEAF_ASSIGN(route.backend, required_text(scope, item, "backend"));
+  BOOST_LEAF_ASSIGN(route.backend, required_string(scope, item, "backend"));
   BOOST_LEAF_ASSIGN(route.max_retries, small_number(scope, item, "max_retries", kCountRange));
-  BOOST_LEAF_ASSIGN(route.stretch, optional_fraction(scope, item, "stretch", kLargestStretch, 1));
+  BOOST_LEAF_ASSIGN(route.stretch, optional_number(scope, item, "stretch", kLargestStretch, 1));
   return route;
 }
 
@@ -148,14 +148,14 @@
 
 leaf::result<Configuration> read_configuration(const FieldScope& scope, const Json::Value& root) {
   Configuration configuration;
-  BOOST_LEAF_ASSIGN(configuration.version, whole_number(scope, root, "version", kVersionRange));
+  BOOST_LEAF_ASSIGN(configuration.version, integer_field(scope, root, "version", kVersionRange));
   BOOST_LEAF_AUTO(services, list_field(scope, root, "services", true));
-  BOOST_LEAF_CHECK(read_services(scope.inner("services"), *services, configuration));
+  BOOST_LEAF_CHECK(read_services(scope.child("services"), *services, configuration));
   BOOST_LEAF_AUTO(routes, list_field(scope, root, "routes", true));
-  BOOST_LEAF_CHECK(read_routes(scope.inner("routes"), *routes, configuration));
+  BOOST_LEAF_CHECK(read_routes(scope.child("routes"), *routes, configuration));
   BOOST_LEAF_AUTO(limits, object_field(scope, root, "limits"));
   if (limits != nullptr) {
-    BOOST_LEAF_ASSIGN(configuration.limits, read_limits(scope.inner("limits"), *limits));
+    BOOST_LEAF_ASSIGN(configuration.limits, read_limits(scope.child("limits"), *limits));
   }
   return configuration;
 }
--- a/src/cluster/config/configuration_document.cpp
+++ b/src/cluster/config/configuration_document.cpp
@@ -42,7 +42,7 @@
   if (!patch.upsert.isObject()) return {};
   const Json::Value& upserts = patch.upsert[list];
   for (Json::ArrayIndex position = 0; position < upserts.size(); ++position) {
-    BOOST_LEAF_AUTO(item, read(scope.inner("upsert").inner(list).item(position), upserts[position]));
+    BOOST_LEAF_AUTO(item, read(scope.child("upsert").child(list).item(position), upserts[position]));
     items.push_back(std::move(item));
   }
   return {};
@@ -115,18 +115,18 @@
 leaf::result<ConfigurationEdit> ConfigurationDocument::check(const ConfigurationPatch& patch,
                                                              std::string_view source) const {
   const FieldScope scope{std::string(source), ""};
-  BOOST_LEAF_CHECK(check_lists(scope.inner("delete"), patch.removed));
-  BOOST_LEAF_CHECK(check_lists(scope.inner("upsert"), patch.upsert));
+  BOOST_LEAF_CHECK(check_lists(scope.child("delete"), patch.removed));
+  BOOST_LEAF_CHECK(check_lists(scope.child("upsert"), patch.upsert));
   ConfigurationEdit edit;
   BOOST_LEAF_CHECK(read_upserts(scope, patch, kServices, read_service, edit.services));
   BOOST_LEAF_CHECK(read_upserts(scope, patch, kRoutes, read_route, edit.routes));
   edit.removed_services = removed_names(patch, kServices);
   edit.removed_routes = removed_names(patch, kRoutes);
   if (!patch.limits.isNull()) {
-    BOOST_LEAF_ASSIGN(edit.limits, read_limits(scope.inner("limits"), patch.limits));
+    BOOST_LEAF_ASSIGN(edit.limits, read_limits(scope.child("limits"), patch.limits));
   }
-  BOOST_LEAF_CHECK(check_routes(scope.inner("upsert").inner(kRoutes), edit));
-  BOOST_LEAF_CHECK(check_removed_services(scope.inner("delete").inner(kServices), patch, edit));
+  BOOST_LEAF_CHECK(check_routes(scope.child("upsert").child(kRoutes), edit));
+  BOOST_LEAF_CHECK(check_removed_services(scope.child("delete").child(kServices), patch, edit));
   return edit;
 }
 
@@ -148,7 +148,7 @@
     return invalid_field(scope.item(static_cast<unsigned>(position)), "backend", route.backend,
                          "the name of one of the services");
   }
-  const std::optional<std::size_t> collision = editable_.first_collision(edit);
+  const std::optional<std::size_t> collision = editable_.first_conflict(edit);
   if (!collision) return {};
   return invalid_field(scope.item(static_cast<unsigned>(*collision)), "path_prefix",
                        edit.routes[*collision].path_prefix, "a prefix that no other route of its host has");
@@ -189,7 +189,7 @@
     values_.erase(list);
     for (const Json::Value& item : patch.upsert[list]) lists_[list].put(name_of(item), write_json(item));
   }
-  editable_.carry_out(std::move(edit), patch.version);
+  editable_.apply(std::move(edit), patch.version);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/config/configuration_patch.cpp
+++ b/src/cluster/config/configuration_patch.cpp
@@ -16,7 +16,7 @@
   for (Json::ArrayIndex position = 0; position < items.size(); ++position) {
     const FieldScope item_scope = scope.item(position);
     if (!items[position].isObject()) return invalid_field(item_scope, "", items[position], "an object");
-    BOOST_LEAF_AUTO(name, required_text(item_scope, items[position], "name"));
+    BOOST_LEAF_AUTO(name, required_string(item_scope, items[position], "name"));
     if (!names.insert(name).second) return invalid_field(item_scope, "name", name, "each name once");
   }
   return {};
@@ -38,12 +38,12 @@
                                         ListCheck check) {
   BOOST_LEAF_AUTO(lists, object_field(scope, root, name));
   if (lists == nullptr) return Json::Value();
-  const FieldScope lists_scope = scope.inner(name);
+  const FieldScope lists_scope = scope.child(name);
   for (const std::string& list : lists->getMemberNames()) {
     if (list == "version" || list == "limits") {
       return invalid_field(lists_scope, list, (*lists)[list], "names of lists such as routes and services");
     }
-    BOOST_LEAF_CHECK(check(lists_scope.inner(list), (*lists)[list]));
+    BOOST_LEAF_CHECK(check(lists_scope.child(list), (*lists)[list]));
   }
   return *lists;
 }
@@ -54,8 +54,8 @@
   BOOST_LEAF_AUTO(root, parse_json_object(json, source));
   const FieldScope scope{std::string(source), ""};
   ConfigurationPatch patch;
-  const NumberRange version_range{1, kLargestVersion, std::nullopt};
-  BOOST_LEAF_ASSIGN(patch.version, whole_number(scope, root, "version", version_range));
+  const IntegerRange version_range{1, kLargestVersion, std::nullopt};
+  BOOST_LEAF_ASSIGN(patch.version, integer_field(scope, root, "version", version_range));
   BOOST_LEAF_ASSIGN(patch.upsert, checked_lists(scope, root, "upsert", check_upsert_list));
   BOOST_LEAF_ASSIGN(patch.removed, checked_lists(scope, root, "delete", check_delete_list));
   BOOST_LEAF_AUTO(limits, object_field(scope, root, "limits"));
--- a/src/cluster/config/editable_configuration.cpp
+++ b/src/cluster/config/editable_configuration.cpp
@@ -19,7 +19,7 @@
 }
 
 // Routes that are replaced or removed give their places up first.
-std::optional<std::size_t> EditableConfiguration::first_collision(const ConfigurationEdit& edit) const {
+std::optional<std::size_t> EditableConfiguration::first_conflict(const ConfigurationEdit& edit) const {
   std::unordered_set<std::string> leaving(edit.removed_routes.begin(), edit.removed_routes.end());
   RouteIndex coming;
   std::vector<bool> collides(edit.routes.size(), false);
@@ -37,12 +37,12 @@
   return std::nullopt;
 }
 
-std::vector<RouteChange> EditableConfiguration::carry_out(ConfigurationEdit edit, std::uint64_t version) {
+std::vector<RouteChange> EditableConfiguration::apply(ConfigurationEdit edit, std::uint64_t version) {
   std::vector<RouteChange> changes;
   const auto note_before = [&](const std::string& name) {
     const Route* const held = find_route(name);
     changes.push_back({held == nullptr ? std::nullopt : std::optional<Route>(*held), std::nullopt});
-    leave_place(name);
+    release_path(name);
   };
   for (const Route& route : edit.routes) {
     note_before(route.name);
@@ -61,7 +61,7 @@
   return changes;
 }
 
-void EditableConfiguration::leave_place(const std::string& name) {
+void EditableConfiguration::release_path(const std::string& name) {
   const Route* const route = find_route(name);
   if (route != nullptr) configuration_.route_index.remove(route->hostname, route->path_prefix);
 }
--- a/src/cluster/config/editable_configuration.hpp
+++ b/src/cluster/config/editable_configuration.hpp
@@ -35,12 +35,12 @@
   const Route* find_route(const std::string& name) const;
   // Position in `edit.routes` of the first one that would share host and prefix, or its name, with another
   // route; none: the edit can be carried out.
-  std::optional<std::size_t> first_collision(const ConfigurationEdit& edit) const;
+  std::optional<std::size_t> first_conflict(const ConfigurationEdit& edit) const;
   // Carries out an edit without collisions, which makes `version`. Routes keep no particular order.
-  std::vector<RouteChange> carry_out(ConfigurationEdit edit, std::uint64_t version);
+  std::vector<RouteChange> apply(ConfigurationEdit edit, std::uint64_t version);
 
  private:
-  void leave_place(const std::string& name);
+  void release_path(const std::string& name);
   void remove_route(const std::string& name);
   void put_route(Route route);
   void put_service(Service service);
--- a/src/cluster/config/json_fields.cpp
+++ b/src/cluster/config/json_fields.cpp
@@ -40,7 +40,7 @@
   return found != nullptr ? *found : Json::Value::nullSingleton();
 }
 
-std::string allowed_range(const NumberRange& range) {
+std::string allowed_range(const IntegerRange& range) {
   return "a whole number from " + std::to_string(range.least) + " to " + std::to_string(range.most);
 }
 
@@ -85,8 +85,8 @@
   return Json::writeString(builder, value);
 }
 
-leaf::result<std::string> optional_text(const FieldScope& scope, const Json::Value& object,
-                                        const char* name) {
+leaf::result<std::string> optional_string(const FieldScope& scope, const Json::Value& object,
+                                          const char* name) {
   const Json::Value& value = field_of(object, name);
   if (value.isNull()) return std::string();
   if (!value.isString()) return invalid_field(scope, name, value, "a text");
@@ -95,17 +95,17 @@
   return text;
 }
 
-leaf::result<std::string> required_text(const FieldScope& scope, const Json::Value& object,
-                                        const char* name) {
-  BOOST_LEAF_AUTO(text, optional_text(scope, object, name));
+leaf::result<std::string> required_string(const FieldScope& scope, const Json::Value& object,
+                                          const char* name) {
+  BOOST_LEAF_AUTO(text, optional_string(scope, object, name));
   if (text.empty()) return invalid_field(scope, name, field_of(object, name), "a text that is not empty");
   return text;
 }
 
-leaf::result<std::uint64_t> whole_number(const FieldScope& scope, const Json::Value& object, const char* name,
-                                         const NumberRange& range) {
+leaf::result<std::uint64_t> integer_field(const FieldScope& scope, const Json::Value& object,
+                                          const char* name, const IntegerRange& range) {
   const Json::Value& value = field_of(object, name);
-  if (value.isNull() && range.fallback) return *range.fallback;
+  if (value.isNull() && range.default_value) return *range.default_value;
   if (value.isNull() || value.isBool() || !value.isUInt64()) {
     return invalid_field(scope, name, value, allowed_range(range));
   }
@@ -116,18 +116,18 @@
   return number;
 }
 
-leaf::result<bool> optional_flag(const FieldScope& scope, const Json::Value& object, const char* name,
-                                 bool fallback) {
+leaf::result<bool> optional_bool(const FieldScope& scope, const Json::Value& object, const char* name,
+                                 bool default_value) {
   const Json::Value& value = field_of(object, name);
-  if (value.isNull()) return fallback;
+  if (value.isNull()) return default_value;
   if (!value.isBool()) return invalid_field(scope, name, value, "true or false");
   return value.asBool();
 }
 
-leaf::result<double> optional_fraction(const FieldScope& scope, const Json::Value& object, const char* name,
-                                       double most, double fallback) {
+leaf::result<double> optional_number(const FieldScope& scope, const Json::Value& object, const char* name,
+                                     double most, double default_value) {
   const Json::Value& value = field_of(object, name);
-  if (value.isNull()) return fallback;
+  if (value.isNull()) return default_value;
   const bool number = value.isNumeric() && !value.isBool();
   if (!number || !std::isfinite(value.asDouble()) || value.asDouble() < 0 || value.asDouble() > most) {
     return invalid_field(scope, name, value, "a number from 0 to " + std::to_string(most));
--- a/src/cluster/config/json_fields.hpp
+++ b/src/cluster/config/json_fields.hpp
@@ -21,16 +21,17 @@
   // Path of a field of this object.
   std::string field(std::string_view name) const;
   // Scope of an object or a list that is a field of this one.
-  FieldScope inner(std::string_view name) const { return {source, field(name)}; }
+  FieldScope child(std::string_view name) const { return {source, field(name)}; }
   // Scope of an item of this list.
   FieldScope item(unsigned position) const;
 };
 
 // What a whole number may be.
-struct NumberRange {
+struct IntegerRange {
   std::uint64_t least = 0;
   std::uint64_t most = 0;
-  std::optional<std::uint64_t> fallback;  // taken where the field is missing; none: the field is required
+  std::optional<std::uint64_t>
+      default_value;  // taken where the field is missing; none: the field is required
 };
 
 // An error about a field; `value` is null where the field is missing.
@@ -42,17 +43,19 @@
 // Writes compact JSON; numbers keep their values.
 std::string write_json(const Json::Value& value);
 
-leaf::result<std::string> required_text(const FieldScope& scope, const Json::Value& object, const char* name);
+leaf::result<std::string> required_string(const FieldScope& scope, const Json::Value& object,
+                                          const char* name);
 // Empty where the field is missing.
-leaf::result<std::string> optional_text(const FieldScope& scope, const Json::Value& object, const char* name);
-leaf::result<std::uint64_t> whole_number(const FieldScope& scope, const Json::Value& object, const char* name,
-                                         const NumberRange& range);
+leaf::result<std::string> optional_string(const FieldScope& scope, const Json::Value& object,
+                                          const char* name);
+leaf::result<std::uint64_t> integer_field(const FieldScope& scope, const Json::Value& object,
+                                          const char* name, const IntegerRange& range);
 // `fallback` where the field is missing.
-leaf::result<bool> optional_flag(const FieldScope& scope, const Json::Value& object, const char* name,
-                                 bool fallback);
+leaf::result<bool> optional_bool(const FieldScope& scope, const Json::Value& object, const char* name,
+                                 bool default_value);
 // A finite number from 0 to `most`; `fallback` where the field is missing.
-leaf::result<double> optional_fraction(const FieldScope& scope, const Json::Value& object, const char* name,
-                                       double most, double fallback);
+leaf::result<double> optional_number(const FieldScope& scope, const Json::Value& object, const char* name,
+                                     double most, double default_value);
 // A list (null where the field is missing and not required), and an object likewise.
 leaf::result<const Json::Value*> list_field(const FieldScope& scope, const Json::Value& object,
                                             const char* name, bool required);
--- a/src/cluster/config/route_index.cpp
+++ b/src/cluster/config/route_index.cpp
@@ -16,7 +16,7 @@
 
 std::size_t HostnameHash::operator()(std::string_view hostname) const {
   Digest digest;
-  for (const char letter : hostname) digest.add_letter(lower(letter));
+  for (const char letter : hostname) digest.add_char(lower(letter));
   return static_cast<std::size_t>(digest.value());
 }
 
@@ -26,7 +26,8 @@
 }
 
 // Where a length stands, or belongs.
-std::vector<RouteIndex::PrefixLength>::iterator RouteIndex::place_of(HostRoutes& host, std::size_t length) {
+std::vector<RouteIndex::PrefixLength>::iterator RouteIndex::position_of_length(HostRoutes& host,
+                                                                               std::size_t length) {
   return std::lower_bound(host.lengths.begin(), host.lengths.end(), length,
                           [](const PrefixLength& one, std::size_t other) { return one.length > other; });
 }
@@ -34,7 +35,7 @@
 bool RouteIndex::add(std::string_view hostname, std::string_view path_prefix, std::size_t position) {
   HostRoutes& host = hosts_[std::string(hostname)];
   if (!host.positions.emplace(path_prefix, position).second) return false;
-  auto place = place_of(host, path_prefix.size());
+  auto place = position_of_length(host, path_prefix.size());
   const bool known = place != host.lengths.end() && place->length == path_prefix.size();
   if (!known) place = host.lengths.insert(place, {path_prefix.size(), 0});
   ++place->count;
@@ -48,7 +49,7 @@
   const auto route = positions.find(path_prefix);
   if (route == positions.end()) return;
   positions.erase(route);
-  const auto place = place_of(host->second, path_prefix.size());
+  const auto place = position_of_length(host->second, path_prefix.size());
   if (--place->count == 0) host->second.lengths.erase(place);
   if (positions.empty()) hosts_.erase(host);
 }
--- a/src/cluster/config/route_index.hpp
+++ b/src/cluster/config/route_index.hpp
@@ -51,7 +51,7 @@
     std::unordered_map<std::string, std::size_t, PrefixHash, std::equal_to<>> positions;
   };
 
-  static std::vector<PrefixLength>::iterator place_of(HostRoutes& host, std::size_t length);
+  static std::vector<PrefixLength>::iterator position_of_length(HostRoutes& host, std::size_t length);
 
   std::unordered_map<std::string, HostRoutes, HostnameHash, HostnameEqual> hosts_;
 };
--- a/src/cluster/consensus/acceptor.cpp
+++ b/src/cluster/consensus/acceptor.cpp
@@ -77,9 +77,10 @@
 
 }  // namespace
 
-Acceptor::Acceptor(Runtime& runtime, Journal& journal, const Standing& standing,
+Acceptor::Acceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& membership_status,
                    RegisterAcceptor::ChosenListener on_chosen)
-    : registers_(journal, standing, std::move(on_chosen)), shards_(runtime, journal, standing) {}
+    : registers_(commit_queue, membership_status, std::move(on_chosen)),
+      shards_(runtime, commit_queue, membership_status) {}
 
 void Acceptor::load(std::string_view key, std::string_view value) {
   if (key.starts_with(kStoredShardPrefix)) {
@@ -93,7 +94,7 @@
   }
 }
 
-bool Acceptor::handle(const wire::Envelope& request, const Replier& reply) {
+bool Acceptor::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   switch (request.body_case()) {
     case wire::Envelope::kRegisterPrepare:
       registers_.prepare(request.register_prepare(), reply);
@@ -124,7 +125,7 @@
   return writer.take();
 }
 
-void Acceptor::take_entry(const wire::StateEntry& entry, StateCopy& copy) {
+void Acceptor::add_state_entry(const wire::StateEntry& entry, TransferredState& copy) {
   const std::string_view key = entry.key();
   if (key.starts_with(kShardPrefix)) {
     copy.shards[std::string(key.substr(kShardPrefix.size()))].state = parsed<wire::ShardState>(entry.value());
@@ -137,10 +138,10 @@
   }
 }
 
-StoreBatch Acceptor::merge(const std::vector<StateCopy>& copies) {
+StoreBatch Acceptor::merge(const std::vector<TransferredState>& copies) {
   StoreBatch batch;
   std::set<std::string> shards;
-  for (const StateCopy& copy : copies) {
+  for (const TransferredState& copy : copies) {
     for (const auto& [key, state] : copy.registers) registers_.merge(key, state, batch);
     for (const auto& [shard, replica] : copy.shards) shards.insert(shard);
   }
@@ -148,12 +149,12 @@
   return batch;
 }
 
-void Acceptor::merge_shard(const std::string& shard, const std::vector<StateCopy>& copies,
+void Acceptor::merge_shard(const std::string& shard, const std::vector<TransferredState>& copies,
                            StoreBatch& batch) {
   std::vector<const ShardReplica*> sources;
   const std::map<std::string, const ShardReplica*> own = shards_.replicas();
   if (own.contains(shard)) sources.push_back(own.at(shard));
-  for (const StateCopy& copy : copies) {
+  for (const TransferredState& copy : copies) {
     const auto found = copy.shards.find(shard);
     if (found != copy.shards.end()) sources.push_back(&found->second);
   }
--- a/src/cluster/consensus/journal.cpp
+++ b/src/cluster/consensus/commit_queue.cpp
@@ -1,4 +1,4 @@
-#include "cluster/consensus/journal.hpp"
+#include "cluster/consensus/commit_queue.hpp"
 
 #include <utility>
 
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-Journal::Journal(Runtime& runtime, DurableStore& store) : runtime_(runtime), store_(store) {}
+CommitQueue::CommitQueue(Runtime& runtime, DurableStore& store) : runtime_(runtime), store_(store) {}
 
-void Journal::commit(StoreBatch batch, std::function<void()> on_durable) {
+void CommitQueue::commit(StoreBatch batch, std::function<void()> on_durable) {
   const std::size_t bytes = size_of(batch);
   waiting_bytes_ += bytes;
   Entry entry{std::move(batch), std::move(on_durable), bytes};
@@ -28,12 +28,12 @@
   }
 }
 
-void Journal::barrier(std::function<void()> on_durable) {
+void CommitQueue::barrier(std::function<void()> on_durable) {
   if (!recovering_ && outstanding_.empty()) return on_durable();
   commit({}, std::move(on_durable));
 }
 
-void Journal::issue(Entry entry) {
+void CommitQueue::issue(Entry entry) {
   StoreBatch batch = entry.batch;
   outstanding_.push_back(std::move(entry));
   store_.commit(std::move(batch), [this, alive = std::weak_ptr(alive_)](CommitOutcome outcome) {
@@ -41,7 +41,7 @@
   });
 }
 
-void Journal::ended(CommitOutcome outcome) {
+void CommitQueue::ended(CommitOutcome outcome) {
   Entry entry = std::move(outstanding_.front());
   outstanding_.pop_front();
   if (outcome == CommitOutcome::failed) recovering_ = true;
@@ -54,11 +54,11 @@
   if (outstanding_.empty()) schedule_recovery();
 }
 
-void Journal::schedule_recovery() {
+void CommitQueue::schedule_recovery() {
   recovery_timer_ = runtime_.after(kRecoveryPause, [this] { recover(); });
 }
 
-void Journal::recover() {
+void CommitQueue::recover() {
   recovering_ = false;
   for (Entry& entry : std::exchange(doubtful_, {})) issue(std::move(entry));
   for (Entry& entry : std::exchange(held_, {})) issue(std::move(entry));
--- a/src/cluster/consensus/journal.hpp
+++ b/src/cluster/consensus/commit_queue.hpp
@@ -14,9 +14,9 @@
 
 // After a failed commit the batches behind it are in doubt, too: all are written once more, in their order
 // and before anything new, until the store takes them; what waits for them goes on waiting.
-class Journal {
+class CommitQueue {
  public:
-  Journal(Runtime& runtime, DurableStore& store);
+  CommitQueue(Runtime& runtime, DurableStore& store);
 
   // Calls `on_durable` once this batch and all before it are durable.
   void commit(StoreBatch batch, std::function<void()> on_durable = {});
--- a/src/cluster/consensus/control_group.cpp
+++ b/src/cluster/consensus/control_group.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 constexpr Millis kTick{250};
-constexpr Millis kTouch{1000};
+constexpr Millis kContactTimeout{1000};
 constexpr Millis kSendTimeout{500};
 constexpr Millis kRefreshTimeout{3000};
 const std::string kConfigurationRegister = "configuration";
 
 // A member that was silent for so long may be replaced. Its successor has to hold all state within the time
 // to catch up after its own start, which is a second after the loss or so.
-Millis time_until_gone(const NodeSettings& settings) { return settings.bounds.catch_up / 2; }
+Millis member_replacement_delay(const NodeSettings& settings) { return settings.bounds.catch_up / 2; }
 
 // Without a successor there is no hurry, and a member that is only cut off is not to lose its place: until it
 // had copied the state anew, the loss of a disk could not be borne.
-Millis time_until_surplus(const NodeSettings& settings) { return settings.bounds.catch_up * 8; }
+Millis excess_member_removal_delay(const NodeSettings& settings) { return settings.bounds.catch_up * 8; }
 
 }  // namespace
 
@@ -44,28 +44,28 @@
     : runtime_(runtime),
       store_(store),
       settings_(settings),
-      seeds_(settings.seed_listeners()),
-      journal_(runtime, store),
-      acceptor_(runtime, journal_, standing_,
+      seeds_(settings.seed_internal_addresses()),
+      commit_queue_(runtime, store),
+      acceptor_(runtime, commit_queue_, membership_status_,
                 [this](const std::string& key, const RegisterValue& value) { register_chosen(key, value); }),
-      calls_(runtime,
-             [this](const wire::Envelope& request, const Replier& reply) { return handle(request, reply); }),
+      calls_(runtime, [this](const wire::Envelope& request,
+                             const ReplyCallback& reply) { return handle(request, reply); }),
       peers_(runtime),
-      client_(*this, unique_number(),
+      client_(*this, next_unique_id(),
               [this](const std::string& key, const RegisterValue& value, bool newly_chosen) {
-                attempt_chose(key, value, newly_chosen);
+                on_attempt_chosen(key, value, newly_chosen);
               }),
-      admission_(*this, client_, peers_, time_until_gone(settings),
-                 [this](const wire::MemberRecord& record) { adopt(record); }),
-      surplus_(*this, client_, peers_, time_until_surplus(settings),
-               [this](const wire::MemberRecord& record) { adopt(record); }) {}
+      member_joiner_(*this, client_, peers_, member_replacement_delay(settings),
+                     [this](const wire::MemberRecord& record) { adopt(record); }),
+      excess_member_remover_(*this, client_, peers_, excess_member_removal_delay(settings),
+                             [this](const wire::MemberRecord& record) { adopt(record); }) {}
 
 ControlGroup::~ControlGroup() { stop(); }
 
 void ControlGroup::start() {
   load();
   if (identity_.id() == 0) {
-    found_or_join();
+    initialize_identity();
   } else {
     activate();
   }
@@ -88,25 +88,25 @@
   tick();
 }
 
-bool ControlGroup::handle(const wire::Envelope& request, const Replier& reply) {
+bool ControlGroup::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   switch (request.body_case()) {
     case wire::Envelope::kMemberPing: {
       if (!active_) return true;
       wire::Envelope answer;
-      *answer.mutable_member_ping() = own_ping();
+      *answer.mutable_member_ping() = make_ping();
       reply(std::move(answer));
-      note_ping(request.member_ping());
+      on_ping_received(request.member_ping());
       ping_back(request.member_ping().from());
       return true;
     }
     case wire::Envelope::kJoinRequest:
-      if (active_) admission_.handle(request.join_request(), reply);
+      if (active_) member_joiner_.handle(request.join_request(), reply);
       return true;
     case wire::Envelope::kStatePull:
       if (active_) handle_state_pull(request.state_pull(), reply);
       return true;
     case wire::Envelope::kRegisterChosen:
-      if (active_ && !journal_.overloaded()) handle_chosen(request.register_chosen(), reply);
+      if (active_ && !commit_queue_.overloaded()) handle_chosen(request.register_chosen(), reply);
       return true;
     case wire::Envelope::kRegisterPrepare:
     case wire::Envelope::kRegisterAccept:
@@ -114,7 +114,7 @@
     case wire::Envelope::kShardRead:
     case wire::Envelope::kShardWrite:
       // Left unanswered where the disk lags far behind: memory would fill up with what can't be written.
-      if (active_ && !journal_.overloaded()) acceptor_.handle(request, reply);
+      if (active_ && !commit_queue_.overloaded()) acceptor_.handle(request, reply);
       return true;
     default:
       return false;
@@ -147,31 +147,33 @@
   return acceptor_.shards().lease_in_force(shard);
 }
 
-std::size_t ControlGroup::leases_held_here() const {
+std::size_t ControlGroup::own_lease_count() const {
   const std::vector<wire::ShardLeader> leases = acceptor_.shards().leases_in_force();
-  return static_cast<std::size_t>(
-      std::count_if(leases.begin(), leases.end(),
-                    [this](const wire::ShardLeader& lease) { return lease.holder() == standing_.id; }));
+  return static_cast<std::size_t>(std::count_if(
+      leases.begin(), leases.end(),
+      [this](const wire::ShardLeader& lease) { return lease.holder() == membership_status_.id; }));
 }
 
 std::uint64_t ControlGroup::promised_epoch(const std::string& shard) const {
   return acceptor_.shards().promised_epoch(shard);
 }
 
-bool ControlGroup::in_touch() const {
+bool ControlGroup::has_quorum_contact() const {
   if (record_.epoch() == 0) return false;
   std::size_t heard = 0;
   for (const wire::Member& member : record_.members()) {
-    if (member.id() == standing_.id || peers_.heard_within(member.id(), kTouch)) ++heard;
+    if (member.id() == membership_status_.id || peers_.contacted_within(member.id(), kContactTimeout))
+      ++heard;
   }
   return heard >= majority(record_);
 }
 
-std::vector<std::uint64_t> ControlGroup::voting_members_heard() const {
+std::vector<std::uint64_t> ControlGroup::reachable_voters() const {
   std::vector<std::uint64_t> heard;
   for (const wire::Member& member : record_.members()) {
-    const bool self_votes = member.id() == standing_.id && standing_.voting;
-    const bool other_votes = peers_.heard_within(member.id(), kTouch) && peers_.votes(member.id());
+    const bool self_votes = member.id() == membership_status_.id && membership_status_.voting;
+    const bool other_votes =
+        peers_.contacted_within(member.id(), kContactTimeout) && peers_.votes(member.id());
     if (self_votes || other_votes) heard.push_back(member.id());
   }
   return heard;
@@ -179,7 +181,7 @@
 
 void ControlGroup::call(const wire::Member& member, wire::Envelope request, Millis timeout,
                         std::function<void(CallResult)> done) {
-  if (member.id() == standing_.id) return calls_.call_local(request, std::move(done));
+  if (member.id() == membership_status_.id) return calls_.call_local(request, std::move(done));
   calls_.call(member.address(), std::move(request), timeout, std::move(done));
 }
 
@@ -188,20 +190,20 @@
 void ControlGroup::tick() {
   tick_timer_ = runtime_.after(kTick, [this] { tick(); });
   for (const wire::Member& member : record_.members()) {
-    if (member.id() != standing_.id) ping(member);
+    if (member.id() != membership_status_.id) ping(member);
   }
-  ask_to_join();
-  surplus_.check();
+  request_to_join();
+  excess_member_remover_.check();
   synchronize();
   refresh_registers();
 }
 
-wire::MemberPing ControlGroup::own_ping() const {
+wire::MemberPing ControlGroup::make_ping() const {
   wire::MemberPing ping;
-  ping.set_from(standing_.id);
+  ping.set_from(membership_status_.id);
   ping.set_member_epoch(record_.epoch());
   ping.set_address(settings_.internal_address());
-  ping.set_voting(standing_.voting);
+  ping.set_voting(membership_status_.voting);
   ping.set_reads_snapshots(true);
   if (const std::optional<RegisterValue> value = acceptor_.registers().chosen(kConfigurationRegister)) {
     *ping.mutable_configuration_ballot() = value->ballot;
@@ -213,7 +215,7 @@
 
 void ControlGroup::ping(const wire::Member& member) {
   wire::Envelope request;
-  *request.mutable_member_ping() = own_ping();
+  *request.mutable_member_ping() = make_ping();
   const TimePoint sent_at = runtime_.now();
   calls_.call(member.address(), std::move(request), kSendTimeout,
               [this, member, sent_at](const CallResult& result) {
@@ -223,22 +225,23 @@
                 }
                 const wire::MemberPing& answer = result.answer->member_ping();
                 peers_.answered(member.id(), sent_at, answer.voting());
-                note_ping(answer);
+                on_ping_received(answer);
               });
 }
 
 // A member that has just come up is heard without waiting for the next tick.
 void ControlGroup::ping_back(std::uint64_t from) {
   const wire::Member* member = find_member(record_, from);
-  if (member != nullptr && from != standing_.id && !peers_.heard_within(from, kTouch)) ping(*member);
+  if (member != nullptr && from != membership_status_.id && !peers_.contacted_within(from, kContactTimeout))
+    ping(*member);
 }
 
-void ControlGroup::note_ping(const wire::MemberPing& ping) {
-  if (ping.member_epoch() > record_.epoch() && !ping.address().empty()) fetch_record(ping.address());
-  peers_.note_leaders(ping);
-  if (ping.reads_snapshots()) peers_.note_reads_snapshots(ping.from());
-  if (is_lower(newest_configuration_, ping.configuration_ballot())) {
-    newest_configuration_ = ping.configuration_ballot();
+void ControlGroup::on_ping_received(const wire::MemberPing& ping) {
+  if (ping.member_epoch() > record_.epoch() && !ping.address().empty()) fetch_member_record(ping.address());
+  peers_.record_reported_leases(ping);
+  if (ping.reads_snapshots()) peers_.set_reads_snapshots(ping.from());
+  if (is_lower(newest_reported_configuration_, ping.configuration_ballot())) {
+    newest_reported_configuration_ = ping.configuration_ballot();
   }
 }
 
@@ -270,7 +273,7 @@
   }
 }
 
-void ControlGroup::attempt_chose(const std::string& key, const RegisterValue& value, bool newly_chosen) {
+void ControlGroup::on_attempt_chosen(const std::string& key, const RegisterValue& value, bool newly_chosen) {
   acceptor_.registers().learn(key, value);
   if (!newly_chosen) return;
   wire::Envelope message;
@@ -278,14 +281,14 @@
   chosen.set_key(key);
   *chosen.mutable_ballot() = value.ballot;
   chosen.set_value(value.value);
-  for (const Address& member : told_of_choices(key, value)) {
+  for (const Address& member : commit_recipients(key, value)) {
     calls_.call(member, message, kSendTimeout, [](const CallResult&) {});
   }
 }
 
 // The members, and those whom a new member record takes in: a newcomer counts from now on, and can copy the
 // state only once it knows.
-std::set<Address> ControlGroup::told_of_choices(const std::string& key, const RegisterValue& value) const {
+std::set<Address> ControlGroup::commit_recipients(const std::string& key, const RegisterValue& value) const {
   std::set<Address> told;
   for (const wire::Member& member : record_.members()) told.insert(member.address());
   wire::MemberRecord next;
@@ -295,7 +298,7 @@
   return told;
 }
 
-void ControlGroup::handle_chosen(const wire::RegisterChosen& chosen, const Replier& reply) {
+void ControlGroup::handle_chosen(const wire::RegisterChosen& chosen, const ReplyCallback& reply) {
   acceptor_.registers().learn(chosen.key(), RegisterValue{chosen.ballot(), chosen.value()});
   wire::MemberRecord record;
   if (chosen.key() == kMembersRegister && record.ParseFromString(chosen.value())) adopt(record);
@@ -310,7 +313,7 @@
   return shards;
 }
 
-std::optional<std::string> ControlGroup::chosen_here(const std::string& key) const {
+std::optional<std::string> ControlGroup::locally_known_value(const std::string& key) const {
   std::optional<RegisterValue> value = acceptor_.registers().chosen(key);
   if (!value) return std::nullopt;
   return std::move(value->value);
@@ -324,32 +327,32 @@
 bool ControlGroup::members_read_snapshots() const {
   const auto& members = record_.members();
   return std::all_of(members.begin(), members.end(), [&](const wire::Member& member) {
-    return member.id() == standing_.id || peers_.reads_snapshots(member.id());
+    return member.id() == membership_status_.id || peers_.reads_snapshots(member.id());
   });
 }
 
 void ControlGroup::refresh_registers() {
-  const bool touch = in_touch();
-  if (touch && !was_in_touch_) {
+  const bool touch = has_quorum_contact();
+  if (touch && !had_quorum_contact_) {
     for (const std::shared_ptr<Watch>& watch : watches_) to_refresh_.insert(watch->key);
   }
-  was_in_touch_ = touch;
+  had_quorum_contact_ = touch;
   const std::optional<RegisterValue> known = acceptor_.registers().chosen(kConfigurationRegister);
   const wire::Ballot known_ballot = known ? known->ballot : wire::Ballot();
-  if (is_lower(known_ballot, newest_configuration_)) to_refresh_.insert(kConfigurationRegister);
-  refresh_undecided();
+  if (is_lower(known_ballot, newest_reported_configuration_)) to_refresh_.insert(kConfigurationRegister);
+  refresh_unresolved_registers();
   if (!touch) return;
   for (const std::string& key : std::exchange(to_refresh_, {})) refresh(key);
 }
 
 // A value that stays undecided for a whole tick may have been acknowledged by a proposer that is gone before
 // it told anybody that the value was chosen.
-void ControlGroup::refresh_undecided() {
+void ControlGroup::refresh_unresolved_registers() {
   for (const std::shared_ptr<Watch>& watch : watches_) {
-    const wire::Ballot undecided = acceptor_.registers().undecided(watch->key);
-    const bool stays = is_set(undecided) && same_ballot(undecided, watch->undecided);
+    const wire::Ballot unresolved_ballot = acceptor_.registers().unresolved_ballot(watch->key);
+    const bool stays = is_set(unresolved_ballot) && same_ballot(unresolved_ballot, watch->unresolved_ballot);
     if (stays) to_refresh_.insert(watch->key);
-    watch->undecided = undecided;
+    watch->unresolved_ballot = unresolved_ballot;
   }
 }
 
--- a/src/cluster/consensus/control_group.hpp
+++ b/src/cluster/consensus/control_group.hpp
@@ -11,18 +11,18 @@
 
 #include "cluster/common/settings.hpp"
 #include "cluster/consensus/acceptor.hpp"
-#include "cluster/consensus/admission.hpp"
+#include "cluster/consensus/excess_member_remover.hpp"
 #include "cluster/consensus/leased_shard.hpp"
-#include "cluster/consensus/member_calls.hpp"
-#include "cluster/consensus/peer_book.hpp"
+#include "cluster/consensus/member_joiner.hpp"
+#include "cluster/consensus/member_rpc_client.hpp"
+#include "cluster/consensus/peer_table.hpp"
 #include "cluster/consensus/quorum_register_client.hpp"
-#include "cluster/consensus/state_sync.hpp"
-#include "cluster/consensus/surplus_removal.hpp"
+#include "cluster/consensus/state_transfer.hpp"
 #include "cluster/store/store.hpp"
 
 namespace winchhall::cluster {
 
-class ControlGroup : private GroupView {
+class ControlGroup : private GroupContext {
  public:
   // Told of a register's newer values that are known to be chosen.
   using RegisterWatch = std::function<void(const RegisterValue& value)>;
@@ -38,7 +38,7 @@
   // Takes part no more; shards that are still led are to be stepped down before.
   void stop();
   // Answers requests of other control nodes; false: of another kind.
-  bool handle(const wire::Envelope& request, const Replier& reply);
+  bool handle(const wire::Envelope& request, const ReplyCallback& reply);
 
   RegisterClient& registers() { return client_; }
   // This node's part in a shard. To be destroyed before the group.
@@ -51,7 +51,7 @@
   void watch_register(const std::string& key, RegisterWatch on_newer);
 
   // A register's value as far as it is known to be chosen here; none: never heard of one.
-  std::optional<std::string> chosen_here(const std::string& key) const;
+  std::optional<std::string> locally_known_value(const std::string& key) const;
   // Drops what is kept here of registers that are never needed again.
   void drop_registers(const std::function<bool(const std::string& key)>& unneeded);
   // Every member has said that it reads configuration records with snapshots.
@@ -65,67 +65,67 @@
   // Leases in force as far as known here.
   std::vector<wire::ShardLeader> leaders() const;
   // True while a majority of the members was heard within the last second.
-  bool in_touch() const override;
-  std::uint64_t member_id() const { return standing_.id; }
+  bool has_quorum_contact() const override;
+  std::uint64_t member_id() const { return membership_status_.id; }
   // A member of the newest record that holds all state: its answers count.
-  bool votes() const { return standing_.voting; }
+  bool votes() const { return membership_status_.voting; }
 
  private:
   struct Watch {
     std::string key;
     RegisterWatch on_newer;
     std::optional<std::string> told;
-    wire::Ballot undecided;  // at the last tick
+    wire::Ballot unresolved_ballot;  // at the last tick
   };
   class OpenShard;
 
-  // GroupView
+  // GroupContext
   Runtime& runtime() override { return runtime_; }
   const wire::MemberRecord& record() const override { return record_; }
-  std::uint64_t self_id() const override { return standing_.id; }
-  std::uint64_t unique_number() override;
-  bool voting() const override { return standing_.voting; }
-  std::vector<std::uint64_t> voting_members_heard() const override;
+  std::uint64_t self_id() const override { return membership_status_.id; }
+  std::uint64_t next_unique_id() override;
+  bool voting() const override { return membership_status_.voting; }
+  std::vector<std::uint64_t> reachable_voters() const override;
   void call(const wire::Member& member, wire::Envelope request, Millis timeout,
             std::function<void(CallResult)> done) override;
   void defer(std::function<void()> action) override { calls_.defer(std::move(action)); }
-  void saw_member_epoch(std::uint64_t epoch, const wire::Member& member) override;
+  void on_member_epoch_observed(std::uint64_t epoch, const wire::Member& member) override;
   std::optional<wire::ShardLeader> lease_in_force(const std::string& shard) const override;
-  std::size_t leases_held_here() const override;
+  std::size_t own_lease_count() const override;
   std::uint64_t promised_epoch(const std::string& shard) const override;
 
   // Identity and member records
   void load();
-  void found_or_join();
+  void initialize_identity();
   wire::Member self_member() const;
   void activate();
   void adopt(const wire::MemberRecord& record);
   void adopted(const wire::MemberRecord& record, const wire::NodeIdentity& identity);
-  void update_standing();
+  void update_membership_status();
 
   // Exchange with others
   void tick();
   void ping(const wire::Member& member);
-  wire::MemberPing own_ping() const;
+  wire::MemberPing make_ping() const;
   void ping_back(std::uint64_t from);
-  void note_ping(const wire::MemberPing& ping);
-  void fetch_record(const Address& address);
-  void push_record(const wire::Member& member);
-  void ask_to_join();
+  void on_ping_received(const wire::MemberPing& ping);
+  void fetch_member_record(const Address& address);
+  void push_member_record(const wire::Member& member);
+  void request_to_join();
   std::vector<Address> join_targets() const;
   void synchronize();
-  void synchronize_later();
-  void synchronized(const std::vector<StateCopy>& copies, std::uint64_t member_epoch);
+  void retry_state_transfer_later();
+  void synchronized(const std::vector<TransferredState>& copies, std::uint64_t member_epoch);
 
   // Registers
   void register_chosen(const std::string& key, const RegisterValue& value);
-  void attempt_chose(const std::string& key, const RegisterValue& value, bool newly_chosen);
-  std::set<Address> told_of_choices(const std::string& key, const RegisterValue& value) const;
-  void handle_chosen(const wire::RegisterChosen& chosen, const Replier& reply);
-  void handle_state_pull(const wire::StatePull& pull, const Replier& reply);
+  void on_attempt_chosen(const std::string& key, const RegisterValue& value, bool newly_chosen);
+  std::set<Address> commit_recipients(const std::string& key, const RegisterValue& value) const;
+  void handle_chosen(const wire::RegisterChosen& chosen, const ReplyCallback& reply);
+  void handle_state_pull(const wire::StatePull& pull, const ReplyCallback& reply);
   void tell(Watch& watch, const RegisterValue& value);
   void refresh_registers();
-  void refresh_undecided();
+  void refresh_unresolved_registers();
   void refresh(const std::string& key);
 
   Runtime& runtime_;
@@ -133,21 +133,21 @@
   const NodeSettings settings_;
   std::vector<Address> seeds_;    // internal listeners; those of the settings at first
   std::vector<Address> sampled_;  // control nodes from peer sampling
-  Journal journal_;
-  Standing standing_;
+  CommitQueue commit_queue_;
+  MembershipStatus membership_status_;
   wire::NodeIdentity identity_;
   wire::MemberRecord record_;
   std::uint64_t adopting_epoch_ = 0;
   Acceptor acceptor_;
-  MemberCalls calls_;
-  PeerBook peers_;
+  MemberRpcClient calls_;
+  PeerTable peers_;
   QuorumRegisterClient client_;
-  Admission admission_;
-  SurplusRemoval surplus_;
+  MemberJoiner member_joiner_;
+  ExcessMemberRemover excess_member_remover_;
   std::set<LeasedShard*> shards_;
   std::vector<std::shared_ptr<Watch>> watches_;
   bool active_ = false;
-  std::shared_ptr<StateSync> sync_;
+  std::shared_ptr<StateTransfer> sync_;
   unsigned failed_syncs_ = 0;  // since the record was adopted
   std::unique_ptr<Timer> sync_timer_;
   bool fetching_ = false;
@@ -155,10 +155,11 @@
   bool leaving_ = false;
   std::size_t next_join_target_ = 0;
   std::map<std::uint64_t, TimePoint> pushed_at_;
-  bool was_in_touch_ = false;
+  bool had_quorum_contact_ = false;
   std::set<std::string> to_refresh_;
   std::set<std::string> refreshing_;
-  wire::Ballot newest_configuration_;  // highest chosen ballot of the configuration that others told of
+  wire::Ballot
+      newest_reported_configuration_;  // highest chosen ballot of the configuration that others told of
   std::unique_ptr<Timer> tick_timer_;
 };
 
--- a/src/cluster/consensus/control_group_members.cpp
+++ b/src/cluster/consensus/control_group_members.cpp
@@ -30,11 +30,11 @@
     }
   });
   adopting_epoch_ = record_.epoch();
-  update_standing();
+  update_membership_status();
   acceptor_.shards().assume_leases();
 }
 
-std::uint64_t ControlGroup::unique_number() {
+std::uint64_t ControlGroup::next_unique_id() {
   // Also unlike that of other processes where their generators were seeded alike.
   const std::string circumstances = settings_.internal_address() + "/" +
                                     std::to_string(runtime_.wall_clock_ms()) + "/" +
@@ -45,14 +45,14 @@
 
 wire::Member ControlGroup::self_member() const {
   wire::Member member;
-  member.set_id(standing_.id);
+  member.set_id(membership_status_.id);
   member.set_address(settings_.internal_address());
   member.set_zone(settings_.zone);
   member.set_http_address(settings_.control);
   return member;
 }
 
-void ControlGroup::found_or_join() {
+void ControlGroup::initialize_identity() {
   wire::NodeIdentity identity;
   wire::MemberRecord record;
   if (is_founder(settings_)) {
@@ -60,11 +60,11 @@
     identity.set_synchronized(true);  // An empty group has nothing to copy.
     record = founding_record(settings_);
   } else {
-    identity.set_id(unique_number());
+    identity.set_id(next_unique_id());
   }
   StoreBatch batch{{kIdentityKey, identity.SerializeAsString()}};
   if (record.epoch() > 0) batch.push_back({kRecordKey, record.SerializeAsString()});
-  journal_.commit(std::move(batch), [this, identity, record] {
+  commit_queue_.commit(std::move(batch), [this, identity, record] {
     adopting_epoch_ = record.epoch();
     adopted(record, identity);
     activate();
@@ -79,11 +79,11 @@
   const bool was_member = find_member(record_, identity.id()) != nullptr;
   const bool left_out = was_member && find_member(record, identity.id()) == nullptr;
   if (left_out || was_removed(record, identity.id())) {
-    identity.set_id(unique_number());
+    identity.set_id(next_unique_id());
     identity.set_synchronized(false);
     batch.push_back({kIdentityKey, identity.SerializeAsString()});
   }
-  journal_.commit(std::move(batch), [this, record, identity] {
+  commit_queue_.commit(std::move(batch), [this, record, identity] {
     if (record.epoch() > record_.epoch()) adopted(record, identity);
   });
 }
@@ -92,34 +92,34 @@
   record_ = record;
   failed_syncs_ = 0;
   if (identity.id() != identity_.id()) identity_ = identity;
-  update_standing();
+  update_membership_status();
   log_event(LogLevel::info, "member_record_adopted",
             {{"epoch", static_cast<std::int64_t>(record.epoch())},
              {"members", static_cast<std::int64_t>(record.members_size())}});
   for (LeasedShard* shard : std::set(shards_)) {
     if (shards_.contains(shard)) shard->record_changed();
   }
-  admission_.record_adopted();
+  member_joiner_.record_adopted();
   if (active_) synchronize();
 }
 
-void ControlGroup::update_standing() {
-  const bool voted = standing_.voting;
-  standing_.id = identity_.id();
-  standing_.member_epoch = record_.epoch();
-  standing_.voting = identity_.synchronized() && find_member(record_, identity_.id()) != nullptr;
+void ControlGroup::update_membership_status() {
+  const bool voted = membership_status_.voting;
+  membership_status_.id = identity_.id();
+  membership_status_.member_epoch = record_.epoch();
+  membership_status_.voting = identity_.synchronized() && find_member(record_, identity_.id()) != nullptr;
   peers_.watch(record_);
-  if (standing_.voting && !voted) acceptor_.shards().assume_leases();
+  if (membership_status_.voting && !voted) acceptor_.shards().assume_leases();
 }
 
 // ---------------------------------------------------------------- exchange of records
 
-void ControlGroup::saw_member_epoch(std::uint64_t epoch, const wire::Member& member) {
-  if (epoch > record_.epoch()) fetch_record(member.address());
-  if (epoch < record_.epoch()) push_record(member);
+void ControlGroup::on_member_epoch_observed(std::uint64_t epoch, const wire::Member& member) {
+  if (epoch > record_.epoch()) fetch_member_record(member.address());
+  if (epoch < record_.epoch()) push_member_record(member);
 }
 
-void ControlGroup::fetch_record(const Address& address) {
+void ControlGroup::fetch_member_record(const Address& address) {
   if (fetching_) return;
   fetching_ = true;
   wire::Envelope request;
@@ -130,10 +130,10 @@
   });
 }
 
-void ControlGroup::push_record(const wire::Member& member) {
+void ControlGroup::push_member_record(const wire::Member& member) {
   const TimePoint now = runtime_.now();
   TimePoint& pushed_at = pushed_at_[member.id()];
-  if (member.id() == standing_.id || now - pushed_at < kPushPause) return;
+  if (member.id() == membership_status_.id || now - pushed_at < kPushPause) return;
   pushed_at = now;
   wire::Envelope message;
   wire::RegisterChosen& chosen = *message.mutable_register_chosen();
@@ -146,7 +146,7 @@
   std::vector<Address> targets;
   for (const wire::Member& member : record_.members()) targets.push_back(member.address());
   targets.insert(targets.end(), seeds_.begin(), seeds_.end());
-  if (!in_touch()) targets.insert(targets.end(), sampled_.begin(), sampled_.end());
+  if (!has_quorum_contact()) targets.insert(targets.end(), sampled_.begin(), sampled_.end());
   std::sort(targets.begin(), targets.end());
   targets.erase(std::unique(targets.begin(), targets.end()), targets.end());
   std::erase(targets, settings_.internal_address());
@@ -155,10 +155,10 @@
 
 void ControlGroup::leave(Millis limit, std::function<void()> done) {
   leaving_ = true;
-  surplus_.leave(limit, std::move(done));
+  excess_member_remover_.leave(limit, std::move(done));
 }
 
-void ControlGroup::ask_to_join() {
+void ControlGroup::request_to_join() {
   if (leaving_) return;
   const wire::Member self = self_member();
   const bool member = find_member(record_, self.id()) != nullptr;
@@ -167,7 +167,7 @@
         return other.address() == self.address() && other.id() != self.id();
       });
   const bool wants_to_join = settings_.counts_for_quorum && (!member || predecessor);
-  if (joining_ || (!wants_to_join && in_touch())) return;
+  if (joining_ || (!wants_to_join && has_quorum_contact())) return;
   const std::vector<Address> targets = join_targets();
   if (targets.empty()) return;
   joining_ = true;
@@ -186,17 +186,18 @@
 void ControlGroup::synchronize() {
   if (sync_ || identity_.synchronized() || !find_member(record_, identity_.id())) return;
   const std::uint64_t member_epoch = record_.epoch();
-  GroupView& group = *this;
-  sync_ = std::make_shared<StateSync>(group, [this, member_epoch](const std::vector<StateCopy>& copies) {
-    sync_.reset();
-    synchronized(copies, member_epoch);
-    if (copies.empty()) synchronize_later();
-  });
+  GroupContext& group = *this;
+  sync_ = std::make_shared<StateTransfer>(group,
+                                          [this, member_epoch](const std::vector<TransferredState>& copies) {
+                                            sync_.reset();
+                                            synchronized(copies, member_epoch);
+                                            if (copies.empty()) retry_state_transfer_later();
+                                          });
   sync_->start();
 }
 
 // As a rule the others have not adopted the newcomer's record yet.
-void ControlGroup::synchronize_later() {
+void ControlGroup::retry_state_transfer_later() {
   constexpr Millis::rep kFirstPauseMs = 20;
   constexpr unsigned kMostDoublings = 4;
   const Millis pause(kFirstPauseMs << std::min(failed_syncs_, kMostDoublings));
@@ -204,29 +205,29 @@
   sync_timer_ = runtime_.after(pause, [this] { synchronize(); });
 }
 
-void ControlGroup::synchronized(const std::vector<StateCopy>& copies, std::uint64_t member_epoch) {
+void ControlGroup::synchronized(const std::vector<TransferredState>& copies, std::uint64_t member_epoch) {
   const bool same_record = record_.epoch() == member_epoch && adopting_epoch_ == member_epoch;
   if (copies.empty() || !same_record) return;  // Tried again with the next tick.
   wire::NodeIdentity identity = identity_;
   identity.set_synchronized(true);
   StoreBatch batch = acceptor_.merge(copies);
   batch.push_back({kIdentityKey, identity.SerializeAsString()});
-  journal_.commit(std::move(batch), [this, id = identity.id()] {
+  commit_queue_.commit(std::move(batch), [this, id = identity.id()] {
     if (identity_.id() != id) return;
     identity_.set_synchronized(true);
-    update_standing();
+    update_membership_status();
     for (LeasedShard* shard : std::set(shards_)) {
       if (shards_.contains(shard)) shard->record_changed();
     }
   });
 }
 
-void ControlGroup::handle_state_pull(const wire::StatePull& pull, const Replier& reply) {
+void ControlGroup::handle_state_pull(const wire::StatePull& pull, const ReplyCallback& reply) {
   wire::Envelope answer;
   wire::StatePage& page = *answer.mutable_state_page();
   page = acceptor_.state_page(pull.after_key());
-  page.set_ok(standing_.voting);
-  page.set_acceptor(standing_.id);
+  page.set_ok(membership_status_.voting);
+  page.set_acceptor(membership_status_.id);
   *page.mutable_record() = record_;
   reply(std::move(answer));
 }
--- a/src/cluster/consensus/surplus_removal.hpp
+++ b/src/cluster/consensus/excess_member_remover.hpp
@@ -8,18 +8,18 @@
 #include <functional>
 #include <memory>
 
-#include "cluster/consensus/group_view.hpp"
-#include "cluster/consensus/peer_book.hpp"
+#include "cluster/consensus/group_context.hpp"
+#include "cluster/consensus/peer_table.hpp"
 #include "cluster/consensus/register_client.hpp"
 
 namespace winchhall::cluster {
 
-class SurplusRemoval {
+class ExcessMemberRemover {
  public:
   // `gone`: a member that was silent for so long is taken to be down for good. `on_record` is told of every
   // chosen record that a change brings up. All references outlive this object.
-  SurplusRemoval(GroupView& group, RegisterClient& registers, const PeerBook& peers, Millis gone,
-                 std::function<void(const wire::MemberRecord&)> on_record);
+  ExcessMemberRemover(GroupContext& group, RegisterClient& registers, const PeerTable& peers, Millis gone,
+                      std::function<void(const wire::MemberRecord&)> on_record);
 
   // Removes a silent surplus member, if there is one. To be called now and then.
   void check();
@@ -34,10 +34,10 @@
   void remove(std::uint64_t member);
   void left();
 
-  GroupView& group_;
+  GroupContext& group_;
   RegisterClient& registers_;
-  const PeerBook& peers_;
-  const Millis gone_;
+  const PeerTable& peers_;
+  const Millis unreachable_after_;
   const std::function<void(const wire::MemberRecord&)> on_record_;
   bool busy_ = false;
   std::uint64_t leaving_id_ = 0;
--- a/src/cluster/consensus/lease_keeper.hpp
+++ b/src/cluster/consensus/lease_renewer.hpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "cluster/consensus/group_view.hpp"
+#include "cluster/consensus/group_context.hpp"
 
 namespace winchhall::cluster {
 
@@ -21,9 +21,9 @@
   std::function<void()> on_lost;
 };
 
-class LeaseKeeper : public std::enable_shared_from_this<LeaseKeeper> {
+class LeaseRenewer : public std::enable_shared_from_this<LeaseRenewer> {
  public:
-  LeaseKeeper(GroupView& group, std::string shard, std::uint64_t epoch, LeaseCallbacks callbacks);
+  LeaseRenewer(GroupContext& group, std::string shard, std::uint64_t epoch, LeaseCallbacks callbacks);
 
   void start();
   // Gives the lease back at every member and ends without a word.
@@ -46,20 +46,20 @@
     wire::MemberRecord record;
     std::set<std::uint64_t> granted;
     std::size_t refused = 0;
-    bool self_asked = false;
+    bool own_lease_requested = false;
   };
 
   wire::Envelope request(bool release) const;
   void send_round();
   void ask(const std::shared_ptr<Round>& round, const wire::Member& member);
-  void ask_self_last(const std::shared_ptr<Round>& round);
+  void request_own_lease_last(const std::shared_ptr<Round>& round);
   void answered(const std::shared_ptr<Round>& round, const wire::Member& member, const CallResult& result);
   void count_grant(Round& round, std::uint64_t member);
-  void majority_granted(const Round& round);
-  void watch_end();
+  void on_majority_granted(const Round& round);
+  void arm_expiry_timer();
   void lose();
 
-  GroupView& group_;
+  GroupContext& group_;
   const std::string shard_;
   const std::uint64_t epoch_;
   const std::uint64_t session_;
--- a/src/cluster/consensus/leased_shard.cpp
+++ b/src/cluster/consensus/leased_shard.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/consensus/lease_terms.hpp"
+#include "cluster/consensus/lease_timing.hpp"
 #include "cluster/consensus/member_record.hpp"
 #include "cluster/consensus/replica_reader.hpp"
 
@@ -13,12 +13,12 @@
 
 constexpr Millis kCheckInterval{50};
 constexpr Millis kRankDelay{80};
-constexpr Millis kHeldLeaseDelay{160};  // a node that leads another shard lets others go first
+constexpr Millis kOtherLeaseDelay{160};  // a node that leads another shard lets others go first
 constexpr Millis::rep kJitterMs = 50;
 
 }  // namespace
 
-LeasedShard::LeasedShard(GroupView& group, std::string name, ShardCallbacks callbacks)
+LeasedShard::LeasedShard(GroupContext& group, std::string name, ShardCallbacks callbacks)
     : group_(group), name_(std::move(name)), callbacks_(std::move(callbacks)) {
   schedule_check(Millis(0));
 }
@@ -39,14 +39,14 @@
 
 void LeasedShard::check() {
   if (term_ || stepped_down_) return;
-  if (!group_.voting() || !group_.in_touch() || !lease_is_free()) {
-    ask_at_.reset();
+  if (!group_.voting() || !group_.has_quorum_contact() || !lease_is_free()) {
+    request_at_.reset();
     return schedule_check(kCheckInterval);
   }
   const TimePoint now = group_.runtime().now();
-  if (!ask_at_) ask_at_ = now + delay_before_asking();
-  if (now >= *ask_at_) return ask();
-  const Millis left = std::chrono::duration_cast<Millis>(*ask_at_ - now) + Millis(1);
+  if (!request_at_) request_at_ = now + election_delay();
+  if (now >= *request_at_) return ask();
+  const Millis left = std::chrono::duration_cast<Millis>(*request_at_ - now) + Millis(1);
   schedule_check(std::min(left, kCheckInterval));
 }
 
@@ -55,7 +55,7 @@
   return !leader || leader->holder() == group_.self_id();
 }
 
-Millis LeasedShard::delay_before_asking() const {
+Millis LeasedShard::election_delay() const {
   // The former holder, back from a crash: all others wait for the end of its lease.
   if (group_.lease_in_force(name_)) return Millis(0);
   const auto order = [this](std::uint64_t member) {
@@ -63,50 +63,50 @@
   };
   const std::uint64_t own = order(group_.self_id());
   Millis::rep rank = 0;
-  for (const std::uint64_t member : group_.voting_members_heard()) {
+  for (const std::uint64_t member : group_.reachable_voters()) {
     if (order(member) < own) ++rank;
   }
-  const auto held = static_cast<Millis::rep>(group_.leases_held_here());
+  const auto held = static_cast<Millis::rep>(group_.own_lease_count());
   const auto jitter = static_cast<Millis::rep>(group_.runtime().random() % kJitterMs);
-  return kRankDelay * rank + kHeldLeaseDelay * held + Millis(jitter);
+  return kRankDelay * rank + kOtherLeaseDelay * held + Millis(jitter);
 }
 
 void LeasedShard::ask() {
-  ask_at_.reset();
+  request_at_.reset();
   auto term = std::make_shared<Term>();
-  term->asked_under = group_.record();
+  term->member_record_at_request = group_.record();
   const std::weak_ptr<Term> weak = term;
   const auto current = [this, weak] { return term_ && term_ == weak.lock(); };
   LeaseCallbacks callbacks;
   callbacks.on_granted = [this, current](std::uint64_t member, bool voting) {
-    if (current()) granted(member, voting);
+    if (current()) on_lease_granted(member, voting);
   };
   callbacks.on_acquired = [this, current] {
     if (!current()) return;
     term_->phase = Phase::reading;
-    take_over_if_complete();
+    recover_if_majority_read();
   };
   callbacks.on_lost = [this, current] {
     if (current()) lose();
   };
   const std::uint64_t epoch = std::max(seen_epoch_, group_.promised_epoch(name_)) + 1;
-  term->lease = std::make_shared<LeaseKeeper>(group_, name_, epoch, std::move(callbacks));
+  term->lease = std::make_shared<LeaseRenewer>(group_, name_, epoch, std::move(callbacks));
   term_ = std::move(term);
   term_->lease->start();
 }
 
-ShardFollower& LeasedShard::follower(std::uint64_t member) {
+ReplicaProgress& LeasedShard::follower(std::uint64_t member) {
   const bool from_the_start = term_->records.last_change() == 0;
   return term_->followers.try_emplace(member, from_the_start).first->second;
 }
 
-void LeasedShard::granted(std::uint64_t member, bool voting) {
-  ShardFollower& granting = follower(member);
+void LeasedShard::on_lease_granted(std::uint64_t member, bool voting) {
+  ReplicaProgress& granting = follower(member);
   granting.voting = voting;
   granting.responsive = true;
   const bool read = term_->replicas.contains(member) || granting.content_known();
   if (voting && !read && !granting.reading) read_replica(member);
-  pump(member);
+  replicate_to(member);
 }
 
 void LeasedShard::read_replica(std::uint64_t id) {
@@ -123,24 +123,24 @@
 }
 
 void LeasedShard::replica_read(std::uint64_t member, std::optional<ShardReplica> replica) {
-  ShardFollower& source = follower(member);
+  ReplicaProgress& source = follower(member);
   source.reading = false;
   if (!replica) return;  // Read again once the member renews the lease.
   if (term_->phase == Phase::asking || term_->phase == Phase::reading) {
     term_->replicas[member] = std::move(*replica);
-    return take_over_if_complete();
+    return recover_if_majority_read();
   }
-  source.take_content(replica->records, term_->records);
-  pump(member);
+  source.reconcile_with(replica->records, term_->records);
+  replicate_to(member);
 }
 
-void LeasedShard::take_over_if_complete() {
+void LeasedShard::recover_if_majority_read() {
   if (term_->phase != Phase::reading) return;
   std::size_t complete = 0;
-  for (const wire::Member& member : term_->asked_under.members()) {
+  for (const wire::Member& member : term_->member_record_at_request.members()) {
     if (term_->replicas.contains(member.id())) ++complete;
   }
-  if (complete >= majority(term_->asked_under)) take_over();
+  if (complete >= majority(term_->member_record_at_request)) take_over();
 }
 
 void LeasedShard::take_over() {
@@ -148,12 +148,12 @@
   std::vector<const ShardReplica*> sources;
   sources.reserve(replicas.size());
   for (const auto& [member, replica] : replicas) sources.push_back(&replica);
-  term_->records = HeldRecords(epoch(), merge_replicas(sources).records);
+  term_->records = LeaderRecordTable(epoch(), merge_replicas(sources).records);
   for (const auto& [member, replica] : replicas) {
-    follower(member).take_content(replica.records, term_->records);
+    follower(member).reconcile_with(replica.records, term_->records);
   }
   term_->phase = Phase::establishing;
-  pump_all();
+  replicate_to_all();
 }
 
 void LeasedShard::lead() {
@@ -176,7 +176,7 @@
     for (auto& [member, replica] : term_->followers) replica.mark(change.key, term_->records.last_change());
   }
   term_->writes.push_back({term_->records.last_change(), std::move(done)});
-  pump_all();
+  replicate_to_all();
   if (changes.empty()) {
     const std::weak_ptr<Term> weak = term_;
     group_.defer([this, weak] {
@@ -185,23 +185,23 @@
   }
 }
 
-void LeasedShard::pump_all() {
-  for (const wire::Member& member : group_.record().members()) pump(member.id());
+void LeasedShard::replicate_to_all() {
+  for (const wire::Member& member : group_.record().members()) replicate_to(member.id());
 }
 
-void LeasedShard::pump(std::uint64_t id) {
+void LeasedShard::replicate_to(std::uint64_t id) {
   if (term_->phase != Phase::establishing && term_->phase != Phase::leading) return;
   const wire::Member* member = find_member(group_.record(), id);
   if (!member) return;
-  ShardFollower& receiver = follower(id);
+  ReplicaProgress& receiver = follower(id);
   while (receiver.responsive) {
-    std::optional<FollowerMessage> message = receiver.next_message(term_->records);
+    std::optional<ReplicationBatch> message = receiver.next_message(term_->records);
     if (!message) return;
     send(*member, std::move(*message));
   }
 }
 
-void LeasedShard::send(const wire::Member& member, FollowerMessage message) {
+void LeasedShard::send(const wire::Member& member, ReplicationBatch message) {
   constexpr Millis kCallTimeout{600};
   wire::Envelope request;
   wire::ShardWrite& write = *request.mutable_shard_write();
@@ -211,7 +211,7 @@
   write.set_session(term_->lease->session());
   write.set_member_epoch(group_.record().epoch());
   write.set_establishes(message.establishes);
-  for (const FollowerMessage::Sent& sent : message.sent) {
+  for (const ReplicationBatch::Sent& sent : message.sent) {
     *write.add_records() = term_->records.find(sent.key)->record;
   }
   const std::weak_ptr<Term> weak = term_;
@@ -222,9 +222,9 @@
               });
 }
 
-void LeasedShard::answered(const wire::Member& member, const FollowerMessage& message,
+void LeasedShard::answered(const wire::Member& member, const ReplicationBatch& message,
                            const CallResult& result) {
-  ShardFollower& receiver = follower(member.id());
+  ReplicaProgress& receiver = follower(member.id());
   if (!result.answer || !result.answer->has_shard_written()) {
     receiver.failed(message);
     receiver.responsive = false;  // until it renews the lease
@@ -236,26 +236,26 @@
     return lose();
   }
   if (!written.ok() || written.acceptor() != member.id()) {
-    group_.saw_member_epoch(written.member_epoch(), member);
+    group_.on_member_epoch_observed(written.member_epoch(), member);
     receiver.failed(message);
     receiver.responsive = false;
-    return retry_refused_soon();
+    return retry_rejected_members();
   }
   receiver.confirmed(message, term_->records);
   receiver.voting = written.voting();
   receiver.responsive = true;
   const std::weak_ptr<Term> weak = term_;
   check_progress();
-  if (!weak.expired() && weak.lock() == term_) pump(member.id());
+  if (!weak.expired() && weak.lock() == term_) replicate_to(member.id());
 }
 
-void LeasedShard::retry_refused_soon() {
+void LeasedShard::retry_rejected_members() {
   constexpr Millis kPause{30};
   if (term_->retry_timer) return;
   term_->retry_timer = group_.runtime().after(kPause, [this] {
     term_->retry_timer.reset();
     for (auto& [member, replica] : term_->followers) replica.responsive = true;
-    pump_all();
+    replicate_to_all();
   });
 }
 
@@ -277,12 +277,12 @@
   return established;
 }
 
-std::uint64_t LeasedShard::durable_change() const {
+std::uint64_t LeasedShard::majority_durable_change() const {
   std::vector<std::uint64_t> held;
   for (const wire::Member& member : group_.record().members()) {
     const auto found = term_->followers.find(member.id());
     const bool counts = found != term_->followers.end() && found->second.voting;
-    held.push_back(counts ? found->second.holds_up_to(term_->records.last_change()) : 0);
+    held.push_back(counts ? found->second.acknowledged_up_to(term_->records.last_change()) : 0);
   }
   std::sort(held.begin(), held.end(), std::greater<>());
   return held[majority(group_.record()) - 1];
@@ -290,7 +290,7 @@
 
 void LeasedShard::complete_writes() {
   const std::weak_ptr<Term> weak = term_;
-  const std::uint64_t durable = durable_change();
+  const std::uint64_t durable = majority_durable_change();
   while (!term_->writes.empty() && term_->writes.front().last_change <= durable) {
     const PendingWrite write = std::move(term_->writes.front());
     term_->writes.pop_front();
@@ -305,7 +305,7 @@
   if (!group_.voting() || before_take_over) return lose();
   std::erase_if(term_->followers,
                 [this](const auto& entry) { return find_member(group_.record(), entry.first) == nullptr; });
-  pump_all();
+  replicate_to_all();
   check_progress();
 }
 
--- a/src/cluster/consensus/leased_shard.hpp
+++ b/src/cluster/consensus/leased_shard.hpp
@@ -8,16 +8,16 @@
 #include <string>
 #include <vector>
 
-#include "cluster/consensus/group_view.hpp"
-#include "cluster/consensus/lease_keeper.hpp"
+#include "cluster/consensus/group_context.hpp"
+#include "cluster/consensus/lease_renewer.hpp"
+#include "cluster/consensus/replica_progress.hpp"
 #include "cluster/consensus/replicated_shard.hpp"
-#include "cluster/consensus/shard_follower.hpp"
 
 namespace winchhall::cluster {
 
 class LeasedShard : public ReplicatedShard {
  public:
-  LeasedShard(GroupView& group, std::string name, ShardCallbacks callbacks);
+  LeasedShard(GroupContext& group, std::string name, ShardCallbacks callbacks);
   ~LeasedShard() override;
 
   bool leads() const override;
@@ -39,11 +39,11 @@
   // Everything that belongs to one epoch of the lease; what answers come later find it gone.
   struct Term {
     Phase phase = Phase::asking;
-    std::shared_ptr<LeaseKeeper> lease;
-    wire::MemberRecord asked_under;
+    std::shared_ptr<LeaseRenewer> lease;
+    wire::MemberRecord member_record_at_request;
     std::map<std::uint64_t, ShardReplica> replicas;  // read before the take-over, by member
-    HeldRecords records;
-    std::map<std::uint64_t, ShardFollower> followers;
+    LeaderRecordTable records;
+    std::map<std::uint64_t, ReplicaProgress> followers;
     std::deque<PendingWrite> writes;
     std::unique_ptr<Timer> retry_timer;
   };
@@ -51,35 +51,35 @@
   void schedule_check(Millis delay);
   void check();
   bool lease_is_free() const;
-  Millis delay_before_asking() const;
+  Millis election_delay() const;
 
   void ask();
-  ShardFollower& follower(std::uint64_t member);
-  void granted(std::uint64_t member, bool voting);
+  ReplicaProgress& follower(std::uint64_t member);
+  void on_lease_granted(std::uint64_t member, bool voting);
   void read_replica(std::uint64_t member);
   void replica_read(std::uint64_t member, std::optional<ShardReplica> replica);
-  void take_over_if_complete();
+  void recover_if_majority_read();
   void take_over();
   void lead();
 
-  void pump_all();
-  void pump(std::uint64_t member);
-  void send(const wire::Member& member, FollowerMessage message);
-  void answered(const wire::Member& member, const FollowerMessage& message, const CallResult& result);
-  void retry_refused_soon();
+  void replicate_to_all();
+  void replicate_to(std::uint64_t member);
+  void send(const wire::Member& member, ReplicationBatch message);
+  void answered(const wire::Member& member, const ReplicationBatch& message, const CallResult& result);
+  void retry_rejected_members();
   void check_progress();
   void complete_writes();
-  std::uint64_t durable_change() const;
+  std::uint64_t majority_durable_change() const;
   std::size_t established_members() const;
   void lose();
 
-  GroupView& group_;
+  GroupContext& group_;
   const std::string name_;
   const ShardCallbacks callbacks_;
   std::shared_ptr<Term> term_;
   std::uint64_t seen_epoch_ = 0;
   bool stepped_down_ = false;
-  std::optional<TimePoint> ask_at_;  // set while the lease is free
+  std::optional<TimePoint> request_at_;  // set while the lease is free
   std::unique_ptr<Timer> check_timer_;
 };
 
--- a/src/cluster/consensus/member_record.cpp
+++ b/src/cluster/consensus/member_record.cpp
@@ -36,7 +36,9 @@
   return std::find(record.removed().begin(), record.removed().end(), id) != record.removed().end();
 }
 
-std::size_t copies_needed(const wire::MemberRecord& record) { return record.stale_bound() + 1; }
+std::size_t state_transfer_sources_needed(const wire::MemberRecord& record) {
+  return record.stale_bound() + 1;
+}
 
 bool may_remove_member(const wire::MemberRecord& record) {
   const auto members = static_cast<std::size_t>(record.members_size());
@@ -66,7 +68,7 @@
   return next;
 }
 
-bool has_surplus_member(const wire::MemberRecord& record) {
+bool has_excess_member(const wire::MemberRecord& record) {
   constexpr int kLeastSize = 4;  // two members keep both copies
   const auto members = static_cast<std::uint32_t>(record.members_size());
   return record.members_size() >= kLeastSize && members % 2 == 0 && members >= record.largest() &&
--- a/src/cluster/consensus/member_record.hpp
+++ b/src/cluster/consensus/member_record.hpp
@@ -47,7 +47,7 @@
 bool was_removed(const wire::MemberRecord& record, std::uint64_t id);
 
 // Copies of the state that a newcomer needs before it votes.
-std::size_t copies_needed(const wire::MemberRecord& record);
+std::size_t state_transfer_sources_needed(const wire::MemberRecord& record);
 // True if the group may go on without one of its members (see above).
 bool may_remove_member(const wire::MemberRecord& record);
 
@@ -60,7 +60,7 @@
 // True if the group bears as many losses with one member less: its size is even, and no member is about to be
 // taken in for one that left. Every member of such a group that is down for good is one loss less to be
 // borne.
-bool has_surplus_member(const wire::MemberRecord& record);
+bool has_excess_member(const wire::MemberRecord& record);
 
 // True if this process founds the group: the whole system starts for the first time and it is one of the
 // seeds.
--- a/src/cluster/consensus/member_calls.cpp
+++ b/src/cluster/consensus/member_rpc_client.cpp
@@ -1,13 +1,13 @@
-#include "cluster/consensus/member_calls.hpp"
+#include "cluster/consensus/member_rpc_client.hpp"
 
 #include <utility>
 
 namespace winchhall::cluster {
 
-MemberCalls::MemberCalls(Runtime& runtime, RequestHandler local)
+MemberRpcClient::MemberRpcClient(Runtime& runtime, RequestHandler local)
     : runtime_(runtime), local_(std::move(local)) {}
 
-void MemberCalls::call_local(const wire::Envelope& request, std::function<void(CallResult)> done) {
+void MemberRpcClient::call_local(const wire::Envelope& request, std::function<void(CallResult)> done) {
   auto caller = std::make_shared<std::function<void(CallResult)>>(std::move(done));
   local_(request, [this, alive = std::weak_ptr(alive_), caller](wire::Envelope answer) {
     if (alive.expired() || !*caller) return;
@@ -17,21 +17,21 @@
   });
 }
 
-void MemberCalls::call(const Address& address, wire::Envelope request, Millis timeout,
-                       std::function<void(CallResult)> done) {
+void MemberRpcClient::call(const Address& address, wire::Envelope request, Millis timeout,
+                           std::function<void(CallResult)> done) {
   runtime_.call(address, std::move(request), timeout,
                 [alive = std::weak_ptr(alive_), done = std::move(done)](CallResult result) {
                   if (!alive.expired()) done(std::move(result));
                 });
 }
 
-void MemberCalls::defer(std::function<void()> action) {
+void MemberRpcClient::defer(std::function<void()> action) {
   deferred_.push_back(std::move(action));
   if (deferred_timer_) return;
   deferred_timer_ = runtime_.after(Millis(0), [this] { run_deferred(); });
 }
 
-void MemberCalls::run_deferred() {
+void MemberRpcClient::run_deferred() {
   deferred_timer_.reset();
   const std::vector<std::function<void()>> actions = std::exchange(deferred_, {});
   const std::weak_ptr<bool> alive = alive_;
--- a/src/cluster/consensus/member_calls.hpp
+++ b/src/cluster/consensus/member_rpc_client.hpp
@@ -9,10 +9,10 @@
 
 namespace winchhall::cluster {
 
-class MemberCalls {
+class MemberRpcClient {
  public:
   // `local` handles the requests to this node itself.
-  MemberCalls(Runtime& runtime, RequestHandler local);
+  MemberRpcClient(Runtime& runtime, RequestHandler local);
 
   void call_local(const wire::Envelope& request, std::function<void(CallResult)> done);
   void call(const Address& address, wire::Envelope request, Millis timeout,
--- a/src/cluster/consensus/peer_book.cpp
+++ b/src/cluster/consensus/peer_table.cpp
@@ -1,4 +1,4 @@
-#include "cluster/consensus/peer_book.hpp"
+#include "cluster/consensus/peer_table.hpp"
 
 #include "cluster/consensus/member_record.hpp"
 
@@ -6,34 +6,34 @@
 
 namespace {
 // Pings in a row: a node that was frozen itself finds a few of its own unanswered at once.
-constexpr unsigned kFailuresOfSilence = 6;
+constexpr unsigned kUnreachableAfterFailures = 6;
 }  // namespace
 
-void PeerBook::watch(const wire::MemberRecord& record) {
+void PeerTable::watch(const wire::MemberRecord& record) {
   std::erase_if(peers_, [&](const auto& entry) { return find_member(record, entry.first) == nullptr; });
   for (const wire::Member& member : record.members()) {
     const auto [entry, added] = peers_.try_emplace(member.id());
-    if (added) entry->second.heard_at = runtime_.now();
+    if (added) entry->second.last_contact_at = runtime_.now();
   }
 }
 
-void PeerBook::answered(std::uint64_t member, TimePoint sent_at, bool voting) {
+void PeerTable::answered(std::uint64_t member, TimePoint sent_at, bool voting) {
   const auto found = peers_.find(member);
   if (found == peers_.end()) return;
   Peer& peer = found->second;
   peer.failures = 0;
-  if (peer.ever_heard && sent_at < peer.heard_at) return;
-  peer.ever_heard = true;
-  peer.heard_at = sent_at;
+  if (peer.ever_contacted && sent_at < peer.last_contact_at) return;
+  peer.ever_contacted = true;
+  peer.last_contact_at = sent_at;
   peer.voting = voting;
 }
 
-void PeerBook::failed(std::uint64_t member) {
+void PeerTable::failed(std::uint64_t member) {
   const auto found = peers_.find(member);
   if (found != peers_.end()) ++found->second.failures;
 }
 
-void PeerBook::note_leaders(const wire::MemberPing& ping) {
+void PeerTable::record_reported_leases(const wire::MemberPing& ping) {
   for (const wire::ShardLeader& leader : ping.leaders()) {
     if (leader.unconfirmed()) continue;
     const TimePoint expiry = runtime_.now() + Millis(leader.remaining_ms());
@@ -44,38 +44,40 @@
   }
 }
 
-bool PeerBook::heard_within(std::uint64_t member, Millis span) const {
+bool PeerTable::contacted_within(std::uint64_t member, Millis span) const {
   const auto found = peers_.find(member);
-  return found != peers_.end() && found->second.ever_heard && runtime_.now() - found->second.heard_at <= span;
+  return found != peers_.end() && found->second.ever_contacted &&
+         runtime_.now() - found->second.last_contact_at <= span;
 }
 
-bool PeerBook::votes(std::uint64_t member) const {
+bool PeerTable::votes(std::uint64_t member) const {
   const auto found = peers_.find(member);
   return found != peers_.end() && found->second.voting;
 }
 
-void PeerBook::note_reads_snapshots(std::uint64_t member) {
+void PeerTable::set_reads_snapshots(std::uint64_t member) {
   const auto found = peers_.find(member);
   if (found != peers_.end()) found->second.reads_snapshots = true;
 }
 
-bool PeerBook::reads_snapshots(std::uint64_t member) const {
+bool PeerTable::reads_snapshots(std::uint64_t member) const {
   const auto found = peers_.find(member);
   return found != peers_.end() && found->second.reads_snapshots;
 }
 
-bool PeerBook::silent_for(std::uint64_t member, Millis span) const {
+bool PeerTable::unreachable_for(std::uint64_t member, Millis span) const {
   const auto found = peers_.find(member);
   if (found == peers_.end()) return false;
-  return found->second.failures >= kFailuresOfSilence && runtime_.now() - found->second.heard_at > span;
+  return found->second.failures >= kUnreachableAfterFailures &&
+         runtime_.now() - found->second.last_contact_at > span;
 }
 
-TimePoint PeerBook::heard_at(std::uint64_t member) const {
+TimePoint PeerTable::last_contact_at(std::uint64_t member) const {
   const auto found = peers_.find(member);
-  return found == peers_.end() ? TimePoint{} : found->second.heard_at;
+  return found == peers_.end() ? TimePoint{} : found->second.last_contact_at;
 }
 
-std::optional<wire::ShardLeader> PeerBook::describe(const ReportedLease& lease) const {
+std::optional<wire::ShardLeader> PeerTable::describe(const ReportedLease& lease) const {
   const TimePoint now = runtime_.now();
   if (now >= lease.expiry) return std::nullopt;
   wire::ShardLeader leader = lease.leader;
@@ -84,12 +86,12 @@
   return leader;
 }
 
-std::optional<wire::ShardLeader> PeerBook::leader(const std::string& shard) const {
+std::optional<wire::ShardLeader> PeerTable::leader(const std::string& shard) const {
   const auto found = leases_.find(shard);
   return found == leases_.end() ? std::nullopt : describe(found->second);
 }
 
-std::vector<wire::ShardLeader> PeerBook::leaders() const {
+std::vector<wire::ShardLeader> PeerTable::leaders() const {
   std::vector<wire::ShardLeader> leaders;
   for (const auto& [shard, lease] : leases_) {
     if (std::optional<wire::ShardLeader> leader = describe(lease)) leaders.push_back(std::move(*leader));
@@ -97,11 +99,12 @@
   return leaders;
 }
 
-const wire::Member* find_silent_member(const wire::MemberRecord& record, const PeerBook& peers, Millis span) {
+const wire::Member* find_unreachable_member(const wire::MemberRecord& record, const PeerTable& peers,
+                                            Millis span) {
   const wire::Member* silent = nullptr;
   for (const wire::Member& member : record.members()) {
-    if (!peers.silent_for(member.id(), span)) continue;
-    if (!silent || peers.heard_at(member.id()) < peers.heard_at(silent->id())) silent = &member;
+    if (!peers.unreachable_for(member.id(), span)) continue;
+    if (!silent || peers.last_contact_at(member.id()) < peers.last_contact_at(silent->id())) silent = &member;
   }
   return silent;
 }
--- a/src/cluster/consensus/peer_book.hpp
+++ b/src/cluster/consensus/peer_table.hpp
@@ -11,25 +11,25 @@
 
 namespace winchhall::cluster {
 
-class PeerBook {
+class PeerTable {
  public:
-  explicit PeerBook(Runtime& runtime) : runtime_(runtime) {}
+  explicit PeerTable(Runtime& runtime) : runtime_(runtime) {}
 
   // Forgets members that left and begins to watch new ones.
   void watch(const wire::MemberRecord& record);
   // A member answered a ping that was sent at `sent_at`.
   void answered(std::uint64_t member, TimePoint sent_at, bool voting);
   void failed(std::uint64_t member);
-  void note_leaders(const wire::MemberPing& ping);
-  void note_reads_snapshots(std::uint64_t member);
+  void record_reported_leases(const wire::MemberPing& ping);
+  void set_reads_snapshots(std::uint64_t member);
 
-  bool heard_within(std::uint64_t member, Millis span) const;
+  bool contacted_within(std::uint64_t member, Millis span) const;
   bool votes(std::uint64_t member) const;
   // The member has said that it reads configuration records with snapshots.
   bool reads_snapshots(std::uint64_t member) const;
   // True if a member did not answer for the whole span, nor any of many pings in a row.
-  bool silent_for(std::uint64_t member, Millis span) const;
-  TimePoint heard_at(std::uint64_t member) const;
+  bool unreachable_for(std::uint64_t member, Millis span) const;
+  TimePoint last_contact_at(std::uint64_t member) const;
 
   // The newest lease on a shard that others reported and that is not over yet.
   std::optional<wire::ShardLeader> leader(const std::string& shard) const;
@@ -37,8 +37,9 @@
 
  private:
   struct Peer {
-    TimePoint heard_at{};  // sending of the newest answered ping; before that: when it began to be watched
-    bool ever_heard = false;
+    TimePoint
+        last_contact_at{};  // sending of the newest answered ping; before that: when it began to be watched
+    bool ever_contacted = false;
     bool voting = false;
     bool reads_snapshots = false;
     unsigned failures = 0;
@@ -56,6 +57,7 @@
 };
 
 // The member that has been silent the longest, for `span` at least; null: none.
-const wire::Member* find_silent_member(const wire::MemberRecord& record, const PeerBook& peers, Millis span);
+const wire::Member* find_unreachable_member(const wire::MemberRecord& record, const PeerTable& peers,
+                                            Millis span);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/quorum_register_client.cpp
+++ b/src/cluster/consensus/quorum_register_client.cpp
@@ -14,7 +14,8 @@
 
 }  // namespace
 
-QuorumRegisterClient::QuorumRegisterClient(GroupView& group, std::uint64_t proposer, ChosenListener on_chosen)
+QuorumRegisterClient::QuorumRegisterClient(GroupContext& group, std::uint64_t proposer,
+                                           ChosenListener on_chosen)
     : group_(group), proposer_(proposer), on_chosen_(std::move(on_chosen)) {}
 
 QuorumRegisterClient::~QuorumRegisterClient() {
--- a/src/cluster/consensus/quorum_register_client.hpp
+++ b/src/cluster/consensus/quorum_register_client.hpp
@@ -18,7 +18,7 @@
       std::function<void(const std::string& key, const RegisterValue& value, bool newly_chosen)>;
 
   // `proposer`: a number that no other process and no earlier life of this one has.
-  QuorumRegisterClient(GroupView& group, std::uint64_t proposer, ChosenListener on_chosen);
+  QuorumRegisterClient(GroupContext& group, std::uint64_t proposer, ChosenListener on_chosen);
   ~QuorumRegisterClient() override;
 
   void update(const std::string& key, RegisterChange change, Millis timeout,
@@ -50,7 +50,7 @@
   void expire(const std::string& key, const std::shared_ptr<Update>& update);
   void cancel_attempt(Register& entry);
 
-  GroupView& group_;
+  GroupContext& group_;
   const std::uint64_t proposer_;
   const ChosenListener on_chosen_;
   std::map<std::string, Register> registers_;
--- a/src/cluster/consensus/register_acceptor.cpp
+++ b/src/cluster/consensus/register_acceptor.cpp
@@ -24,8 +24,9 @@
 
 std::string register_store_key(const std::string& key) { return "register/" + key; }
 
-RegisterAcceptor::RegisterAcceptor(Journal& journal, const Standing& standing, ChosenListener on_chosen)
-    : journal_(journal), standing_(standing), on_chosen_(std::move(on_chosen)) {}
+RegisterAcceptor::RegisterAcceptor(CommitQueue& commit_queue, const MembershipStatus& membership_status,
+                                   ChosenListener on_chosen)
+    : commit_queue_(commit_queue), membership_status_(membership_status), on_chosen_(std::move(on_chosen)) {}
 
 void RegisterAcceptor::load(const std::string& key, const wire::RegisterState& state) {
   states_[key] = state;
@@ -33,12 +34,12 @@
   chosen_[key] = RegisterValue{state.accepted(), state.value()};
 }
 
-void RegisterAcceptor::prepare(const wire::RegisterPrepare& request, const Replier& reply) {
+void RegisterAcceptor::prepare(const wire::RegisterPrepare& request, const ReplyCallback& reply) {
   wire::RegisterPromise answer;
-  answer.set_acceptor(standing_.id);
-  answer.set_member_epoch(standing_.member_epoch);
-  if (request.member_epoch() != standing_.member_epoch) return reply(envelope(std::move(answer)));
-  answer.set_voting(standing_.voting);
+  answer.set_acceptor(membership_status_.id);
+  answer.set_member_epoch(membership_status_.member_epoch);
+  if (request.member_epoch() != membership_status_.member_epoch) return reply(envelope(std::move(answer)));
+  answer.set_voting(membership_status_.voting);
   wire::RegisterState& state = states_[request.key()];
   if (is_lower(request.ballot(), state.promised())) {
     *answer.mutable_highest() = state.promised();
@@ -49,16 +50,16 @@
   *answer.mutable_highest() = state.promised();
   *answer.mutable_accepted() = state.accepted();
   if (!same_ballot(state.accepted(), request.known())) answer.set_value(state.value());
-  journal_.commit({stored(request.key())},
-                  [reply, answer = std::move(answer)]() mutable { reply(envelope(std::move(answer))); });
+  commit_queue_.commit({stored(request.key())},
+                       [reply, answer = std::move(answer)]() mutable { reply(envelope(std::move(answer))); });
 }
 
-void RegisterAcceptor::accept(const wire::RegisterAccept& request, const Replier& reply) {
+void RegisterAcceptor::accept(const wire::RegisterAccept& request, const ReplyCallback& reply) {
   wire::RegisterAccepted answer;
-  answer.set_acceptor(standing_.id);
-  answer.set_member_epoch(standing_.member_epoch);
-  if (request.member_epoch() != standing_.member_epoch) return reply(envelope(std::move(answer)));
-  answer.set_voting(standing_.voting);
+  answer.set_acceptor(membership_status_.id);
+  answer.set_member_epoch(membership_status_.member_epoch);
+  if (request.member_epoch() != membership_status_.member_epoch) return reply(envelope(std::move(answer)));
+  answer.set_voting(membership_status_.voting);
   wire::RegisterState& state = states_[request.key()];
   if (is_lower(request.ballot(), state.promised())) {
     *answer.mutable_highest() = state.promised();
@@ -69,8 +70,8 @@
   state.set_value(request.value());
   answer.set_accepted(true);
   *answer.mutable_highest() = request.ballot();
-  journal_.commit({stored(request.key())},
-                  [reply, answer = std::move(answer)]() mutable { reply(envelope(std::move(answer))); });
+  commit_queue_.commit({stored(request.key())},
+                       [reply, answer = std::move(answer)]() mutable { reply(envelope(std::move(answer))); });
 }
 
 void RegisterAcceptor::learn(const std::string& key, const RegisterValue& value) {
@@ -85,7 +86,7 @@
     state.set_value(value.value);
   }
   *state.mutable_chosen() = value.ballot;
-  journal_.commit({stored(key)});
+  commit_queue_.commit({stored(key)});
   on_chosen_(key, value);
 }
 
@@ -100,7 +101,7 @@
     chosen_.erase(state->first);
     state = states_.erase(state);
   }
-  if (!batch.empty()) journal_.commit(std::move(batch));
+  if (!batch.empty()) commit_queue_.commit(std::move(batch));
 }
 
 std::optional<RegisterValue> RegisterAcceptor::chosen(const std::string& key) const {
@@ -109,7 +110,7 @@
   return known->second;
 }
 
-wire::Ballot RegisterAcceptor::undecided(const std::string& key) const {
+wire::Ballot RegisterAcceptor::unresolved_ballot(const std::string& key) const {
   const auto state = states_.find(key);
   const bool open = state != states_.end() && is_lower(state->second.chosen(), state->second.accepted());
   return open ? state->second.accepted() : wire::Ballot();
--- a/src/cluster/consensus/register_acceptor.hpp
+++ b/src/cluster/consensus/register_acceptor.hpp
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
-#include "cluster/consensus/journal.hpp"
+#include "cluster/consensus/commit_queue.hpp"
+#include "cluster/consensus/membership_status.hpp"
 #include "cluster/consensus/register_client.hpp"
-#include "cluster/consensus/standing.hpp"
 
 namespace winchhall::cluster {
 
@@ -17,13 +17,14 @@
   // Told of every newer value that is known to be chosen.
   using ChosenListener = std::function<void(const std::string& key, const RegisterValue& value)>;
 
-  RegisterAcceptor(Journal& journal, const Standing& standing, ChosenListener on_chosen);
+  RegisterAcceptor(CommitQueue& commit_queue, const MembershipStatus& membership_status,
+                   ChosenListener on_chosen);
 
   // Takes up a stored state at the start.
   void load(const std::string& key, const wire::RegisterState& state);
 
-  void prepare(const wire::RegisterPrepare& request, const Replier& reply);
-  void accept(const wire::RegisterAccept& request, const Replier& reply);
+  void prepare(const wire::RegisterPrepare& request, const ReplyCallback& reply);
+  void accept(const wire::RegisterAccept& request, const ReplyCallback& reply);
   // A value is known to be chosen. Keeps it, also as accepted where no higher ballot was promised.
   void learn(const std::string& key, const RegisterValue& value);
 
@@ -34,7 +35,7 @@
   std::optional<RegisterValue> chosen(const std::string& key) const;
 
   // Ballot of a value that was accepted here and isn't known to be chosen; counter 0: there is none.
-  wire::Ballot undecided(const std::string& key) const;
+  wire::Ballot unresolved_ballot(const std::string& key) const;
 
   const std::map<std::string, wire::RegisterState>& states() const { return states_; }
   // Adds what another acceptor holds, for a newcomer; the changes are appended to `batch`.
@@ -43,8 +44,8 @@
  private:
   StoreWrite stored(const std::string& key) const;
 
-  Journal& journal_;
-  const Standing& standing_;
+  CommitQueue& commit_queue_;
+  const MembershipStatus& membership_status_;
   const ChosenListener on_chosen_;
   std::map<std::string, wire::RegisterState> states_;
   std::map<std::string, RegisterValue> chosen_;
--- a/src/cluster/consensus/register_attempt.cpp
+++ b/src/cluster/consensus/register_attempt.cpp
@@ -12,8 +12,9 @@
 constexpr Millis kRoundTimeout{700};
 }
 
-RegisterAttempt::RegisterAttempt(GroupView& group, std::string key, wire::Ballot ballot, RegisterValue known,
-                                 RegisterChange change, std::function<void(AttemptResult)> done)
+RegisterAttempt::RegisterAttempt(GroupContext& group, std::string key, wire::Ballot ballot,
+                                 RegisterValue known, RegisterChange change,
+                                 std::function<void(AttemptResult)> done)
     : group_(group),
       key_(std::move(key)),
       ballot_(std::move(ballot)),
@@ -49,31 +50,33 @@
   --outstanding_;
   if (result.answer && result.answer->has_register_promise()) {
     const wire::RegisterPromise& promise = result.answer->register_promise();
-    if (promise.member_epoch() != record_.epoch()) group_.saw_member_epoch(promise.member_epoch(), member);
-    if (phase == Phase::prepare) take_promise(promise);
+    if (promise.member_epoch() != record_.epoch())
+      group_.on_member_epoch_observed(promise.member_epoch(), member);
+    if (phase == Phase::prepare) on_promise(promise);
   } else if (result.answer && result.answer->has_register_accepted()) {
     const wire::RegisterAccepted& accepted = result.answer->register_accepted();
-    if (accepted.member_epoch() != record_.epoch()) group_.saw_member_epoch(accepted.member_epoch(), member);
-    if (phase == Phase::accept) take_accepted(accepted);
+    if (accepted.member_epoch() != record_.epoch())
+      group_.on_member_epoch_observed(accepted.member_epoch(), member);
+    if (phase == Phase::accept) on_accepted(accepted);
   }
-  if (done_ && phase == phase_) check_whether_hopeless();
+  if (done_ && phase == phase_) fail_if_majority_impossible();
 }
 
 bool RegisterAttempt::counts(std::uint64_t acceptor, bool voting, std::uint64_t member_epoch) const {
   return voting && member_epoch == record_.epoch() && find_member(record_, acceptor) != nullptr;
 }
 
-void RegisterAttempt::note_refusal(const wire::Ballot& highest) {
+void RegisterAttempt::on_rejection(const wire::Ballot& highest) {
   refused_ = true;
   highest_counter_ = std::max(highest_counter_, highest.counter());
 }
 
-void RegisterAttempt::take_promise(const wire::RegisterPromise& promise) {
+void RegisterAttempt::on_promise(const wire::RegisterPromise& promise) {
   if (!counts(promise.acceptor(), promise.voting(), promise.member_epoch())) {
     refused_ = true;
     return;
   }
-  if (!promise.promised()) return note_refusal(promise.highest());
+  if (!promise.promised()) return on_rejection(promise.highest());
   const bool first = agreed_.empty();
   if (!agreed_.insert(promise.acceptor()).second) return;
   if (!first && !same_ballot(promise.accepted(), newest_ballot_)) unanimous_ = false;
@@ -84,18 +87,18 @@
   if (agreed_.size() >= majority(record_)) prepared();
 }
 
-void RegisterAttempt::take_accepted(const wire::RegisterAccepted& accepted) {
+void RegisterAttempt::on_accepted(const wire::RegisterAccepted& accepted) {
   if (!counts(accepted.acceptor(), accepted.voting(), accepted.member_epoch())) {
     refused_ = true;
     return;
   }
-  if (!accepted.accepted()) return note_refusal(accepted.highest());
+  if (!accepted.accepted()) return on_rejection(accepted.highest());
   agreed_.insert(accepted.acceptor());
   if (agreed_.size() < majority(record_)) return;
   finish({AttemptOutcome::chosen, RegisterValue{ballot_, proposed_}, true});
 }
 
-void RegisterAttempt::check_whether_hopeless() {
+void RegisterAttempt::fail_if_majority_impossible() {
   if (agreed_.size() + outstanding_ >= majority(record_)) return;
   finish({refused_ ? AttemptOutcome::refused : AttemptOutcome::unanswered, {}, false});
 }
--- a/src/cluster/consensus/register_attempt.hpp
+++ b/src/cluster/consensus/register_attempt.hpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <string>
 
-#include "cluster/consensus/group_view.hpp"
+#include "cluster/consensus/group_context.hpp"
 #include "cluster/consensus/register_client.hpp"
 
 namespace winchhall::cluster {
@@ -26,7 +26,7 @@
 // Holds itself until it has ended; `done` is called exactly once unless cancelled.
 class RegisterAttempt : public std::enable_shared_from_this<RegisterAttempt> {
  public:
-  RegisterAttempt(GroupView& group, std::string key, wire::Ballot ballot, RegisterValue known,
+  RegisterAttempt(GroupContext& group, std::string key, wire::Ballot ballot, RegisterValue known,
                   RegisterChange change, std::function<void(AttemptResult)> done);
 
   void start();
@@ -41,17 +41,17 @@
   // Sends to every member; answers are counted for the phase in which they were asked for.
   void broadcast(const wire::Envelope& request);
   void answered(Phase phase, const wire::Member& member, const CallResult& result);
-  void take_promise(const wire::RegisterPromise& promise);
-  void take_accepted(const wire::RegisterAccepted& accepted);
+  void on_promise(const wire::RegisterPromise& promise);
+  void on_accepted(const wire::RegisterAccepted& accepted);
   // True if the answer counts: given by a voting member at this attempt's record.
   bool counts(std::uint64_t acceptor, bool voting, std::uint64_t member_epoch) const;
-  void note_refusal(const wire::Ballot& highest);
-  void check_whether_hopeless();
+  void on_rejection(const wire::Ballot& highest);
+  void fail_if_majority_impossible();
   void prepared();
   void start_accept(std::string value);
   void finish(AttemptResult result);
 
-  GroupView& group_;
+  GroupContext& group_;
   const std::string key_;
   const wire::Ballot ballot_;
   const RegisterValue known_;
--- a/src/cluster/consensus/shard_follower.cpp
+++ b/src/cluster/consensus/replica_progress.cpp
@@ -1,4 +1,4 @@
-#include "cluster/consensus/shard_follower.hpp"
+#include "cluster/consensus/replica_progress.hpp"
 
 #include <utility>
 
@@ -9,12 +9,12 @@
 constexpr unsigned kMessagesInFlight = 4;
 constexpr std::size_t kMessageBytes = 128 << 10;
 // What a replica is sent that confirmed nothing: it may keep in memory all that it is sent.
-constexpr std::size_t kProbeBytes = 1;
+constexpr std::size_t kStalledBatchBytes = 1;
 
 }  // namespace
 
-void ShardFollower::mark(const std::string& key, std::uint64_t change) {
-  const auto [entry, added] = lacking_.try_emplace(key);
+void ReplicaProgress::mark(const std::string& key, std::uint64_t change) {
+  const auto [entry, added] = missing_.try_emplace(key);
   if (added) {
     entry->second.since = change;
     by_change_.emplace(change, key);
@@ -22,12 +22,12 @@
   unsent_.push_back(key);
 }
 
-void ShardFollower::take_content(const ShardRecords& content, HeldRecords& records) {
+void ReplicaProgress::reconcile_with(const ShardRecords& content, LeaderRecordTable& records) {
   constexpr std::uint64_t kFirstChange = 1;
   content_known_ = true;
   tracked_ = true;
   for (const auto& [key, replica_record] : content) {
-    const HeldRecord* held = records.find(key);
+    const VersionedRecord* held = records.find(key);
     const bool stray = held ? is_older(held->record, replica_record) : !replica_record.deleted();
     if (stray) records.renew(key);
     if (stray || (held && is_older(replica_record, held->record))) mark(key, kFirstChange);
@@ -37,20 +37,20 @@
   }
 }
 
-std::optional<FollowerMessage> ShardFollower::next_message(const HeldRecords& records) {
+std::optional<ReplicationBatch> ReplicaProgress::next_message(const LeaderRecordTable& records) {
   // One at a time until the replica is established, so that the last message can complete it.
   const bool completing = content_known_ && !established_;
   const unsigned limit = completing || !responsive || stalled_ ? 1 : kMessagesInFlight;
-  const std::size_t most_bytes = stalled_ ? kProbeBytes : kMessageBytes;
+  const std::size_t most_bytes = stalled_ ? kStalledBatchBytes : kMessageBytes;
   if (in_flight_ >= limit) return std::nullopt;
-  FollowerMessage message;
+  ReplicationBatch message;
   std::size_t bytes = 0;
   while (!unsent_.empty() && bytes < most_bytes) {
     const std::string key = std::move(unsent_.front());
     unsent_.pop_front();
-    const auto entry = lacking_.find(key);
-    if (entry == lacking_.end()) continue;
-    const HeldRecord& held = *records.find(key);
+    const auto entry = missing_.find(key);
+    if (entry == missing_.end()) continue;
+    const VersionedRecord& held = *records.find(key);
     if (entry->second.sent == held.change) continue;
     entry->second.sent = held.change;
     bytes += key.size() + held.record.value().size();
@@ -62,16 +62,16 @@
   return message;
 }
 
-void ShardFollower::confirmed(const FollowerMessage& message, const HeldRecords& records) {
+void ReplicaProgress::confirmed(const ReplicationBatch& message, const LeaderRecordTable& records) {
   --in_flight_;
   stalled_ = false;
   if (message.establishes) established_ = true;
-  for (const FollowerMessage::Sent& sent : message.sent) {
-    const auto entry = lacking_.find(sent.key);
-    if (entry == lacking_.end()) continue;
+  for (const ReplicationBatch::Sent& sent : message.sent) {
+    const auto entry = missing_.find(sent.key);
+    if (entry == missing_.end()) continue;
     if (records.find(sent.key)->change == sent.change) {
       by_change_.erase({entry->second.since, sent.key});
-      lacking_.erase(entry);
+      missing_.erase(entry);
       continue;
     }
     // A newer version was made meanwhile: the replica lacks only that.
@@ -80,26 +80,26 @@
       entry->second.since = sent.change + 1;
       by_change_.emplace(entry->second.since, sent.key);
     }
-    send_again(sent);
+    requeue(sent);
   }
 }
 
-void ShardFollower::send_again(const FollowerMessage::Sent& sent) {
-  Lacking& lacking = lacking_.at(sent.key);
+void ReplicaProgress::requeue(const ReplicationBatch::Sent& sent) {
+  MissingRecord& lacking = missing_.at(sent.key);
   if (lacking.sent != sent.change) return;
   lacking.sent = kNotSent;
   unsent_.push_back(sent.key);
 }
 
-void ShardFollower::failed(const FollowerMessage& message) {
+void ReplicaProgress::failed(const ReplicationBatch& message) {
   --in_flight_;
   stalled_ = true;
-  for (const FollowerMessage::Sent& sent : message.sent) {
-    if (lacking_.contains(sent.key)) send_again(sent);
+  for (const ReplicationBatch::Sent& sent : message.sent) {
+    if (missing_.contains(sent.key)) requeue(sent);
   }
 }
 
-std::uint64_t ShardFollower::holds_up_to(std::uint64_t last_change) const {
+std::uint64_t ReplicaProgress::acknowledged_up_to(std::uint64_t last_change) const {
   if (!tracked_) return 0;
   return by_change_.empty() ? last_change : by_change_.begin()->first - 1;
 }
--- a/src/cluster/consensus/replica_reader.cpp
+++ b/src/cluster/consensus/replica_reader.cpp
@@ -8,7 +8,7 @@
 constexpr Millis kReadTimeout{500};
 }
 
-ReplicaReader::ReplicaReader(GroupView& group, std::string shard, std::uint64_t epoch, wire::Member member,
+ReplicaReader::ReplicaReader(GroupContext& group, std::string shard, std::uint64_t epoch, wire::Member member,
                              Done done)
     : group_(group),
       shard_(std::move(shard)),
--- a/src/cluster/consensus/replica_reader.hpp
+++ b/src/cluster/consensus/replica_reader.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "cluster/consensus/group_view.hpp"
+#include "cluster/consensus/group_context.hpp"
 #include "cluster/consensus/shard_acceptor.hpp"
 
 namespace winchhall::cluster {
@@ -17,7 +17,7 @@
   // epoch, or does not vote.
   using Done = std::function<void(std::optional<ShardReplica>)>;
 
-  ReplicaReader(GroupView& group, std::string shard, std::uint64_t epoch, wire::Member member, Done done);
+  ReplicaReader(GroupContext& group, std::string shard, std::uint64_t epoch, wire::Member member, Done done);
 
   void start() { ask(std::string()); }
 
@@ -25,7 +25,7 @@
   void ask(const std::string& after_key);
   void take(const CallResult& result);
 
-  GroupView& group_;
+  GroupContext& group_;
   const std::string shard_;
   const std::uint64_t epoch_;
   const wire::Member member_;
--- a/src/cluster/consensus/shard_acceptor.cpp
+++ b/src/cluster/consensus/shard_acceptor.cpp
@@ -4,7 +4,7 @@
 #include <tuple>
 #include <utility>
 
-#include "cluster/consensus/lease_terms.hpp"
+#include "cluster/consensus/lease_timing.hpp"
 
 namespace winchhall::cluster {
 
@@ -115,8 +115,9 @@
   return merged;
 }
 
-ShardAcceptor::ShardAcceptor(Runtime& runtime, Journal& journal, const Standing& standing)
-    : runtime_(runtime), journal_(journal), standing_(standing) {}
+ShardAcceptor::ShardAcceptor(Runtime& runtime, CommitQueue& commit_queue,
+                             const MembershipStatus& membership_status)
+    : runtime_(runtime), commit_queue_(commit_queue), membership_status_(membership_status) {}
 
 void ShardAcceptor::load_state(const std::string& shard, const wire::ShardState& state) {
   shards_[shard].replica.state = state;
@@ -138,17 +139,17 @@
 
 bool ShardAcceptor::in_force(const Shard& shard) const { return runtime_.now() < shard.lease.expiry; }
 
-void ShardAcceptor::lease(const wire::LeaseRequest& request, const Replier& reply) {
+void ShardAcceptor::lease(const wire::LeaseRequest& request, const ReplyCallback& reply) {
   wire::LeaseReply answer;
-  answer.set_acceptor(standing_.id);
-  answer.set_member_epoch(standing_.member_epoch);
+  answer.set_acceptor(membership_status_.id);
+  answer.set_member_epoch(membership_status_.member_epoch);
   Shard& shard = shards_[request.shard()];
   if (request.release()) release(shard, request);
   answer.set_epoch(shard.replica.state.epoch());
-  if (request.release() || request.member_epoch() != standing_.member_epoch) {
+  if (request.release() || request.member_epoch() != membership_status_.member_epoch) {
     return reply(envelope(std::move(answer)));
   }
-  answer.set_voting(standing_.voting);
+  answer.set_voting(membership_status_.voting);
   if (may_grant(shard, request)) return grant(request, std::move(answer), reply);
   if (const std::optional<wire::ShardLeader> leader = describe(request.shard(), shard)) {
     answer.set_holder(leader->holder());
@@ -180,7 +181,8 @@
   batch.push_back(stored_state(name, state));
 }
 
-void ShardAcceptor::grant(const wire::LeaseRequest& request, wire::LeaseReply answer, const Replier& reply) {
+void ShardAcceptor::grant(const wire::LeaseRequest& request, wire::LeaseReply answer,
+                          const ReplyCallback& reply) {
   const std::string& name = request.shard();
   const std::uint64_t epoch = request.epoch();
   Shard& shard = shards_[name];
@@ -198,17 +200,17 @@
   } else if (shard.durable_epoch >= epoch) {
     return send();
   }
-  journal_.commit(std::move(batch), [this, name, epoch, send] {
+  commit_queue_.commit(std::move(batch), [this, name, epoch, send] {
     std::uint64_t& durable = shards_[name].durable_epoch;
     durable = std::max(durable, epoch);
     send();
   });
 }
 
-void ShardAcceptor::read(const wire::ShardRead& request, const Replier& reply) {
+void ShardAcceptor::read(const wire::ShardRead& request, const ReplyCallback& reply) {
   wire::ShardPage page;
-  page.set_acceptor(standing_.id);
-  page.set_voting(standing_.voting);
+  page.set_acceptor(membership_status_.id);
+  page.set_voting(membership_status_.voting);
   const ShardReplica& replica = shards_[request.shard()].replica;
   page.set_epoch(replica.state.epoch());
   page.set_base(replica.state.base());
@@ -225,21 +227,21 @@
     *page.add_records() = entry->second;
     bytes += entry->first.size() + entry->second.value().size() + kRecordOverheadBytes;
   }
-  journal_.barrier([reply, page = std::move(page)]() mutable { reply(envelope(std::move(page))); });
+  commit_queue_.barrier([reply, page = std::move(page)]() mutable { reply(envelope(std::move(page))); });
 }
 
-void ShardAcceptor::write(const wire::ShardWrite& request, const Replier& reply) {
+void ShardAcceptor::write(const wire::ShardWrite& request, const ReplyCallback& reply) {
   wire::ShardWritten answer;
-  answer.set_acceptor(standing_.id);
-  answer.set_member_epoch(standing_.member_epoch);
+  answer.set_acceptor(membership_status_.id);
+  answer.set_member_epoch(membership_status_.member_epoch);
   const std::string& name = request.shard();
   const std::uint64_t promised = shards_[name].replica.state.epoch();
   answer.set_epoch(promised);
-  if (request.member_epoch() != standing_.member_epoch || request.epoch() < promised ||
+  if (request.member_epoch() != membership_status_.member_epoch || request.epoch() < promised ||
       request.epoch() == 0) {
     return reply(envelope(std::move(answer)));
   }
-  answer.set_voting(standing_.voting);
+  answer.set_voting(membership_status_.voting);
   answer.set_ok(true);
   answer.set_epoch(request.epoch());
   StoreBatch batch;
@@ -250,12 +252,12 @@
   if (!same_promise(writer, shards_[name].replica.state)) promise(name, writer, batch);
   apply(request, batch);
   if (request.establishes()) establish(name, request.epoch(), batch);
-  journal_.commit(std::move(batch),
-                  [this, name, epoch = request.epoch(), reply, answer = std::move(answer)]() mutable {
-                    std::uint64_t& durable = shards_[name].durable_epoch;
-                    durable = std::max(durable, epoch);
-                    reply(envelope(std::move(answer)));
-                  });
+  commit_queue_.commit(std::move(batch),
+                       [this, name, epoch = request.epoch(), reply, answer = std::move(answer)]() mutable {
+                         std::uint64_t& durable = shards_[name].durable_epoch;
+                         durable = std::max(durable, epoch);
+                         reply(envelope(std::move(answer)));
+                       });
 }
 
 void ShardAcceptor::apply(const wire::ShardWrite& request, StoreBatch& batch) {
--- a/src/cluster/consensus/shard_acceptor.hpp
+++ b/src/cluster/consensus/shard_acceptor.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "cluster/consensus/journal.hpp"
-#include "cluster/consensus/standing.hpp"
+#include "cluster/consensus/commit_queue.hpp"
+#include "cluster/consensus/membership_status.hpp"
 
 namespace winchhall::cluster {
 
@@ -35,7 +35,7 @@
 
 class ShardAcceptor {
  public:
-  ShardAcceptor(Runtime& runtime, Journal& journal, const Standing& standing);
+  ShardAcceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& membership_status);
 
   // Take up stored states at the start.
   void load_state(const std::string& shard, const wire::ShardState& state);
@@ -43,9 +43,9 @@
   // Treats every promise as a lease granted now: what was granted before is not known.
   void assume_leases();
 
-  void lease(const wire::LeaseRequest& request, const Replier& reply);
-  void read(const wire::ShardRead& request, const Replier& reply);
-  void write(const wire::ShardWrite& request, const Replier& reply);
+  void lease(const wire::LeaseRequest& request, const ReplyCallback& reply);
+  void read(const wire::ShardRead& request, const ReplyCallback& reply);
+  void write(const wire::ShardWrite& request, const ReplyCallback& reply);
 
   // The lease in force at this acceptor; none: no such lease.
   std::optional<wire::ShardLeader> lease_in_force(const std::string& shard) const;
@@ -79,13 +79,13 @@
   bool may_grant(const Shard& shard, const wire::LeaseRequest& request) const;
   // Notes to whom an epoch was promised.
   void promise(const std::string& name, const wire::ShardState& to, StoreBatch& batch);
-  void grant(const wire::LeaseRequest& request, wire::LeaseReply answer, const Replier& reply);
+  void grant(const wire::LeaseRequest& request, wire::LeaseReply answer, const ReplyCallback& reply);
   void apply(const wire::ShardWrite& request, StoreBatch& batch);
   void establish(const std::string& name, std::uint64_t epoch, StoreBatch& batch);
 
   Runtime& runtime_;
-  Journal& journal_;
-  const Standing& standing_;
+  CommitQueue& commit_queue_;
+  const MembershipStatus& membership_status_;
   std::map<std::string, Shard> shards_;
 };
 
--- a/src/cluster/consensus/state_sync.hpp
+++ b/src/cluster/consensus/state_transfer.hpp
@@ -5,17 +5,17 @@
 #include <memory>
 #include <vector>
 
-#include "cluster/consensus/group_view.hpp"
-#include "cluster/consensus/state_copy.hpp"
+#include "cluster/consensus/group_context.hpp"
+#include "cluster/consensus/transferred_state.hpp"
 
 namespace winchhall::cluster {
 
-class StateSync : public std::enable_shared_from_this<StateSync> {
+class StateTransfer : public std::enable_shared_from_this<StateTransfer> {
  public:
   // `done` is called once; empty: not enough members answered at this node's member epoch.
-  using Done = std::function<void(std::vector<StateCopy> copies)>;
+  using Done = std::function<void(std::vector<TransferredState> copies)>;
 
-  StateSync(GroupView& group, Done done);
+  StateTransfer(GroupContext& group, Done done);
 
   void start();
   void cancel() { done_ = nullptr; }
@@ -24,7 +24,7 @@
  private:
   struct Source {
     wire::Member member;
-    StateCopy copy;
+    TransferredState copy;
     bool first_page = true;
   };
 
@@ -36,11 +36,11 @@
   void source_failed();
   void finish();
 
-  GroupView& group_;
+  GroupContext& group_;
   Done done_;
   const wire::MemberRecord record_;
   std::size_t reading_ = 0;
-  std::vector<StateCopy> copies_;
+  std::vector<TransferredState> copies_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/state_copy.hpp
+++ b/src/cluster/consensus/transferred_state.hpp
@@ -8,7 +8,7 @@
 
 namespace winchhall::cluster {
 
-struct StateCopy {
+struct TransferredState {
   std::map<std::string, ShardReplica> shards;
   std::map<std::string, wire::RegisterState> registers;
 };
--- a/src/cluster/control/configuration_change.cpp
+++ b/src/cluster/control/configuration_change.cpp
@@ -10,9 +10,9 @@
 namespace winchhall::cluster {
 namespace {
 
-constexpr int kAppliedChangesKept = 1024;
+constexpr int kMaxAppliedChanges = 1024;
 // Patches of a snapshot that are kept in the record: about a hundred changes of a route.
-constexpr std::size_t kMostPatchBytes = 32u << 10;
+constexpr std::size_t kMaxPatchBytes = 32u << 10;
 constexpr const char* kPutSource = "Config.Put";
 constexpr const char* kPatchSource = "Config.Patch";
 constexpr const char* kBaseHeader = "X-Winchhall-Base-Version";
@@ -51,25 +51,25 @@
 // True if this change may have been taken so long ago that it is listed no more. What was taken built on an
 // older version than the one it made, and made none above the newest of those that were forgotten. The first
 // change is never forgotten.
-bool may_be_forgotten(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
+bool may_have_been_forgotten(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
   return change.base > 0 && change.base < change.version && change.version <= record.forgotten_version();
 }
 
 // The first change is kept: an operator that builds on no version is told for certain.
-void forget_oldest(wire::ConfigurationRecord& record) {
+void forget_oldest_changes(wire::ConfigurationRecord& record) {
   constexpr int kFirstForgotten = 1;
-  const int surplus = record.applied_size() - kAppliedChangesKept;
+  const int surplus = record.applied_size() - kMaxAppliedChanges;
   if (surplus <= 0) return;
   record.set_forgotten_version(record.applied(kFirstForgotten + surplus - 1).version());
   record.mutable_applied()->DeleteSubrange(kFirstForgotten, surplus);
 }
 
-void note_applied(const ConfigurationChange& change, wire::ConfigurationRecord& record) {
+void append_applied_change(const ConfigurationChange& change, wire::ConfigurationRecord& record) {
   wire::AppliedChange* const applied = record.add_applied();
   applied->set_base(change.base);
   applied->set_version(change.version);
   applied->set_digest(change.digest);
-  forget_oldest(record);
+  forget_oldest_changes(record);
 }
 
 leaf::result<void> check_version_rises(const ConfigurationChange& change, std::uint64_t current) {
@@ -80,8 +80,8 @@
 
 // The text of the configuration that a change makes. A put was checked when it was read, a patch of `base`
 // before.
-leaf::result<std::string> whole_text(const ConfigurationChange& change, const ConfigurationDocument* base,
-                                     const ConfigurationEdit& edit) {
+leaf::result<std::string> complete_text(const ConfigurationChange& change, const ConfigurationDocument* base,
+                                        const ConfigurationEdit& edit) {
   if (change.kind == ConfigurationChangeKind::put) return change.body;
   ConfigurationDocument next = base == nullptr ? ConfigurationDocument() : *base;
   next.apply(change.patch, edit);
@@ -98,11 +98,11 @@
 
 // Whether a change is added to the record as a patch of its snapshot, which is written anew once patches grow
 // long.
-bool kept_as_patch(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
+bool fits_as_patch(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
   if (change.kind == ConfigurationChangeKind::put || !record.has_snapshot()) return false;
   std::size_t bytes = change.body.size();
   for (const wire::ConfigurationPatchEntry& entry : record.patches()) bytes += entry.body().size();
-  return bytes <= kMostPatchBytes;
+  return bytes <= kMaxPatchBytes;
 }
 
 leaf::result<ChangeResult> changed(const ConfigurationChange& change,
@@ -118,12 +118,12 @@
   result.outcome = {ConfigurationOutcomeKind::applied, change.version, {}};
   result.record = current;
   result.record->set_version(change.version);
-  note_applied(change, *result.record);
-  if (kept_as_patch(change, current)) {
+  append_applied_change(change, *result.record);
+  if (fits_as_patch(change, current)) {
     add_patch(change, *result.record);
     return result;
   }
-  BOOST_LEAF_AUTO(json, whole_text(change, base, edit));
+  BOOST_LEAF_AUTO(json, complete_text(change, base, edit));
   result.record->clear_patches();
   result.record->clear_snapshot();
   result.record->clear_json();
@@ -142,8 +142,8 @@
 
 }  // namespace
 
-leaf::result<ConfigurationChange> read_change(ConfigurationChangeKind kind,
-                                              const std::optional<std::string>& base, std::string body) {
+leaf::result<ConfigurationChange> parse_change(ConfigurationChangeKind kind,
+                                               const std::optional<std::string>& base, std::string body) {
   ConfigurationChange change;
   change.kind = kind;
   BOOST_LEAF_ASSIGN(change.base, read_base(kind, base));
@@ -159,13 +159,13 @@
   return change;
 }
 
-std::optional<ConfigurationOutcome> outcome_without_base(const ConfigurationChange& change,
-                                                         const wire::ConfigurationRecord& current) {
+std::optional<ConfigurationOutcome> outcome_independent_of_base(const ConfigurationChange& change,
+                                                                const wire::ConfigurationRecord& current) {
   if (was_applied(change, current)) {
     return ConfigurationOutcome{ConfigurationOutcomeKind::applied, change.version, {}};
   }
   if (change.base == current.version()) return std::nullopt;
-  if (may_be_forgotten(change, current)) return ConfigurationOutcome{};
+  if (may_have_been_forgotten(change, current)) return ConfigurationOutcome{};
   return ConfigurationOutcome{ConfigurationOutcomeKind::conflict, current.version(), {}};
 }
 
--- a/src/cluster/control/configuration_change.hpp
+++ b/src/cluster/control/configuration_change.hpp
@@ -41,8 +41,8 @@
 };
 
 // Reads a change. `base`: text of the base version's header; none: 0. Errors: InvalidInput.
-leaf::result<ConfigurationChange> read_change(ConfigurationChangeKind kind,
-                                              const std::optional<std::string>& base, std::string body);
+leaf::result<ConfigurationChange> parse_change(ConfigurationChangeKind kind,
+                                               const std::optional<std::string>& base, std::string body);
 
 // What a change makes of a record.
 struct ChangeResult {
@@ -53,8 +53,8 @@
 };
 
 // What is certain of a change without the configuration that it builds on; none: it builds on `current`.
-std::optional<ConfigurationOutcome> outcome_without_base(const ConfigurationChange& change,
-                                                         const wire::ConfigurationRecord& current);
+std::optional<ConfigurationOutcome> outcome_independent_of_base(const ConfigurationChange& change,
+                                                                const wire::ConfigurationRecord& current);
 // `base`: the configuration of `current`, on which the change builds; null where there was never one.
 // `snapshots`: all members read records with snapshots.
 ChangeResult apply_change(const ConfigurationChange& change, const wire::ConfigurationRecord& current,
--- a/src/cluster/control/configuration_answers.cpp
+++ b/src/cluster/control/configuration_responses.cpp
@@ -1,4 +1,4 @@
-#include "cluster/control/configuration_answers.hpp"
+#include "cluster/control/configuration_responses.hpp"
 
 #include <json/value.h>
 
