--- a/src/cluster/control/configuration_service.cpp
+++ b/src/cluster/control/configuration_service.cpp
@@ -16,39 +16,41 @@
   return record;
 }
 
-WatchedGroup watched(const ConfigurationSurroundings& surroundings) {
-  return {surroundings.leaders, surroundings.members, surroundings.in_touch};
+GroupStateSource watched(const ConfigurationDependencies& dependencies) {
+  return {dependencies.leaders, dependencies.members, dependencies.has_quorum_contact};
 }
 
 }  // namespace
 
 ConfigurationService::ConfigurationService(Runtime& runtime, RegisterClient& registers,
-                                           const ConfigurationSurroundings& surroundings)
+                                           const ConfigurationDependencies& dependencies)
     : runtime_(runtime),
       registers_(registers),
-      members_read_snapshots_(surroundings.members_read_snapshots),
-      snapshots_(registers, surroundings.local_registers),
-      watchers_(runtime, state_, watched(surroundings)) {}
+      members_read_snapshots_(dependencies.members_read_snapshots),
+      snapshots_(registers, dependencies.local_registers),
+      watchers_(runtime, state_, watched(dependencies)) {}
 
 // ---------------------------------------------------------------- changes
 
-void ConfigurationService::put(const std::optional<std::string>& base, std::string body, ChangeDone done) {
+void ConfigurationService::put(const std::optional<std::string>& base, std::string body,
+                               ChangeCallback done) {
   change(ConfigurationChangeKind::put, base, std::move(body), std::move(done));
 }
 
-void ConfigurationService::patch(const std::optional<std::string>& base, std::string body, ChangeDone done) {
+void ConfigurationService::patch(const std::optional<std::string>& base, std::string body,
+                                 ChangeCallback done) {
   change(ConfigurationChangeKind::patch, base, std::move(body), std::move(done));
 }
 
 void ConfigurationService::change(ConfigurationChangeKind kind, const std::optional<std::string>& base,
-                                  std::string body, ChangeDone done) {
+                                  std::string body, ChangeCallback done) {
   const auto refuse = [&](const InvalidInput& error) {
     done(ConfigurationOutcome{ConfigurationOutcomeKind::invalid, 0, error});
   };
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_AUTO(read, read_change(kind, base, std::move(body)));
-        const auto proposal = std::make_shared<Proposal>();
+        BOOST_LEAF_AUTO(read, parse_change(kind, base, std::move(body)));
+        const auto proposal = std::make_shared<ChangeAttempt>();
         proposal->change = std::move(read);
         proposal->done = std::move(done);
         proposal->end = runtime_.now() + kQuorumTimeout;
@@ -61,12 +63,12 @@
       });
 }
 
-Millis ConfigurationService::left(const Proposal& proposal) const {
+Millis ConfigurationService::left(const ChangeAttempt& proposal) const {
   const auto left = std::chrono::duration_cast<Millis>(proposal.end - runtime_.now());
   return std::max(left, Millis(0));
 }
 
-void ConfigurationService::propose(const ProposalPtr& proposal) {
+void ConfigurationService::propose(const ChangeAttemptPtr& proposal) {
   if (left(*proposal) == Millis(0)) return proposal->done(ConfigurationOutcome{});
   registers_.update(
       kConfigurationRegister,
@@ -75,18 +77,19 @@
 }
 
 // The next value of the register; none: the outcome is certain, or something is lacking.
-std::optional<std::string> ConfigurationService::compute(Proposal& proposal,
+std::optional<std::string> ConfigurationService::compute(ChangeAttempt& proposal,
                                                          const std::string& current) const {
-  proposal.lack = Lack::nothing;
+  proposal.lack = MissingPrerequisite::nothing;
   proposal.found = read_record(current);
-  const std::optional<ConfigurationOutcome> certain = outcome_without_base(proposal.change, proposal.found);
+  const std::optional<ConfigurationOutcome> certain =
+      outcome_independent_of_base(proposal.change, proposal.found);
   if (certain) {
     proposal.outcome = *certain;
     return std::nullopt;
   }
   const bool first = proposal.found.version() == 0;
   if (!first && !state_.is_at(proposal.found)) {
-    proposal.lack = Lack::base;
+    proposal.lack = MissingPrerequisite::base;
     return std::nullopt;
   }
   ChangeResult result = apply_change(proposal.change, proposal.found, first ? nullptr : &state_.document(),
@@ -94,29 +97,30 @@
   proposal.outcome = result.outcome;
   if (!result.record) return std::nullopt;
   if (result.snapshot && !proposal.written.contains(result.record->snapshot().digest())) {
-    proposal.lack = Lack::snapshot;
+    proposal.lack = MissingPrerequisite::snapshot;
     proposal.snapshot = std::move(*result.snapshot);
     return std::nullopt;
   }
   return result.record->SerializeAsString();
 }
 
-void ConfigurationService::proposed(const ProposalPtr& proposal, const std::optional<RegisterValue>& chosen) {
+void ConfigurationService::proposed(const ChangeAttemptPtr& proposal,
+                                    const std::optional<RegisterValue>& chosen) {
   if (!chosen) return proposal->done(ConfigurationOutcome{});
   on_register_value(*chosen);
   switch (proposal->lack) {
-    case Lack::nothing:
+    case MissingPrerequisite::nothing:
       return proposal->done(proposal->outcome);
-    case Lack::base:
-      return when_at(proposal->found.version(), left(*proposal), [this, proposal](bool reached) {
+    case MissingPrerequisite::base:
+      return when_version_reached(proposal->found.version(), left(*proposal), [this, proposal](bool reached) {
         reached ? propose(proposal) : proposal->done(ConfigurationOutcome{});
       });
-    case Lack::snapshot:
+    case MissingPrerequisite::snapshot:
       return write_snapshot(proposal);
   }
 }
 
-void ConfigurationService::write_snapshot(const ProposalPtr& proposal) {
+void ConfigurationService::write_snapshot(const ChangeAttemptPtr& proposal) {
   const wire::ConfigurationSnapshotId id =
       ConfigurationSnapshots::id_of(proposal->change.version, proposal->snapshot);
   snapshots_.write(id, std::exchange(proposal->snapshot, {}), left(*proposal),
@@ -129,7 +133,7 @@
 
 // ---------------------------------------------------------------- reads
 
-void ConfigurationService::get(ReadDone done) {
+void ConfigurationService::get(ReadCallback done) {
   const RegisterChange keep = [](const std::string&) { return std::nullopt; };
   const TimePoint end = runtime_.now() + kQuorumTimeout;
   const auto finish = [this, end, done = std::move(done)](const std::optional<RegisterValue>& chosen) {
@@ -137,15 +141,16 @@
     on_register_value(*chosen);
     const std::uint64_t version = read_record(chosen->value).version();
     if (version == 0) return done(ConfigurationRead{ConfigurationReadKind::missing, 0, {}});
-    when_at(version, std::chrono::duration_cast<Millis>(end - runtime_.now()), [this, done](bool reached) {
-      if (!reached) return done(ConfigurationRead{});
-      done(ConfigurationRead{ConfigurationReadKind::found, state_.version(), state_.json()});
-    });
+    when_version_reached(
+        version, std::chrono::duration_cast<Millis>(end - runtime_.now()), [this, done](bool reached) {
+          if (!reached) return done(ConfigurationRead{});
+          done(ConfigurationRead{ConfigurationReadKind::found, state_.version(), state_.json()});
+        });
   };
   registers_.update(kConfigurationRegister, keep, kQuorumTimeout, finish);
 }
 
-bool ConfigurationService::handle(const wire::Envelope& request, const Replier& reply) {
+bool ConfigurationService::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   if (request.has_configuration_watch()) {
     watchers_.watch(request.configuration_watch(), reply);
     return true;
@@ -212,8 +217,8 @@
   for (const Waiting& waiting : reached) waiting.done(true);
 }
 
-void ConfigurationService::when_at(std::uint64_t version, Millis limit,
-                                   std::function<void(bool reached)> done) {
+void ConfigurationService::when_version_reached(std::uint64_t version, Millis limit,
+                                                std::function<void(bool reached)> done) {
   if (state_.version() >= version) return done(true);
   waiting_.push_back({version, std::move(done), nullptr});
   const auto waiting = std::prev(waiting_.end());
--- a/src/cluster/control/configuration_snapshots.hpp
+++ b/src/cluster/control/configuration_snapshots.hpp
@@ -11,7 +11,7 @@
 namespace winchhall::cluster {
 
 // What a node keeps of registers beside the quorum.
-struct LocalRegisters {
+struct LocalRegisterReplicas {
   // A register's value as far as it is known to be chosen here; none: never heard of one.
   std::function<std::optional<std::string>(const std::string& key)> chosen = [](const std::string&) {
     return std::nullopt;
@@ -24,7 +24,7 @@
 class ConfigurationSnapshots {
  public:
   // `registers` outlives the snapshots.
-  ConfigurationSnapshots(RegisterClient& registers, LocalRegisters local)
+  ConfigurationSnapshots(RegisterClient& registers, LocalRegisterReplicas local)
       : registers_(registers), local_(std::move(local)) {}
 
   static wire::ConfigurationSnapshotId id_of(std::uint64_t version, const std::string& json);
@@ -41,7 +41,7 @@
 
  private:
   RegisterClient& registers_;
-  LocalRegisters local_;
+  LocalRegisterReplicas local_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/configuration_state.cpp
+++ b/src/cluster/control/configuration_state.cpp
@@ -30,8 +30,8 @@
 
 RecordOutcome ConfigurationState::take(const wire::ConfigurationRecord& record) {
   if (record.version() <= version_) return RecordOutcome::not_newer;
-  if (!record.has_snapshot()) return read_whole(record, record.json());
-  if (!builds_on_this(record)) return RecordOutcome::snapshot_needed;
+  if (!record.has_snapshot()) return load_complete(record, record.json());
+  if (!extends_current_state(record)) return RecordOutcome::snapshot_needed;
   return leaf::try_handle_all(
       [&]() -> leaf::result<RecordOutcome> {
         for (const wire::ConfigurationPatchEntry& patch : record.patches()) {
@@ -41,18 +41,18 @@
         return RecordOutcome::taken;
       },
       [&] {
-        give_up_document();
+        discard_document();
         return RecordOutcome::snapshot_needed;
       });
 }
 
 RecordOutcome ConfigurationState::take(const wire::ConfigurationRecord& record, const std::string& json) {
   if (record.version() <= version_) return RecordOutcome::not_newer;
-  return read_whole(record, json);
+  return load_complete(record, json);
 }
 
-RecordOutcome ConfigurationState::read_whole(const wire::ConfigurationRecord& record,
-                                             const std::string& json) {
+RecordOutcome ConfigurationState::load_complete(const wire::ConfigurationRecord& record,
+                                                const std::string& json) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<RecordOutcome> {
         BOOST_LEAF_AUTO(document, ConfigurationDocument::read(json, kSource));
@@ -62,7 +62,7 @@
           document.apply(patch, std::move(edit));
         }
         document_ = std::move(document);
-        items_.apply(items_.difference_to(record.version(), items_of(document_->configuration())));
+        items_.apply(items_.difference_to_items(record.version(), items_of(document_->configuration())));
         note_taken(record);
         return RecordOutcome::taken;
       },
@@ -70,7 +70,7 @@
 }
 
 // True if the record has what is here, and patches to it.
-bool ConfigurationState::builds_on_this(const wire::ConfigurationRecord& record) const {
+bool ConfigurationState::extends_current_state(const wire::ConfigurationRecord& record) const {
   if (!document_ || !same_snapshot(record.snapshot(), snapshot_)) return false;
   return version_ == snapshot_.version() ||
          std::any_of(record.patches().begin(), record.patches().end(),
@@ -80,7 +80,7 @@
 leaf::result<void> ConfigurationState::apply_patch(const wire::ConfigurationPatchEntry& entry) {
   BOOST_LEAF_AUTO(patch, parse_patch(entry.body(), kSource));
   BOOST_LEAF_AUTO(edit, document_->check(patch, kSource));
-  items_.apply(items_.difference_by(entry.version(), items_of(edit)));
+  items_.apply(items_.difference_with_changes(entry.version(), items_of(edit)));
   document_->apply(patch, std::move(edit));
   version_ = entry.version();
   return {};
@@ -92,7 +92,7 @@
   snapshot_ = record.snapshot();
 }
 
-void ConfigurationState::give_up_document() {
+void ConfigurationState::discard_document() {
   last_change_.clear();
   snapshot_.Clear();
 }
--- a/src/cluster/control/configuration_state.hpp
+++ b/src/cluster/control/configuration_state.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "cluster/config/configuration_document.hpp"
-#include "cluster/delivery/item_table.hpp"
+#include "cluster/delivery/configuration_item_table.hpp"
 #include "cluster/wire/cluster.pb.h"
 
 namespace winchhall::cluster {
@@ -28,7 +28,7 @@
   std::string json() const { return document_ ? document_->json() : std::string(); }
   const ConfigurationDocument& document() const { return *document_; }
   // The same as items, for everyone who fetches differences.
-  const ItemTable& items() const { return items_; }
+  const ConfigurationItemTable& items() const { return items_; }
   // True if this is the configuration of `record`.
   bool is_at(const wire::ConfigurationRecord& record) const;
 
@@ -38,18 +38,18 @@
   RecordOutcome take(const wire::ConfigurationRecord& record, const std::string& json);
 
  private:
-  RecordOutcome read_whole(const wire::ConfigurationRecord& record, const std::string& json);
-  bool builds_on_this(const wire::ConfigurationRecord& record) const;
+  RecordOutcome load_complete(const wire::ConfigurationRecord& record, const std::string& json);
+  bool extends_current_state(const wire::ConfigurationRecord& record) const;
   leaf::result<void> apply_patch(const wire::ConfigurationPatchEntry& entry);
   void note_taken(const wire::ConfigurationRecord& record);
   // After a patch that could not be applied: only a whole configuration helps.
-  void give_up_document();
+  void discard_document();
 
   std::uint64_t version_ = 0;
   std::string last_change_;  // digest of the change that made this version
   std::optional<ConfigurationDocument> document_;
   wire::ConfigurationSnapshotId snapshot_;
-  ItemTable items_;
+  ConfigurationItemTable items_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/configuration_watchers.cpp
+++ b/src/cluster/control/configuration_watchers.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Millis kLeadersCheckInterval{50};
-constexpr Millis kLongestWatch{10'000};
+constexpr Millis kMaxWatchDuration{10'000};
 
 }  // namespace
 
@@ -32,8 +32,8 @@
   return digest.value();
 }
 
-void ConfigurationWatchers::watch(const wire::ConfigurationWatch& request, Replier reply) {
-  const Millis wait = std::min(Millis(request.wait_ms()), kLongestWatch);
+void ConfigurationWatchers::watch(const wire::ConfigurationWatch& request, ReplyCallback reply) {
+  const Millis wait = std::min(Millis(request.wait_ms()), kMaxWatchDuration);
   Watcher watcher{request, std::move(reply), runtime_.now() + wait};
   const std::uint64_t digest = leaders_digest();
   if (due(watcher, digest)) return answer(watcher, digest);
@@ -63,7 +63,7 @@
   for (const wire::ShardLeader& leader : group_.leaders()) *update.add_leaders() = leader;
   for (const wire::Member& member : group_.members()) *update.add_members() = member;
   update.set_leaders_digest(digest);
-  update.set_in_touch(group_.in_touch());
+  update.set_in_touch(group_.has_quorum_contact());
   watcher.reply(std::move(envelope));
 }
 
--- a/src/cluster/control/configuration_watchers.hpp
+++ b/src/cluster/control/configuration_watchers.hpp
@@ -12,20 +12,20 @@
 namespace winchhall::cluster {
 
 // What watchers are told besides the configuration. All must be set.
-struct WatchedGroup {
+struct GroupStateSource {
   std::function<std::vector<wire::ShardLeader>()> leaders;
   std::function<std::vector<wire::Member>()> members;
-  std::function<bool()> in_touch;
+  std::function<bool()> has_quorum_contact;
 };
 
 class ConfigurationWatchers {
  public:
   // `state` outlives the watchers.
-  ConfigurationWatchers(Runtime& runtime, const ConfigurationState& state, WatchedGroup group)
+  ConfigurationWatchers(Runtime& runtime, const ConfigurationState& state, GroupStateSource group)
       : runtime_(runtime), state_(state), group_(std::move(group)) {}
 
   // Answers a long poll, by way of `reply`.
-  void watch(const wire::ConfigurationWatch& request, Replier reply);
+  void watch(const wire::ConfigurationWatch& request, ReplyCallback reply);
   // Answers those for whom there is news. Leaders and members are also looked at every 50 ms.
   void check();
   // Answers all.
@@ -34,7 +34,7 @@
  private:
   struct Watcher {
     wire::ConfigurationWatch request;
-    Replier reply;
+    ReplyCallback reply;
     TimePoint end;
   };
 
@@ -45,7 +45,7 @@
 
   Runtime& runtime_;
   const ConfigurationState& state_;
-  WatchedGroup group_;
+  GroupStateSource group_;
   std::list<Watcher> watchers_;
   std::unique_ptr<Timer> check_timer_;
 };
--- a/src/cluster/control/control_inspection.cpp
+++ b/src/cluster/control/control_inspection.cpp
@@ -25,7 +25,7 @@
   status.zone = settings_.zone;
   status.member_id = group_.member_id();
   status.votes = group_.votes();
-  status.in_touch = group_.in_touch();
+  status.has_quorum_contact = group_.has_quorum_contact();
   if (const Configuration* newest = configuration_.newest()) status.configuration_version = newest->version;
   status.members = group_.members();
   status.leaders = group_.leaders();
@@ -64,7 +64,7 @@
 }
 
 std::optional<ServiceJob> ControlInspection::job(const std::string& service, const std::string& id) const {
-  const ServiceLeader* leader = leader_of_job(service, id);
+  const ServiceLeader* leader = find_leader_of_job(service, id);
   if (leader == nullptr) return std::nullopt;
   return ServiceJob{leader->service(), *leader->scheduler()->job(id)};
 }
@@ -75,7 +75,8 @@
   return leaves;
 }
 
-ServiceLeader* ControlInspection::leader_of_job(const std::string& service, const std::string& id) const {
+ServiceLeader* ControlInspection::find_leader_of_job(const std::string& service,
+                                                     const std::string& id) const {
   for (ServiceLeader* leader : led(service)) {
     if (leader->scheduler()->state(id) != wire::JOB_UNKNOWN) return leader;
   }
@@ -84,7 +85,7 @@
 
 void ControlInspection::cancel(const std::string& service, const std::string& id,
                                std::function<void(CancelOutcome)> done) {
-  ServiceLeader* leader = leader_of_job(service, id);
+  ServiceLeader* leader = find_leader_of_job(service, id);
   if (leader == nullptr) return done(CancelOutcome::not_found);
   wire::JobRequest request;
   request.set_verb(wire::JOB_CANCEL);
--- a/src/cluster/control/control_inspection.hpp
+++ b/src/cluster/control/control_inspection.hpp
@@ -21,7 +21,7 @@
       : settings_(settings), group_(group), configuration_(configuration), services_(services) {}
 
   ControlStatus status() const override;
-  bool in_touch() const override { return group_.in_touch(); }
+  bool has_quorum_contact() const override { return group_.has_quorum_contact(); }
   Leadership leadership(const std::string& service) const override;
   std::vector<ServiceJobs> jobs(const std::string& service, std::size_t limit) const override;
   std::optional<ServiceJob> job(const std::string& service, const std::string& id) const override;
@@ -32,7 +32,7 @@
  private:
   // Services led here; `service` empty: all of them.
   std::vector<ServiceLeader*> led(const std::string& service) const;
-  ServiceLeader* leader_of_job(const std::string& service, const std::string& id) const;
+  ServiceLeader* find_leader_of_job(const std::string& service, const std::string& id) const;
 
   const NodeSettings& settings_;
   const ControlGroup& group_;
--- a/src/cluster/control/control_node.cpp
+++ b/src/cluster/control/control_node.cpp
@@ -6,35 +6,37 @@
 
 namespace {
 
-constexpr Millis kReleaseTime{150};  // for the last answers and the release of the leases to leave
+constexpr Millis kLeaseReleaseDelay{150};  // for the last answers and the release of the leases to leave
 constexpr Millis kSummaryInterval{5000};
 // After a start, services that were led here or elsewhere find a leader before the configuration is read:
 // reading thousands of routes keeps a small machine busy for as long as an election takes.
-constexpr Millis kElectionsFirst{400};
+constexpr Millis kConfigurationReadDelay{400};
 
 }  // namespace
 
-ConfigurationSurroundings surroundings_of(ControlGroup& group) {
-  ConfigurationSurroundings surroundings;
-  surroundings.leaders = [&group] { return group.leaders(); };
-  surroundings.members = [&group] {
+ConfigurationDependencies configuration_dependencies_of(ControlGroup& group) {
+  ConfigurationDependencies dependencies;
+  dependencies.leaders = [&group] { return group.leaders(); };
+  dependencies.members = [&group] {
     const auto& members = group.members().members();
     return std::vector<wire::Member>(members.begin(), members.end());
   };
-  surroundings.in_touch = [&group] { return group.in_touch(); };
-  surroundings.members_read_snapshots = [&group] { return group.members_read_snapshots(); };
-  surroundings.local_registers.chosen = [&group](const std::string& key) { return group.chosen_here(key); };
-  surroundings.local_registers.drop = [&group](const std::function<bool(const std::string&)>& unneeded) {
+  dependencies.has_quorum_contact = [&group] { return group.has_quorum_contact(); };
+  dependencies.members_read_snapshots = [&group] { return group.members_read_snapshots(); };
+  dependencies.local_registers.chosen = [&group](const std::string& key) {
+    return group.locally_known_value(key);
+  };
+  dependencies.local_registers.drop = [&group](const std::function<bool(const std::string&)>& unneeded) {
     group.drop_registers(unneeded);
   };
-  return surroundings;
+  return dependencies;
 }
 
 ControlNode::ControlNode(Runtime& runtime, DurableStore& store, const NodeSettings& settings)
     : runtime_(runtime),
       settings_(settings),
       group_(runtime, store, settings_),
-      configuration_(runtime, group_.registers(), surroundings_of(group_)),
+      configuration_(runtime, group_.registers(), configuration_dependencies_of(group_)),
       inspection_(settings_, group_, configuration_, services_),
       api_(configuration_, inspection_) {}
 
@@ -46,7 +48,7 @@
   if (services.empty()) {
     watch_configuration();
   } else {
-    watch_timer_ = runtime_.after(kElectionsFirst, [this] { watch_configuration(); });
+    watch_timer_ = runtime_.after(kConfigurationReadDelay, [this] { watch_configuration(); });
   }
   schedule_summary();
 }
@@ -66,7 +68,7 @@
   for (const Service& service : configuration.services) open_service(service.name);
 }
 
-bool ControlNode::handle(const wire::Envelope& request, const Replier& reply) {
+bool ControlNode::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   if (request.has_job_request()) {
     handle_job(request.job_request(), reply);
     return true;
@@ -83,14 +85,14 @@
   return found == services_.end() ? nullptr : found->second.get();
 }
 
-void ControlNode::handle_job(const wire::JobRequest& request, const Replier& reply) {
+void ControlNode::handle_job(const wire::JobRequest& request, const ReplyCallback& reply) {
   if (ServiceLeader* service = find_service(request.service())) return service->handle(request, reply);
   wire::Envelope answer;
   answer.mutable_job_reply()->set_outcome(wire::JOB_NOT_LEADER);
   reply(std::move(answer));
 }
 
-void ControlNode::handle_report(const wire::WorkerReport& report, const Replier& reply) {
+void ControlNode::handle_report(const wire::WorkerReport& report, const ReplyCallback& reply) {
   if (ServiceLeader* service = find_service(report.leaf().service())) return service->handle(report, reply);
   wire::Envelope answer;
   answer.mutable_worker_orders();
@@ -101,7 +103,7 @@
   for (const auto& [name, service] : services_) service->step_down();
   configuration_.stop();
   group_.leave(settings_.bounds.grace_period / 3, [this, done = std::move(done)] {
-    shut_down_timer_ = runtime_.after(kReleaseTime, [this, done] {
+    shut_down_timer_ = runtime_.after(kLeaseReleaseDelay, [this, done] {
       group_.stop();
       done();
     });
--- a/src/cluster/control/control_node.hpp
+++ b/src/cluster/control/control_node.hpp
@@ -14,7 +14,7 @@
 namespace winchhall::cluster {
 
 // What the configuration service needs of the group on its node.
-ConfigurationSurroundings surroundings_of(ControlGroup& group);
+ConfigurationDependencies configuration_dependencies_of(ControlGroup& group);
 
 class ControlNode {
  public:
@@ -27,9 +27,11 @@
   // Control nodes that peer sampling brought up: a further source beside seeds and members.
   void set_sampled_control(std::vector<Address> nodes) { group_.set_sampled_control(std::move(nodes)); }
   // Requests of other processes.
-  bool handle(const wire::Envelope& request, const Replier& reply);
+  bool handle(const wire::Envelope& request, const ReplyCallback& reply);
   // Calls of operators.
-  void handle_http(const HttpRequest& request, const HttpReplier& reply) { api_.handle(request, reply); }
+  void handle_http(const HttpRequest& request, const HttpReplyCallback& reply) {
+    api_.handle(request, reply);
+  }
   // What operators may see.
   const NodeInspection& inspection() const { return inspection_; }
   // Gives up all leases and answers whoever waits, then calls `done`.
@@ -40,8 +42,8 @@
   void open_services(const Configuration& configuration);
   void watch_configuration();
   ServiceLeader* find_service(const std::string& service);
-  void handle_job(const wire::JobRequest& request, const Replier& reply);
-  void handle_report(const wire::WorkerReport& report, const Replier& reply);
+  void handle_job(const wire::JobRequest& request, const ReplyCallback& reply);
+  void handle_report(const wire::WorkerReport& report, const ReplyCallback& reply);
   void schedule_summary();
 
   Runtime& runtime_;
--- a/src/cluster/control/inspection_answers.cpp
+++ b/src/cluster/control/inspection_responses.cpp
@@ -1,4 +1,4 @@
-#include "cluster/control/inspection_answers.hpp"
+#include "cluster/control/inspection_responses.hpp"
 
 #include <boost/json.hpp>
 
@@ -55,18 +55,18 @@
 }
 
 json::object service_json(const ServiceStatus& service) {
-  const SchedulerFigures& figures = service.figures;
+  const SchedulerStats& stats = service.stats;
   return {{"service", service.service},
           {"leads", service.leads},
           {"epoch", service.epoch},
-          {"jobs", figures.live_jobs},
-          {"waiting", figures.waiting_tasks},
-          {"running", figures.runs},
-          {"nodes", figures.leaves},
-          {"jobs_accepted", figures.counters.jobs_accepted},
-          {"tasks_started", figures.counters.tasks_started},
-          {"reports", figures.counters.reports},
-          {"ends", ends_json(figures.counters)},
+          {"jobs", stats.live_jobs},
+          {"waiting", stats.waiting_tasks},
+          {"running", stats.runs},
+          {"nodes", stats.leaves},
+          {"jobs_accepted", stats.counters.jobs_accepted},
+          {"tasks_started", stats.counters.tasks_started},
+          {"reports", stats.counters.reports},
+          {"ends", ends_json(stats.counters)},
           {"leases_acquired", service.leases_acquired},
           {"leases_lost", service.leases_lost}};
 }
@@ -95,7 +95,7 @@
           {"stopping", run.stopping}};
 }
 
-json::object amounts_json(const AmountsView& amounts) {
+json::object amounts_json(const ResourcesView& amounts) {
   return {{"cpu", amounts.cpu}, {"mem_mb", amounts.mem_mb}, {"gpu", amounts.gpu}};
 }
 
@@ -138,7 +138,7 @@
   }
 }
 
-HttpResponse out_of_touch_response() {
+HttpResponse no_quorum_contact_response() {
   return error_response(503, {"control node", "in_touch", "false", "a node that hears a majority"});
 }
 
@@ -149,7 +149,7 @@
                       {"zone", status.zone},
                       {"member_id", status.member_id},
                       {"votes", status.votes},
-                      {"in_touch", status.in_touch},
+                      {"in_touch", status.has_quorum_contact},
                       {"configuration_version", status.configuration_version},
                       {"member_record", std::move(member_record)},
                       {"leaders", array_of(status.leaders, leader_json)},
--- a/src/cluster/control/inspection_answers.hpp
+++ b/src/cluster/control/inspection_responses.hpp
@@ -11,7 +11,7 @@
 const char* end_kind_name(wire::EndKind kind);
 
 // 503: this node hears no majority.
-HttpResponse out_of_touch_response();
+HttpResponse no_quorum_contact_response();
 HttpResponse status_response(const ControlStatus& status);
 // {"services":[{"service","total","jobs":[...]}]}
 HttpResponse jobs_response(const std::vector<ServiceJobs>& services);
--- a/src/cluster/control/node_inspection.hpp
+++ b/src/cluster/control/node_inspection.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cluster/common/duration_histogram.hpp"
-#include "cluster/scheduler/views.hpp"
+#include "cluster/scheduler/scheduler_views.hpp"
 
 namespace winchhall::cluster {
 
@@ -16,12 +16,12 @@
 struct ServiceStatus {
   std::string service;
   bool leads = false;
-  std::uint64_t epoch = 0;   // of the lease held; 0: not led here
-  SchedulerFigures figures;  // all zero where not led here
+  std::uint64_t epoch = 0;  // of the lease held; 0: not led here
+  SchedulerStats stats;     // all zero where not led here
   std::uint64_t leases_acquired = 0;
   std::uint64_t leases_lost = 0;
-  std::uint64_t answers_waiting = 0;  // job calls whose changes are not durable yet
-  DurationHistogram write_times;      // quorum rounds of changes of records
+  std::uint64_t pending_job_replies = 0;  // job calls whose changes are not durable yet
+  DurationHistogram write_times;          // quorum rounds of changes of records
 };
 
 struct ControlStatus {
@@ -29,7 +29,7 @@
   std::string zone;
   std::uint64_t member_id = 0;
   bool votes = false;
-  bool in_touch = false;
+  bool has_quorum_contact = false;
   std::uint64_t configuration_version = 0;  // 0: none known yet
   wire::MemberRecord members;
   std::vector<wire::ShardLeader> leaders;
@@ -69,7 +69,7 @@
 
   virtual ControlStatus status() const = 0;
   // False: this node hears no majority. What it knows of services and jobs may be old.
-  virtual bool in_touch() const = 0;
+  virtual bool has_quorum_contact() const = 0;
   virtual Leadership leadership(const std::string& service) const = 0;
   virtual std::vector<ServiceJobs> jobs(const std::string& service, std::size_t limit) const = 0;
   virtual std::optional<ServiceJob> job(const std::string& service, const std::string& id) const = 0;
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -1,7 +1,7 @@
 #include "cluster/control/operator_api.hpp"
 
-#include "cluster/control/configuration_answers.hpp"
-#include "cluster/control/inspection_answers.hpp"
+#include "cluster/control/configuration_responses.hpp"
+#include "cluster/control/inspection_responses.hpp"
 
 namespace winchhall::cluster {
 
@@ -20,7 +20,7 @@
 }
 
 // Calls about what leaders of services know.
-bool concerns_jobs(const OperatorCall& call) {
+bool requires_service_leader(const OperatorCall& call) {
   switch (call.kind) {
     case OperatorCallKind::list_jobs:
     case OperatorCallKind::show_job:
@@ -34,18 +34,20 @@
 
 }  // namespace
 
-void OperatorApi::handle(const HttpRequest& request, const HttpReplier& reply) {
-  const OperatorCall call = read_operator_call(request);
+void OperatorApi::handle(const HttpRequest& request, const HttpReplyCallback& reply) {
+  const OperatorCall call = parse_operator_call(request);
   if (call.kind == OperatorCallKind::unknown) return reply(json_response(kNotFound, "{}"));
   if (!call.method_allowed) return reply(json_response(kMethodNotAllowed, "{}"));
   // An empty list or a missing job would be a claim that this node can't make.
-  if (concerns_jobs(call) && !inspection_.in_touch()) return reply(out_of_touch_response());
-  const bool concerns_service = concerns_jobs(call) && !call.service.empty();
-  if (concerns_service && answered_elsewhere(request, call.service, reply)) return;
+  if (requires_service_leader(call) && !inspection_.has_quorum_contact())
+    return reply(no_quorum_contact_response());
+  const bool concerns_service = requires_service_leader(call) && !call.service.empty();
+  if (concerns_service && respond_if_led_elsewhere(request, call.service, reply)) return;
   carry_out(call, request, reply);
 }
 
-void OperatorApi::carry_out(const OperatorCall& call, const HttpRequest& request, const HttpReplier& reply) {
+void OperatorApi::carry_out(const OperatorCall& call, const HttpRequest& request,
+                            const HttpReplyCallback& reply) {
   switch (call.kind) {
     case OperatorCallKind::configuration_get:
     case OperatorCallKind::configuration_put:
@@ -70,7 +72,7 @@
 }
 
 void OperatorApi::handle_configuration(OperatorCallKind kind, const HttpRequest& request,
-                                       const HttpReplier& reply) {
+                                       const HttpReplyCallback& reply) {
   const auto answer_change = [reply](const ConfigurationOutcome& outcome) {
     reply(change_response(outcome));
   };
@@ -83,13 +85,13 @@
   configuration_.get([reply](const ConfigurationRead& read) { reply(read_response(read)); });
 }
 
-void OperatorApi::show_job(const OperatorCall& call, const HttpReplier& reply) const {
+void OperatorApi::show_job(const OperatorCall& call, const HttpReplyCallback& reply) const {
   const std::optional<ServiceJob> job = inspection_.job(call.service, call.id);
   reply(job ? job_response(*job) : cancel_response(CancelOutcome::not_found, call.id));
 }
 
-bool OperatorApi::answered_elsewhere(const HttpRequest& request, const std::string& service,
-                                     const HttpReplier& reply) const {
+bool OperatorApi::respond_if_led_elsewhere(const HttpRequest& request, const std::string& service,
+                                           const HttpReplyCallback& reply) const {
   const Leadership leadership = inspection_.leadership(service);
   switch (leadership.kind) {
     case LeadershipKind::here:
--- a/src/cluster/control/operator_api.hpp
+++ b/src/cluster/control/operator_api.hpp
@@ -17,7 +17,7 @@
 namespace winchhall::cluster {
 
 // Limits of operators' requests. A configuration may be as large as the processes can send one another
-// (kLargestMessage), with what is kept beside it: about 60,000 routes.
+// (kMaxMessageBytes), with what is kept beside it: about 60,000 routes.
 inline constexpr RequestLimits kOperatorLimits{.max_body_bytes = 12u << 20};
 
 class OperatorApi {
@@ -27,15 +27,16 @@
       : configuration_(configuration), inspection_(inspection) {}
 
   // Answers one request; unknown paths 404, known paths with another method 405.
-  void handle(const HttpRequest& request, const HttpReplier& reply);
+  void handle(const HttpRequest& request, const HttpReplyCallback& reply);
 
  private:
-  void carry_out(const OperatorCall& call, const HttpRequest& request, const HttpReplier& reply);
-  void handle_configuration(OperatorCallKind kind, const HttpRequest& request, const HttpReplier& reply);
-  void show_job(const OperatorCall& call, const HttpReplier& reply) const;
+  void carry_out(const OperatorCall& call, const HttpRequest& request, const HttpReplyCallback& reply);
+  void handle_configuration(OperatorCallKind kind, const HttpRequest& request,
+                            const HttpReplyCallback& reply);
+  void show_job(const OperatorCall& call, const HttpReplyCallback& reply) const;
   // Answers where the service is not led here; true: it was answered.
-  bool answered_elsewhere(const HttpRequest& request, const std::string& service,
-                          const HttpReplier& reply) const;
+  bool respond_if_led_elsewhere(const HttpRequest& request, const std::string& service,
+                                const HttpReplyCallback& reply) const;
 
   ConfigurationService& configuration_;
   NodeInspection& inspection_;
--- a/src/cluster/control/operator_call.cpp
+++ b/src/cluster/control/operator_call.cpp
@@ -31,7 +31,7 @@
   return text.size() >= suffix.size() && text.substr(text.size() - suffix.size()) == suffix;
 }
 
-void read_job_path(std::string_view path, http::verb method, OperatorCall& call) {
+void parse_job_path(std::string_view path, http::verb method, OperatorCall& call) {
   std::string_view id = path.substr(kJobPrefix.size());
   const bool cancels = ends_with(id, kCancelSuffix);
   if (cancels) id.remove_suffix(kCancelSuffix.size());
@@ -48,7 +48,7 @@
     call.method_allowed = method == known.method;
     return;
   }
-  if (path.substr(0, kJobPrefix.size()) == kJobPrefix) read_job_path(path, method, call);
+  if (path.substr(0, kJobPrefix.size()) == kJobPrefix) parse_job_path(path, method, call);
 }
 
 void read_parameter(std::string_view name, std::string_view value, OperatorCall& call) {
@@ -56,7 +56,7 @@
   if (name != "limit") return;
   std::size_t limit = 0;
   const auto read = std::from_chars(value.data(), value.data() + value.size(), limit);
-  if (read.ec == std::errc() && limit > 0) call.limit = std::min(limit, kMostJobsListed);
+  if (read.ec == std::errc() && limit > 0) call.limit = std::min(limit, kMaxJobLimit);
 }
 
 void read_query(std::string_view query, OperatorCall& call) {
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-OperatorCall read_operator_call(const HttpRequest& request) {
+OperatorCall parse_operator_call(const HttpRequest& request) {
   const std::string_view target(request.target().data(), request.target().size());
   const std::size_t question = target.find('?');
   OperatorCall call;
--- a/src/cluster/control/operator_call.hpp
+++ b/src/cluster/control/operator_call.hpp
@@ -22,7 +22,7 @@
 
 // Jobs listed for each service unless `limit` says otherwise, and at most.
 inline constexpr std::size_t kDefaultJobLimit = 200;
-inline constexpr std::size_t kMostJobsListed = 10000;
+inline constexpr std::size_t kMaxJobLimit = 10000;
 
 struct OperatorCall {
   OperatorCallKind kind = OperatorCallKind::unknown;
@@ -32,6 +32,6 @@
   std::size_t limit = kDefaultJobLimit;  // an unreadable limit counts as none given
 };
 
-OperatorCall read_operator_call(const HttpRequest& request);
+OperatorCall parse_operator_call(const HttpRequest& request);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/service_leader.cpp
+++ b/src/cluster/control/service_leader.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 const std::string kShardPrefix = "service/";
-constexpr Millis kReportWait{300};  // a report without orders is answered after so long
-constexpr Millis kStepDelay{1};     // requests that come together are planned together
-constexpr Millis kTick{50};         // planning goes on without requests: due times, holds that end
+constexpr Millis kMaxReportWait{300};  // a report without orders is answered after so long
+constexpr Millis kStepDelay{1};        // requests that come together are planned together
+constexpr Millis kTick{50};            // planning goes on without requests: due times, holds that end
 constexpr std::uint32_t kRetryAfterMs = 1000;
 
 wire::Envelope envelope(wire::JobReply answer) {
@@ -48,7 +48,7 @@
     : runtime_(runtime), group_(group) {
   terms_.service = std::move(service);
   terms_.bounds = settings.bounds;
-  terms_.grant = settings.bounds.hold_max;
+  terms_.lease_duration = settings.bounds.hold_max;
   ShardCallbacks callbacks;
   callbacks.on_lead = [this](std::uint64_t epoch, const std::vector<ShardEntry>& entries) {
     start_leading(epoch, entries);
@@ -80,14 +80,14 @@
   tick_timer_.reset();
   step_timer_.reset();
   step_due_ = false;
-  const std::vector<WaitingAnswer> waiting = std::exchange(waiting_, {});
-  for (const WaitingAnswer& answer : waiting) {
+  const std::vector<PendingJobReply> waiting = std::exchange(waiting_, {});
+  for (const PendingJobReply& answer : waiting) {
     wire::JobReply in_doubt;
     in_doubt.set_outcome(wire::JOB_IN_DOUBT);
     in_doubt.set_leader_address(leader_address(group_, shard_of_service(terms_.service)));
     answer.reply(envelope(std::move(in_doubt)));
   }
-  const std::map<std::string, ParkedReport> parked = std::exchange(parked_, {});
+  const std::map<std::string, PendingReport> parked = std::exchange(pending_reports_, {});
   for (const auto& [node, report] : parked) {
     wire::WorkerOrders orders;
     orders.set_leader_address(leader_address(group_, shard_of_service(terms_.service)));
@@ -106,11 +106,11 @@
   status.leads = leads();
   if (status.leads) {
     status.epoch = epoch_;
-    status.figures = scheduler_->figures();
+    status.stats = scheduler_->stats();
   }
   status.leases_acquired = leases_acquired_;
   status.leases_lost = leases_lost_;
-  status.answers_waiting = waiting_.size();
+  status.pending_job_replies = waiting_.size();
   status.write_times = write_times_;
   return status;
 }
@@ -121,7 +121,7 @@
 
 std::string ServiceLeader::summary() const { return leads() ? scheduler_->summary() : std::string(); }
 
-void ServiceLeader::handle(const wire::JobRequest& request, const Replier& reply) {
+void ServiceLeader::handle(const wire::JobRequest& request, const ReplyCallback& reply) {
   if (!leads()) return answer_not_leader(reply);
   switch (request.verb()) {
     case wire::JOB_SUBMIT:
@@ -145,14 +145,14 @@
   }
 }
 
-void ServiceLeader::answer_not_leader(const Replier& reply) const {
+void ServiceLeader::answer_not_leader(const ReplyCallback& reply) const {
   wire::JobReply answer;
   answer.set_outcome(wire::JOB_NOT_LEADER);
   answer.set_leader_address(leader_address(group_, shard_of_service(terms_.service)));
   reply(envelope(std::move(answer)));
 }
 
-void ServiceLeader::submit(const wire::JobRequest& request, const Replier& reply) {
+void ServiceLeader::submit(const wire::JobRequest& request, const ReplyCallback& reply) {
   const SubmitResult result = scheduler_->submit(request.id(), request.spec(), request.terms(),
                                                  runtime_.now(), runtime_.wall_clock_ms());
   wire::JobReply answer;
@@ -168,14 +168,14 @@
   answer_when_durable(result.durable_after, std::move(answer), reply);
 }
 
-void ServiceLeader::cancel(const wire::JobRequest& request, const Replier& reply) {
+void ServiceLeader::cancel(const wire::JobRequest& request, const ReplyCallback& reply) {
   const CancelResult result = scheduler_->cancel(request.id(), runtime_.now(), runtime_.wall_clock_ms());
   wire::JobReply answer;
   answer.set_outcome(result.found ? wire::JOB_OK : wire::JOB_NOT_FOUND);
   answer_when_durable(result.durable_after, std::move(answer), reply);
 }
 
-void ServiceLeader::query(const wire::JobRequest& request, const Replier& reply) {
+void ServiceLeader::query(const wire::JobRequest& request, const ReplyCallback& reply) {
   const wire::JobState state = scheduler_->state(request.id());
   wire::JobReply answer;
   answer.set_outcome(state == wire::JOB_UNKNOWN ? wire::JOB_NOT_FOUND : wire::JOB_OK);
@@ -183,7 +183,8 @@
   reply(envelope(std::move(answer)));
 }
 
-void ServiceLeader::answer_when_durable(ChangeNumber number, wire::JobReply answer, const Replier& reply) {
+void ServiceLeader::answer_when_durable(ChangeBatchNumber number, wire::JobReply answer,
+                                        const ReplyCallback& reply) {
   if (number == 0) {
     reply(envelope(std::move(answer)));
   } else {
@@ -192,7 +193,7 @@
   schedule_step();
 }
 
-void ServiceLeader::handle(const wire::WorkerReport& report, const Replier& reply) {
+void ServiceLeader::handle(const wire::WorkerReport& report, const ReplyCallback& reply) {
   if (!leads()) {
     wire::WorkerOrders orders;
     orders.set_leader_address(leader_address(group_, shard_of_service(terms_.service)));
@@ -203,25 +204,26 @@
   schedule_step();
 }
 
-void ServiceLeader::park(const wire::WorkerReport& report, const Replier& reply) {
-  ParkedReport parked{reply, runtime_.now() + kReportWait, report.report_number(), report.leaf().leaf_id()};
-  const auto found = parked_.find(report.node_name());
-  if (found != parked_.end()) {
+void ServiceLeader::park(const wire::WorkerReport& report, const ReplyCallback& reply) {
+  PendingReport parked{reply, runtime_.now() + kMaxReportWait, report.report_number(),
+                       report.leaf().leaf_id()};
+  const auto found = pending_reports_.find(report.node_name());
+  if (found != pending_reports_.end()) {
     answer_report(found->second);
     found->second = std::move(parked);
   } else {
-    parked_.emplace(report.node_name(), std::move(parked));
+    pending_reports_.emplace(report.node_name(), std::move(parked));
   }
 }
 
-void ServiceLeader::answer_report(const ParkedReport& parked) {
+void ServiceLeader::answer_report(const PendingReport& parked) {
   wire::WorkerOrders orders = scheduler_->orders(parked.leaf_id, runtime_.now());
   orders.set_report_number(parked.report_number);
-  if (log_enabled(LogLevel::debug)) log_orders(orders);
+  if (log_enabled(LogLevel::debug)) log_delivered_orders(orders);
   parked.reply(envelope(std::move(orders)));
 }
 
-void ServiceLeader::log_orders(const wire::WorkerOrders& orders) const {
+void ServiceLeader::log_delivered_orders(const wire::WorkerOrders& orders) const {
   const auto epoch = static_cast<std::int64_t>(orders.epoch());
   const auto log_order = [&](const char* event, const std::string& task, std::uint64_t run) {
     log_event(LogLevel::debug, event,
@@ -235,16 +237,16 @@
   for (const wire::StopOrder& stop : orders.stops()) log_order("stop_ordered", stop.task(), stop.run());
 }
 
-void ServiceLeader::answer_reports_with_news() {
+void ServiceLeader::answer_due_reports() {
   const TimePoint now = runtime_.now();
-  for (auto entry = parked_.begin(); entry != parked_.end();) {
-    const ParkedReport& parked = entry->second;
-    if (now < parked.answer_by && !scheduler_->has_news(parked.leaf_id)) {
+  for (auto entry = pending_reports_.begin(); entry != pending_reports_.end();) {
+    const PendingReport& parked = entry->second;
+    if (now < parked.answer_by && !scheduler_->has_undelivered_orders(parked.leaf_id)) {
       ++entry;
       continue;
     }
     answer_report(parked);
-    entry = parked_.erase(entry);
+    entry = pending_reports_.erase(entry);
   }
 }
 
@@ -261,7 +263,7 @@
   if (!leads()) return;
   scheduler_->plan(runtime_.now(), runtime_.wall_clock_ms());
   write_changes();
-  answer_reports_with_news();
+  answer_due_reports();
 }
 
 void ServiceLeader::schedule_tick() {
@@ -272,31 +274,31 @@
 }
 
 void ServiceLeader::write_changes() {
-  Scheduler::Changes changes = scheduler_->take_changes();
+  Scheduler::ChangeBatch changes = scheduler_->take_changes();
   if (changes.changes.empty()) return;
-  const ChangeNumber number = changes.number;
+  const ChangeBatchNumber number = changes.number;
   shard_->write(std::move(changes.changes), [this, number, generation = generation_,
                                              sent_at = runtime_.now()](ShardWriteOutcome outcome) {
     if (generation == generation_) changes_written(number, outcome, sent_at);
   });
 }
 
-void ServiceLeader::changes_written(ChangeNumber number, ShardWriteOutcome outcome, TimePoint sent_at) {
+void ServiceLeader::changes_written(ChangeBatchNumber number, ShardWriteOutcome outcome, TimePoint sent_at) {
   if (outcome != ShardWriteOutcome::durable || !scheduler_) return;
   write_times_.add(runtime_.now() - sent_at);
-  scheduler_->changes_durable(number);
+  scheduler_->on_changes_durable(number);
   if (leads()) release_waiting_answers(number);
   schedule_step();
 }
 
-void ServiceLeader::release_waiting_answers(ChangeNumber durable) {
-  std::vector<WaitingAnswer> released;
-  std::erase_if(waiting_, [&](WaitingAnswer& answer) {
+void ServiceLeader::release_waiting_answers(ChangeBatchNumber durable) {
+  std::vector<PendingJobReply> released;
+  std::erase_if(waiting_, [&](PendingJobReply& answer) {
     if (answer.durable_after > durable) return false;
     released.push_back(std::move(answer));
     return true;
   });
-  for (WaitingAnswer& answer : released) answer.reply(envelope(std::move(answer.answer)));
+  for (PendingJobReply& answer : released) answer.reply(envelope(std::move(answer.answer)));
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/service_leader.hpp
+++ b/src/cluster/control/service_leader.hpp
@@ -24,9 +24,9 @@
   ServiceLeader(Runtime& runtime, ControlGroup& group, const NodeSettings& settings, std::string service);
 
   // Answers a request of an agent; JOB_NOT_LEADER where another node leads.
-  void handle(const wire::JobRequest& request, const Replier& reply);
+  void handle(const wire::JobRequest& request, const ReplyCallback& reply);
   // Answers a report of a worker-agent once there are orders, or after a short wait.
-  void handle(const wire::WorkerReport& report, const Replier& reply);
+  void handle(const wire::WorkerReport& report, const ReplyCallback& reply);
   // Gives up the lease, for a planned end of the process.
   void step_down();
 
@@ -42,14 +42,14 @@
 
  private:
   // An answer that waits until changes of records are durable.
-  struct WaitingAnswer {
-    ChangeNumber durable_after = 0;
+  struct PendingJobReply {
+    ChangeBatchNumber durable_after = 0;
     wire::JobReply answer;
-    Replier reply;
+    ReplyCallback reply;
   };
   // A report whose answer is held back until there are orders.
-  struct ParkedReport {
-    Replier reply;
+  struct PendingReport {
+    ReplyCallback reply;
     TimePoint answer_by;
     std::uint64_t report_number = 0;
     std::string leaf_id;
@@ -58,36 +58,36 @@
   void start_leading(std::uint64_t epoch, const std::vector<ShardEntry>& entries);
   void stop_leading();
 
-  void submit(const wire::JobRequest& request, const Replier& reply);
-  void cancel(const wire::JobRequest& request, const Replier& reply);
-  void query(const wire::JobRequest& request, const Replier& reply);
-  void answer_when_durable(ChangeNumber number, wire::JobReply answer, const Replier& reply);
-  void answer_not_leader(const Replier& reply) const;
+  void submit(const wire::JobRequest& request, const ReplyCallback& reply);
+  void cancel(const wire::JobRequest& request, const ReplyCallback& reply);
+  void query(const wire::JobRequest& request, const ReplyCallback& reply);
+  void answer_when_durable(ChangeBatchNumber number, wire::JobReply answer, const ReplyCallback& reply);
+  void answer_not_leader(const ReplyCallback& reply) const;
 
-  void park(const wire::WorkerReport& report, const Replier& reply);
-  void answer_report(const ParkedReport& parked);
-  void answer_reports_with_news();
+  void park(const wire::WorkerReport& report, const ReplyCallback& reply);
+  void answer_report(const PendingReport& parked);
+  void answer_due_reports();
 
-  void log_orders(const wire::WorkerOrders& orders) const;
+  void log_delivered_orders(const wire::WorkerOrders& orders) const;
 
   void schedule_step();
   void step();
   void schedule_tick();
   void write_changes();
-  void changes_written(ChangeNumber number, ShardWriteOutcome outcome, TimePoint sent_at);
-  void release_waiting_answers(ChangeNumber durable);
+  void changes_written(ChangeBatchNumber number, ShardWriteOutcome outcome, TimePoint sent_at);
+  void release_waiting_answers(ChangeBatchNumber durable);
 
   Runtime& runtime_;
   ControlGroup& group_;
   SchedulerTerms terms_;
   std::unique_ptr<ReplicatedShard> shard_;
   std::unique_ptr<Scheduler> scheduler_;
-  std::vector<WaitingAnswer> waiting_;
+  std::vector<PendingJobReply> waiting_;
   std::uint64_t epoch_ = 0;  // of the newest lease held here
   std::uint64_t leases_acquired_ = 0;
   std::uint64_t leases_lost_ = 0;
   DurationHistogram write_times_;
-  std::map<std::string, ParkedReport> parked_;  // by node name
+  std::map<std::string, PendingReport> pending_reports_;  // by node name
   std::unique_ptr<Timer> step_timer_;
   std::unique_ptr<Timer> tick_timer_;
   bool step_due_ = false;
--- a/src/cluster/delivery/item_table.cpp
+++ b/src/cluster/delivery/configuration_item_table.cpp
@@ -1,4 +1,4 @@
-#include "cluster/delivery/item_table.hpp"
+#include "cluster/delivery/configuration_item_table.hpp"
 
 #include <algorithm>
 #include <set>
@@ -10,7 +10,7 @@
 namespace winchhall::cluster {
 
 // The digest of a configuration is the sum of its items' digests, so that a change costs what it changes.
-std::uint64_t ItemTable::digest_of(const wire::ConfigurationItem& item) {
+std::uint64_t ConfigurationItemTable::digest_of(const wire::ConfigurationItem& item) {
   Digest digest;
   digest.add(static_cast<std::uint64_t>(item.kind()));
   digest.add(item.name());
@@ -18,22 +18,22 @@
   return digest.value();
 }
 
-const ItemTable::Entry* ItemTable::find(const wire::ConfigurationItem& item) const {
+const ConfigurationItemTable::Entry* ConfigurationItemTable::find(const wire::ConfigurationItem& item) const {
   const auto& by_key = entries_.get<ByKey>();
   const auto found = by_key.find(std::make_tuple(item.kind(), item.name()));
   return found == by_key.end() ? nullptr : &*found;
 }
 
-DifferenceCheck ItemTable::check(const wire::ConfigurationDifference& difference) const {
+DifferenceCheck ConfigurationItemTable::check(const wire::ConfigurationDifference& difference) const {
   const bool whole = difference.base_version() == 0;
   const ConfigurationId base{difference.base_version(), difference.base_digest()};
   if (difference.version() <= id_.version) return DifferenceCheck::not_newer;
   if (!whole && base != id_) return DifferenceCheck::other_base;
   if (digest_after(difference) != difference.digest()) return DifferenceCheck::wrong_digest;
-  return DifferenceCheck::fits;
+  return DifferenceCheck::applicable;
 }
 
-std::uint64_t ItemTable::digest_after(const wire::ConfigurationDifference& difference) const {
+std::uint64_t ConfigurationItemTable::digest_after(const wire::ConfigurationDifference& difference) const {
   const bool whole = difference.base_version() == 0;
   std::uint64_t digest = whole ? 0 : id_.digest;
   for (const wire::ConfigurationItem& item : difference.items()) {
@@ -44,12 +44,12 @@
   return digest;
 }
 
-void ItemTable::apply(const wire::ConfigurationDifference& difference) {
+void ConfigurationItemTable::apply(const wire::ConfigurationDifference& difference) {
   for (const wire::ConfigurationItem& item : difference.items()) put(item, difference.version());
-  note_version({difference.version(), id_.digest});
+  record_version({difference.version(), id_.digest});
 }
 
-void ItemTable::put(const wire::ConfigurationItem& item, std::uint64_t version) {
+void ConfigurationItemTable::put(const wire::ConfigurationItem& item, std::uint64_t version) {
   Entry entry{item.kind(), item.name(), item.encoded(), item.removed(), version, 0};
   if (!item.removed()) entry.digest = digest_of(item);
   auto& by_key = entries_.get<ByKey>();
@@ -63,21 +63,21 @@
   }
 }
 
-void ItemTable::note_version(const ConfigurationId& id) {
+void ConfigurationItemTable::record_version(const ConfigurationId& id) {
   id_ = id;
-  past_.push_back(id);
-  if (past_.size() <= kMostPastVersions) return;
-  past_.pop_front();
+  past_versions_.push_back(id);
+  if (past_versions_.size() <= kMaxPastVersions) return;
+  past_versions_.pop_front();
   // Removals that every remaining base knows of are told to nobody any more.
   auto& by_change = entries_.get<ByChange>();
-  const auto end = by_change.upper_bound(past_.front().version);
+  const auto end = by_change.upper_bound(past_versions_.front().version);
   for (auto entry = by_change.begin(); entry != end;) {
     entry = entry->removed ? by_change.erase(entry) : std::next(entry);
   }
 }
 
-wire::ConfigurationDifference ItemTable::difference_to(std::uint64_t version,
-                                                       std::vector<wire::ConfigurationItem> items) const {
+wire::ConfigurationDifference ConfigurationItemTable::difference_to_items(
+    std::uint64_t version, std::vector<wire::ConfigurationItem> items) const {
   wire::ConfigurationDifference difference;
   difference.set_base_version(id_.version);
   difference.set_base_digest(id_.digest);
@@ -102,8 +102,8 @@
   return difference;
 }
 
-wire::ConfigurationDifference ItemTable::difference_by(std::uint64_t version,
-                                                       std::vector<wire::ConfigurationItem> changes) const {
+wire::ConfigurationDifference ConfigurationItemTable::difference_with_changes(
+    std::uint64_t version, std::vector<wire::ConfigurationItem> changes) const {
   wire::ConfigurationDifference difference;
   difference.set_base_version(id_.version);
   difference.set_base_digest(id_.digest);
@@ -113,19 +113,19 @@
   return difference;
 }
 
-bool ItemTable::held_before(const ConfigurationId& base) const {
+bool ConfigurationItemTable::has_past_version(const ConfigurationId& base) const {
   if (base.version == 0) return false;
   const auto older = [](const ConfigurationId& one, std::uint64_t version) { return one.version < version; };
-  const auto found = std::lower_bound(past_.begin(), past_.end(), base.version, older);
-  return found != past_.end() && *found == base;
+  const auto found = std::lower_bound(past_versions_.begin(), past_versions_.end(), base.version, older);
+  return found != past_versions_.end() && *found == base;
 }
 
-wire::ConfigurationDifference ItemTable::difference_from(const ConfigurationId& base) const {
+wire::ConfigurationDifference ConfigurationItemTable::difference_since(const ConfigurationId& base) const {
   wire::ConfigurationDifference difference;
   difference.set_version(id_.version);
   difference.set_digest(id_.digest);
   const auto& by_change = entries_.get<ByChange>();
-  if (!held_before(base)) {
+  if (!has_past_version(base)) {
     for (const Entry& entry : by_change) {
       if (!entry.removed) add(entry, difference);
     }
@@ -139,7 +139,7 @@
   return difference;
 }
 
-void ItemTable::add(const Entry& entry, wire::ConfigurationDifference& difference) {
+void ConfigurationItemTable::add(const Entry& entry, wire::ConfigurationDifference& difference) {
   wire::ConfigurationItem& item = *difference.add_items();
   item.set_kind(entry.kind);
   item.set_name(entry.name);
--- a/src/cluster/delivery/item_table.hpp
+++ b/src/cluster/delivery/configuration_item_table.hpp
@@ -27,16 +27,16 @@
 
 // Why a difference was not applied.
 enum class DifferenceCheck {
-  fits,
+  applicable,
   other_base,    // made for another version than the one held
   not_newer,     // would bring an older version back
   wrong_digest,  // the items that it makes are not those of its version
 };
 
-class ItemTable {
+class ConfigurationItemTable {
  public:
   // Versions that differences are made from; older ones get the whole configuration.
-  static constexpr std::size_t kMostPastVersions = 1024;
+  static constexpr std::size_t kMaxPastVersions = 1024;
 
   const ConfigurationId& id() const { return id_; }
 
@@ -46,16 +46,16 @@
   void apply(const wire::ConfigurationDifference& difference);
 
   // What makes `version`, given whole, of what is held.
-  wire::ConfigurationDifference difference_to(std::uint64_t version,
-                                              std::vector<wire::ConfigurationItem> items) const;
+  wire::ConfigurationDifference difference_to_items(std::uint64_t version,
+                                                    std::vector<wire::ConfigurationItem> items) const;
   // What makes `version` of what is held by putting these items in or taking them out.
-  wire::ConfigurationDifference difference_by(std::uint64_t version,
-                                              std::vector<wire::ConfigurationItem> changes) const;
+  wire::ConfigurationDifference difference_with_changes(std::uint64_t version,
+                                                        std::vector<wire::ConfigurationItem> changes) const;
   // What makes the version held of an earlier one; the whole configuration if `base` was never held here or
   // is too long ago.
-  wire::ConfigurationDifference difference_from(const ConfigurationId& base) const;
+  wire::ConfigurationDifference difference_since(const ConfigurationId& base) const;
   // A difference from this base needs only what has changed since.
-  bool held_before(const ConfigurationId& base) const;
+  bool has_past_version(const ConfigurationId& base) const;
 
  private:
   struct Entry {
@@ -82,12 +82,12 @@
   const Entry* find(const wire::ConfigurationItem& item) const;
   std::uint64_t digest_after(const wire::ConfigurationDifference& difference) const;
   void put(const wire::ConfigurationItem& item, std::uint64_t version);
-  void note_version(const ConfigurationId& id);
+  void record_version(const ConfigurationId& id);
   static void add(const Entry& entry, wire::ConfigurationDifference& difference);
 
   ConfigurationId id_;
   Entries entries_;
-  std::deque<ConfigurationId> past_;  // versions held here, oldest first; the last one is held now
+  std::deque<ConfigurationId> past_versions_;  // versions held here, oldest first; the last one is held now
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/delivery/configuration_replica.cpp
+++ b/src/cluster/delivery/configuration_replica.cpp
@@ -6,42 +6,42 @@
 
 namespace winchhall::cluster {
 
-TakeOutcome ConfigurationReplica::take(const wire::ConfigurationDifference& difference) {
+ApplyOutcome ConfigurationReplica::apply(const wire::ConfigurationDifference& difference) {
   switch (table_.check(difference)) {
     case DifferenceCheck::not_newer:
-      return TakeOutcome::stale;
+      return ApplyOutcome::stale;
     case DifferenceCheck::other_base:
     case DifferenceCheck::wrong_digest:
-      return TakeOutcome::unusable;
-    case DifferenceCheck::fits:
+      return ApplyOutcome::rejected;
+    case DifferenceCheck::applicable:
       break;
   }
   const bool replaces = difference.base_version() == 0 && version() != 0;
-  if (!replaces) return take_fitting(difference);
+  if (!replaces) return apply_checked(difference);
   std::vector<wire::ConfigurationItem> items(difference.items().begin(), difference.items().end());
-  return take_fitting(table_.difference_to(difference.version(), std::move(items)));
+  return apply_checked(table_.difference_to_items(difference.version(), std::move(items)));
 }
 
-TakeOutcome ConfigurationReplica::take_json(const std::string& json, const char* source) {
+ApplyOutcome ConfigurationReplica::apply_json(const std::string& json, const char* source) {
   return leaf::try_handle_all(
-      [&]() -> leaf::result<TakeOutcome> {
+      [&]() -> leaf::result<ApplyOutcome> {
         BOOST_LEAF_AUTO(configuration, parse_configuration(json, source));
-        if (configuration.version <= version()) return TakeOutcome::stale;
-        return take_fitting(table_.difference_to(configuration.version, items_of(configuration)));
+        if (configuration.version <= version()) return ApplyOutcome::stale;
+        return apply_checked(table_.difference_to_items(configuration.version, items_of(configuration)));
       },
-      [] { return TakeOutcome::unusable; });
+      [] { return ApplyOutcome::rejected; });
 }
 
-TakeOutcome ConfigurationReplica::take_fitting(const wire::ConfigurationDifference& difference) {
+ApplyOutcome ConfigurationReplica::apply_checked(const wire::ConfigurationDifference& difference) {
   return leaf::try_handle_all(
-      [&]() -> leaf::result<TakeOutcome> {
+      [&]() -> leaf::result<ApplyOutcome> {
         BOOST_LEAF_AUTO(edit, read(difference));
-        if (configuration_.first_collision(edit)) return TakeOutcome::unusable;
-        last_route_changes_ = configuration_.carry_out(std::move(edit), difference.version());
+        if (configuration_.first_conflict(edit)) return ApplyOutcome::rejected;
+        last_route_changes_ = configuration_.apply(std::move(edit), difference.version());
         table_.apply(difference);
-        return TakeOutcome::taken;
+        return ApplyOutcome::applied;
       },
-      [] { return TakeOutcome::unusable; });
+      [] { return ApplyOutcome::rejected; });
 }
 
 leaf::result<ConfigurationEdit> ConfigurationReplica::read(const wire::ConfigurationDifference& difference) {
--- a/src/cluster/delivery/configuration_replica.hpp
+++ b/src/cluster/delivery/configuration_replica.hpp
@@ -7,26 +7,26 @@
 
 #include "cluster/common/errors.hpp"
 #include "cluster/config/editable_configuration.hpp"
-#include "cluster/delivery/item_table.hpp"
+#include "cluster/delivery/configuration_item_table.hpp"
 
 namespace winchhall::cluster {
 
 // How taking up a difference has ended.
-enum class TakeOutcome {
-  taken,
+enum class ApplyOutcome {
+  applied,
   stale,     // not newer than what is held: nothing to do
-  unusable,  // made for another base, damaged, or not readable: the whole configuration is needed
+  rejected,  // made for another base, damaged, or not readable: the whole configuration is needed
 };
 
 class ConfigurationReplica {
  public:
   // Takes a difference up whole or not at all.
-  TakeOutcome take(const wire::ConfigurationDifference& difference);
+  ApplyOutcome apply(const wire::ConfigurationDifference& difference);
   // Takes a configuration that came whole as JSON, from a process that hands on no differences.
-  TakeOutcome take_json(const std::string& json, const char* source);
+  ApplyOutcome apply_json(const std::string& json, const char* source);
 
   std::uint64_t version() const { return table_.id().version; }
-  const ItemTable& table() const { return table_; }
+  const ConfigurationItemTable& table() const { return table_; }
   // Null before the first version. Valid until the next one is taken.
   const Configuration* configuration() const {
     return version() == 0 ? nullptr : &configuration_.configuration();
@@ -35,11 +35,11 @@
   const std::vector<RouteChange>& last_route_changes() const { return last_route_changes_; }
 
  private:
-  TakeOutcome take_fitting(const wire::ConfigurationDifference& difference);
+  ApplyOutcome apply_checked(const wire::ConfigurationDifference& difference);
   static leaf::result<ConfigurationEdit> read(const wire::ConfigurationDifference& difference);
   static leaf::result<void> read_item(const wire::ConfigurationItem& item, ConfigurationEdit& edit);
 
-  ItemTable table_;
+  ConfigurationItemTable table_;
   EditableConfiguration configuration_;
   std::vector<RouteChange> last_route_changes_;
 };
--- a/src/cluster/delivery/difference_server.cpp
+++ b/src/cluster/delivery/configuration_transfer_server.cpp
@@ -1,4 +1,4 @@
-#include "cluster/delivery/difference_server.hpp"
+#include "cluster/delivery/configuration_transfer_server.hpp"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint32_t kLeastPartAskedFor = 512;
+constexpr std::uint32_t kMinRequestedPartBytes = 512;
 
 std::uint64_t digest_of_bytes(const std::string& bytes) {
   Digest digest;
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-void DifferenceServer::handle(const wire::ConfigurationFetch& fetch, const Replier& reply) {
+void ConfigurationTransferServer::handle(const wire::ConfigurationFetch& fetch, const ReplyCallback& reply) {
   wire::Envelope envelope;
   wire::ConfigurationPart& part = *envelope.mutable_configuration_part();
   part.set_version(table_.id().version);
   const Transfer* const known = find(fetch.transfer());
-  const std::uint32_t most_bytes = std::clamp(fetch.most_bytes(), kLeastPartAskedFor, kMostPartBytes);
+  const std::uint32_t most_bytes = std::clamp(fetch.most_bytes(), kMinRequestedPartBytes, kMaxPartBytes);
   if (known != nullptr) {
     part = part_of(*known, fetch.offset(), most_bytes);
   } else if (table_.id().version > fetch.version()) {
@@ -33,28 +33,28 @@
   reply(std::move(envelope));
 }
 
-const DifferenceServer::Transfer* DifferenceServer::find(std::uint64_t digest) const {
+const ConfigurationTransferServer::Transfer* ConfigurationTransferServer::find(std::uint64_t digest) const {
   if (digest == 0) return nullptr;
   const auto found = std::find_if(transfers_.begin(), transfers_.end(),
                                   [&](const Transfer& transfer) { return transfer.digest == digest; });
   return found == transfers_.end() ? nullptr : &*found;
 }
 
-const DifferenceServer::Transfer& DifferenceServer::begin(const ConfigurationId& held) {
-  const ConfigurationId base = table_.held_before(held) ? held : ConfigurationId{};
+const ConfigurationTransferServer::Transfer& ConfigurationTransferServer::begin(const ConfigurationId& held) {
+  const ConfigurationId base = table_.has_past_version(held) ? held : ConfigurationId{};
   const auto found = std::find_if(transfers_.begin(), transfers_.end(), [&](const Transfer& transfer) {
     return transfer.base == base && transfer.target == table_.id();
   });
   if (found != transfers_.end()) return *found;
-  Transfer transfer{base, table_.id(), 0, compressed(table_.difference_from(base).SerializeAsString())};
+  Transfer transfer{base, table_.id(), 0, compress(table_.difference_since(base).SerializeAsString())};
   transfer.digest = digest_of_bytes(transfer.bytes);
   transfers_.push_front(std::move(transfer));
-  if (transfers_.size() > kMostTransfers) transfers_.pop_back();
+  if (transfers_.size() > kMaxTransfers) transfers_.pop_back();
   return transfers_.front();
 }
 
-wire::ConfigurationPart DifferenceServer::part_of(const Transfer& transfer, std::uint32_t offset,
-                                                  std::uint32_t most_bytes) {
+wire::ConfigurationPart ConfigurationTransferServer::part_of(const Transfer& transfer, std::uint32_t offset,
+                                                             std::uint32_t most_bytes) {
   const std::size_t begin = std::min<std::size_t>(offset, transfer.bytes.size());
   wire::ConfigurationPart part;
   part.set_version(transfer.target.version);
--- a/src/cluster/delivery/difference_server.hpp
+++ b/src/cluster/delivery/configuration_transfer_server.hpp
@@ -7,26 +7,26 @@
 #include <string>
 
 #include "cluster/common/runtime.hpp"
-#include "cluster/delivery/item_table.hpp"
+#include "cluster/delivery/configuration_item_table.hpp"
 
 namespace winchhall::cluster {
 
-class DifferenceServer {
+class ConfigurationTransferServer {
  public:
   // Largest part, whatever the caller asks for.
-  static constexpr std::uint32_t kMostPartBytes = 256u << 10;
+  static constexpr std::uint32_t kMaxPartBytes = 256u << 10;
 
   // `table` outlives the server.
-  explicit DifferenceServer(const ItemTable& table) : table_(table) {}
+  explicit ConfigurationTransferServer(const ConfigurationItemTable& table) : table_(table) {}
 
   // Answers a ConfigurationFetch. A transfer that is known here is gone on with, also if its version is not
   // the newest any more; else one to the newest version begins.
-  void handle(const wire::ConfigurationFetch& fetch, const Replier& reply);
+  void handle(const wire::ConfigurationFetch& fetch, const ReplyCallback& reply);
 
  private:
   // Transfers kept, so that a slow caller can finish what it has begun and callers with one base share the
   // work.
-  static constexpr std::size_t kMostTransfers = 8;
+  static constexpr std::size_t kMaxTransfers = 8;
 
   struct Transfer {
     ConfigurationId base;  // version 0: the whole configuration
@@ -40,7 +40,7 @@
   static wire::ConfigurationPart part_of(const Transfer& transfer, std::uint32_t offset,
                                          std::uint32_t most_bytes);
 
-  const ItemTable& table_;
+  const ConfigurationItemTable& table_;
   std::list<Transfer> transfers_;  // newest first
 };
 
--- a/src/cluster/http/connection.cpp
+++ b/src/cluster/http/connection.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-Connection::Connection(std::shared_ptr<ServerCore> core, Socket socket)
+Connection::Connection(std::shared_ptr<HttpServerState> core, Socket socket)
     : core_(std::move(core)), socket_(std::move(socket)) {}
 
 void Connection::start() {
@@ -68,7 +68,7 @@
   if (phase_ == ConnectionPhase::closed) return;
   const auto keep = shared_from_this();
   phase_ = ConnectionPhase::closed;
-  if (counted_) --core_->requests_open;
+  if (counted_) --core_->open_requests;
   counted_ = false;
   error_code ignored;
   socket_.close(ignored);
@@ -154,7 +154,7 @@
   const auto used = parse(bytes, error);
   unparsed_.assign(bytes.substr(used));
   if (error) return fail(error);
-  if (parser_->is_done()) return hand_on();
+  if (parser_->is_done()) return dispatch_request();
   continue_if_expected();
   wait_readable();
 }
@@ -197,12 +197,12 @@
   socket_.write_some(asio::buffer(kContinue.data(), kContinue.size()), ignored);
 }
 
-void Connection::hand_on() {
+void Connection::dispatch_request() {
   HttpRequest request = parser_->release();
   parser_.reset();
   form_ = {request.version(), request.keep_alive(), request.method() == http::verb::head};
   enter(ConnectionPhase::handling, Millis::max());
-  ++core_->requests_open;
+  ++core_->open_requests;
   counted_ = true;
   const auto number = ++exchange_;
   const auto exchange = std::make_shared<Exchange>(shared_from_this(), number);
@@ -224,9 +224,9 @@
 }
 
 void Connection::send(const HttpResponse& response) {
-  ++core_->answers_by_status[response.result_int()];
+  ++core_->responses_by_status[response.result_int()];
   if (core_->draining) form_.keep_alive = false;
-  write_response(response, form_, output_);
+  serialize_response(response, form_, output_);
   enter(ConnectionPhase::writing, Millis(core_->limits.idle_timeout_ms));
   asio::async_write(
       socket_, asio::buffer(output_),
@@ -236,7 +236,7 @@
 void Connection::on_written(const error_code& error) {
   if (phase_ != ConnectionPhase::writing) return;
   if (error) return close();
-  if (counted_) --core_->requests_open;
+  if (counted_) --core_->open_requests;
   counted_ = false;
   if (form_.keep_alive && !core_->draining) return rest();
   linger();
--- a/src/cluster/http/connection.hpp
+++ b/src/cluster/http/connection.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <string_view>
 
-#include "cluster/http/response_text.hpp"
-#include "cluster/http/server_core.hpp"
+#include "cluster/http/response_serializer.hpp"
+#include "cluster/http/server_state.hpp"
 
 namespace winchhall::cluster {
 
@@ -22,7 +22,7 @@
  public:
   using Socket = boost::asio::ip::tcp::socket;
 
-  Connection(std::shared_ptr<ServerCore> core, Socket socket);
+  Connection(std::shared_ptr<HttpServerState> core, Socket socket);
 
   // Enters the server's lists and waits for the first request.
   void start();
@@ -49,7 +49,7 @@
   // Feeds the parser; returns how many bytes it used.
   std::size_t parse(std::string_view bytes, boost::system::error_code& error);
   void continue_if_expected();
-  void hand_on();
+  void dispatch_request();
   void fail(const boost::system::error_code& error);
   void refuse(unsigned status);
   void send(const HttpResponse& response);
@@ -58,7 +58,7 @@
   void move_to(ConnectionList& list);
   void enter(ConnectionPhase phase, Millis limit);
 
-  std::shared_ptr<ServerCore> core_;
+  std::shared_ptr<HttpServerState> core_;
   Socket socket_;
   ConnectionPhase phase_ = ConnectionPhase::idle;
   TimePoint deadline_ = TimePoint::max();
@@ -67,9 +67,9 @@
   std::optional<Parser> parser_;
   std::string unparsed_;  // read but not yet used
   std::string output_;
-  ResponseForm form_;
+  ResponseFraming form_;
   std::uint64_t exchange_ = 0;  // number of the request under way
-  bool counted_ = false;        // in ServerCore::requests_open
+  bool counted_ = false;        // in HttpServerState::open_requests
   bool continue_sent_ = false;
 };
 
--- a/src/cluster/http/response_text.cpp
+++ b/src/cluster/http/response_serializer.cpp
@@ -1,4 +1,4 @@
-#include "cluster/http/response_text.hpp"
+#include "cluster/http/response_serializer.hpp"
 
 #include <string_view>
 
@@ -28,7 +28,7 @@
   }
 }
 
-void append_connection(const ResponseForm& form, std::string& text) {
+void append_connection(const ResponseFraming& form, std::string& text) {
   if (!form.keep_alive) {
     text += "Connection: close\r\n";
   } else if (form.version < 11) {
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-void write_response(const HttpResponse& response, const ResponseForm& form, std::string& text) {
+void serialize_response(const HttpResponse& response, const ResponseFraming& form, std::string& text) {
   text.clear();
   append_status_line(response, text);
   append_fields(response, text);
@@ -46,7 +46,7 @@
   text += "Content-Length: ";
   text += std::to_string(response.body().size());
   text += "\r\n\r\n";
-  if (!form.without_body) text += response.body();
+  if (!form.omit_body) text += response.body();
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/http/response_text.hpp
+++ b/src/cluster/http/response_serializer.hpp
@@ -8,14 +8,14 @@
 namespace winchhall::cluster {
 
 // What of the request decides about the form of its answer.
-struct ResponseForm {
-  unsigned version = 11;      // HTTP version of the request: 10 or 11
-  bool keep_alive = true;     // false: the connection is closed after this answer
-  bool without_body = false;  // the request was a HEAD
+struct ResponseFraming {
+  unsigned version = 11;   // HTTP version of the request: 10 or 11
+  bool keep_alive = true;  // false: the connection is closed after this answer
+  bool omit_body = false;  // the request was a HEAD
 };
 
 // Replaces `text` by the response. Content-Length and Connection are set here, whatever the response says of
 // them.
-void write_response(const HttpResponse& response, const ResponseForm& form, std::string& text);
+void serialize_response(const HttpResponse& response, const ResponseFraming& form, std::string& text);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/http/server.cpp
+++ b/src/cluster/http/server.cpp
@@ -31,7 +31,7 @@
 }
 
 // Descriptors or memory ran out: trying again at once would fail again.
-bool is_shortage(const error_code& error) {
+bool is_resource_exhaustion(const error_code& error) {
   return error == asio::error::no_descriptors || error == asio::error::no_buffer_space ||
          error == asio::error::no_memory || error == boost::system::errc::too_many_files_open_in_system;
 }
@@ -40,7 +40,7 @@
  public:
   BeastServer(asio::io_context& loop, const Address& address, HttpHandler handler,
               std::size_t max_connections)
-      : core_(std::make_shared<ServerCore>(loop, std::move(handler))),
+      : core_(std::make_shared<HttpServerState>(loop, std::move(handler))),
         acceptor_(loop),
         accept_timer_(loop),
         deadline_timer_(loop),
@@ -76,10 +76,10 @@
     while (!core_->idle.empty()) core_->idle.front()->close_idle();
   }
 
-  std::size_t requests_open() const override { return core_->requests_open; }
-  std::size_t connections_open() const override { return core_->connections(); }
-  const std::map<unsigned, std::uint64_t>& answers_by_status() const override {
-    return core_->answers_by_status;
+  std::size_t open_requests() const override { return core_->open_requests; }
+  std::size_t open_connections() const override { return core_->connections(); }
+  const std::map<unsigned, std::uint64_t>& responses_by_status() const override {
+    return core_->responses_by_status;
   }
   unsigned short port() const override { return acceptor_.local_endpoint().port(); }
 
@@ -99,12 +99,12 @@
       std::make_shared<Connection>(core_, std::move(socket))->start();
       watch_deadlines();
     }
-    if (error && is_shortage(error)) return pause_accepting();
-    if (make_room()) accept();
+    if (error && is_resource_exhaustion(error)) return pause_accepting();
+    if (evict_idle_connection()) accept();
   }
 
   // Keeps below the bound by closing what has rested longest; false: all connections are busy.
-  bool make_room() {
+  bool evict_idle_connection() {
     if (core_->connections() < max_connections_) return true;
     if (core_->idle.empty()) return false;
     core_->idle.front()->close_idle();
@@ -148,7 +148,7 @@
     }
   }
 
-  std::shared_ptr<ServerCore> core_;
+  std::shared_ptr<HttpServerState> core_;
   tcp::acceptor acceptor_;
   asio::steady_timer accept_timer_;
   asio::steady_timer deadline_timer_;
--- a/src/cluster/http/server.hpp
+++ b/src/cluster/http/server.hpp
@@ -22,8 +22,8 @@
 
 // Answers a request, at any later time; only the first answer counts. Dropped unanswered: the connection is
 // closed.
-using HttpReplier = std::function<void(HttpResponse)>;
-using HttpHandler = std::function<void(HttpRequest request, HttpReplier reply)>;
+using HttpReplyCallback = std::function<void(HttpResponse)>;
+using HttpHandler = std::function<void(HttpRequest request, HttpReplyCallback reply)>;
 
 // Connections that a server keeps open at most; beyond that the one idle for longest is closed.
 inline constexpr std::size_t kMaxConnections = 3000;
@@ -38,11 +38,11 @@
   // connections are accepted until `stop_accepting` and serve one request each.
   virtual void drain() = 0;
   // Requests read whole whose answers are not written whole.
-  virtual std::size_t requests_open() const = 0;
+  virtual std::size_t open_requests() const = 0;
   // Connections that are open, those being closed included.
-  virtual std::size_t connections_open() const = 0;
+  virtual std::size_t open_connections() const = 0;
   // Answers written so far, by HTTP status.
-  virtual const std::map<unsigned, std::uint64_t>& answers_by_status() const = 0;
+  virtual const std::map<unsigned, std::uint64_t>& responses_by_status() const = 0;
   // Port that is listened on (for a server on port 0).
   virtual unsigned short port() const = 0;
 };
--- a/src/cluster/http/server_core.hpp
+++ b/src/cluster/http/server_state.hpp
@@ -18,8 +18,8 @@
 // Bytes taken from a socket at once.
 inline constexpr std::size_t kReadBytes = 64 * 1024;
 
-struct ServerCore {
-  ServerCore(boost::asio::io_context& event_loop, HttpHandler request_handler)
+struct HttpServerState {
+  HttpServerState(boost::asio::io_context& event_loop, HttpHandler request_handler)
       : loop(event_loop), handler(std::move(request_handler)) {}
 
   boost::asio::io_context& loop;
@@ -27,8 +27,8 @@
   RequestLimits limits;
   bool draining = false;
   bool closed = false;  // the server is gone
-  std::size_t requests_open = 0;
-  std::map<unsigned, std::uint64_t> answers_by_status;
+  std::size_t open_requests = 0;
+  std::map<unsigned, std::uint64_t> responses_by_status;
   ConnectionList idle;  // between requests; the one that has rested longest stands first
   ConnectionList busy;
   std::function<void()> on_closed;  // told after each connection that was closed
--- a/src/cluster/ingress/configuration_feed.hpp
+++ b/src/cluster/ingress/configuration_subscription.hpp
@@ -6,16 +6,16 @@
 #include <optional>
 
 #include "cluster/common/runtime.hpp"
-#include "cluster/delivery/difference_fetcher.hpp"
+#include "cluster/delivery/configuration_fetcher.hpp"
 
 namespace winchhall::cluster {
 
-class ConfigurationFeed {
+class ConfigurationSubscription {
  public:
   using OnNewer = std::function<void(const Configuration&)>;
 
   // `agent`: the agent's listener. `on_newer` is called for every newer configuration.
-  ConfigurationFeed(Runtime& runtime, Address agent, OnNewer on_newer);
+  ConfigurationSubscription(Runtime& runtime, Address agent, OnNewer on_newer);
 
   void start();
   // Null before the first; its version never goes back. Valid until the event loop's next turn.
@@ -36,7 +36,7 @@
   Address agent_;
   OnNewer on_newer_;
   ConfigurationReplica replica_;
-  DifferenceFetcher fetcher_;
+  ConfigurationFetcher fetcher_;
   std::optional<TimePoint> last_answer_;
   bool agent_in_touch_ = false;
   std::unique_ptr<Timer> timer_;
--- a/src/cluster/ingress/ingress.cpp
+++ b/src/cluster/ingress/ingress.cpp
@@ -24,32 +24,35 @@
     : runtime_(runtime),
       settings_(settings),
       loop_(loop),
-      feed_(runtime, settings.feed_address(),
+      feed_(runtime, settings.agent_listener_address(),
             [this](const Configuration& configuration) {
               log_event(LogLevel::info, "configuration",
                         {{"version", static_cast<std::int64_t>(configuration.version)}});
               if (front_) front_->set_limits(configuration.limits);
             }),
-      gateway_(runtime, settings.feed_address()) {}
+      gateway_(runtime, settings.agent_listener_address()) {}
 
 void Ingress::start() {
-  if (!takes_jobs()) {
+  if (!accepts_jobs()) {
     log_event(LogLevel::error, "setting_not_supported",
               {{"field", "commands"}, {"value", "invocation"}, {"allowed", "heartbeat"}});
   }
-  front_ = make_http_server(loop_, settings_.front, [this](const HttpRequest& request, HttpReplier reply) {
-    gateway_.handle(takes_jobs() ? feed_.current() : nullptr, request, std::move(reply));
-  });
+  front_ =
+      make_http_server(loop_, settings_.front, [this](const HttpRequest& request, HttpReplyCallback reply) {
+        gateway_.handle(accepts_jobs() ? feed_.current() : nullptr, request, std::move(reply));
+      });
   probes_ = make_http_server(
       loop_, settings_.ready,
-      [this](const HttpRequest& request, const HttpReplier& reply) { on_probe(request, reply); },
+      [this](const HttpRequest& request, const HttpReplyCallback& reply) { on_probe(request, reply); },
       kMaxProbeConnections);
   feed_.start();
 }
 
-bool Ingress::ready() const { return takes_jobs() && !shutting_down_ && feed_.current() && feed_.in_touch(); }
+bool Ingress::ready() const {
+  return accepts_jobs() && !shutting_down_ && feed_.current() && feed_.in_touch();
+}
 
-void Ingress::on_probe(const HttpRequest& request, const HttpReplier& reply) const {
+void Ingress::on_probe(const HttpRequest& request, const HttpReplyCallback& reply) const {
   const bool known = request.target() == "/v1/readiness";
   if (!known) return reply(json_response(404, "{}"));
   reply(json_response(ready() ? 200 : 503, "{}"));
@@ -72,12 +75,12 @@
 }
 
 void Ingress::watch_drain() {
-  const bool empty = front_->connections_open() == 0 && gateway_.open() == 0;
+  const bool empty = front_->open_connections() == 0 && gateway_.open() == 0;
   if (empty || runtime_.now() >= end_) return finish();
   drain_timer_ = runtime_.after(kDrainCheck, [this] { watch_drain(); });
 }
 
-void Ingress::give_up() { gateway_.give_up_all(); }
+void Ingress::give_up() { gateway_.fail_all_pending(); }
 
 void Ingress::finish() {
   const auto done = std::move(done_);
--- a/src/cluster/ingress/ingress.hpp
+++ b/src/cluster/ingress/ingress.hpp
@@ -8,15 +8,15 @@
 #include "cluster/common/runtime.hpp"
 #include "cluster/common/settings.hpp"
 #include "cluster/http/server.hpp"
-#include "cluster/ingress/configuration_feed.hpp"
+#include "cluster/ingress/configuration_subscription.hpp"
 #include "cluster/ingress/job_gateway.hpp"
 
 namespace winchhall::cluster {
 
 class Ingress {
  public:
-  // Of `settings` are used: front, ready, internal ports (feed_address) and the grace period. `runtime` runs
-  // on `loop`.
+  // Of `settings` are used: front, ready, internal ports (agent_listener_address) and the grace period.
+  // `runtime` runs on `loop`.
   Ingress(Runtime& runtime, const NodeSettings& settings, boost::asio::io_context& loop);
 
   // Listens. Throws boost::system::system_error if an address can't be listened on.
@@ -32,10 +32,10 @@
   // True: a probe is answered with 200.
   bool ready() const;
   // False where the settings ask for what isn't built: jobs that would be taken could never run.
-  bool takes_jobs() const { return settings_.commands == CommandMode::heartbeat; }
+  bool accepts_jobs() const { return settings_.commands == CommandMode::heartbeat; }
 
  private:
-  void on_probe(const HttpRequest& request, const HttpReplier& reply) const;
+  void on_probe(const HttpRequest& request, const HttpReplyCallback& reply) const;
   void stop_serving();
   void watch_drain();
   void give_up();
@@ -44,7 +44,7 @@
   Runtime& runtime_;
   NodeSettings settings_;
   boost::asio::io_context& loop_;
-  ConfigurationFeed feed_;
+  ConfigurationSubscription feed_;
   JobGateway gateway_;
   std::unique_ptr<HttpServer> front_;
   std::unique_ptr<HttpServer> probes_;
--- a/src/cluster/ingress/job_gateway.cpp
+++ b/src/cluster/ingress/job_gateway.cpp
@@ -4,8 +4,8 @@
 #include <optional>
 
 #include "cluster/http/error_response.hpp"
-#include "cluster/ingress/job_answers.hpp"
 #include "cluster/ingress/job_json.hpp"
+#include "cluster/ingress/job_responses.hpp"
 
 namespace winchhall::cluster {
 
@@ -23,7 +23,7 @@
 constexpr Millis kRetryPause{50};
 constexpr Millis kRetryWithoutConfiguration{1000};
 // A count may be two seconds old when it arrives; what is kept back covers its way to the client.
-constexpr Millis kCountLasts{1500};
+constexpr Millis kCountLifetime{1500};
 constexpr Millis kRetryCount{500};
 
 Millis timeout_of(const RequestTarget& target, const HttpRequest& request) {
@@ -55,7 +55,7 @@
 }
 
 // The job in a body; none: `reply` has been told why it can't be read.
-std::optional<wire::JobSpec> read_job(const HttpRequest& request, const HttpReplier& reply) {
+std::optional<wire::JobSpec> read_job(const HttpRequest& request, const HttpReplyCallback& reply) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::optional<wire::JobSpec>> {
         BOOST_LEAF_AUTO(job, parse_job(request.body()));
@@ -81,23 +81,24 @@
 
 JobGateway::JobGateway(Runtime& runtime, Address agent) : runtime_(runtime), agent_(std::move(agent)) {}
 
-void JobGateway::handle(const Configuration* configuration, const HttpRequest& request, HttpReplier reply) {
-  if (configuration == nullptr) return reply(not_taken_answer(kRetryWithoutConfiguration));
-  const RequestTarget target = find_target(*configuration, request);
+void JobGateway::handle(const Configuration* configuration, const HttpRequest& request,
+                        HttpReplyCallback reply) {
+  if (configuration == nullptr) return reply(make_unavailable_response(kRetryWithoutConfiguration));
+  const RequestTarget target = resolve_target(*configuration, request);
   if (target.error != TargetError::none) return reply(target_error_answer(target.error));
-  if (target.verb != wire::JOB_SUBMIT) return hand_on(target, request, {}, std::move(reply));
+  if (target.verb != wire::JOB_SUBMIT) return forward(target, request, {}, std::move(reply));
   auto job = read_job(request, reply);
-  if (job) hand_on(target, request, std::move(*job), std::move(reply));
+  if (job) forward(target, request, std::move(*job), std::move(reply));
 }
 
-void JobGateway::give_up_all() {
+void JobGateway::fail_all_pending() {
   while (!calls_.empty()) finish(calls_.begin()->first, reply_in_doubt());
 }
 
-void JobGateway::hand_on(const RequestTarget& target, const HttpRequest& request, wire::JobSpec spec,
-                         HttpReplier reply) {
+void JobGateway::forward(const RequestTarget& target, const HttpRequest& request, wire::JobSpec spec,
+                         HttpReplyCallback reply) {
   const std::uint64_t number = ++last_number_;
-  OpenCall& call = calls_[number];
+  PendingCall& call = calls_[number];
   call.deadline = runtime_.now() + timeout_of(target, request);
   call.reply = std::move(reply);
   call.request.set_verb(target.verb);
@@ -111,10 +112,10 @@
 void JobGateway::send(std::uint64_t number) {
   const auto found = calls_.find(number);
   if (found == calls_.end()) return;
-  OpenCall& call = found->second;
+  PendingCall& call = found->second;
   const auto left = std::chrono::duration_cast<Millis>(call.deadline - runtime_.now());
   if (left <= Millis::zero()) return finish(number, reply_in_doubt());
-  if (++call.tries == 2) call.second_try_at = runtime_.now();
+  if (++call.tries == 2) call.second_attempt_at = runtime_.now();
   const Millis agent_time = std::max({left - kAgentReserve, left / 2, Millis(1)});
   wire::Envelope envelope;
   *envelope.mutable_job_request() = call.request;
@@ -138,30 +139,31 @@
 
 void JobGateway::finish(std::uint64_t number, const wire::JobReply& reply) {
   auto node = calls_.extract(number);
-  const OpenCall& call = node.mapped();
+  const PendingCall& call = node.mapped();
   const wire::JobVerb verb = call.request.verb();
   if (verb == wire::JOB_COUNT) return call.reply(count_answer(call.request.terms().queue(), reply));
-  if (reply.outcome() == wire::JOB_REJECTED && uncertain(call, reply)) return call.reply(in_doubt_answer());
-  call.reply(job_answer(verb, reply));
+  if (reply.outcome() == wire::JOB_REJECTED && is_outcome_unknown(call, reply))
+    return call.reply(make_unknown_outcome_response());
+  call.reply(make_job_response(verb, reply));
 }
 
 // An agent that was restarted between two tries knows nothing of the first one, which may have been taken.
 // One that has dealt with the request since before the second try has seen them all.
-bool JobGateway::uncertain(const OpenCall& call, const wire::JobReply& reply) const {
+bool JobGateway::is_outcome_unknown(const PendingCall& call, const wire::JobReply& reply) const {
   if (call.tries < 2) return false;
-  return runtime_.now() - Millis(reply.relayed_ms()) >= call.second_try_at;
+  return runtime_.now() - Millis(reply.relayed_ms()) >= call.second_attempt_at;
 }
 
 HttpResponse JobGateway::count_answer(const std::string& queue, const wire::JobReply& reply) {
   const TimePoint now = runtime_.now();
-  if (reply.outcome() == wire::JOB_OK) newest_counts_[queue] = {reply.pending(), now};
-  const auto newest = newest_counts_.find(queue);
-  const bool fresh = newest != newest_counts_.end() && now - newest->second.at <= kCountLasts;
-  if (!fresh) return not_taken_answer(kRetryCount);
+  if (reply.outcome() == wire::JOB_OK) cached_counts_[queue] = {reply.pending(), now};
+  const auto newest = cached_counts_.find(queue);
+  const bool fresh = newest != cached_counts_.end() && now - newest->second.at <= kCountLifetime;
+  if (!fresh) return make_unavailable_response(kRetryCount);
   wire::JobReply answer;
   answer.set_outcome(wire::JOB_OK);
   answer.set_pending(newest->second.pending);
-  return job_answer(wire::JOB_COUNT, answer);
+  return make_job_response(wire::JOB_COUNT, answer);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/ingress/job_answers.cpp
+++ b/src/cluster/ingress/job_responses.cpp
@@ -1,4 +1,4 @@
-#include "cluster/ingress/job_answers.hpp"
+#include "cluster/ingress/job_responses.hpp"
 
 #include <algorithm>
 #include <string_view>
@@ -41,25 +41,26 @@
 
 }  // namespace
 
-HttpResponse job_answer(wire::JobVerb verb, const wire::JobReply& reply) {
+HttpResponse make_job_response(wire::JobVerb verb, const wire::JobReply& reply) {
   switch (reply.outcome()) {
     case wire::JOB_OK:
       return success(verb, reply);
     case wire::JOB_NOT_FOUND:
       return json_response(410, "{}");
     case wire::JOB_REJECTED:
-      return not_taken_answer(retry_after_of(reply));
+      return make_unavailable_response(retry_after_of(reply));
     case wire::JOB_INVALID:
       return error_response(400, {"job", "", "", reply.reason()});
     case wire::JOB_NO_QUEUE:
       return json_response(404, "{}");
     default:
       // A question changes nothing, whoever may have read it.
-      return verb == wire::JOB_QUERY ? not_taken_answer(kDefaultRetryAfter) : in_doubt_answer();
+      return verb == wire::JOB_QUERY ? make_unavailable_response(kDefaultRetryAfter)
+                                     : make_unknown_outcome_response();
   }
 }
 
-HttpResponse not_taken_answer(Millis retry_after) {
+HttpResponse make_unavailable_response(Millis retry_after) {
   const auto milliseconds = std::max<std::int64_t>(1, retry_after.count());
   const auto seconds = (milliseconds + kMillisPerSecond - 1) / kMillisPerSecond;
   auto response = json_response(503, R"({"retry_after_ms":)" + std::to_string(milliseconds) + "}");
@@ -67,6 +68,6 @@
   return response;
 }
 
-HttpResponse in_doubt_answer() { return json_response(504, "{}"); }
+HttpResponse make_unknown_outcome_response() { return json_response(504, "{}"); }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/ingress/request_target.cpp
+++ b/src/cluster/ingress/request_target.cpp
@@ -45,7 +45,7 @@
   }
 }
 
-bool is_spoken(http::verb method) {
+bool is_supported_method(http::verb method) {
   return method == http::verb::get || method == http::verb::post || method == http::verb::delete_;
 }
 
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-RequestTarget find_target(const Configuration& configuration, const HttpRequest& request) {
+RequestTarget resolve_target(const Configuration& configuration, const HttpRequest& request) {
   RequestTarget target;
   const std::string_view path = path_of(request);
   target.route = configuration.find_route(host_of(request), path);
@@ -65,7 +65,7 @@
     target.error = TargetError::no_such_queue;
     return target;
   }
-  if (!is_spoken(request.method())) {
+  if (!is_supported_method(request.method())) {
     target.error = TargetError::wrong_method;
     return target;
   }
--- a/src/cluster/ingress/request_target.hpp
+++ b/src/cluster/ingress/request_target.hpp
@@ -21,7 +21,7 @@
   std::string id;  // empty for JOB_COUNT
 };
 
-RequestTarget find_target(const Configuration& configuration, const HttpRequest& request);
+RequestTarget resolve_target(const Configuration& configuration, const HttpRequest& request);
 
 // Milliseconds that the client waits (header X-Winchhall-Deadline); none: it does not say.
 std::optional<Millis> client_deadline(const HttpRequest& request);
--- a/src/cluster/main.cpp
+++ b/src/cluster/main.cpp
@@ -5,8 +5,8 @@
 #include <vector>
 
 #include "cluster/cli/command_line.hpp"
+#include "cluster/cli/error_report.hpp"
 #include "cluster/cli/exit_codes.hpp"
-#include "cluster/cli/failure_report.hpp"
 #include "cluster/cli/operator_commands.hpp"
 #include "cluster/cli/operator_errors.hpp"
 #include "cluster/cli/roles.hpp"
@@ -36,7 +36,7 @@
     return leaf::new_error(UsageError{"no settings file: --settings or WINCHHALL_NODE_FILE"});
   }
   BOOST_LEAF_AUTO(settings, load_settings(line.settings_file));
-  start_log(settings.node_name, role.name, line.log_level);
+  initialize_logging(settings.node_name, role.name, line.log_level);
   log_event(LogLevel::info, "starting");
   const RoleOptions options{line.metrics_port.value_or(settings.metrics_port)};
   return role.run(std::move(settings), options);
--- a/src/cluster/membership/contact_list.cpp
+++ b/src/cluster/membership/contact_list.cpp
@@ -17,7 +17,7 @@
   if (former_.size() > capacity_) former_.pop_front();
 }
 
-void ContactList::forget_former(const Address& peer) { std::erase(former_, peer); }
+void ContactList::remove_former(const Address& peer) { std::erase(former_, peer); }
 
 Address ContactList::choose(const PartialView& view, const RandomSource& random) const {
   std::vector<Address> contacts = seeds_;
--- a/src/cluster/membership/contact_list.hpp
+++ b/src/cluster/membership/contact_list.hpp
@@ -23,7 +23,7 @@
   // A peer of the view that did not answer; the oldest former peer gives way.
   void add_former(const Address& peer);
   // A former peer that is back, or gone for good.
-  void forget_former(const Address& peer);
+  void remove_former(const Address& peer);
   // A contact that is not in the view, at random; empty: there is none.
   Address choose(const PartialView& view, const RandomSource& random) const;
 
--- a/src/cluster/membership/partial_view.cpp
+++ b/src/cluster/membership/partial_view.cpp
@@ -13,7 +13,7 @@
 
 PartialView::PartialView(Address self, std::size_t capacity) : self_(std::move(self)), capacity_(capacity) {}
 
-void PartialView::grow_older() {
+void PartialView::increment_ages() {
   for (PeerDescriptor& peer : peers_) ++peer.age;
 }
 
@@ -42,7 +42,7 @@
                         const std::vector<PeerDescriptor>& sent) {
   auto next_sent = sent.begin();
   for (const PeerDescriptor& peer : received) {
-    if (known(peer)) continue;
+    if (refresh_if_known(peer)) continue;
     while (peers_.size() >= capacity_ && next_sent != sent.end()) {
       std::erase_if(peers_, [&](const PeerDescriptor& held) { return held.address == next_sent->address; });
       ++next_sent;
@@ -51,7 +51,7 @@
   }
 }
 
-void PartialView::add_if_free(const PeerDescriptor& peer) { merge({peer}, {}); }
+void PartialView::insert_if_space(const PeerDescriptor& peer) { merge({peer}, {}); }
 
 const PeerDescriptor* PartialView::find(const Address& address) const {
   const auto same = [&](const PeerDescriptor& peer) { return peer.address == address; };
@@ -59,7 +59,7 @@
   return found == peers_.end() ? nullptr : &*found;
 }
 
-bool PartialView::known(const PeerDescriptor& peer) {
+bool PartialView::refresh_if_known(const PeerDescriptor& peer) {
   if (peer.address.empty() || peer.address == self_) return true;
   for (PeerDescriptor& held : peers_) {
     if (held.address != peer.address) continue;
--- a/src/cluster/membership/partial_view.hpp
+++ b/src/cluster/membership/partial_view.hpp
@@ -28,7 +28,7 @@
   // `self` never enters the view.
   PartialView(Address self, std::size_t capacity);
 
-  void grow_older();
+  void increment_ages();
   // Takes the oldest peer out; none: the view is empty.
   std::optional<PeerDescriptor> take_oldest();
   // At most `count` entries chosen at random, each at most once, without that of `receiver`.
@@ -38,7 +38,7 @@
   // place.
   void merge(const std::vector<PeerDescriptor>& received, const std::vector<PeerDescriptor>& sent);
   // Adds a peer, or makes its entry younger, unless there is no place.
-  void add_if_free(const PeerDescriptor& peer);
+  void insert_if_space(const PeerDescriptor& peer);
 
   const std::vector<PeerDescriptor>& peers() const { return peers_; }
   bool contains(const Address& address) const { return find(address) != nullptr; }
@@ -47,7 +47,7 @@
  private:
   const PeerDescriptor* find(const Address& address) const;
   // True: the peer is this process, or known already; the younger descriptor is kept.
-  bool known(const PeerDescriptor& peer);
+  bool refresh_if_known(const PeerDescriptor& peer);
 
   Address self_;
   std::size_t capacity_;
--- a/src/cluster/membership/peer_descriptor.cpp
+++ b/src/cluster/membership/peer_descriptor.cpp
@@ -62,7 +62,7 @@
 
 std::optional<PeerDescriptor> from_wire(const wire::PeerDescriptor& descriptor) {
   const bool fit = is_address(descriptor.address()) && descriptor.zone().size() <= kLongestText &&
-                   descriptor.age() <= kLargestDescriptorAge;
+                   descriptor.age() <= kMaxDescriptorAge;
   if (!fit) return std::nullopt;
   return PeerDescriptor{descriptor.address(), role_of(descriptor.role()), descriptor.zone(),
                         descriptor.age()};
@@ -74,7 +74,7 @@
     sender->age = 0;
     descriptors.push_back(std::move(*sender));
   }
-  const int count = std::min(shuffle.peers_size(), kMostDescriptorsRead);
+  const int count = std::min(shuffle.peers_size(), kMaxDescriptorsRead);
   for (int i = 0; i < count; ++i) {
     if (std::optional<PeerDescriptor> peer = from_wire(shuffle.peers(i))) {
       descriptors.push_back(std::move(*peer));
--- a/src/cluster/membership/peer_descriptor.hpp
+++ b/src/cluster/membership/peer_descriptor.hpp
@@ -23,9 +23,9 @@
 };
 
 // Descriptors older than this are not taken from others: their peer is likely to be gone.
-inline constexpr std::uint32_t kLargestDescriptorAge = 40;
+inline constexpr std::uint32_t kMaxDescriptorAge = 40;
 // No more descriptors than this are read from one message.
-inline constexpr int kMostDescriptorsRead = 16;
+inline constexpr int kMaxDescriptorsRead = 16;
 
 wire::PeerDescriptor to_wire(const PeerDescriptor& descriptor);
 // None: the address is no "ip:port", a text is too long, or the descriptor is too old.
--- a/src/cluster/membership/peer_sampler.cpp
+++ b/src/cluster/membership/peer_sampler.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::size_t kViewCapacity = 8;
 constexpr std::size_t kShuffledEntries = 3;  // sent along with the sender's own descriptor
-constexpr std::size_t kFormerPeers = 16;
-constexpr std::size_t kSampledControlNodes = 8;
+constexpr std::size_t kFormerPeerCapacity = 16;
+constexpr std::size_t kSampledControlNodeCapacity = 8;
 // Rounds are frequent while the view forms or a peer has failed, and rare otherwise, or while all peers fail:
 // bytes and processor time count.
 constexpr Millis kUnsettledInterval{1500};
@@ -23,14 +23,14 @@
 
 }  // namespace
 
-PeerSampler::PeerSampler(Runtime& runtime, PeerDescriptor self, OnControlNodes on_control_nodes)
+PeerSampler::PeerSampler(Runtime& runtime, PeerDescriptor self, ControlNodesCallback on_control_nodes)
     : runtime_(runtime),
       self_(std::move(self)),
       on_control_nodes_(std::move(on_control_nodes)),
       random_([this] { return runtime_.random(); }),
       view_(self_.address, kViewCapacity),
-      contacts_(self_.address, kFormerPeers),
-      sample_(self_.address, kSampledControlNodes),
+      contacts_(self_.address, kFormerPeerCapacity),
+      sampled_control_nodes_(self_.address, kSampledControlNodeCapacity),
       alive_(std::make_shared<bool>(true)) {}
 
 PeerSampler::~PeerSampler() { *alive_ = false; }
@@ -55,7 +55,7 @@
 
 void PeerSampler::round() {
   ++rounds_;
-  view_.grow_older();
+  view_.increment_ages();
   Exchange exchange = choose_partner();
   if (!exchange.partner.empty()) shuffle(std::move(exchange));
   schedule_round();
@@ -87,43 +87,43 @@
 
 void PeerSampler::on_shuffled(const Exchange& exchange, const wire::PeerShuffle& answer) {
   failures_ = 0;
-  contacts_.forget_former(exchange.partner);
+  contacts_.remove_former(exchange.partner);
   std::vector<PeerDescriptor> received = descriptors_of(answer);
-  sample_.grow_older();
-  sample_.merge(received);
-  tell_control_nodes();
+  sampled_control_nodes_.increment_ages();
+  sampled_control_nodes_.merge(received);
+  notify_control_nodes();
   const bool introduced = !received.empty() && received.front().address == exchange.partner;
   if (!introduced) return view_.merge(received, exchange.sent);
   const PeerDescriptor partner = received.front();
   received.erase(received.begin());
   view_.merge(received, exchange.sent);
-  view_.add_if_free(partner);
+  view_.insert_if_space(partner);
 }
 
 // While others answer, a former peer that does not is gone; otherwise this process may be the one cut off.
 void PeerSampler::on_failure(const Exchange& exchange) {
   ++failures_;
   if (!exchange.contact) return contacts_.add_former(exchange.partner);
-  if (!view_.empty()) contacts_.forget_former(exchange.partner);
+  if (!view_.empty()) contacts_.remove_former(exchange.partner);
 }
 
-bool PeerSampler::handle(const wire::Envelope& request, const Replier& reply) {
+bool PeerSampler::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   if (!request.has_peer_shuffle()) return false;
   const std::vector<PeerDescriptor> received = descriptors_of(request.peer_shuffle());
   const std::vector<PeerDescriptor> sent =
       view_.choose(kShuffledEntries, request.peer_shuffle().from().address(), random_);
   reply(message(sent, true));
   view_.merge(received, sent);
-  sample_.merge(received);
-  tell_control_nodes();
+  sampled_control_nodes_.merge(received);
+  notify_control_nodes();
   return true;
 }
 
-void PeerSampler::tell_control_nodes() {
-  std::vector<Address> nodes = sample_.addresses();
-  if (nodes == told_) return;
-  told_ = std::move(nodes);
-  if (on_control_nodes_) on_control_nodes_(told_);
+void PeerSampler::notify_control_nodes() {
+  std::vector<Address> nodes = sampled_control_nodes_.addresses();
+  if (nodes == notified_control_nodes_) return;
+  notified_control_nodes_ = std::move(nodes);
+  if (on_control_nodes_) on_control_nodes_(notified_control_nodes_);
 }
 
 wire::Envelope PeerSampler::message(const std::vector<PeerDescriptor>& sent, bool answer) const {
--- a/src/cluster/membership/peer_sampler.hpp
+++ b/src/cluster/membership/peer_sampler.hpp
@@ -11,32 +11,32 @@
 
 #include "cluster/common/runtime.hpp"
 #include "cluster/membership/contact_list.hpp"
-#include "cluster/membership/control_sample.hpp"
 #include "cluster/membership/partial_view.hpp"
+#include "cluster/membership/sampled_control_nodes.hpp"
 
 namespace winchhall::cluster {
 
 class PeerSampler {
  public:
   // Told of all control nodes sampled (internal listeners, sorted) whenever they change.
-  using OnControlNodes = std::function<void(const std::vector<Address>& nodes)>;
+  using ControlNodesCallback = std::function<void(const std::vector<Address>& nodes)>;
 
   // `self` is the descriptor that others get of this process. The runtime outlives the sampler.
-  PeerSampler(Runtime& runtime, PeerDescriptor self, OnControlNodes on_control_nodes);
+  PeerSampler(Runtime& runtime, PeerDescriptor self, ControlNodesCallback on_control_nodes);
   ~PeerSampler();
 
   // Internal listeners of the seeds; may change at any time.
   void set_seeds(std::vector<Address> seeds) { contacts_.set_seeds(std::move(seeds)); }
   // This process takes no requests after all.
-  void be_caller_only() { self_.address.clear(); }
+  void set_caller_only() { self_.address.clear(); }
   void start();
   // Shuffles no more; requests are still answered.
   void stop();
   // Answers a PeerShuffle; false: a request of another kind.
-  bool handle(const wire::Envelope& request, const Replier& reply);
+  bool handle(const wire::Envelope& request, const ReplyCallback& reply);
 
   const PartialView& view() const { return view_; }
-  std::vector<Address> control_nodes() const { return sample_.addresses(); }
+  std::vector<Address> control_nodes() const { return sampled_control_nodes_.addresses(); }
 
  private:
   // A shuffle under way.
@@ -56,17 +56,17 @@
   void on_answer(const Exchange& exchange, const CallResult& result);
   void on_shuffled(const Exchange& exchange, const wire::PeerShuffle& answer);
   void on_failure(const Exchange& exchange);
-  void tell_control_nodes();
+  void notify_control_nodes();
   wire::Envelope message(const std::vector<PeerDescriptor>& sent, bool answer) const;
 
   Runtime& runtime_;
   PeerDescriptor self_;
-  const OnControlNodes on_control_nodes_;
+  const ControlNodesCallback on_control_nodes_;
   const RandomSource random_;
   PartialView view_;
   ContactList contacts_;
-  ControlSample sample_;
-  std::vector<Address> told_;  // control nodes told of last
+  SampledControlNodes sampled_control_nodes_;
+  std::vector<Address> notified_control_nodes_;  // control nodes told of last
   unsigned rounds_ = 0;
   unsigned failures_ = 0;  // in a row
   std::unique_ptr<Timer> timer_;
--- a/src/cluster/membership/control_sample.cpp
+++ b/src/cluster/membership/sampled_control_nodes.cpp
@@ -1,19 +1,19 @@
-#include "cluster/membership/control_sample.hpp"
+#include "cluster/membership/sampled_control_nodes.hpp"
 
 #include <algorithm>
 
 namespace winchhall::cluster {
 
-void ControlSample::grow_older() {
+void SampledControlNodes::increment_ages() {
   for (PeerDescriptor& node : nodes_) ++node.age;
-  std::erase_if(nodes_, [](const PeerDescriptor& node) { return node.age > kLargestDescriptorAge; });
+  std::erase_if(nodes_, [](const PeerDescriptor& node) { return node.age > kMaxDescriptorAge; });
 }
 
-void ControlSample::merge(const std::vector<PeerDescriptor>& received) {
+void SampledControlNodes::merge(const std::vector<PeerDescriptor>& received) {
   for (const PeerDescriptor& peer : received) note(peer);
 }
 
-void ControlSample::note(const PeerDescriptor& peer) {
+void SampledControlNodes::note(const PeerDescriptor& peer) {
   const auto same = [&](const PeerDescriptor& node) { return node.address == peer.address; };
   const auto known = std::find_if(nodes_.begin(), nodes_.end(), same);
   if (known == nodes_.end()) return add(peer);
@@ -25,7 +25,7 @@
   }
 }
 
-void ControlSample::add(const PeerDescriptor& peer) {
+void SampledControlNodes::add(const PeerDescriptor& peer) {
   if (peer.role != PeerRole::control || peer.address == self_) return;
   nodes_.push_back(peer);
   if (nodes_.size() <= capacity_) return;
@@ -35,7 +35,7 @@
   nodes_.erase(std::max_element(nodes_.begin(), nodes_.end(), older));
 }
 
-std::vector<Address> ControlSample::addresses() const {
+std::vector<Address> SampledControlNodes::addresses() const {
   std::vector<Address> addresses;
   for (const PeerDescriptor& node : nodes_) addresses.push_back(node.address);
   std::sort(addresses.begin(), addresses.end());
--- a/src/cluster/membership/control_sample.hpp
+++ b/src/cluster/membership/sampled_control_nodes.hpp
@@ -10,13 +10,13 @@
 
 namespace winchhall::cluster {
 
-class ControlSample {
+class SampledControlNodes {
  public:
   // `self` is never listed.
-  ControlSample(Address self, std::size_t capacity) : self_(std::move(self)), capacity_(capacity) {}
+  SampledControlNodes(Address self, std::size_t capacity) : self_(std::move(self)), capacity_(capacity) {}
 
   // Makes all entries older by a round and drops those that are too old.
-  void grow_older();
+  void increment_ages();
   // Takes in the control nodes among the descriptors; a younger descriptor with another role removes an
   // entry.
   void merge(const std::vector<PeerDescriptor>& received);
--- a/src/cluster/metrics/collectors.hpp
+++ b/src/cluster/metrics/collectors.hpp
@@ -12,7 +12,7 @@
 // Answers and connections of one HTTP server.
 void collect_http(const HttpServer& server, MetricFamilies& families);
 // An agent's link to the control group.
-void collect_agent(bool in_touch, std::uint64_t configuration_version, MetricFamilies& families);
+void collect_agent(bool has_quorum_contact, std::uint64_t configuration_version, MetricFamilies& families);
 // The control group, and the services that this node leads.
 void collect_control(const ControlStatus& status, MetricFamilies& families);
 
--- a/src/cluster/metrics/metric_families.cpp
+++ b/src/cluster/metrics/metric_families.cpp
@@ -10,8 +10,8 @@
 constexpr double kMillisPerSecond = 1000;
 
 double upper_bound_s(std::size_t range) {
-  if (range == kDurationBoundsMs.size()) return std::numeric_limits<double>::infinity();
-  return static_cast<double>(kDurationBoundsMs[range]) / kMillisPerSecond;
+  if (range == kDurationBucketBoundsMs.size()) return std::numeric_limits<double>::infinity();
+  return static_cast<double>(kDurationBucketBoundsMs[range]) / kMillisPerSecond;
 }
 
 }  // namespace
@@ -38,8 +38,8 @@
   metric.histogram.sample_count = durations.count();
   metric.histogram.sample_sum = durations.sum_ms() / kMillisPerSecond;
   std::uint64_t cumulative = 0;
-  for (std::size_t range = 0; range <= kDurationBoundsMs.size(); ++range) {
-    cumulative += durations.count_in(range);
+  for (std::size_t range = 0; range <= kDurationBucketBoundsMs.size(); ++range) {
+    cumulative += durations.bucket_count(range);
     metric.histogram.bucket.push_back({cumulative, upper_bound_s(range)});
   }
 }
--- a/src/cluster/metrics/metric_families.hpp
+++ b/src/cluster/metrics/metric_families.hpp
@@ -22,7 +22,7 @@
   void add(double value, MetricLabels labels = {});
   // Durations, in seconds.
   void add(const DurationHistogram& durations, MetricLabels labels = {});
-  prometheus::MetricFamily take() { return std::move(family_); }
+  prometheus::MetricFamily build() { return std::move(family_); }
 
  private:
   prometheus::MetricFamily family_;
--- a/src/cluster/metrics/metrics_server.cpp
+++ b/src/cluster/metrics/metrics_server.cpp
@@ -34,7 +34,7 @@
   if (port == 0) return nullptr;
   const Address address = "127.0.0.1:" + std::to_string(port);
   const auto handler = [collector = std::move(collector)](const HttpRequest& request,
-                                                          const HttpReplier& reply) {
+                                                          const HttpReplyCallback& reply) {
     const bool known = request.target() == "/metrics";
     reply(known ? metrics_response(collector) : json_response(404, "{}"));
   };
--- a/src/cluster/rpc/send_aio.cpp
+++ b/src/cluster/rpc/async_send.cpp
@@ -1,4 +1,4 @@
-#include "cluster/rpc/send_aio.hpp"
+#include "cluster/rpc/async_send.hpp"
 
 #include <memory>
 
--- a/src/cluster/rpc/send_aio.hpp
+++ b/src/cluster/rpc/async_send.hpp
@@ -3,7 +3,7 @@
 
 #include <nng/nng.h>
 
-#include "cluster/rpc/socket.hpp"
+#include "cluster/rpc/nng_message.hpp"
 
 namespace winchhall::cluster {
 
--- a/src/cluster/rpc/socket.cpp
+++ b/src/cluster/rpc/nng_message.cpp
@@ -1,4 +1,4 @@
-#include "cluster/rpc/socket.hpp"
+#include "cluster/rpc/nng_message.hpp"
 
 namespace winchhall::cluster {
 
--- a/src/cluster/rpc/socket.hpp
+++ b/src/cluster/rpc/nng_message.hpp
@@ -10,7 +10,7 @@
 namespace winchhall::cluster {
 
 // The largest message that a socket takes, in bytes; longer ones are dropped.
-inline constexpr std::size_t kLargestMessage = 16u << 20;
+inline constexpr std::size_t kMaxMessageBytes = 16u << 20;
 
 // Owns an NNG message.
 class NngMessage {
--- a/src/cluster/rpc/peer_link.hpp
+++ b/src/cluster/rpc/peer_connections.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cluster/common/runtime.hpp"
-#include "cluster/rpc/socket.hpp"
+#include "cluster/rpc/nng_message.hpp"
 
 namespace winchhall::cluster {
 
@@ -19,22 +19,22 @@
 // An opening packet to a machine without power or behind a cut is lost, and TCP sends the next one only after
 // a second or more. So while nothing comes back, new connections are dialled beside the older ones, and the
 // one that brings an answer first stays alone.
-class PeerLink {
+class PeerConnections {
  public:
   using OnReply = std::function<void(wire::Envelope)>;
 
-  PeerLink(boost::asio::io_context& loop, Runtime& runtime, Address peer, OnReply on_reply);
-  ~PeerLink();
+  PeerConnections(boost::asio::io_context& loop, Runtime& runtime, Address peer, OnReply on_reply);
+  ~PeerConnections();
 
   void send(const std::string& body, std::uint32_t call_id);
   // A call sent at this time had no answer in time. Where nothing else came back since, the connection is
   // suspect.
-  void call_timed_out(TimePoint sent_at);
+  void on_call_timeout(TimePoint sent_at);
   TimePoint last_used() const { return last_used_; }
 
  private:
   std::shared_ptr<RequestSocket> open_socket();
-  void dial_beside();
+  void dial_additional();
   void received(const std::shared_ptr<RequestSocket>& socket, wire::Envelope reply);
 
   boost::asio::io_context& loop_;
--- a/src/cluster/rpc/request_socket.cpp
+++ b/src/cluster/rpc/request_socket.cpp
@@ -4,8 +4,8 @@
 
 #include <boost/asio/post.hpp>
 
-#include "cluster/rpc/send_aio.hpp"
-#include "cluster/rpc/socket.hpp"
+#include "cluster/rpc/async_send.hpp"
+#include "cluster/rpc/nng_message.hpp"
 
 namespace winchhall::cluster {
 
@@ -25,7 +25,7 @@
   nng_socket_set_ms(self->socket_, NNG_OPT_RECONNMINT, kReconnectLeastMs);
   nng_socket_set_ms(self->socket_, NNG_OPT_RECONNMAXT, kReconnectMostMs);
   nng_socket_set_int(self->socket_, NNG_OPT_SENDBUF, kSendBufferMessages);
-  nng_socket_set_size(self->socket_, NNG_OPT_RECVMAXSZ, kLargestMessage);
+  nng_socket_set_size(self->socket_, NNG_OPT_RECVMAXSZ, kMaxMessageBytes);
   nng_socket_set_bool(self->socket_, NNG_OPT_TCP_NODELAY, true);
   if (nng_aio_alloc(&self->receive_aio_, &RequestSocket::received, self.get()) != 0) return nullptr;
   nng_dial(self->socket_, ("tcp://" + peer).c_str(), nullptr, NNG_FLAG_NONBLOCK);
--- a/src/cluster/rpc/dialer.hpp
+++ b/src/cluster/rpc/rpc_client.hpp
@@ -14,18 +14,18 @@
 
 namespace winchhall::cluster {
 
-class PeerLink;
+class PeerConnections;
 
-class NngDialer : public CallChannel {
+class RpcClient : public RpcChannel {
  public:
-  NngDialer(boost::asio::io_context& loop, Runtime& runtime);
-  ~NngDialer() override;
+  RpcClient(boost::asio::io_context& loop, Runtime& runtime);
+  ~RpcClient() override;
 
   void call(const Address& peer, wire::Envelope request, Millis timeout,
             std::function<void(CallResult)> done) override;
 
  private:
-  struct OpenCall {
+  struct PendingCall {
     Address peer;
     TimePoint sent_at;
     std::function<void(CallResult)> done;
@@ -41,8 +41,8 @@
   boost::asio::io_context& loop_;
   Runtime& runtime_;
   std::uint32_t last_call_id_;
-  std::unordered_map<std::uint32_t, OpenCall> calls_;
-  std::unordered_map<Address, std::unique_ptr<PeerLink>> links_;
+  std::unordered_map<std::uint32_t, PendingCall> calls_;
+  std::unordered_map<Address, std::unique_ptr<PeerConnections>> links_;
   std::unique_ptr<Timer> sweep_timer_;
 };
 
--- a/src/cluster/rpc/listener.cpp
+++ b/src/cluster/rpc/rpc_server.cpp
@@ -1,10 +1,10 @@
-#include "cluster/rpc/listener.hpp"
+#include "cluster/rpc/rpc_server.hpp"
 
 #include <nng/protocol/reqrep0/rep.h>
 
 #include <boost/asio/post.hpp>
 
-#include "cluster/rpc/send_aio.hpp"
+#include "cluster/rpc/async_send.hpp"
 
 namespace winchhall::cluster {
 
@@ -14,15 +14,15 @@
 
 }  // namespace
 
-leaf::result<std::shared_ptr<NngListener>> NngListener::open(boost::asio::io_context& loop,
-                                                             const Address& address, RequestHandler handler) {
-  std::shared_ptr<NngListener> self(new NngListener(loop, std::move(handler)));
+leaf::result<std::shared_ptr<RpcServer>> RpcServer::open(boost::asio::io_context& loop,
+                                                         const Address& address, RequestHandler handler) {
+  std::shared_ptr<RpcServer> self(new RpcServer(loop, std::move(handler)));
   if (const int code = nng_rep0_open_raw(&self->socket_)) return leaf::new_error(NngFailure{"open", code});
   nng_socket_set_int(self->socket_, NNG_OPT_RECVBUF, kBufferMessages);
   nng_socket_set_int(self->socket_, NNG_OPT_SENDBUF, kBufferMessages);
-  nng_socket_set_size(self->socket_, NNG_OPT_RECVMAXSZ, kLargestMessage);
+  nng_socket_set_size(self->socket_, NNG_OPT_RECVMAXSZ, kMaxMessageBytes);
   nng_socket_set_bool(self->socket_, NNG_OPT_TCP_NODELAY, true);
-  if (const int code = nng_aio_alloc(&self->receive_aio_, &NngListener::received, self.get())) {
+  if (const int code = nng_aio_alloc(&self->receive_aio_, &RpcServer::received, self.get())) {
     return leaf::new_error(NngFailure{"allocate", code});
   }
   if (const int code = nng_listen(self->socket_, ("tcp://" + address).c_str(), nullptr, 0)) {
@@ -32,25 +32,25 @@
   return self;
 }
 
-NngListener::~NngListener() {
+RpcServer::~RpcServer() {
   nng_close(socket_);
   if (!receive_aio_) return;
   nng_aio_stop(receive_aio_);
   nng_aio_free(receive_aio_);
 }
 
-void NngListener::receive() { nng_recv_aio(socket_, receive_aio_); }
+void RpcServer::receive() { nng_recv_aio(socket_, receive_aio_); }
 
 // Runs on a thread of the library.
-void NngListener::received(void* argument) {
-  auto* self = static_cast<NngListener*>(argument);
+void RpcServer::received(void* argument) {
+  auto* self = static_cast<RpcServer*>(argument);
   const int result = nng_aio_result(self->receive_aio_);
   if (result == NNG_ECLOSED || result == NNG_ECANCELED) return;
   if (result == 0) self->take(NngMessage(nng_aio_get_msg(self->receive_aio_)));
   self->receive();
 }
 
-void NngListener::take(NngMessage message) {
+void RpcServer::take(NngMessage message) {
   auto request = std::make_shared<wire::Envelope>();
   if (!request->ParseFromArray(nng_msg_body(message.get()), static_cast<int>(nng_msg_len(message.get()))))
     return;
@@ -61,10 +61,10 @@
   });
 }
 
-void NngListener::dispatch(const wire::Envelope& request, std::string header) {
+void RpcServer::dispatch(const wire::Envelope& request, std::string header) {
   const std::uint32_t call_id = request.call_id();
-  const Replier reply = [weak = weak_from_this(), header = std::move(header), call_id,
-                         answered = std::make_shared<bool>(false)](wire::Envelope answer) {
+  const ReplyCallback reply = [weak = weak_from_this(), header = std::move(header), call_id,
+                               answered = std::make_shared<bool>(false)](wire::Envelope answer) {
     const auto self = weak.lock();
     if (!self || std::exchange(*answered, true)) return;
     answer.set_call_id(call_id);
@@ -73,7 +73,7 @@
   handler_(request, reply);
 }
 
-void NngListener::send(const std::string& header, const wire::Envelope& reply) {
+void RpcServer::send(const std::string& header, const wire::Envelope& reply) {
   NngMessage message = NngMessage::with_body(reply.SerializeAsString());
   if (!message) return;
   if (nng_msg_header_append(message.get(), header.data(), header.size()) != 0) return;
--- a/src/cluster/rpc/listener.hpp
+++ b/src/cluster/rpc/rpc_server.hpp
@@ -10,19 +10,19 @@
 
 #include "cluster/common/errors.hpp"
 #include "cluster/common/runtime.hpp"
-#include "cluster/rpc/socket.hpp"
+#include "cluster/rpc/nng_message.hpp"
 
 namespace winchhall::cluster {
 
-class NngListener : public std::enable_shared_from_this<NngListener> {
+class RpcServer : public std::enable_shared_from_this<RpcServer> {
  public:
   // Listens on "ip:port"; requests that no handler takes are dropped. Errors: NngFailure.
-  static leaf::result<std::shared_ptr<NngListener>> open(boost::asio::io_context& loop,
-                                                         const Address& address, RequestHandler handler);
-  ~NngListener();
+  static leaf::result<std::shared_ptr<RpcServer>> open(boost::asio::io_context& loop, const Address& address,
+                                                       RequestHandler handler);
+  ~RpcServer();
 
  private:
-  NngListener(boost::asio::io_context& loop, RequestHandler handler)
+  RpcServer(boost::asio::io_context& loop, RequestHandler handler)
       : loop_(loop), handler_(std::move(handler)) {}
   static void received(void* self);
   void receive();
--- a/src/cluster/scheduler/claims.cpp
+++ b/src/cluster/scheduler/backfill_reservations.cpp
@@ -1,12 +1,12 @@
 // Keeps leaves free for stages that need much room at once, and makes room for them where priority allows it.
-#include "cluster/scheduler/claims.hpp"
+#include "cluster/scheduler/backfill_reservations.hpp"
 
 #include <algorithm>
 
 #include "cluster/scheduler/eligibility.hpp"
-#include "cluster/scheduler/gang_plan.hpp"
-#include "cluster/scheduler/preemption.hpp"
-#include "cluster/scheduler/run_time.hpp"
+#include "cluster/scheduler/gang_placement.hpp"
+#include "cluster/scheduler/run_end_estimate.hpp"
+#include "cluster/scheduler/task_preemptor.hpp"
 
 namespace winchhall::cluster::scheduling {
 namespace {
@@ -20,21 +20,22 @@
 
 }  // namespace
 
-void Claims::begin_round() {
+void BackfillReservations::begin_round() {
   claims_left_ = kMostClaims;
-  for (const auto& leaf : state_.leaves.all()) leaf->claimed_by = nullptr;
+  for (const auto& leaf : state_.leaves.all()) leaf->reserved_for = nullptr;
 }
 
-bool Claims::needs_much(const StageInstance& stage) const {
+bool BackfillReservations::needs_reservation(const StageInstance& stage) const {
   if (stage.spec->gang()) return true;
   Resources large{stage.demand.cpu * kSmallPart, stage.demand.mem_mb * kSmallPart,
                   stage.demand.gpu * kSmallPart};
   return std::any_of(state_.leaves.all().begin(), state_.leaves.all().end(), [&](const auto& leaf) {
-    return may_ever_take(*leaf, stage) && !large.fits_in(leaf->capacity);
+    return is_feasible(*leaf, stage) && !large.fits_in(leaf->capacity);
   });
 }
 
-TimePoint Claims::free_at(const Leaf& leaf, const StageInstance& stage, std::uint64_t places) const {
+TimePoint BackfillReservations::free_at(const Leaf& leaf, const StageInstance& stage,
+                                        std::uint64_t places) const {
   struct Release {
     TimePoint at;
     Resources amount;
@@ -52,13 +53,14 @@
   return leaf.capacity.without(reserved).times(stage.demand) >= places ? at : state_.now + kUnknownEnd;
 }
 
-std::vector<Claims::Prospect> Claims::prospects(const StageInstance& stage) const {
+std::vector<BackfillReservations::Prospect> BackfillReservations::prospects(
+    const StageInstance& stage) const {
   std::vector<Prospect> all;
   for (const auto& leaf : state_.leaves.all()) {
-    if (!may_ever_take(*leaf, stage) || !is_heard(state_, *leaf) || state_.set_aside(*leaf)) continue;
-    if (leaf->claimed_by != nullptr) continue;
+    if (!is_feasible(*leaf, stage) || !is_reachable(state_, *leaf) || state_.is_ejected(*leaf)) continue;
+    if (leaf->reserved_for != nullptr) continue;
     std::uint64_t places =
-        std::min<std::uint64_t>(places_for(*leaf, stage, leaf->capacity), stage.waiting.size());
+        std::min<std::uint64_t>(slots_for(*leaf, stage, leaf->capacity), stage.waiting.size());
     if (places == 0) continue;
     std::uint64_t wanted = stage.spec->gang() ? places : 1;
     all.push_back({leaf.get(), wanted, free_at(*leaf, stage, wanted)});
@@ -68,7 +70,7 @@
   return all;
 }
 
-void Claims::claim(StageInstance& stage) {
+void BackfillReservations::claim(StageInstance& stage) {
   if (claims_left_ == 0 || stage.waiting.empty()) return;
   std::vector<Prospect> all = prospects(stage);
   std::vector<Prospect> best;
@@ -88,13 +90,13 @@
   if (best.empty()) return;
   --claims_left_;
   for (const Prospect& prospect : best) {
-    prospect.leaf->claimed_by = &stage;
-    prospect.leaf->claimed_until = best.back().free_at;
+    prospect.leaf->reserved_for = &stage;
+    prospect.leaf->reserved_until = best.back().free_at;
   }
-  make_room(stage, best);
+  preempt_for(stage, best);
 }
 
-void Claims::make_room(StageInstance& stage, const std::vector<Prospect>& chosen) {
+void BackfillReservations::preempt_for(StageInstance& stage, const std::vector<Prospect>& chosen) {
   Millis waited = std::chrono::duration_cast<Millis>(state_.now - stage.waiting_since);
   if (waited < kPreemptAfter || state_.now - stage.preempted_at < kPreemptPause) return;
   if (chosen.back().free_at - state_.now < kPreemptAfter) return;
@@ -103,12 +105,13 @@
     std::uint64_t places = std::min(prospect.places, wanted);
     if (places == 0) break;
     wanted -= places;
-    if (!stop_enough(stage, *prospect.leaf, places, waited >= kPreemptUnsavedAfter)) return;
+    if (!stop_for_slots(stage, *prospect.leaf, places, waited >= kPreemptUnsavedAfter)) return;
     stage.preempted_at = state_.now;
   }
 }
 
-bool Claims::stop_enough(StageInstance& stage, Leaf& leaf, std::uint64_t places, bool unsaved_too) {
+bool BackfillReservations::stop_for_slots(StageInstance& stage, Leaf& leaf, std::uint64_t places,
+                                          bool unsaved_too) {
   Resources reserved = leaf.reserved;
   std::vector<Run*> victims;
   for (auto& [key, run] : leaf.runs) {
--- a/src/cluster/scheduler/claims.hpp
+++ b/src/cluster/scheduler/backfill_reservations.hpp
@@ -1,19 +1,19 @@
 // Keeps leaves free for stages that need much room at once, and makes room for them where priority allows it.
 #pragma once
 
-#include "cluster/scheduler/run_ledger.hpp"
+#include "cluster/scheduler/run_table.hpp"
 
 namespace winchhall::cluster::scheduling {
 
-class Claims {
+class BackfillReservations {
  public:
-  Claims(SchedulerState& state, RunLedger& ledger) : state_(state), ledger_(ledger) {}
+  BackfillReservations(SchedulerState& state, RunTable& ledger) : state_(state), ledger_(ledger) {}
 
   // Drops all claims: they are made anew in each round, in queue order.
   void begin_round();
   // True if the stage finds room only where it is kept free for it: a gang, or tasks that are large for their
   // leaves.
-  bool needs_much(const StageInstance& stage) const;
+  bool needs_reservation(const StageInstance& stage) const;
   // Claims leaves for a stage that could not be placed and needs much; may stop work of less priority.
   void claim(StageInstance& stage);
 
@@ -26,11 +26,11 @@
   };
   std::vector<Prospect> prospects(const StageInstance& stage) const;
   TimePoint free_at(const Leaf& leaf, const StageInstance& stage, std::uint64_t places) const;
-  void make_room(StageInstance& stage, const std::vector<Prospect>& chosen);
-  bool stop_enough(StageInstance& stage, Leaf& leaf, std::uint64_t places, bool unsaved_too);
+  void preempt_for(StageInstance& stage, const std::vector<Prospect>& chosen);
+  bool stop_for_slots(StageInstance& stage, Leaf& leaf, std::uint64_t places, bool unsaved_too);
 
   SchedulerState& state_;
-  RunLedger& ledger_;
+  RunTable& ledger_;
   int claims_left_ = 0;
 };
 
--- a/src/cluster/scheduler/eligibility.hpp
+++ b/src/cluster/scheduler/eligibility.hpp
@@ -9,30 +9,30 @@
 inline constexpr std::uint32_t kFreshHeartbeatMs = 3000;
 
 // True if the leaf is heard and heartbeats; a leaf that is not, and whose hold has run out, runs nothing.
-bool is_heard(const SchedulerState& state, const Leaf& leaf);
+bool is_reachable(const SchedulerState& state, const Leaf& leaf);
 
 // Whether tasks of the stage may run there at all, whatever room there is now.
-bool may_ever_take(const Leaf& leaf, const StageInstance& stage);
+bool is_feasible(const Leaf& leaf, const StageInstance& stage);
 
 // Whether the leaf may be given a task of the stage now, room left aside.
-bool may_take_now(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
+bool is_schedulable(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
 
 // How many more tasks of the stage fit there, with `room` left.
-std::uint64_t places_for(const Leaf& leaf, const StageInstance& stage, const Resources& room);
+std::uint64_t slots_for(const Leaf& leaf, const StageInstance& stage, const Resources& room);
 
 // True if the stage names the rack of its data and the leaf is not in it.
-bool is_away(const Leaf& leaf, const StageInstance& stage);
+bool is_remote(const Leaf& leaf, const StageInstance& stage);
 
 // How many times as long as its estimate the task takes there, by where its data lies.
-double distance_factor(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
+double remote_slowdown(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
 
 // True unless the leaf is kept free for another stage and this one would stand in its way.
-bool leaves_claim_alone(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
+bool respects_reservation(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
 
 // True if one more failure ends the task's job and the leaf is likely to bring it: it fails much of what it
 // starts, or this task failed there.
-bool risks_last_try(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage,
-                    const Task& task);
+bool is_risky_last_attempt(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage,
+                           const Task& task);
 
 // True if the job may be started: everything that it might be running elsewhere is known.
 bool may_start(const SchedulerState& state, const Job& job);
--- a/src/cluster/scheduler/gang_plan.cpp
+++ b/src/cluster/scheduler/gang_placement.cpp
@@ -1,5 +1,5 @@
 // Places for all members of a gang at once.
-#include "cluster/scheduler/gang_plan.hpp"
+#include "cluster/scheduler/gang_placement.hpp"
 
 #include <algorithm>
 #include <map>
@@ -24,7 +24,7 @@
   std::vector<Offer> offers;
   std::uint64_t places = 0;
   for (Leaf* leaf : leaves) {
-    offers.push_back({leaf, places_for(*leaf, stage, leaf->free()), leaf->cost});
+    offers.push_back({leaf, slots_for(*leaf, stage, leaf->free()), leaf->cost});
     places += offers.back().places;
   }
   std::vector<Leaf*> members;
@@ -63,11 +63,12 @@
   return groups;
 }
 
-GangPlan plan_gang(SchedulerState& state, const StageInstance& stage, const std::vector<Leaf*>& candidates) {
+GangPlacement place_gang_members(SchedulerState& state, const StageInstance& stage,
+                                 const std::vector<Leaf*>& candidates) {
   placement::LeastCost<std::size_t> choice;
   std::vector<std::vector<Leaf*>> plans;
   for (const std::vector<Leaf*>& group : groups_for(stage, candidates)) {
-    double hint = group.empty() ? stage.hint : stage.hint * distance_factor(state, *group.front(), stage);
+    double hint = group.empty() ? stage.hint : stage.hint * remote_slowdown(state, *group.front(), stage);
     double total = 0;
     std::vector<Leaf*> members = spread(state, stage, group, hint, total);
     if (members.empty()) continue;
@@ -76,7 +77,7 @@
   }
   if (!choice.empty()) {
     const std::vector<Leaf*>& members = plans[choice.best()];
-    return {members, stage.hint * distance_factor(state, *members.front(), stage)};
+    return {members, stage.hint * remote_slowdown(state, *members.front(), stage)};
   }
   if (!stage.spec->same_rack()) return {};
   double longer = stage.hint * (state.terms.bounds.far_factor - 1);
--- a/src/cluster/scheduler/gang_plan.hpp
+++ b/src/cluster/scheduler/gang_placement.hpp
@@ -8,13 +8,14 @@
 namespace winchhall::cluster::scheduling {
 
 // A leaf for each member, by index; empty: they don't all fit. `cost`: estimated ms of each member.
-struct GangPlan {
+struct GangPlacement {
   std::vector<Leaf*> members;
   double cost = 0;
 };
 
 // `candidates`: the leaves that may take members now.
-GangPlan plan_gang(SchedulerState& state, const StageInstance& stage, const std::vector<Leaf*>& candidates);
+GangPlacement place_gang_members(SchedulerState& state, const StageInstance& stage,
+                                 const std::vector<Leaf*>& candidates);
 
 // Leaves of one rack each, or all together where the stage may lie on any.
 std::vector<std::vector<Leaf*>> groups_for(const StageInstance& stage, const std::vector<Leaf*>& candidates);
--- a/src/cluster/scheduler/job.hpp
+++ b/src/cluster/scheduler/job.hpp
@@ -32,22 +32,22 @@
   RunNumber last_run = 0;  // highest run known
   std::vector<RunNumber>
       failed_runs;  // runs that ended `failed`; of a gang, its runs with such an end of this task
-  std::vector<std::string> failed_on;  // leaves where it failed
+  std::vector<std::string> failed_leaves;  // leaves where it failed
   Checkpoint saved;
-  std::vector<Run*> runs;        // that may exist on a leaf
-  std::uint32_t short_runs = 0;  // long-running tasks: runs in a row that ended early
-  TimePoint not_before;          // no start earlier than this
-  TimePoint offered_at;          // when it was last given to the queue
+  std::vector<Run*> runs;                    // that may exist on a leaf
+  std::uint32_t consecutive_short_runs = 0;  // long-running tasks: runs in a row that ended early
+  TimePoint earliest_start;                  // no start earlier than this
+  TimePoint enqueued_at;                     // when it was last given to the queue
 };
 
 // What a stage's job can still earn.
-enum class Outlook : std::uint8_t { in_time, late, none };
+enum class DeadlineStatus : std::uint8_t { in_time, late, none };
 
 // Place of a stage in the queue: lower goes first. Among those that can still end in time the one that has to
 // start first goes first; one that can't no longer goes before them, or all would be late under overload.
 struct QueueKey {
   std::uint32_t priority = 0;
-  Outlook outlook = Outlook::in_time;
+  DeadlineStatus outlook = DeadlineStatus::in_time;
   TimePoint start_by;  // to end in time, if estimates hold
   double hint = 0;     // larger goes first
   std::uint64_t sequence = 0;
@@ -99,13 +99,13 @@
   bool durable = false;   // its record is: it may start
   bool shown = false;     // its final state is durable
   bool restored = false;  // comes from an earlier leader: may run somewhere unknown
-  ChangeNumber last_change = 0;
+  ChangeBatchNumber last_change = 0;
   std::map<std::uint32_t, Repeat> repeats;  // opened
   std::uint32_t next_repeat = 0;
   std::uint32_t repeats_done = 0;
   std::uint32_t live_runs = 0;
   std::uint64_t open_tasks = 0;  // of opened repeats that are not done
-  double chain_ms = 0;           // longest chain of estimated work
+  double critical_path_ms = 0;   // longest chain of estimated work
 
   bool final() const {
     return state == wire::JOB_COMPLETED || state == wire::JOB_FAILED || state == wire::JOB_CANCELED;
--- a/src/cluster/scheduler/job_lifecycle.cpp
+++ b/src/cluster/scheduler/job_lifecycle.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "cluster/scheduler/job_checks.hpp"
+#include "cluster/scheduler/job_validation.hpp"
 
 namespace winchhall::cluster::scheduling {
 namespace {
@@ -21,7 +21,7 @@
   std::string reason;
   bool valid = leaf::try_handle_all(
       [&]() -> leaf::result<bool> {
-        BOOST_LEAF_CHECK(check_job(id, spec));
+        BOOST_LEAF_CHECK(validate_job(id, spec));
         return true;
       },
       [&](const InvalidInput& error) {
@@ -35,7 +35,7 @@
   Job& job = state_.jobs.add(id, spec, terms);
   job.accepted_at = state_.now;
   job.accepted_wall_ms = state_.wall.at(state_.now);
-  job.last_change = state_.records.put(RecordLog::job_key(id), encode_job(job));
+  job.last_change = state_.records.put(RecordWriteBuffer::job_key(id), encode_job(job));
   state_.awaiting.push_back({job.last_change, id});
   return {wire::JOB_OK, job.last_change, {}};
 }
@@ -59,8 +59,8 @@
     job.ended_wall_ms = restored.progress.ended_wall_ms();
     job.shown = true;
     state_.jobs.count_end(job);
-    TimePoint end = state_.wall.when(job.ended_wall_ms) + kept_after_end();
-    state_.removals.emplace(std::clamp(end, state_.now, state_.now + kept_after_end()), job.id);
+    TimePoint end = state_.wall.when(job.ended_wall_ms) + retention_after_end();
+    state_.removals.emplace(std::clamp(end, state_.now, state_.now + retention_after_end()), job.id);
     return;
   }
   for (std::uint32_t number = 0; number < job.repeat_count(); ++number) {
@@ -80,14 +80,14 @@
   open_due(job);
 }
 
-Millis JobLifecycle::kept_after_end() const { return state_.terms.bounds.status * 3 / 2; }
+Millis JobLifecycle::retention_after_end() const { return state_.terms.bounds.status * 3 / 2; }
 
-void JobLifecycle::note_progress(Job& job) { job.last_change = state_.records.mark_progress(job.id); }
+void JobLifecycle::mark_progress_changed(Job& job) { job.last_change = state_.records.mark_progress(job.id); }
 
-void JobLifecycle::changes_durable() {
+void JobLifecycle::on_changes_durable() {
   while (!state_.awaiting.empty() && state_.records.is_durable(state_.awaiting.front().number)) {
     Job* job = state_.jobs.find(state_.awaiting.front().job);
-    ChangeNumber number = state_.awaiting.front().number;
+    ChangeBatchNumber number = state_.awaiting.front().number;
     state_.awaiting.pop_front();
     if (job == nullptr) continue;
     if (job->final()) {
@@ -104,7 +104,7 @@
 // without the end would take the job for one that had nothing to do.
 void JobLifecycle::note_shown(Job& job) {
   job.shown = true;
-  state_.records.put(RecordLog::job_key(job.id), encode_ended_job(job));
+  state_.records.put(RecordWriteBuffer::job_key(job.id), encode_ended_job(job));
 }
 
 std::int64_t JobLifecycle::due_wall_ms(const Job& job, std::uint32_t repeat) const {
@@ -177,7 +177,7 @@
   } else {
     complete_one(stage, task);
   }
-  note_progress(*stage.job);
+  mark_progress_changed(*stage.job);
   if (stage.done()) stage_done(stage);
 }
 
@@ -207,11 +207,11 @@
   if (job.repeats_done == job.repeat_count()) finish(job, wire::JOB_COMPLETED);
 }
 
-void JobLifecycle::count_failure(StageInstance& stage, Task& task, RunNumber run) {
+void JobLifecycle::record_failure(StageInstance& stage, Task& task, RunNumber run) {
   if (stage.job->final() || task.done || stage.spec->long_running()) return;
   if (std::find(task.failed_runs.begin(), task.failed_runs.end(), run) != task.failed_runs.end()) return;
   task.failed_runs.push_back(run);
-  note_progress(*stage.job);
+  mark_progress_changed(*stage.job);
   if (failures_of(stage, task) >= stage.job->max_retries()) finish(*stage.job, wire::JOB_FAILED);
 }
 
@@ -229,14 +229,14 @@
       }
     }
   }
-  note_progress(job);
+  mark_progress_changed(job);
   state_.awaiting.push_back({job.last_change, job.id});
-  state_.removals.emplace(state_.now + kept_after_end(), job.id);
+  state_.removals.emplace(state_.now + retention_after_end(), job.id);
 }
 
 void JobLifecycle::run_timers() {
   while (!state_.retries.empty() && state_.retries.begin()->first <= state_.now) {
-    TaskPlace place = state_.jobs.place_of(state_.retries.begin()->second);
+    TaskRef place = state_.jobs.place_of(state_.retries.begin()->second);
     state_.retries.erase(state_.retries.begin());
     if (place.task != nullptr) ledger_.offer(*place.stage, *place.task);
   }
@@ -264,10 +264,10 @@
   }
 }
 
-void JobLifecycle::disown_runs(const Job& job) {
+void JobLifecycle::detach_runs(const Job& job) {
   for (const auto& leaf : state_.leaves.all())
     for (auto& [key, run] : leaf->runs)
-      if (run.job == &job) ledger_.disown(run);
+      if (run.job == &job) ledger_.detach_job(run);
 }
 
 void JobLifecycle::remove_ended() {
@@ -277,13 +277,13 @@
     Job* job = state_.jobs.find(id);
     if (job == nullptr) continue;
     if (!job->shown) {
-      state_.removals.emplace(state_.now + kept_after_end(), id);
+      state_.removals.emplace(state_.now + retention_after_end(), id);
       continue;
     }
-    if (job->live_runs > 0) disown_runs(*job);
+    if (job->live_runs > 0) detach_runs(*job);
     state_.records.unmark_progress(id);
-    state_.records.remove(RecordLog::job_key(id));
-    state_.records.remove(RecordLog::progress_key(id));
+    state_.records.remove(RecordWriteBuffer::job_key(id));
+    state_.records.remove(RecordWriteBuffer::progress_key(id));
     state_.jobs.erase(id);
   }
 }
--- a/src/cluster/scheduler/job_lifecycle.hpp
+++ b/src/cluster/scheduler/job_lifecycle.hpp
@@ -1,20 +1,20 @@
 // The course of jobs: taken in, opened repeat by repeat and stage by stage, ended, removed.
 #pragma once
 
-#include "cluster/scheduler/records.hpp"
-#include "cluster/scheduler/run_ledger.hpp"
+#include "cluster/scheduler/record_codec.hpp"
+#include "cluster/scheduler/run_table.hpp"
 
 namespace winchhall::cluster::scheduling {
 
 class JobLifecycle {
  public:
-  JobLifecycle(SchedulerState& state, RunLedger& ledger) : state_(state), ledger_(ledger) {}
+  JobLifecycle(SchedulerState& state, RunTable& ledger) : state_(state), ledger_(ledger) {}
 
   SubmitResult submit(const std::string& id, const wire::JobSpec& spec, const wire::QueueTerms& terms);
   CancelResult cancel(const std::string& id);
   void restore(const RestoredJob& restored);
   // Makes jobs whose changes are durable go on.
-  void changes_durable();
+  void on_changes_durable();
   // Does what has become due: repeats, tasks held back, removal of jobs that ended long ago.
   void run_timers();
 
@@ -23,9 +23,9 @@
   // The task has ended `done`; of a gang, so have all.
   void complete(StageInstance& stage, Task& task);
   // The task has ended `failed` once more.
-  void count_failure(StageInstance& stage, Task& task, RunNumber run);
+  void record_failure(StageInstance& stage, Task& task, RunNumber run);
   // The job's progress must become durable.
-  void note_progress(Job& job);
+  void mark_progress_changed(Job& job);
   void note_shown(Job& job);
 
  private:
@@ -39,12 +39,12 @@
   void repeat_done(Job& job, std::uint32_t number, Repeat& repeat);
   void finish(Job& job, wire::JobState final_state);
   void remove_ended();
-  void disown_runs(const Job& job);
+  void detach_runs(const Job& job);
   void clear_done_repeats();
-  Millis kept_after_end() const;
+  Millis retention_after_end() const;
 
   SchedulerState& state_;
-  RunLedger& ledger_;
+  RunTable& ledger_;
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/job_book.cpp
+++ b/src/cluster/scheduler/job_table.cpp
@@ -1,5 +1,5 @@
 // All jobs of a service: by ID, by queue, and the estimates that their queues gave so far.
-#include "cluster/scheduler/job_book.hpp"
+#include "cluster/scheduler/job_table.hpp"
 
 #include <algorithm>
 
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-Job& JobBook::add(const std::string& id, wire::JobSpec spec, wire::QueueTerms terms) {
+Job& JobTable::add(const std::string& id, wire::JobSpec spec, wire::QueueTerms terms) {
   auto job = std::make_unique<Job>();
   job->id = id;
   job->spec = std::move(spec);
   job->terms = std::move(terms);
   job->sequence = next_sequence_++;
-  QueueFigures& queue = queues_[job->terms.queue()];
+  QueueStats& queue = queues_[job->terms.queue()];
   ++queue.pending;
   ++live_;
   for (const wire::Stage& stage : job->spec.stages()) {
@@ -29,25 +29,25 @@
     queue.hint_sum += stage.estimated_ms();
     queue.hint_count += 1;
   }
-  const std::vector<double> chains = chains_of(*job);
-  if (!chains.empty()) job->chain_ms = *std::max_element(chains.begin(), chains.end());
+  const std::vector<double> chains = critical_paths(*job);
+  if (!chains.empty()) job->critical_path_ms = *std::max_element(chains.begin(), chains.end());
   return *(jobs_[id] = std::move(job));
 }
 
-Job* JobBook::find(const std::string& id) const {
+Job* JobTable::find(const std::string& id) const {
   auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-void JobBook::erase(const std::string& id) { jobs_.erase(id); }
+void JobTable::erase(const std::string& id) { jobs_.erase(id); }
 
-void JobBook::count_end(const Job& job) {
+void JobTable::count_end(const Job& job) {
   --live_;
   --queues_[job.terms.queue()].pending;
 }
 
-TaskPlace JobBook::place_of(const TaskName& name) const {
-  TaskPlace place;
+TaskRef JobTable::place_of(const TaskName& name) const {
+  TaskRef place;
   place.job = find(name.job);
   if (place.job == nullptr) return place;
   auto repeat = place.job->repeats.find(name.repeat);
@@ -57,19 +57,19 @@
   return place;
 }
 
-std::uint32_t JobBook::pending(const std::string& queue) const {
+std::uint32_t JobTable::pending(const std::string& queue) const {
   auto found = queues_.find(queue);
   return found == queues_.end() ? 0 : found->second.pending;
 }
 
-double JobBook::hint_of(const Job& job, const wire::Stage& stage) const {
+double JobTable::hint_of(const Job& job, const wire::Stage& stage) const {
   if (stage.estimated_ms() > 0) return stage.estimated_ms();
   auto queue = queues_.find(job.terms.queue());
   if (queue == queues_.end() || queue->second.hint_count == 0) return kFirstHint;
   return queue->second.hint_sum / queue->second.hint_count;
 }
 
-std::vector<double> JobBook::chains_of(const Job& job) const {
+std::vector<double> JobTable::critical_paths(const Job& job) const {
   std::vector<double> chains(static_cast<std::size_t>(job.spec.stages_size()), 0);
   for (std::size_t i = chains.size(); i-- > 0;) {
     const wire::Stage& stage = job.spec.stages(static_cast<int>(i));
@@ -80,10 +80,10 @@
   return chains;
 }
 
-Repeat& JobBook::open_repeat(Job& job, std::uint32_t number, TimePoint due) {
+Repeat& JobTable::open_repeat(Job& job, std::uint32_t number, TimePoint due) {
   Repeat& repeat = job.repeats[number];
   repeat.stages.resize(static_cast<std::size_t>(job.spec.stages_size()));
-  const std::vector<double> chains = chains_of(job);
+  const std::vector<double> chains = critical_paths(job);
   for (std::size_t i = 0; i < repeat.stages.size(); ++i) {
     StageInstance& stage = repeat.stages[i];
     stage.repeat = number;
@@ -94,7 +94,7 @@
   return repeat;
 }
 
-void JobBook::set_up_stage(Job& job, StageInstance& stage, TimePoint due, double chain_ms) {
+void JobTable::set_up_stage(Job& job, StageInstance& stage, TimePoint due, double critical_path_ms) {
   stage.job = &job;
   stage.spec = &job.spec.stages(static_cast<int>(stage.number));
   stage.demand = demand_of(*stage.spec);
@@ -102,12 +102,12 @@
   stage.tasks.resize(stage.spec->count());
   for (std::uint32_t i = 0; i < stage.tasks.size(); ++i) stage.tasks[i].index = i;
   double objective =
-      std::max(kLeastStretch, job.terms.stretch()) * job.chain_ms + job.terms.target_latency_ms();
+      std::max(kLeastStretch, job.terms.stretch()) * job.critical_path_ms + job.terms.target_latency_ms();
   stage.key.priority = job.terms.priority();
-  stage.key.start_by = due + to_millis(objective - chain_ms);
+  stage.key.start_by = due + to_millis(objective - critical_path_ms);
   stage.key.hint = stage.hint;
   stage.key.sequence = next_sequence_++;
-  stage.late_after = due + to_millis(objective - chain_ms * kSurelyNeeded);
+  stage.late_after = due + to_millis(objective - critical_path_ms * kSurelyNeeded);
   stage.worthless_after = due + to_millis(objective * kLateAtTimes);
 }
 
--- a/src/cluster/scheduler/job_book.hpp
+++ b/src/cluster/scheduler/job_table.hpp
@@ -11,13 +11,13 @@
 namespace winchhall::cluster::scheduling {
 
 // A task's place: either all three are there or the first that is not known is null, with those after it.
-struct TaskPlace {
+struct TaskRef {
   Job* job = nullptr;
   StageInstance* stage = nullptr;
   Task* task = nullptr;
 };
 
-class JobBook {
+class JobTable {
  public:
   using Jobs = std::unordered_map<std::string, std::unique_ptr<Job>>;
 
@@ -29,7 +29,7 @@
   void count_end(const Job& job);
   const Jobs& all() const { return jobs_; }
 
-  TaskPlace place_of(const TaskName& name) const;
+  TaskRef place_of(const TaskName& name) const;
 
   std::uint32_t pending(const std::string& queue) const;
   std::uint32_t live() const { return live_; }
@@ -39,18 +39,18 @@
 
  private:
   // Hints that a queue's stages gave.
-  struct QueueFigures {
+  struct QueueStats {
     std::uint32_t pending = 0;
     double hint_sum = 0;
     double hint_count = 0;
   };
   double hint_of(const Job& job, const wire::Stage& stage) const;
   // For each stage the longest chain of estimated work that begins with it, in ms.
-  std::vector<double> chains_of(const Job& job) const;
-  void set_up_stage(Job& job, StageInstance& stage, TimePoint due, double chain_ms);
+  std::vector<double> critical_paths(const Job& job) const;
+  void set_up_stage(Job& job, StageInstance& stage, TimePoint due, double critical_path_ms);
 
   Jobs jobs_;
-  std::unordered_map<std::string, QueueFigures> queues_;
+  std::unordered_map<std::string, QueueStats> queues_;
   std::uint32_t live_ = 0;
   std::uint64_t next_sequence_ = 1;
 };
--- a/src/cluster/scheduler/job_checks.cpp
+++ b/src/cluster/scheduler/job_validation.cpp
@@ -1,5 +1,5 @@
 // Checks of what clients hand in.
-#include "cluster/scheduler/job_checks.hpp"
+#include "cluster/scheduler/job_validation.hpp"
 
 #include <cstdint>
 
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-leaf::result<void> check_job(const std::string& id, const wire::JobSpec& spec) {
+leaf::result<void> validate_job(const std::string& id, const wire::JobSpec& spec) {
   if (id.empty() || id.size() > kLongestId) return invalid("id", id.substr(0, kLongestId), "16 hex digits");
   if (spec.spec().size() > kLongestSpec)
     return invalid("spec", std::to_string(spec.spec().size()) + " bytes",
--- a/src/cluster/scheduler/job_checks.hpp
+++ b/src/cluster/scheduler/job_validation.hpp
@@ -9,6 +9,6 @@
 namespace winchhall::cluster::scheduling {
 
 // Errors: InvalidInput.
-leaf::result<void> check_job(const std::string& id, const wire::JobSpec& spec);
+leaf::result<void> validate_job(const std::string& id, const wire::JobSpec& spec);
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/leaf_book.cpp
+++ b/src/cluster/scheduler/leaf_registry.cpp
@@ -1,11 +1,11 @@
 // All leaves of a service, and which life of a leaf each node has now.
-#include "cluster/scheduler/leaf_book.hpp"
+#include "cluster/scheduler/leaf_registry.hpp"
 
 #include <algorithm>
 
 namespace winchhall::cluster::scheduling {
 
-bool ReportOrder::accept(std::uint64_t session, std::uint64_t number) {
+bool ReportDeduplicator::accept(std::uint64_t session, std::uint64_t number) {
   if (session == current_.id) {
     if (number <= current_.newest) return false;
     current_.newest = number;
@@ -24,7 +24,7 @@
   return true;
 }
 
-Leaf& LeafBook::add(const std::string& id, const std::string& node) {
+Leaf& LeafRegistry::add(const std::string& id, const std::string& node) {
   leaves_.push_back(std::make_unique<Leaf>());
   Leaf& added = *leaves_.back();
   added.id = id;
@@ -33,12 +33,12 @@
   return added;
 }
 
-Leaf* LeafBook::find(const std::string& id) const {
+Leaf* LeafRegistry::find(const std::string& id) const {
   auto found = by_id_.find(id);
   return found == by_id_.end() ? nullptr : found->second;
 }
 
-void LeafBook::erase(const std::string& id) {
+void LeafRegistry::erase(const std::string& id) {
   by_id_.erase(id);
   auto found =
       std::find_if(leaves_.begin(), leaves_.end(), [&](const auto& entry) { return entry->id == id; });
--- a/src/cluster/scheduler/leaf_book.hpp
+++ b/src/cluster/scheduler/leaf_registry.hpp
@@ -13,7 +13,7 @@
 
 // Which of a node's reports are new. Reports may come late, twice and out of order, also those of an earlier
 // process.
-class ReportOrder {
+class ReportDeduplicator {
  public:
   // False: the report is older than one that was taken.
   bool accept(std::uint64_t session, std::uint64_t number);
@@ -31,12 +31,12 @@
 };
 
 struct Node {
-  ReportOrder order;
+  ReportDeduplicator order;
   std::string leaf_id;           // of the life that is there now; empty: none known
   std::deque<std::string> over;  // ids of lives that are over, newest last
 };
 
-class LeafBook {
+class LeafRegistry {
  public:
   using Leaves = std::vector<std::unique_ptr<Leaf>>;
 
--- a/src/cluster/scheduler/leaf_state.hpp
+++ b/src/cluster/scheduler/leaf_state.hpp
@@ -10,7 +10,7 @@
 
 #include "cluster/scheduler/job.hpp"
 #include "cluster/scheduler/leaf_health.hpp"
-#include "cluster/scheduler/priority_use.hpp"
+#include "cluster/scheduler/priority_usage.hpp"
 
 namespace winchhall::cluster::scheduling {
 
@@ -61,7 +61,7 @@
 using RunMap = std::unordered_map<RunKey, Run, RunKeyHash, RunKeyEqual>;
 
 // The newest lists that a leaf's worker-agent reported.
-struct ReportedLists {
+struct ReportedTaskLists {
   bool known = false;
   std::uint64_t session = 0;
   std::uint64_t report_number = 0;
@@ -70,9 +70,9 @@
 };
 
 // An end whose effects are not known to be durable.
-struct PendingEnd {
+struct UnacknowledgedEnd {
   std::uint64_t number = 0;
-  ChangeNumber durable_after = 0;
+  ChangeBatchNumber durable_after = 0;
 };
 
 struct Leaf {
@@ -80,7 +80,7 @@
   std::string node;
   Resources capacity;
   Resources reserved;
-  PriorityUse use;  // of `reserved`, what is known by priority
+  PriorityUsage use;  // of `reserved`, what is known by priority
   std::vector<std::string> labels;
   std::string rack;
   bool draining = false;
@@ -95,7 +95,7 @@
   std::uint64_t report_number = 0;
   Revision received = 0;  // of this epoch
   Revision settled = 0;
-  ReportedLists lists;
+  ReportedTaskLists lists;
   bool adopted = false;   // its lists were taken in under this epoch
   bool restored = false;  // may run what an earlier leader ordered
 
@@ -103,23 +103,23 @@
   Revision told = 0;
   std::deque<wire::StartOrder> starts;  // not settled, by revision
   std::deque<wire::StopOrder> stops;
-  std::uint64_t ends_taken = 0;
+  std::uint64_t processed_ends = 0;
   std::uint64_t last_seen = 0;
-  std::uint64_t told_last_seen = 0;
-  std::deque<PendingEnd> pending_ends;
-  TimePoint held_until;  // nothing runs on after this unless a hold is granted
+  std::uint64_t delivered_last_seen = 0;
+  std::deque<UnacknowledgedEnd> unacknowledged_ends;
+  TimePoint lease_expires_at;  // nothing runs on after this unless a hold is granted
   bool lists_wanted = false;
-  bool told_epoch = false;  // its worker-agent's process had an answer
+  bool epoch_delivered = false;  // its worker-agent's process had an answer
 
   bool recorded = false;  // its record is written
-  ChangeNumber record_change = 0;
+  ChangeBatchNumber record_change = 0;
   RunMap runs;
   std::uint32_t unknown_runs = 0;  // whose demand is unknown
   std::uint64_t generation = 0;
   double cost = 0;
   LeafHealth health;
-  const StageInstance* claimed_by = nullptr;  // leaf is kept free for this stage
-  TimePoint claimed_until;
+  const StageInstance* reserved_for = nullptr;  // leaf is kept free for this stage
+  TimePoint reserved_until;
 
   Resources free() const { return capacity.without(reserved); }
 };
--- a/src/cluster/scheduler/priority_use.hpp
+++ b/src/cluster/scheduler/priority_usage.hpp
@@ -8,7 +8,7 @@
 
 namespace winchhall::cluster::scheduling {
 
-class PriorityUse {
+class PriorityUsage {
  public:
   void add(std::uint32_t priority, const Resources& amount) {
     Use& use = uses_[priority];
--- a/src/cluster/scheduler/records.cpp
+++ b/src/cluster/scheduler/record_codec.cpp
@@ -1,5 +1,5 @@
 // Durable form of jobs and their progress.
-#include "cluster/scheduler/records.hpp"
+#include "cluster/scheduler/record_codec.hpp"
 
 #include <algorithm>
 #include <string_view>
--- a/src/cluster/scheduler/run_time.cpp
+++ b/src/cluster/scheduler/run_end_estimate.cpp
@@ -1,5 +1,5 @@
 // Estimates of how long runs still take.
-#include "cluster/scheduler/run_time.hpp"
+#include "cluster/scheduler/run_end_estimate.hpp"
 
 #include <algorithm>
 
--- a/src/cluster/scheduler/task_ends.cpp
+++ b/src/cluster/scheduler/run_end_handler.cpp
@@ -1,5 +1,5 @@
 // What the end of a run means for its task, and what is known to be over without an end having been listed.
-#include "cluster/scheduler/task_ends.hpp"
+#include "cluster/scheduler/run_end_handler.hpp"
 
 #include <algorithm>
 
@@ -19,88 +19,89 @@
 
 }  // namespace
 
-ChangeNumber TaskEnds::listed(Leaf& leaf, const wire::FinishedTask& entry) {
+ChangeBatchNumber RunEndHandler::listed(Leaf& leaf, const wire::FinishedTask& entry) {
   ++state_.counters.ends.at(wire::EndKind_IsValid(entry.how()) ? entry.how() : wire::END_UNKNOWN);
   TimePoint began = state_.now;
   auto found = leaf.runs.find(RunKeyView{entry.task(), entry.run()});
   if (found != leaf.runs.end()) {
     began = found->second.ordered_at;
-    ledger_.take_out(found->second);
+    ledger_.remove(found->second);
   }
   auto name = parse_task_name(entry.task());
   if (!name) return 0;
-  TaskPlace place = state_.jobs.place_of(*name);
+  TaskRef place = state_.jobs.place_of(*name);
   if (place.job != nullptr && place.task == nullptr && !place.job->final()) {
     jobs_.open_early(*place.job, name->repeat);
     place = state_.jobs.place_of(*name);
   }
   if (place.job == nullptr) return 0;
   if (place.task != nullptr) {
-    judge_leaf(leaf, place, entry.how(), began);
+    update_leaf_health(leaf, place, entry.how(), began);
     if (!place.job->final()) apply(place, entry, began);
   }
   return place.job->last_change;
 }
 
-void TaskEnds::apply(const TaskPlace& place, const wire::FinishedTask& entry, TimePoint began) {
+void RunEndHandler::apply(const TaskRef& place, const wire::FinishedTask& entry, TimePoint began) {
   StageInstance& stage = *place.stage;
   Task& task = *place.task;
   task.last_run = std::max(task.last_run, entry.run());
   save(place, entry.saved(), entry.run());
   bool lasts = stage.spec->long_running();
   if (entry.how() == wire::END_DONE && !lasts) return jobs_.complete(stage, task);
-  if (entry.how() == wire::END_FAILED) jobs_.count_failure(stage, task, entry.run());
+  if (entry.how() == wire::END_FAILED) jobs_.record_failure(stage, task, entry.run());
   if (place.job->final()) return;
   if (lasts && (entry.how() == wire::END_DONE || entry.how() == wire::END_FAILED)) hold_back(task, began);
-  if (entry.how() == wire::END_REFUSED) task.not_before = state_.now + kAfterRefusal;
-  if (stage.spec->gang()) break_gang(stage, entry.run());
+  if (entry.how() == wire::END_REFUSED) task.earliest_start = state_.now + kAfterRefusal;
+  if (stage.spec->gang()) stop_gang_run(stage, entry.run());
   ledger_.offer(stage, task);
 }
 
-void TaskEnds::save(const TaskPlace& place, const std::string& saved, RunNumber run) {
+void RunEndHandler::save(const TaskRef& place, const std::string& saved, RunNumber run) {
   if (saved.empty() || place.task->done || !place.stage->spec->checkpoints() || run < place.task->saved.run)
     return;
   place.task->saved = {saved, run};
-  jobs_.note_progress(*place.job);
+  jobs_.mark_progress_changed(*place.job);
 }
 
-void TaskEnds::hold_back(Task& task, TimePoint began) {
-  task.short_runs = state_.now - began < kShortRun ? task.short_runs + 1 : 0;
-  if (task.short_runs < 2) return;
-  task.not_before = state_.now + kFirstHoldBack * (1 << std::min(task.short_runs - 2, kMostDoublings));
+void RunEndHandler::hold_back(Task& task, TimePoint began) {
+  task.consecutive_short_runs = state_.now - began < kShortRun ? task.consecutive_short_runs + 1 : 0;
+  if (task.consecutive_short_runs < 2) return;
+  task.earliest_start =
+      state_.now + kFirstHoldBack * (1 << std::min(task.consecutive_short_runs - 2, kMostDoublings));
 }
 
-void TaskEnds::judge_leaf(Leaf& leaf, const TaskPlace& place, wire::EndKind how, TimePoint began) {
+void RunEndHandler::update_leaf_health(Leaf& leaf, const TaskRef& place, wire::EndKind how, TimePoint began) {
   bool blamed = how == wire::END_FAILED || how == wire::END_REFUSED;
   if (how == wire::END_DONE) {
     leaf.health.succeeded(began);
   } else if (blamed) {
     leaf.health.failed(place.job->id, began, state_.now);
-    if (std::find(place.task->failed_on.begin(), place.task->failed_on.end(), leaf.id) ==
-        place.task->failed_on.end())
-      place.task->failed_on.push_back(leaf.id);
+    if (std::find(place.task->failed_leaves.begin(), place.task->failed_leaves.end(), leaf.id) ==
+        place.task->failed_leaves.end())
+      place.task->failed_leaves.push_back(leaf.id);
   } else {
     leaf.health.ended();
   }
 }
 
-void TaskEnds::not_there(Run& run) {
+void RunEndHandler::on_run_lost(Run& run) {
   StageInstance* stage = run.stage;
   Task* task = run.task;
   RunNumber number = run.number;
-  ledger_.take_out(run);
+  ledger_.remove(run);
   if (task == nullptr) return;
-  if (stage->spec->gang() && !task->done) break_gang(*stage, number);
+  if (stage->spec->gang() && !task->done) stop_gang_run(*stage, number);
   ledger_.offer(*stage, *task);
 }
 
-void TaskEnds::break_gang(StageInstance& stage, RunNumber number) {
+void RunEndHandler::stop_gang_run(StageInstance& stage, RunNumber number) {
   for (Task& member : stage.tasks)
     for (Run* run : std::vector<Run*>(member.runs))
       if (run->number == number) ledger_.stop(*run);
 }
 
-void TaskEnds::break_torn_gangs() {
+void RunEndHandler::stop_partial_gangs() {
   for (const auto& [id, job] : state_.jobs.all()) {
     if (job->final() || !job->restored) continue;
     for (auto& [number, repeat] : job->repeats) {
@@ -111,37 +112,38 @@
           if (!member.runs.empty()) run = member.runs.front()->number;
         bool whole = std::all_of(stage.tasks.begin(), stage.tasks.end(),
                                  [](const Task& member) { return !member.runs.empty(); });
-        if (run > 0 && !whole) break_gang(stage, run);
+        if (run > 0 && !whole) stop_gang_run(stage, run);
       }
     }
   }
 }
 
-void TaskEnds::hold_over(Leaf& leaf) {
+void RunEndHandler::on_lease_expired(Leaf& leaf) {
   for (const RunKey& key : keys_of(leaf)) {
     auto found = leaf.runs.find(RunKeyView(key));
     if (found == leaf.runs.end()) continue;
     Run& run = found->second;
     StageInstance* stage = run.stage;
     Task* task = run.task;
-    if (task != nullptr && !task->saved.text.empty() && !run.job->final()) jobs_.note_progress(*run.job);
+    if (task != nullptr && !task->saved.text.empty() && !run.job->final())
+      jobs_.mark_progress_changed(*run.job);
     ledger_.detach(run);
     ledger_.stop(run);
     if (task == nullptr) continue;
-    if (stage->spec->gang() && !task->done) break_gang(*stage, key.run);
+    if (stage->spec->gang() && !task->done) stop_gang_run(*stage, key.run);
     ledger_.offer(*stage, *task);
   }
   forget_record(leaf);
 }
 
-void TaskEnds::life_over(Leaf& leaf) {
+void RunEndHandler::on_incarnation_ended(Leaf& leaf) {
   for (const RunKey& key : keys_of(leaf)) {
     auto found = leaf.runs.find(RunKeyView(key));
     if (found == leaf.runs.end()) continue;
     Run& run = found->second;
     if (run.task != nullptr && !run.task->saved.text.empty() && !run.job->final())
-      jobs_.note_progress(*run.job);
-    not_there(run);
+      jobs_.mark_progress_changed(*run.job);
+    on_run_lost(run);
   }
   forget_record(leaf);
   Node& node = state_.leaves.node(leaf.node);
@@ -153,10 +155,11 @@
   state_.changed = true;
 }
 
-void TaskEnds::forget_record(Leaf& leaf) {
-  if (leaf.recorded) state_.records.remove(RecordLog::worker_key(leaf.id));
+void RunEndHandler::forget_record(Leaf& leaf) {
+  if (leaf.recorded) state_.records.remove(RecordWriteBuffer::worker_key(leaf.id));
   leaf.recorded = false;
-  if (state_.unheard.erase(leaf.id) > 0 && state_.unheard.empty()) break_torn_gangs();
+  if (state_.unsynchronized_leaves.erase(leaf.id) > 0 && state_.unsynchronized_leaves.empty())
+    stop_partial_gangs();
   state_.changed = true;
 }
 
--- a/src/cluster/scheduler/watchdog.cpp
+++ b/src/cluster/scheduler/run_monitor.cpp
@@ -1,10 +1,10 @@
 // Looks after what runs: tasks that stand still, tasks that take too long, leaves that leave or fall silent.
-#include "cluster/scheduler/watchdog.hpp"
+#include "cluster/scheduler/run_monitor.hpp"
 
 #include <algorithm>
 
 #include "cluster/scheduler/eligibility.hpp"
-#include "cluster/scheduler/run_time.hpp"
+#include "cluster/scheduler/run_end_estimate.hpp"
 #include "placement/least_cost.hpp"
 
 namespace winchhall::cluster::scheduling {
@@ -27,45 +27,45 @@
 
 }  // namespace
 
-void Watchdog::look() {
+void RunMonitor::look() {
   if (state_.now < next_look_) return;
   next_look_ = state_.now + kPace;
   look_at_leaves();
   copy_slow_runs();
 }
 
-void Watchdog::look_at_leaves() {
+void RunMonitor::look_at_leaves() {
   std::vector<Leaf*> leaves;
   std::size_t aside = 0;
   for (const auto& leaf : state_.leaves.all()) {
     leaves.push_back(leaf.get());
     if (leaf->health.aside(state_.now)) ++aside;
   }
-  state_.trust_health = static_cast<double>(aside) <= kAsideAtMost * static_cast<double>(leaves.size());
+  state_.ejection_enabled = static_cast<double>(aside) <= kAsideAtMost * static_cast<double>(leaves.size());
   for (Leaf* leaf : leaves) {
     if (leaf->left && state_.now - leaf->left_at >= kEndsAfterLeaving) {
-      ends_.life_over(*leaf);
-    } else if (!is_heard(state_, *leaf) && state_.now > leaf->held_until) {
+      ends_.on_incarnation_ended(*leaf);
+    } else if (!is_reachable(state_, *leaf) && state_.now > leaf->lease_expires_at) {
       bool may_run =
           leaf->recorded || std::any_of(leaf->runs.begin(), leaf->runs.end(),
                                         [](const auto& entry) { return entry.second.task != nullptr; });
-      if (may_run) ends_.hold_over(*leaf);
+      if (may_run) ends_.on_lease_expired(*leaf);
     } else {
       look_at_runs(*leaf);
     }
   }
 }
 
-void Watchdog::look_at_runs(Leaf& leaf) {
+void RunMonitor::look_at_runs(Leaf& leaf) {
   std::vector<RunKey> stopped;
   for (auto& [key, run] : leaf.runs) {
     if (run.percent > 0 && run.percent < 100) percent_told_ = true;
     if (run.task == nullptr || run.stop_revision > 0 || !run.listed) continue;
-    bool still = stands_still(run);
+    bool still = is_stalled(run);
     if (!still && !must_move(leaf, run) && !must_be_spared(leaf, run)) continue;
     if (still) {
       leaf.health.stalled(run.job->id, run.ordered_at, state_.now);
-      run.task->failed_on.push_back(leaf.id);
+      run.task->failed_leaves.push_back(leaf.id);
     }
     stopped.push_back(key);
   }
@@ -74,20 +74,20 @@
     if (found == leaf.runs.end()) continue;
     StageInstance& stage = *found->second.stage;
     ledger_.stop(found->second);
-    if (stage.spec->gang()) ends_.break_gang(stage, key.run);
+    if (stage.spec->gang()) ends_.stop_gang_run(stage, key.run);
   }
 }
 
-bool Watchdog::stands_still(const Run& run) const {
+bool RunMonitor::is_stalled(const Run& run) const {
   const wire::Stage& spec = *run.stage->spec;
-  if (!percent_told_ || spec.long_running() || run.percent >= 100 || !is_heard(state_, *run.leaf))
+  if (!percent_told_ || spec.long_running() || run.percent >= 100 || !is_reachable(state_, *run.leaf))
     return false;
   double bound = std::max(static_cast<double>(kStillFor.count()), run.cost * kStillForHints);
   if (spec.gang()) bound += static_cast<double>(kGangAssembles.count());
   return since_ms(run.moved_at, state_.now) > bound;
 }
 
-bool Watchdog::must_move(const Leaf& leaf, const Run& run) const {
+bool RunMonitor::must_move(const Leaf& leaf, const Run& run) const {
   if (!leaf.draining || leaf.left) return false;
   const wire::Stage& spec = *run.stage->spec;
   double left = leaf.remaining_ms - since_ms(leaf.reported_at, state_.now);
@@ -96,13 +96,13 @@
   return since_ms(state_.now, expected_end(state_, run)) > left;
 }
 
-bool Watchdog::must_be_spared(const Leaf& leaf, const Run& run) const {
+bool RunMonitor::must_be_spared(const Leaf& leaf, const Run& run) const {
   // What was started there since is a trial and runs to its end.
   if (!leaf.health.suspect() || run.ordered_at >= leaf.health.suspect_since()) return false;
-  return risks_last_try(state_, leaf, *run.stage, *run.task);
+  return is_risky_last_attempt(state_, leaf, *run.stage, *run.task);
 }
 
-void Watchdog::copy_slow_runs() {
+void RunMonitor::copy_slow_runs() {
   if (!state_.queue.empty()) return;  // no spare room
   std::vector<StageInstance*> stages;
   for (const auto& leaf : state_.leaves.all())
@@ -114,7 +114,7 @@
     if (may_start(state_, *stage->job)) copy_slow(*stage);
 }
 
-void Watchdog::copy_slow(StageInstance& stage) {
+void RunMonitor::copy_slow(StageInstance& stage) {
   if (stage.spec->long_running() || stage.job->final()) return;
   double bound = std::max(static_cast<double>(kCopyAfter.count()), stage.hint * kCopyAfterTimes);
   for (Task& task : stage.tasks) {
@@ -124,12 +124,12 @@
     if (failures_of(stage, task) + 1 >= stage.job->max_retries()) continue;  // the run there may yet fail
     placement::LeastCost<Leaf*> choice;
     for (const auto& leaf : state_.leaves.all()) {
-      if (leaf.get() == run.leaf || !may_take_now(state_, *leaf, stage)) continue;
-      if (places_for(*leaf, stage, leaf->free()) > 0) choice.offer(leaf.get(), leaf->cost, state_.random);
+      if (leaf.get() == run.leaf || !is_schedulable(state_, *leaf, stage)) continue;
+      if (slots_for(*leaf, stage, leaf->free()) > 0) choice.offer(leaf.get(), leaf->cost, state_.random);
     }
     if (choice.empty()) return;
-    double cost = stage.hint * distance_factor(state_, *choice.best(), stage);
-    ledger_.start(stage, task, *choice.best(), ledger_.next_run(stage, task), cost);
+    double cost = stage.hint * remote_slowdown(state_, *choice.best(), stage);
+    ledger_.start(stage, task, *choice.best(), ledger_.next_run_number(stage, task), cost);
   }
 }
 
--- a/src/cluster/scheduler/watchdog.hpp
+++ b/src/cluster/scheduler/run_monitor.hpp
@@ -1,13 +1,13 @@
 // Looks after what runs: tasks that stand still, tasks that take too long, leaves that leave or fall silent.
 #pragma once
 
-#include "cluster/scheduler/task_ends.hpp"
+#include "cluster/scheduler/run_end_handler.hpp"
 
 namespace winchhall::cluster::scheduling {
 
-class Watchdog {
+class RunMonitor {
  public:
-  Watchdog(SchedulerState& state, RunLedger& ledger, TaskEnds& ends)
+  RunMonitor(SchedulerState& state, RunTable& ledger, RunEndHandler& ends)
       : state_(state), ledger_(ledger), ends_(ends) {}
 
   // To be called with every plan; does its work at its own pace.
@@ -16,7 +16,7 @@
  private:
   void look_at_leaves();
   void look_at_runs(Leaf& leaf);
-  bool stands_still(const Run& run) const;
+  bool is_stalled(const Run& run) const;
   // True if the leaf has turned out to fail what it starts and the task's job would end by one more failure.
   bool must_be_spared(const Leaf& leaf, const Run& run) const;
   bool must_move(const Leaf& leaf, const Run& run) const;
@@ -24,8 +24,8 @@
   void copy_slow(StageInstance& stage);
 
   SchedulerState& state_;
-  RunLedger& ledger_;
-  TaskEnds& ends_;
+  RunTable& ledger_;
+  RunEndHandler& ends_;
   TimePoint next_look_;
   bool percent_told_ = false;  // some run has told a percentage between 0 and 100
 };
--- a/src/cluster/scheduler/run_ledger.cpp
+++ b/src/cluster/scheduler/run_table.cpp
@@ -1,5 +1,5 @@
 // Book of the runs that may exist: what they hold on their leaves, and which tasks may be placed again.
-#include "cluster/scheduler/run_ledger.hpp"
+#include "cluster/scheduler/run_table.hpp"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Run& RunLedger::enter(Leaf& leaf, const std::string& name, RunNumber number) {
+Run& RunTable::insert(Leaf& leaf, const std::string& name, RunNumber number) {
   Run& run = leaf.runs[RunKey{name, number}];
   run.name = name;
   run.number = number;
@@ -28,7 +28,7 @@
   return run;
 }
 
-void RunLedger::reserve(Run& run) {
+void RunTable::reserve(Run& run) {
   run.leaf->reserved += run.demand;
   if (!run.demand_known) return;
   run.priority = run.job->terms.priority();
@@ -36,23 +36,23 @@
   state_.use.add(run.priority, run.demand);
 }
 
-void RunLedger::release(const Run& run) {
+void RunTable::release(const Run& run) {
   run.leaf->reserved = run.leaf->reserved.without(run.demand);
   if (!run.demand_known) return;
   run.leaf->use.remove(run.priority, run.demand);
   state_.use.remove(run.priority, run.demand);
 }
 
-void RunLedger::attach(Run& run, const TaskPlace& place) {
+void RunTable::attach(Run& run, const TaskRef& place) {
   run.task = place.task;
   place.task->runs.push_back(&run);
   place.task->last_run = std::max(place.task->last_run, run.number);
   withdraw(*place.stage, *place.task);
 }
 
-Run& RunLedger::start(StageInstance& stage, Task& task, Leaf& leaf, RunNumber number, double cost) {
+Run& RunTable::start(StageInstance& stage, Task& task, Leaf& leaf, RunNumber number, double cost) {
   ++state_.counters.tasks_started;
-  Run& run = enter(leaf, format_task_name(stage.name_of(task.index)), number);
+  Run& run = insert(leaf, format_task_name(stage.name_of(task.index)), number);
   run.job = stage.job;
   run.stage = &stage;
   run.demand = stage.demand;
@@ -76,7 +76,7 @@
   return run;
 }
 
-bool RunLedger::may_attach(const Run& run, const TaskPlace& place) const {
+bool RunTable::may_attach(const Run& run, const TaskRef& place) const {
   if (place.task == nullptr || place.job->final() || place.task->done) return false;
   if (place.stage->spec->gang())
     for (const Task& member : place.stage->tasks)
@@ -86,8 +86,8 @@
   return place.task->runs.size() < most;
 }
 
-Run& RunLedger::adopt(Leaf& leaf, const wire::RunningTask& entry, const TaskPlace& place) {
-  Run& run = enter(leaf, entry.task(), entry.run());
+Run& RunTable::adopt(Leaf& leaf, const wire::RunningTask& entry, const TaskRef& place) {
+  Run& run = insert(leaf, entry.task(), entry.run());
   run.told = true;
   run.job = place.job;
   run.stage = place.stage;
@@ -112,14 +112,14 @@
   return run;
 }
 
-void RunLedger::stop(Run& run) {
+void RunTable::stop(Run& run) {
   if (run.stop_revision > 0) return;
   Leaf& leaf = *run.leaf;
   erase_order(leaf.starts, run.start_revision);
   if (!run.told) {
     StageInstance* stage = run.stage;
     Task* task = run.task;
-    take_out(run);
+    remove(run);
     if (task != nullptr) offer(*stage, *task);
     return;
   }
@@ -130,12 +130,12 @@
   order.set_revision(run.stop_revision);
 }
 
-void RunLedger::take_out(Run& run) {
+void RunTable::remove(Run& run) {
   Leaf& leaf = *run.leaf;
   release(run);
   leaf.cost = std::max(0.0, leaf.cost - run.cost);
   if (!run.demand_known) --leaf.unknown_runs;
-  disown(run);
+  detach_job(run);
   erase_order(leaf.starts, run.start_revision);
   erase_order(leaf.stops, run.stop_revision);
   auto entry = leaf.runs.find(RunKeyView{run.name, run.number});
@@ -144,13 +144,13 @@
   state_.changed = true;
 }
 
-void RunLedger::detach(Run& run) {
+void RunTable::detach(Run& run) {
   if (run.task == nullptr) return;
   std::erase(run.task->runs, &run);
   run.task = nullptr;
 }
 
-void RunLedger::disown(Run& run) {
+void RunTable::detach_job(Run& run) {
   detach(run);
   if (run.stage != nullptr) {
     auto count = run.stage->on_leaf.find(run.leaf);
@@ -162,35 +162,35 @@
   run.job = nullptr;
 }
 
-void RunLedger::offer(StageInstance& stage, Task& task) {
+void RunTable::offer(StageInstance& stage, Task& task) {
   Job& job = *stage.job;
   if (!stage.open || task.done || !task.runs.empty() || job.final() || !job.durable) return;
-  if (task.not_before > state_.now) {
-    state_.retries.emplace(task.not_before, stage.name_of(task.index));
+  if (task.earliest_start > state_.now) {
+    state_.retries.emplace(task.earliest_start, stage.name_of(task.index));
     return;
   }
   if (!stage.spec->long_running() && failures_of(stage, task) >= job.max_retries()) return;
   if (!stage.queued) stage.waiting_since = state_.now;
-  if (stage.waiting.insert(task.index).second) task.offered_at = state_.now;
+  if (stage.waiting.insert(task.index).second) task.enqueued_at = state_.now;
   if (!stage.spec->gang() || stage.waiting.size() == stage.tasks.size()) state_.queue.add(stage);
   state_.changed = true;
 }
 
-void RunLedger::withdraw(StageInstance& stage, Task& task) {
+void RunTable::withdraw(StageInstance& stage, Task& task) {
   stage.waiting.erase(task.index);
   if (stage.waiting.empty() || stage.spec->gang()) state_.queue.remove(stage);
 }
 
-void RunLedger::withdraw(StageInstance& stage) {
+void RunTable::withdraw(StageInstance& stage) {
   stage.waiting.clear();
   state_.queue.remove(stage);
 }
 
-RunNumber RunLedger::next_run(const StageInstance& stage, const Task& task) const {
+RunNumber RunTable::next_run_number(const StageInstance& stage, const Task& task) const {
   RunNumber last = task.last_run;
   if (stage.spec->gang())
     for (const Task& member : stage.tasks) last = std::max(last, member.last_run);
-  return std::max(last + 1, state_.first_run());
+  return std::max(last + 1, state_.first_run_number());
 }
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/scheduler.cpp
+++ b/src/cluster/scheduler/scheduler.cpp
@@ -4,10 +4,10 @@
 #include <utility>
 
 #include "cluster/scheduler/eligibility.hpp"
-#include "cluster/scheduler/inspection.hpp"
-#include "cluster/scheduler/placer.hpp"
-#include "cluster/scheduler/report_intake.hpp"
-#include "cluster/scheduler/watchdog.hpp"
+#include "cluster/scheduler/run_monitor.hpp"
+#include "cluster/scheduler/scheduler_inspection.hpp"
+#include "cluster/scheduler/task_placer.hpp"
+#include "cluster/scheduler/worker_report_handler.hpp"
 
 namespace winchhall::cluster {
 namespace scheduling {
@@ -72,33 +72,34 @@
 
   wire::WorkerOrders orders(const std::string& leaf_id, TimePoint now) override;
 
-  bool has_news(const std::string& leaf_id) const override {
+  bool has_undelivered_orders(const std::string& leaf_id) const override {
     const Leaf* leaf = state_.leaves.find(leaf_id);
     if (leaf == nullptr) return true;
     bool untold = !leaf->starts.empty() && leaf->starts.back().revision() > leaf->told;
     untold = untold || (!leaf->stops.empty() && leaf->stops.back().revision() > leaf->told);
-    return untold || leaf->last_seen > leaf->told_last_seen || leaf->lists_wanted || !leaf->told_epoch;
+    return untold || leaf->last_seen > leaf->delivered_last_seen || leaf->lists_wanted ||
+           !leaf->epoch_delivered;
   }
 
-  Changes take_changes() override {
+  ChangeBatch take_changes() override {
     return state_.records.take(
         [this](const std::string& id) { return encode_progress(*state_.jobs.find(id)); });
   }
 
-  void changes_durable(ChangeNumber number) override {
+  void on_changes_durable(ChangeBatchNumber number) override {
     state_.records.durable(number);
     state_.changed = true;
-    jobs_.changes_durable();
-    intake_.changes_durable();
+    jobs_.on_changes_durable();
+    intake_.on_changes_durable();
   }
 
   std::string summary() const override {
-    const SchedulerFigures now = figures();
+    const SchedulerStats now = stats();
     return "jobs=" + std::to_string(now.live_jobs) + " waiting=" + std::to_string(now.waiting_tasks) +
            " running=" + std::to_string(now.runs) + " leaves=" + std::to_string(now.leaves);
   }
 
-  SchedulerFigures figures() const override { return figures_of(state_); }
+  SchedulerStats stats() const override { return collect_stats(state_); }
   JobList jobs(std::size_t limit) const override { return list_jobs(state_, limit); }
   std::optional<JobDetail> job(const std::string& id) const override { return find_job(state_, id); }
   std::vector<LeafView> leaves(TimePoint now) const override { return list_leaves(state_, now); }
@@ -114,20 +115,20 @@
     Leaf& leaf = state_.leaves.add(worker.leaf_id(), worker.node_name());
     leaf.restored = true;
     leaf.recorded = true;
-    leaf.held_until = state_.now + state_.hold_bound();
-    state_.unheard.insert(leaf.id);
+    leaf.lease_expires_at = state_.now + state_.max_lease_duration();
+    state_.unsynchronized_leaves.insert(leaf.id);
   }
 
   void add_orders(const Leaf& leaf, wire::WorkerOrders& orders);
 
   SchedulerState state_;
-  RunLedger ledger_;
+  RunTable ledger_;
   JobLifecycle jobs_;
-  TaskEnds ends_;
-  ReportIntake intake_;
-  Claims claims_;
-  Placer placer_;
-  Watchdog watchdog_;
+  RunEndHandler ends_;
+  WorkerReportHandler intake_;
+  BackfillReservations claims_;
+  TaskPlacer placer_;
+  RunMonitor watchdog_;
   TimePoint next_plan_;
 };
 
@@ -147,14 +148,14 @@
   orders.set_lists_wanted(leaf->lists_wanted);
   orders.set_last_seen(leaf->last_seen);
   if (leaf->reported && leaf->heartbeat_age_ms <= kFreshHeartbeatMs) {
-    orders.set_grant_ms(static_cast<std::uint32_t>(state_.grant().count()));
-    leaf->held_until = std::max(leaf->held_until, state_.now + state_.hold_bound());
+    orders.set_grant_ms(static_cast<std::uint32_t>(state_.lease_duration().count()));
+    leaf->lease_expires_at = std::max(leaf->lease_expires_at, state_.now + state_.max_lease_duration());
   }
   add_orders(*leaf, orders);
   leaf->told = leaf->revision;
-  leaf->told_last_seen = leaf->last_seen;
+  leaf->delivered_last_seen = leaf->last_seen;
   leaf->lists_wanted = false;
-  leaf->told_epoch = true;
+  leaf->epoch_delivered = true;
   return orders;
 }
 
--- a/src/cluster/scheduler/scheduler.hpp
+++ b/src/cluster/scheduler/scheduler.hpp
@@ -3,7 +3,7 @@
 //
 // The holder of the service's lease owns one Scheduler for as long as it leads. Everything that must outlive
 // the holder leaves as changes of records (`take_changes`), and whatever depends on them waits until the
-// caller says that they are durable (`changes_durable`).
+// caller says that they are durable (`on_changes_durable`).
 #pragma once
 
 #include <cstdint>
@@ -14,31 +14,31 @@
 #include "cluster/common/runtime.hpp"
 #include "cluster/common/settings.hpp"
 #include "cluster/consensus/replicated_shard.hpp"
-#include "cluster/scheduler/views.hpp"
+#include "cluster/scheduler/scheduler_views.hpp"
 
 namespace winchhall::cluster {
 
 // Number of a set of changes given to `take_changes`; rises from 1. Zero: nothing to wait for.
-using ChangeNumber = std::uint64_t;
+using ChangeBatchNumber = std::uint64_t;
 
 // Terms under which a scheduler works.
 struct SchedulerTerms {
   std::string service;
   Bounds bounds;
-  Millis grant{10000};        // how long a leaf may hold what runs, from the sending of a report
-  Millis answer_slack{1000};  // an answer to a heartbeat counts this long after it was sent at most
+  Millis lease_duration{10000};  // how long a leaf may hold what runs, from the sending of a report
+  Millis answer_slack{1000};     // an answer to a heartbeat counts this long after it was sent at most
 };
 
 // What becomes of a submitted job.
 struct SubmitResult {
   wire::JobOutcome outcome = wire::JOB_OUTCOME_NONE;  // JOB_OK, JOB_REJECTED or JOB_INVALID
-  ChangeNumber durable_after = 0;                     // answer once these changes are durable
+  ChangeBatchNumber durable_after = 0;                // answer once these changes are durable
   std::string reason;
 };
 
 struct CancelResult {
   bool found = false;
-  ChangeNumber durable_after = 0;
+  ChangeBatchNumber durable_after = 0;
 };
 
 class Scheduler {
@@ -70,22 +70,22 @@
   // `orders_received`. Granting a hold is noted: the leaf may run on for `grant` from now.
   virtual wire::WorkerOrders orders(const std::string& leaf_id, TimePoint now) = 0;
   // True if `orders` would tell the leaf something it has not been told yet.
-  virtual bool has_news(const std::string& leaf_id) const = 0;
+  virtual bool has_undelivered_orders(const std::string& leaf_id) const = 0;
 
   // All changes of records since the last call, with their number; empty: none.
-  struct Changes {
-    ChangeNumber number = 0;
+  struct ChangeBatch {
+    ChangeBatchNumber number = 0;
     std::vector<ShardChange> changes;
   };
-  virtual Changes take_changes() = 0;
+  virtual ChangeBatch take_changes() = 0;
   // All changes up to this number are durable on a majority.
-  virtual void changes_durable(ChangeNumber number) = 0;
+  virtual void on_changes_durable(ChangeBatchNumber number) = 0;
 
   // One line of figures for logs.
   virtual std::string summary() const = 0;
 
   // For operators; none of these changes anything.
-  virtual SchedulerFigures figures() const = 0;
+  virtual SchedulerStats stats() const = 0;
   virtual JobList jobs(std::size_t limit) const = 0;
   // None: no such job.
   virtual std::optional<JobDetail> job(const std::string& id) const = 0;
--- a/src/cluster/scheduler/inspection.cpp
+++ b/src/cluster/scheduler/scheduler_inspection.cpp
@@ -1,4 +1,4 @@
-#include "cluster/scheduler/inspection.hpp"
+#include "cluster/scheduler/scheduler_inspection.hpp"
 
 #include <algorithm>
 
@@ -39,7 +39,7 @@
   return view;
 }
 
-AmountsView view_of(const Resources& amounts) { return {amounts.cpu, amounts.mem_mb, amounts.gpu}; }
+ResourcesView view_of(const Resources& amounts) { return {amounts.cpu, amounts.mem_mb, amounts.gpu}; }
 
 LeafView view_of(const Leaf& leaf, TimePoint now) {
   LeafView view;
@@ -76,14 +76,14 @@
   return job.final() && !job.shown ? wire::JOB_RUNNING : job.state;
 }
 
-SchedulerFigures figures_of(const SchedulerState& state) {
-  SchedulerFigures figures;
-  figures.counters = state.counters;
-  figures.live_jobs = state.jobs.live();
-  for (const auto& [key, stage] : state.queue.stages()) figures.waiting_tasks += stage->waiting.size();
-  for (const auto& leaf : state.leaves.all()) figures.runs += leaf->runs.size();
-  figures.leaves = state.leaves.all().size();
-  return figures;
+SchedulerStats collect_stats(const SchedulerState& state) {
+  SchedulerStats stats;
+  stats.counters = state.counters;
+  stats.live_jobs = state.jobs.live();
+  for (const auto& [key, stage] : state.queue.stages()) stats.waiting_tasks += stage->waiting.size();
+  for (const auto& leaf : state.leaves.all()) stats.runs += leaf->runs.size();
+  stats.leaves = state.leaves.all().size();
+  return stats;
 }
 
 JobList list_jobs(const SchedulerState& state, std::size_t limit) {
--- a/src/cluster/scheduler/views.hpp
+++ b/src/cluster/scheduler/scheduler_views.hpp
@@ -22,7 +22,7 @@
   std::array<std::uint64_t, kEndKinds> ends = {};  // by wire::EndKind
 };
 
-struct SchedulerFigures {
+struct SchedulerStats {
   SchedulerCounters counters;
   std::uint64_t live_jobs = 0;      // queued or running
   std::uint64_t waiting_tasks = 0;  // that may be placed now
@@ -66,7 +66,7 @@
 };
 
 // Thousandths of a core, megabytes and devices.
-struct AmountsView {
+struct ResourcesView {
   std::uint64_t cpu = 0;
   std::uint64_t mem_mb = 0;
   std::uint64_t gpu = 0;
@@ -76,8 +76,8 @@
   std::string id;
   std::string node;
   std::vector<std::string> labels;
-  AmountsView capacity;
-  AmountsView reserved;
+  ResourcesView capacity;
+  ResourcesView reserved;
   std::uint64_t runs = 0;
   bool draining = false;
   bool reported = false;           // under this leader
--- a/src/cluster/scheduler/waiting_queue.hpp
+++ b/src/cluster/scheduler/stage_queue.hpp
@@ -9,7 +9,7 @@
 namespace winchhall::cluster::scheduling {
 
 // Order: priority, then what can still be earned, then the earliest time to start by, then the largest hint.
-class WaitingQueue {
+class StageQueue {
  public:
   using Stages = std::map<QueueKey, StageInstance*>;
 
@@ -24,10 +24,10 @@
     stage.queued = false;
   }
   // Puts a stage behind all of its priority that can earn more, once it is too late for it.
-  void update_outlook(StageInstance& stage, TimePoint now) {
-    Outlook outlook = stage.key.outlook;
-    if (now > stage.late_after) outlook = std::max(outlook, Outlook::late);
-    if (now > stage.worthless_after) outlook = Outlook::none;
+  void update_deadline_status(StageInstance& stage, TimePoint now) {
+    DeadlineStatus outlook = stage.key.outlook;
+    if (now > stage.late_after) outlook = std::max(outlook, DeadlineStatus::late);
+    if (now > stage.worthless_after) outlook = DeadlineStatus::none;
     if (outlook == stage.key.outlook) return;
     bool was_queued = stage.queued;
     remove(stage);
--- a/src/cluster/scheduler/placer.hpp
+++ b/src/cluster/scheduler/task_placer.hpp
@@ -1,15 +1,15 @@
 // Gives waiting tasks to leaves: by queue order, each to the eligible leaf with the least summed hinted cost.
 #pragma once
 
-#include "cluster/scheduler/claims.hpp"
-#include "cluster/scheduler/preemption.hpp"
-#include "cluster/scheduler/run_ledger.hpp"
+#include "cluster/scheduler/backfill_reservations.hpp"
+#include "cluster/scheduler/run_table.hpp"
+#include "cluster/scheduler/task_preemptor.hpp"
 
 namespace winchhall::cluster::scheduling {
 
-class Placer {
+class TaskPlacer {
  public:
-  Placer(SchedulerState& state, RunLedger& ledger, Claims& claims)
+  TaskPlacer(SchedulerState& state, RunTable& ledger, BackfillReservations& claims)
       : state_(state), ledger_(ledger), claims_(claims), preemption_(state, ledger) {}
 
   // Offers the room there is to all waiting stages once.
@@ -29,18 +29,18 @@
   bool place_gang(StageInstance& stage);
   // True while a leaf near the stage's data may soon have room, for a part of what running away from them
   // costs.
-  bool waits_for_near_room(const StageInstance& stage, const Task& task) const;
+  bool waits_for_local_capacity(const StageInstance& stage, const Task& task) const;
   // True while the task rather waits than to have its last try on this leaf.
-  bool spares_last_try(const Leaf& leaf, const StageInstance& stage, const Task& task) const;
+  bool avoids_risky_last_attempt(const Leaf& leaf, const StageInstance& stage, const Task& task) const;
   bool is_exhausted(const StageInstance& stage) const;
   void note_blocked(StageInstance& stage);
   // Has room come free for a stage that could not be placed whole.
-  void make_room(StageInstance& stage);
+  void preempt_for(StageInstance& stage);
 
   SchedulerState& state_;
-  RunLedger& ledger_;
-  Claims& claims_;
-  Preemption preemption_;
+  RunTable& ledger_;
+  BackfillReservations& claims_;
+  TaskPreemptor preemption_;
   std::vector<Leaf*> candidates_;     // of the stage in hand
   std::vector<Exhausted> exhausted_;  // in this round
 };
--- a/src/cluster/scheduler/preemption.cpp
+++ b/src/cluster/scheduler/task_preemptor.cpp
@@ -1,10 +1,10 @@
 // Stops work of less priority where small tasks wait and too little room will come free by itself.
-#include "cluster/scheduler/preemption.hpp"
+#include "cluster/scheduler/task_preemptor.hpp"
 
 #include <algorithm>
 
 #include "cluster/scheduler/eligibility.hpp"
-#include "cluster/scheduler/run_time.hpp"
+#include "cluster/scheduler/run_end_estimate.hpp"
 
 namespace winchhall::cluster::scheduling {
 namespace {
@@ -34,7 +34,7 @@
   return unsaved_too || (spec.checkpoints() && !spec.long_running());
 }
 
-Preemption::Prospect Preemption::prospect_of(const StageInstance& stage, Leaf& leaf) const {
+TaskPreemptor::Prospect TaskPreemptor::prospect_of(const StageInstance& stage, Leaf& leaf) const {
   const TimePoint soon = state_.now + state_.terms.bounds.stop;
   Resources reserved = leaf.reserved;
   for (const auto& [key, run] : leaf.runs)
@@ -42,11 +42,11 @@
   Resources room = leaf.capacity.without(reserved);
   const auto promised = promised_.find(&leaf);
   if (promised != promised_.end()) room = room.without(promised->second);
-  return {&leaf, room, places_for(leaf, stage, room)};
+  return {&leaf, room, slots_for(leaf, stage, room)};
 }
 
-std::vector<Run*> Preemption::victims_for(const StageInstance& stage,
-                                          const std::vector<Prospect>& prospects) const {
+std::vector<Run*> TaskPreemptor::victims_for(const StageInstance& stage,
+                                             const std::vector<Prospect>& prospects) const {
   const bool unsaved_too = state_.now - stage.waiting_since >= kUnsavedAfter;
   const TimePoint soon = state_.now + state_.terms.bounds.stop;
   std::vector<Run*> victims;
@@ -57,8 +57,8 @@
   return victims;
 }
 
-void Preemption::stop_until_covered(const StageInstance& stage, std::vector<Prospect>& prospects,
-                                    std::uint64_t wanted) {
+void TaskPreemptor::stop_until_covered(const StageInstance& stage, std::vector<Prospect>& prospects,
+                                       std::uint64_t wanted) {
   std::uint64_t places = 0;
   for (const Prospect& prospect : prospects) places += prospect.places;
   for (Run* victim : victims_for(stage, prospects)) {
@@ -67,13 +67,13 @@
                                     [&](const Prospect& entry) { return entry.leaf == victim->leaf; });
     found->room += victim->demand;
     places -= found->places;
-    found->places = places_for(*found->leaf, stage, found->room);
+    found->places = slots_for(*found->leaf, stage, found->room);
     places += found->places;
     ledger_.stop(*victim);
   }
 }
 
-void Preemption::make_room(const StageInstance& stage, const std::vector<Leaf*>& candidates) {
+void TaskPreemptor::preempt_for(const StageInstance& stage, const std::vector<Leaf*>& candidates) {
   if (state_.now - stage.waiting_since < kAfter) return;
   if (!state_.use.has_below(stage.job->terms.priority())) return;
   std::vector<Prospect> prospects;
