--- a/src/cluster/scheduler/preemption.hpp
+++ b/src/cluster/scheduler/task_preemptor.hpp
@@ -4,22 +4,22 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cluster/scheduler/run_ledger.hpp"
+#include "cluster/scheduler/run_table.hpp"
 
 namespace winchhall::cluster::scheduling {
 
 // True if a stage may have this run stopped to take its room. `unsaved_too`: even where its work is lost.
 bool may_preempt(const StageInstance& stage, const Run& run, bool unsaved_too);
 
-class Preemption {
+class TaskPreemptor {
  public:
-  Preemption(SchedulerState& state, RunLedger& ledger) : state_(state), ledger_(ledger) {}
+  TaskPreemptor(SchedulerState& state, RunTable& ledger) : state_(state), ledger_(ledger) {}
 
   // Forgets what earlier stages were promised: each planning round counts anew.
   void begin_round() { promised_.clear(); }
   // Makes room for the waiting tasks of a stage whose tasks are placed one by one. `candidates`: leaves that
   // may take them once they have room.
-  void make_room(const StageInstance& stage, const std::vector<Leaf*>& candidates);
+  void preempt_for(const StageInstance& stage, const std::vector<Leaf*>& candidates);
 
  private:
   // A leaf with the room it will have within the time that a stop takes.
@@ -33,7 +33,7 @@
   void stop_until_covered(const StageInstance& stage, std::vector<Prospect>& prospects, std::uint64_t wanted);
 
   SchedulerState& state_;
-  RunLedger& ledger_;
+  RunTable& ledger_;
   std::unordered_map<const Leaf*, Resources> promised_;  // room to come that stages of this round count on
 };
 
--- a/src/cluster/scheduler/report_intake.cpp
+++ b/src/cluster/scheduler/worker_report_handler.cpp
@@ -1,5 +1,5 @@
 // Takes in what worker-agents report of their leaves.
-#include "cluster/scheduler/report_intake.hpp"
+#include "cluster/scheduler/worker_report_handler.hpp"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void ReportIntake::take(const wire::WorkerReport& report) {
+void WorkerReportHandler::take(const wire::WorkerReport& report) {
   ++state_.counters.reports;
   Node& node = state_.leaves.node(report.node_name());
   if (!node.order.accept(report.session(), report.report_number())) return;
@@ -27,20 +27,20 @@
     write_record(*leaf);
 }
 
-bool ReportIntake::is_current(const wire::WorkerReport& report, const Leaf& leaf) const {
+bool WorkerReportHandler::is_current(const wire::WorkerReport& report, const Leaf& leaf) const {
   // A process that has had an answer of this leader lives: what it says is not of the past.
   return report.epoch() == state_.epoch || leaf.session == report.session();
 }
 
-void ReportIntake::end_previous_life(const wire::WorkerReport& report) {
+void WorkerReportHandler::end_previous_life(const wire::WorkerReport& report) {
   const std::string& previous_id = report.previous_leaf_id();
   if (previous_id.empty() || previous_id == report.leaf().leaf_id()) return;
   Leaf* previous = state_.leaves.find(previous_id);
   if (previous == nullptr || previous->node != report.node_name()) return;
-  if (is_current(report, *previous)) ends_.life_over(*previous);
+  if (is_current(report, *previous)) ends_.on_incarnation_ended(*previous);
 }
 
-Leaf* ReportIntake::leaf_of(const wire::WorkerReport& report) {
+Leaf* WorkerReportHandler::leaf_of(const wire::WorkerReport& report) {
   const std::string& id = report.leaf().leaf_id();
   Node& node = state_.leaves.node(report.node_name());
   if (id.empty() || std::find(node.over.begin(), node.over.end(), id) != node.over.end()) return nullptr;
@@ -53,13 +53,13 @@
     if (other->node == report.node_name() && other->id != id) earlier.push_back(other.get());
   for (Leaf* life : earlier) {
     if (!is_current(report, *life)) return nullptr;
-    ends_.life_over(*life);
+    ends_.on_incarnation_ended(*life);
   }
   node.leaf_id = id;
   return leaf != nullptr ? leaf : &state_.leaves.add(id, report.node_name());
 }
 
-void ReportIntake::describe(Leaf& leaf, const wire::WorkerReport& report) {
+void WorkerReportHandler::describe(Leaf& leaf, const wire::WorkerReport& report) {
   const wire::LeafDescription& said = report.leaf();
   Resources capacity{said.cpu(), said.mem_mb(), said.gpu()};
   if (!(capacity == leaf.capacity)) state_.changed = true;
@@ -73,7 +73,7 @@
   leaf.left = leaf.left || report.left();
   bool same_session = leaf.reported && leaf.session == report.session();
   bool same_epoch = report.epoch() == state_.epoch;
-  leaf.told_epoch = leaf.told_epoch && same_session;
+  leaf.epoch_delivered = leaf.epoch_delivered && same_session;
   leaf.session = report.session();
   leaf.report_number = report.report_number();
   leaf.received = same_epoch ? std::min(report.orders_received(), leaf.revision) : 0;
@@ -86,7 +86,7 @@
   }
 }
 
-void ReportIntake::withdraw_undelivered(Leaf& leaf) {
+void WorkerReportHandler::withdraw_undelivered(Leaf& leaf) {
   std::vector<RunKey> keys;
   for (const auto& [key, run] : leaf.runs)
     if (!run.listed) keys.push_back(key);
@@ -96,17 +96,18 @@
     Run& run = found->second;
     StageInstance* gang = run.stage != nullptr && run.stage->spec->gang() ? run.stage : nullptr;
     ledger_.stop(run);
-    if (gang != nullptr) ends_.break_gang(*gang, key.run);
+    if (gang != nullptr) ends_.stop_gang_run(*gang, key.run);
   }
 }
 
-void ReportIntake::write_record(Leaf& leaf) {
+void WorkerReportHandler::write_record(Leaf& leaf) {
   leaf.recorded = true;
-  leaf.record_change = state_.records.put(RecordLog::worker_key(leaf.id), encode_worker(leaf.id, leaf.node));
+  leaf.record_change =
+      state_.records.put(RecordWriteBuffer::worker_key(leaf.id), encode_worker(leaf.id, leaf.node));
 }
 
-bool ReportIntake::store_lists(Leaf& leaf, const wire::WorkerReport& report) {
-  ReportedLists& lists = leaf.lists;
+bool WorkerReportHandler::store_lists(Leaf& leaf, const wire::WorkerReport& report) {
+  ReportedTaskLists& lists = leaf.lists;
   if (!report.lists_included())
     return lists.known && lists.session == report.session() && lists.report_number == report.lists_as_of();
   lists.known = true;
@@ -117,7 +118,7 @@
   return true;
 }
 
-void ReportIntake::take_lists(Leaf& leaf) {
+void WorkerReportHandler::take_lists(Leaf& leaf) {
   ++leaf.generation;
   take_ends(leaf);
   for (const wire::RunningTask& entry : leaf.lists.running) take_running(leaf, entry);
@@ -125,18 +126,18 @@
   settle_orders(leaf);
   if (!leaf.adopted) state_.changed = true;
   leaf.adopted = true;
-  if (state_.unheard.erase(leaf.id) > 0 && state_.unheard.empty()) {
-    ends_.break_torn_gangs();
+  if (state_.unsynchronized_leaves.erase(leaf.id) > 0 && state_.unsynchronized_leaves.empty()) {
+    ends_.stop_partial_gangs();
     state_.changed = true;
   }
   note_ends(leaf);
 }
 
-void ReportIntake::take_running(Leaf& leaf, const wire::RunningTask& entry) {
+void WorkerReportHandler::take_running(Leaf& leaf, const wire::RunningTask& entry) {
   auto found = leaf.runs.find(RunKeyView{entry.task(), entry.run()});
   Run* run = found == leaf.runs.end() ? nullptr : &found->second;
   if (run == nullptr) {
-    TaskPlace place;
+    TaskRef place;
     if (auto name = parse_task_name(entry.task())) {
       place = state_.jobs.place_of(*name);
       if (place.job != nullptr && place.stage == nullptr) jobs_.open_early(*place.job, name->repeat);
@@ -154,20 +155,20 @@
     run->task->saved = {entry.saved(), run->number};
 }
 
-void ReportIntake::take_ends(Leaf& leaf) {
+void WorkerReportHandler::take_ends(Leaf& leaf) {
   std::vector<const wire::FinishedTask*> fresh;
   for (const wire::FinishedTask& entry : leaf.lists.finished)
-    if (entry.number() > leaf.ends_taken) fresh.push_back(&entry);
+    if (entry.number() > leaf.processed_ends) fresh.push_back(&entry);
   std::sort(fresh.begin(), fresh.end(),
             [](const auto* a, const auto* b) { return a->number() < b->number(); });
   for (const wire::FinishedTask* entry : fresh) {
-    if (entry->number() <= leaf.ends_taken) continue;
-    leaf.ends_taken = entry->number();
-    leaf.pending_ends.push_back({entry->number(), ends_.listed(leaf, *entry)});
+    if (entry->number() <= leaf.processed_ends) continue;
+    leaf.processed_ends = entry->number();
+    leaf.unacknowledged_ends.push_back({entry->number(), ends_.listed(leaf, *entry)});
   }
 }
 
-void ReportIntake::take_out_missing(Leaf& leaf) {
+void WorkerReportHandler::take_out_missing(Leaf& leaf) {
   if (leaf.lists.finished.size() >= kEndsListedAtOnce) return;
   std::vector<RunKey> missing;
   for (const auto& [key, run] : leaf.runs)
@@ -175,11 +176,11 @@
       missing.push_back(key);
   for (const RunKey& key : missing) {
     auto found = leaf.runs.find(RunKeyView(key));
-    if (found != leaf.runs.end()) ends_.not_there(found->second);
+    if (found != leaf.runs.end()) ends_.on_run_lost(found->second);
   }
 }
 
-void ReportIntake::settle_orders(Leaf& leaf) {
+void WorkerReportHandler::settle_orders(Leaf& leaf) {
   while (!leaf.starts.empty() && leaf.starts.front().revision() <= leaf.settled) leaf.starts.pop_front();
   while (!leaf.stops.empty() && leaf.stops.front().revision() <= leaf.settled) leaf.stops.pop_front();
   for (auto& [key, run] : leaf.runs) {
@@ -189,14 +190,15 @@
   }
 }
 
-void ReportIntake::note_ends(Leaf& leaf) {
-  while (!leaf.pending_ends.empty() && state_.records.is_durable(leaf.pending_ends.front().durable_after)) {
-    leaf.last_seen = leaf.pending_ends.front().number;
-    leaf.pending_ends.pop_front();
+void WorkerReportHandler::note_ends(Leaf& leaf) {
+  while (!leaf.unacknowledged_ends.empty() &&
+         state_.records.is_durable(leaf.unacknowledged_ends.front().durable_after)) {
+    leaf.last_seen = leaf.unacknowledged_ends.front().number;
+    leaf.unacknowledged_ends.pop_front();
   }
 }
 
-void ReportIntake::changes_durable() {
+void WorkerReportHandler::on_changes_durable() {
   for (const auto& leaf : state_.leaves.all()) note_ends(*leaf);
 }
 
--- a/src/cluster/scheduler/report_intake.hpp
+++ b/src/cluster/scheduler/worker_report_handler.hpp
@@ -1,18 +1,18 @@
 // Takes in what worker-agents report of their leaves.
 #pragma once
 
-#include "cluster/scheduler/task_ends.hpp"
+#include "cluster/scheduler/run_end_handler.hpp"
 
 namespace winchhall::cluster::scheduling {
 
-class ReportIntake {
+class WorkerReportHandler {
  public:
-  ReportIntake(SchedulerState& state, RunLedger& ledger, JobLifecycle& jobs, TaskEnds& ends)
+  WorkerReportHandler(SchedulerState& state, RunTable& ledger, JobLifecycle& jobs, RunEndHandler& ends)
       : state_(state), ledger_(ledger), jobs_(jobs), ends_(ends) {}
 
   void take(const wire::WorkerReport& report);
   // Ends whose effects are durable may be noted from now on.
-  void changes_durable();
+  void on_changes_durable();
 
  private:
   // The leaf that the report is about; null: the report says nothing of a leaf that counts.
@@ -33,9 +33,9 @@
   void note_ends(Leaf& leaf);
 
   SchedulerState& state_;
-  RunLedger& ledger_;
+  RunTable& ledger_;
   JobLifecycle& jobs_;
-  TaskEnds& ends_;
+  RunEndHandler& ends_;
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/store/backup_file.cpp
+++ b/src/cluster/store/backup_file.cpp
@@ -78,7 +78,7 @@
 }
 
 leaf::error_id damaged(const std::string& file, const char* detail) {
-  return leaf::new_error(DamagedStore{file, detail});
+  return leaf::new_error(StoreCorruption{file, detail});
 }
 
 }  // namespace
@@ -113,7 +113,7 @@
   const bool named = bytes.starts_with(kName) && line_end != std::string::npos;
   if (!named) return damaged(file, "no backup of a store");
   const std::string version = bytes.substr(kName.size(), line_end - kName.size());
-  if (version != kVersion) return leaf::new_error(UnknownStoreFormat{file, version, kVersion});
+  if (version != kVersion) return leaf::new_error(UnsupportedStoreFormat{file, version, kVersion});
   const std::string_view all(bytes);
   constexpr std::size_t kChecksumBytes = 4;
   if (all.size() < line_end + 1 + kChecksumBytes) return damaged(file, "cut off");
--- a/src/cluster/store/backup_file.hpp
+++ b/src/cluster/store/backup_file.hpp
@@ -13,7 +13,7 @@
 
 // Writes a new file and syncs it. Errors: StoreFailure (also where the file exists).
 leaf::result<void> write_backup(const std::string& file, const std::vector<StoreEntry>& entries);
-// Errors: StoreFailure, DamagedStore (cut off or changed), UnknownStoreFormat.
+// Errors: StoreFailure, StoreCorruption (cut off or changed), UnsupportedStoreFormat.
 leaf::result<std::vector<StoreEntry>> read_backup(const std::string& file);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/database.cpp
+++ b/src/cluster/store/database.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // Keys of the store's own entries.
-const std::string kOwnPrefix = "meta/";
-const std::string kFormatKey = kOwnPrefix + "format";
-const std::string kReplacementKey = kOwnPrefix + "replaces_damaged";
+const std::string kReservedPrefix = "meta/";
+const std::string kFormatKey = kReservedPrefix + "format";
+const std::string kReplacementKey = kReservedPrefix + "replaces_damaged";
 const std::string kFormat = "1";
 
 // Drops LevelDB's own log lines: they would cost disk.
@@ -53,7 +53,7 @@
 }
 
 leaf::error_id Database::failure(const char* operation, const leveldb::Status& status) const {
-  if (status.IsCorruption()) return leaf::new_error(DamagedStore{path_, status.ToString()});
+  if (status.IsCorruption()) return leaf::new_error(StoreCorruption{path_, status.ToString()});
   return leaf::new_error(StoreFailure{path_, operation, status.ToString()});
 }
 
@@ -65,7 +65,7 @@
   if (!status.ok()) return database->failure("open", status);
   database->database_.reset(opened);
   BOOST_LEAF_CHECK(database->check_format());
-  BOOST_LEAF_CHECK(database->read_replacement_mark());
+  BOOST_LEAF_CHECK(database->read_replacement_marker());
   return database;
 }
 
@@ -75,7 +75,7 @@
   if (!read.ok() && !read.IsNotFound()) return failure("read", read);
   if (read.ok() && found == kFormat) return {};
   BOOST_LEAF_AUTO(used, has_entries());
-  if (used) return leaf::new_error(UnknownStoreFormat{path_, found, kFormat});
+  if (used) return leaf::new_error(UnsupportedStoreFormat{path_, found, kFormat});
   if (write({{kFormatKey, kFormat}})) return {};
   return leaf::new_error(StoreFailure{path_, "write", "format can't be written"});
 }
@@ -87,7 +87,7 @@
   return entry->Valid();
 }
 
-leaf::result<void> Database::read_replacement_mark() {
+leaf::result<void> Database::read_replacement_marker() {
   std::string found;
   const leveldb::Status read = database_->Get(checked_reads(), kReplacementKey, &found);
   if (!read.ok() && !read.IsNotFound()) return failure("read", read);
@@ -118,7 +118,7 @@
   std::vector<StoreEntry> entries;
   const std::unique_ptr<leveldb::Iterator> entry(database_->NewIterator(checked_reads()));
   for (entry->SeekToFirst(); entry->Valid(); entry->Next()) {
-    if (entry->key().starts_with(kOwnPrefix)) continue;
+    if (entry->key().starts_with(kReservedPrefix)) continue;
     entries.push_back({entry->key().ToString(), entry->value().ToString()});
   }
   if (!entry->status().ok()) return failure("read", entry->status());
--- a/src/cluster/store/database.hpp
+++ b/src/cluster/store/database.hpp
@@ -20,8 +20,9 @@
   std::size_t file_bytes = 1 << 20;
   std::size_t block_cache_bytes = 128 << 10;
   int open_files = 74;  // the least that LevelDB allows: 64 tables, one descriptor each, and 10 others
-  std::chrono::milliseconds reopen_pause{100};  // between attempts to open a database that failed
-  std::chrono::milliseconds closing_wait{100};  // for the disk, at the end; then its thread is left behind
+  std::chrono::milliseconds reopen_delay{100};  // between attempts to open a database that failed
+  std::chrono::milliseconds shutdown_timeout{
+      100};  // for the disk, at the end; then its thread is left behind
 };
 
 struct StoreEntry {
@@ -33,8 +34,8 @@
 
 class Database {
  public:
-  // Opens a database in an existing folder. Errors: StoreFailure (the disk refused; may pass), DamagedStore,
-  // UnknownStoreFormat.
+  // Opens a database in an existing folder. Errors: StoreFailure (the disk refused; may pass),
+  // StoreCorruption, UnsupportedStoreFormat.
   static leaf::result<std::unique_ptr<Database>> open(const std::string& path, Disk& disk,
                                                       const StoreTuning& tuning, OpenMode mode);
 
@@ -55,7 +56,7 @@
   leveldb::Options options(const StoreTuning& tuning, OpenMode mode);
   leaf::result<void> check_format();
   leaf::result<bool> has_entries();
-  leaf::result<void> read_replacement_mark();
+  leaf::result<void> read_replacement_marker();
   leaf::error_id failure(const char* operation, const leveldb::Status& status) const;
 
   const std::string path_;
--- a/src/cluster/store/damaged_store.cpp
+++ b/src/cluster/store/database_replacement.cpp
@@ -1,4 +1,4 @@
-#include "cluster/store/damaged_store.hpp"
+#include "cluster/store/database_replacement.hpp"
 
 #include <algorithm>
 #include <vector>
@@ -32,28 +32,28 @@
   leveldb::WritableFile* opened = nullptr;
   if (!disk.files().NewWritableFile(mark, &opened).ok()) return false;
   const std::unique_ptr<leveldb::WritableFile> file(opened);
-  return file->Append("1").ok() && file->Sync().ok() && file->Close().ok() && disk.sync_folder(path);
+  return file->Append("1").ok() && file->Sync().ok() && file->Close().ok() && disk.sync_directory(path);
 }
 
 bool clear_mark(const std::string& path, Disk& disk) {
-  return disk.files().RemoveFile(path + "/" + kMarkName).ok() && disk.sync_folder(path);
+  return disk.files().RemoveFile(path + "/" + kMarkName).ok() && disk.sync_directory(path);
 }
 
 bool move_aside(const std::string& path, Disk& disk) {
   leveldb::Env& files = disk.files();
   const std::string aside = path + "/" + kAsideName;
-  if (!disk.make_folder(aside)) return false;
+  if (!disk.create_directories(aside)) return false;
   for (const std::string& name : children(files, aside)) files.RemoveFile(aside + "/" + name);
   for (const std::string& name : children(files, path)) {
     if (name == kMarkName || name == kAsideName) continue;
     if (!files.RenameFile(path + "/" + name, aside + "/" + name).ok()) return false;
   }
-  return disk.sync_folder(aside) && disk.sync_folder(path);
+  return disk.sync_directory(aside) && disk.sync_directory(path);
 }
 
 }  // namespace
 
-bool must_replace(const std::string& path, Disk& disk) {
+bool needs_replacement(const std::string& path, Disk& disk) {
   leveldb::Env& files = disk.files();
   if (files.FileExists(path + "/" + kMarkName)) return true;
   if (files.FileExists(path + "/CURRENT")) return false;
@@ -62,8 +62,8 @@
   return std::any_of(names.begin(), names.end(), is_data_file);
 }
 
-leaf::result<std::unique_ptr<Database>> replace_damaged(const std::string& path, Disk& disk,
-                                                        const StoreTuning& tuning) {
+leaf::result<std::unique_ptr<Database>> replace_damaged_database(const std::string& path, Disk& disk,
+                                                                 const StoreTuning& tuning) {
   if (!set_mark(path, disk)) return refused(path, "mark can't be set");
   if (!move_aside(path, disk)) return refused(path, "files can't be moved");
   BOOST_LEAF_AUTO(database, Database::open(path, disk, tuning, OpenMode::create_if_missing));
--- a/src/cluster/store/damaged_store.hpp
+++ b/src/cluster/store/database_replacement.hpp
@@ -10,11 +10,11 @@
 namespace winchhall::cluster {
 
 // True if the folder's database is gone in part, or its replacement was begun and not ended.
-bool must_replace(const std::string& path, Disk& disk);
+bool needs_replacement(const std::string& path, Disk& disk);
 
 // Moves the database's files to the sub-folder "damaged", in place of what was there, and makes an empty,
 // marked database. May be cut off anywhere and begun again. Errors: StoreFailure.
-leaf::result<std::unique_ptr<Database>> replace_damaged(const std::string& path, Disk& disk,
-                                                        const StoreTuning& tuning);
+leaf::result<std::unique_ptr<Database>> replace_damaged_database(const std::string& path, Disk& disk,
+                                                                 const StoreTuning& tuning);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/disk.cpp
+++ b/src/cluster/store/disk.cpp
@@ -16,10 +16,10 @@
 }
 
 // Reads with pread. LevelDB's own reader maps files, whose pages would count as memory of the process.
-class PositionedFile : public leveldb::RandomAccessFile {
+class PreadFile : public leveldb::RandomAccessFile {
  public:
-  PositionedFile(std::string path, int descriptor) : path_(std::move(path)), descriptor_(descriptor) {}
-  ~PositionedFile() override { ::close(descriptor_); }
+  PreadFile(std::string path, int descriptor) : path_(std::move(path)), descriptor_(descriptor) {}
+  ~PreadFile() override { ::close(descriptor_); }
 
   leveldb::Status Read(std::uint64_t offset, std::size_t size, leveldb::Slice* result,
                        char* scratch) const override {
@@ -49,7 +49,7 @@
     *file = nullptr;
     const int descriptor = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
     if (descriptor < 0) return io_error(path, errno);
-    *file = new PositionedFile(path, descriptor);
+    *file = new PreadFile(path, descriptor);
     return leveldb::Status::OK();
   }
 };
@@ -58,17 +58,17 @@
  public:
   leveldb::Env& files() override { return files_; }
 
-  bool make_folder(const std::string& path) override {
+  bool create_directories(const std::string& path) override {
     std::error_code error;
     std::filesystem::create_directories(path, error);
     if (error) return false;
     const std::filesystem::path parent =
         std::filesystem::absolute(path, error).lexically_normal().parent_path();
-    sync_folder(parent.string());  // The parent may lie outside of what this process may sync.
+    sync_directory(parent.string());  // The parent may lie outside of what this process may sync.
     return true;
   }
 
-  bool sync_folder(const std::string& path) override {
+  bool sync_directory(const std::string& path) override {
     const int folder = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (folder < 0) return false;
     const bool synced = ::fsync(folder) == 0;
--- a/src/cluster/store/level_store.hpp
+++ b/src/cluster/store/leveldb_store.hpp
@@ -13,13 +13,13 @@
 
 namespace winchhall::cluster {
 
-class LevelStore : public DurableStore {
+class LevelDbStore : public DurableStore {
  public:
-  // Takes over a writer and what its database held; see `open_level_store`.
-  LevelStore(std::shared_ptr<StoreWriter> writer, std::vector<StoreEntry> entries, bool replaces_damaged);
+  // Takes over a writer and what its database held; see `open_leveldb_store`.
+  LevelDbStore(std::shared_ptr<StoreWriter> writer, std::vector<StoreEntry> entries, bool replaces_damaged);
   // Batches that still wait are dropped. Waits for the write that is under way, but not for a disk that hangs
-  // longer than StoreTuning::closing_wait.
-  ~LevelStore() override;
+  // longer than StoreTuning::shutdown_timeout.
+  ~LevelDbStore() override;
 
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done) override;
   void load(const std::function<void(std::string_view key, std::string_view value)>& visit) override;
@@ -35,9 +35,10 @@
 };
 
 // Opens the store in a folder, which is made where it is missing; a damaged one is set aside, with an empty
-// one in its place. Errors: StoreFailure (may pass; try again), UnknownStoreFormat.
-leaf::result<std::unique_ptr<LevelStore>> open_level_store(const std::string& path, PostToLoop post_to_loop,
-                                                           Disk& disk = local_disk(),
-                                                           const StoreTuning& tuning = {});
+// one in its place. Errors: StoreFailure (may pass; try again), UnsupportedStoreFormat.
+leaf::result<std::unique_ptr<LevelDbStore>> open_leveldb_store(const std::string& path,
+                                                               PostToLoop post_to_loop,
+                                                               Disk& disk = local_disk(),
+                                                               const StoreTuning& tuning = {});
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/log_scan.cpp
+++ b/src/cluster/store/log_scan.cpp
@@ -59,8 +59,8 @@
 
 }  // namespace
 
-LogScan scan_log(std::string_view content) {
-  LogScan scan;
+LogScanResult scan_log(std::string_view content) {
+  LogScanResult scan;
   bool torn = false;
   bool in_record = false;
   std::size_t offset = 0;
@@ -87,7 +87,7 @@
       scan.damaged = true;
       return scan;
     }
-    scan.sound_bytes = offset;
+    scan.valid_bytes = offset;
   }
   return scan;
 }
--- a/src/cluster/store/log_scan.hpp
+++ b/src/cluster/store/log_scan.hpp
@@ -10,11 +10,11 @@
 
 namespace winchhall::cluster {
 
-struct LogScan {
-  std::size_t sound_bytes = 0;  // length of the part that consists of whole records
+struct LogScanResult {
+  std::size_t valid_bytes = 0;  // length of the part that consists of whole records
   bool damaged = false;         // a whole record stands behind one that is not
 };
 
-LogScan scan_log(std::string_view content);
+LogScanResult scan_log(std::string_view content);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/offline_store.cpp
+++ b/src/cluster/store/offline_store.cpp
@@ -4,32 +4,32 @@
 
 #include <algorithm>
 
-#include "cluster/store/damaged_store.hpp"
+#include "cluster/store/database_replacement.hpp"
 
 namespace winchhall::cluster {
 
 namespace {
 
-constexpr std::size_t kEntriesOfBatch = 1000;
+constexpr std::size_t kEntriesPerBatch = 1000;
 
 class MemoryDisk : public Disk {
  public:
   leveldb::Env& files() override { return *files_; }
-  bool make_folder(const std::string&) override { return true; }
-  bool sync_folder(const std::string&) override { return true; }
+  bool create_directories(const std::string&) override { return true; }
+  bool sync_directory(const std::string&) override { return true; }
 
  private:
   const std::unique_ptr<leveldb::Env> files_{leveldb::NewMemEnv(leveldb::Env::Default())};
 };
 
 // Holds LevelDB's lock of a folder, if there is one to hold.
-class FolderLock {
+class DatabaseLock {
  public:
-  FolderLock(leveldb::Env& files, const std::string& path) : files_(files) {
+  DatabaseLock(leveldb::Env& files, const std::string& path) : files_(files) {
     const std::string lock = path + "/LOCK";
     if (files_.FileExists(lock)) status_ = files_.LockFile(lock, &lock_);
   }
-  ~FolderLock() {
+  ~DatabaseLock() {
     if (lock_) files_.UnlockFile(lock_);
   }
   const leveldb::Status& status() const { return status_; }
@@ -53,17 +53,17 @@
   return {};
 }
 
-bool belongs_to_database(const std::string& name) {
+bool is_database_file(const std::string& name) {
   return name == "CURRENT" || name.starts_with("MANIFEST-") || name.ends_with(".log") ||
          name.ends_with(".ldb") || name.ends_with(".sst");
 }
 
-leaf::result<void> copy_folder(const std::string& path, leveldb::Env& from, leveldb::Env& to) {
+leaf::result<void> copy_database_files(const std::string& path, leveldb::Env& from, leveldb::Env& to) {
   std::vector<std::string> names;
   const leveldb::Status listed = from.GetChildren(path, &names);
   if (!listed.ok()) return failure(path, "list", listed);
   for (const std::string& name : names) {
-    if (belongs_to_database(name)) BOOST_LEAF_CHECK(copy_file(path + "/" + name, from, to));
+    if (is_database_file(name)) BOOST_LEAF_CHECK(copy_file(path + "/" + name, from, to));
   }
   return {};
 }
@@ -77,30 +77,32 @@
 
 }  // namespace
 
-leaf::result<std::vector<StoreEntry>> read_offline(const std::string& path, Disk& disk) {
-  const FolderLock lock(disk.files(), path);
+leaf::result<std::vector<StoreEntry>> read_offline_store(const std::string& path, Disk& disk) {
+  const DatabaseLock lock(disk.files(), path);
   if (!lock.status().ok()) return failure(path, "lock", lock.status());
-  if (must_replace(path, disk)) return leaf::new_error(DamagedStore{path, "files are missing"});
+  if (needs_replacement(path, disk)) return leaf::new_error(StoreCorruption{path, "files are missing"});
   MemoryDisk memory;
-  BOOST_LEAF_CHECK(copy_folder(path, disk.files(), memory.files()));
+  BOOST_LEAF_CHECK(copy_database_files(path, disk.files(), memory.files()));
   BOOST_LEAF_AUTO(database, Database::open(path, memory, {}, OpenMode::existing));
   return database->read_all();
 }
 
-leaf::result<void> write_offline(const std::string& path, const std::vector<StoreEntry>& entries,
-                                 Disk& disk) {
-  if (!disk.make_folder(path)) return leaf::new_error(StoreFailure{path, "create", "folder can't be made"});
+leaf::result<void> create_offline_store(const std::string& path, const std::vector<StoreEntry>& entries,
+                                        Disk& disk) {
+  if (!disk.create_directories(path))
+    return leaf::new_error(StoreFailure{path, "create", "folder can't be made"});
   if (!is_empty(path, disk)) return leaf::new_error(StoreFailure{path, "create", "folder is not empty"});
   BOOST_LEAF_AUTO(database, Database::open(path, disk, {}, OpenMode::create_if_missing));
-  for (std::size_t start = 0; start < entries.size(); start += kEntriesOfBatch) {
+  for (std::size_t start = 0; start < entries.size(); start += kEntriesPerBatch) {
     StoreBatch batch;
-    const std::size_t end = std::min(entries.size(), start + kEntriesOfBatch);
+    const std::size_t end = std::min(entries.size(), start + kEntriesPerBatch);
     for (std::size_t index = start; index < end; ++index) {
       batch.push_back({entries[index].key, entries[index].value});
     }
     if (!database->write(batch)) return leaf::new_error(StoreFailure{path, "write", "disk refused"});
   }
-  if (!disk.sync_folder(path)) return leaf::new_error(StoreFailure{path, "write", "folder can't be synced"});
+  if (!disk.sync_directory(path))
+    return leaf::new_error(StoreFailure{path, "write", "folder can't be synced"});
   return {};
 }
 
--- a/src/cluster/store/offline_store.hpp
+++ b/src/cluster/store/offline_store.hpp
@@ -10,11 +10,11 @@
 namespace winchhall::cluster {
 
 // All entries, in the order of their keys. Errors: StoreFailure (also where a running process has the store
-// in use), DamagedStore, UnknownStoreFormat.
-leaf::result<std::vector<StoreEntry>> read_offline(const std::string& path, Disk& disk = local_disk());
+// in use), StoreCorruption, UnsupportedStoreFormat.
+leaf::result<std::vector<StoreEntry>> read_offline_store(const std::string& path, Disk& disk = local_disk());
 
 // Makes a store in a folder that is empty or missing, with just these entries. Errors: StoreFailure.
-leaf::result<void> write_offline(const std::string& path, const std::vector<StoreEntry>& entries,
-                                 Disk& disk = local_disk());
+leaf::result<void> create_offline_store(const std::string& path, const std::vector<StoreEntry>& entries,
+                                        Disk& disk = local_disk());
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/control_state.cpp
+++ b/src/cluster/store/state_summary.cpp
@@ -1,4 +1,4 @@
-#include "cluster/store/control_state.hpp"
+#include "cluster/store/state_summary.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -28,7 +28,7 @@
 }
 
 template <typename Message>
-std::optional<Message> parsed(const StoreEntry& entry) {
+std::optional<Message> parse_value(const StoreEntry& entry) {
   Message message;
   if (!message.ParseFromString(entry.value)) return std::nullopt;
   return message;
@@ -38,11 +38,11 @@
   return std::to_string(ballot.counter()) + "." + std::to_string(ballot.proposer());
 }
 
-std::string text_of(const wire::NodeIdentity& identity) {
+std::string to_text(const wire::NodeIdentity& identity) {
   return "id=" + std::to_string(identity.id()) + " synchronized=" + (identity.synchronized() ? "yes" : "no");
 }
 
-std::string text_of(const wire::MemberRecord& record) {
+std::string to_text(const wire::MemberRecord& record) {
   std::string text = "epoch=" + std::to_string(record.epoch()) + " members=";
   for (const wire::Member& member : record.members()) {
     text += std::to_string(member.id()) + "@" + member.address() + ",";
@@ -51,26 +51,26 @@
   return text;
 }
 
-std::string text_of(const wire::RegisterState& state) {
+std::string to_text(const wire::RegisterState& state) {
   return "promised=" + ballot_text(state.promised()) + " accepted=" + ballot_text(state.accepted()) +
          " chosen=" + ballot_text(state.chosen()) + " bytes=" + std::to_string(state.value().size());
 }
 
-std::string text_of(const wire::ShardState& state) {
+std::string to_text(const wire::ShardState& state) {
   return "epoch=" + std::to_string(state.epoch()) + " holder=" + std::to_string(state.holder()) +
          " base=" + std::to_string(state.base());
 }
 
-std::string text_of(const wire::ShardRecord& record) {
+std::string to_text(const wire::ShardRecord& record) {
   return "epoch=" + std::to_string(record.epoch()) + " sequence=" + std::to_string(record.sequence()) +
          " bytes=" + std::to_string(record.value().size()) + (record.deleted() ? " deleted" : "");
 }
 
 template <typename Message>
 std::optional<std::string> value_text(const StoreEntry& entry) {
-  const std::optional<Message> message = parsed<Message>(entry);
+  const std::optional<Message> message = parse_value<Message>(entry);
   if (!message) return std::nullopt;
-  return text_of(*message);
+  return to_text(*message);
 }
 
 // None: of unknown kind, or unreadable.
@@ -109,31 +109,31 @@
   return text;
 }
 
-void raise(wire::Ballot& ballot, std::uint64_t proposer) {
-  ballot.set_counter(ballot.counter() + kRestoreFence);
+void advance_ballot(wire::Ballot& ballot, std::uint64_t proposer) {
+  ballot.set_counter(ballot.counter() + kRestoreFencingIncrement);
   ballot.set_proposer(proposer);
 }
 
-wire::RegisterState fenced_register(const wire::RegisterState& old, std::uint64_t proposer) {
+wire::RegisterState restored_register(const wire::RegisterState& old, std::uint64_t proposer) {
   wire::RegisterState state = old;
-  raise(*state.mutable_promised(), proposer);
+  advance_ballot(*state.mutable_promised(), proposer);
   if (old.accepted().counter() == 0) return state;
   *state.mutable_accepted() = state.promised();
   *state.mutable_chosen() = state.promised();
   return state;
 }
 
-wire::ShardState fenced_shard(const wire::ShardState& old) {
+wire::ShardState restored_shard(const wire::ShardState& old) {
   wire::ShardState state = old;
-  state.set_epoch(old.epoch() + kRestoreFence);
+  state.set_epoch(old.epoch() + kRestoreFencingIncrement);
   state.clear_holder();
   state.clear_holder_address();
   return state;
 }
 
-wire::MemberRecord fenced_members(const wire::MemberRecord& old, const wire::Member& only) {
+wire::MemberRecord restored_members(const wire::MemberRecord& old, const wire::Member& only) {
   wire::MemberRecord record;
-  record.set_epoch(old.epoch() + kRestoreFence);
+  record.set_epoch(old.epoch() + kRestoreFencingIncrement);
   record.set_largest(1);
   *record.add_members() = only;
   *record.mutable_removed() = old.removed();
@@ -156,7 +156,7 @@
 }
 
 template <typename Message>
-StoreEntry entry_of(const std::string& key, const Message& message) {
+StoreEntry make_entry(const std::string& key, const Message& message) {
   return {key, message.SerializeAsString()};
 }
 
@@ -184,41 +184,41 @@
          value.value_or("unreadable, bytes=" + std::to_string(entry.value.size()));
 }
 
-leaf::result<std::vector<StoreEntry>> fenced_state(const std::vector<StoreEntry>& entries,
-                                                   std::uint64_t new_id, const std::string& address,
-                                                   const std::string& http_address) {
+leaf::result<std::vector<StoreEntry>> make_restored_state(const std::vector<StoreEntry>& entries,
+                                                          std::uint64_t new_id, const std::string& address,
+                                                          const std::string& http_address) {
   const StateSummary summary = summarize_state(entries);
   if (!summary.unreadable.empty()) {
-    return leaf::new_error(DamagedStore{"backup", "unreadable: " + summary.unreadable.front()});
+    return leaf::new_error(StoreCorruption{"backup", "unreadable: " + summary.unreadable.front()});
   }
   BOOST_LEAF_AUTO(only, only_member(summary, new_id, address, http_address));
-  const wire::MemberRecord members = fenced_members(summary.members, only);
+  const wire::MemberRecord members = restored_members(summary.members, only);
   wire::NodeIdentity identity;
   identity.set_id(new_id);
   identity.set_synchronized(true);
-  std::vector<StoreEntry> fenced{entry_of(kMembersKey, members)};
+  std::vector<StoreEntry> fenced{make_entry(kMembersKey, members)};
   wire::RegisterState members_register;
   for (const StoreEntry& entry : entries) {
     const EntryKind kind = kind_of(entry.key);
     if (entry.key == kMembersRegister) {
-      members_register = parsed<wire::RegisterState>(entry).value_or(wire::RegisterState());
+      members_register = parse_value<wire::RegisterState>(entry).value_or(wire::RegisterState());
     } else if (kind == EntryKind::register_state) {
-      const auto state = parsed<wire::RegisterState>(entry).value_or(wire::RegisterState());
-      fenced.push_back(entry_of(entry.key, fenced_register(state, new_id)));
+      const auto state = parse_value<wire::RegisterState>(entry).value_or(wire::RegisterState());
+      fenced.push_back(make_entry(entry.key, restored_register(state, new_id)));
     } else if (kind == EntryKind::shard_state) {
-      const auto state = parsed<wire::ShardState>(entry).value_or(wire::ShardState());
-      fenced.push_back(entry_of(entry.key, fenced_shard(state)));
+      const auto state = parse_value<wire::ShardState>(entry).value_or(wire::ShardState());
+      fenced.push_back(make_entry(entry.key, restored_shard(state)));
     } else if (kind == EntryKind::shard_record) {
       fenced.push_back(entry);
     }
   }
-  raise(*members_register.mutable_promised(), new_id);
+  advance_ballot(*members_register.mutable_promised(), new_id);
   *members_register.mutable_accepted() = members_register.promised();
   *members_register.mutable_chosen() = members_register.promised();
   members_register.set_value(members.SerializeAsString());
-  fenced.push_back(entry_of(kMembersRegister, members_register));
+  fenced.push_back(make_entry(kMembersRegister, members_register));
   // Last: without it, a store whose making was cut off belongs to no member.
-  fenced.push_back(entry_of(kIdentityKey, identity));
+  fenced.push_back(make_entry(kIdentityKey, identity));
   return fenced;
 }
 
--- a/src/cluster/store/control_state.hpp
+++ b/src/cluster/store/state_summary.hpp
@@ -27,16 +27,16 @@
 std::string describe_entry(const StoreEntry& entry);
 
 // How far epochs and ballots are raised above all that the old group can have used.
-constexpr std::uint64_t kRestoreFence = 1 << 20;
+constexpr std::uint64_t kRestoreFencingIncrement = 1 << 20;
 
 // The state of a node of one group as the first state of a new group that has just one member: a node with a
 // new id, reached at the given addresses. Epochs of shards and ballots of registers are raised by
-// kRestoreFence; all former members are noted as removed, so that their processes, where any still run, can
-// only join anew and without their state. Values accepted by the node count as chosen.
-// Errors: InvalidInput where no address is given and the old record doesn't hold the node's own, DamagedStore
+// kRestoreFencingIncrement; all former members are noted as removed, so that their processes, where any still
+// run, can only join anew and without their state. Values accepted by the node count as chosen. Errors:
+// InvalidInput where no address is given and the old record doesn't hold the node's own, StoreCorruption
 // where an entry can't be read.
-leaf::result<std::vector<StoreEntry>> fenced_state(const std::vector<StoreEntry>& entries,
-                                                   std::uint64_t new_id, const std::string& address,
-                                                   const std::string& http_address);
+leaf::result<std::vector<StoreEntry>> make_restored_state(const std::vector<StoreEntry>& entries,
+                                                          std::uint64_t new_id, const std::string& address,
+                                                          const std::string& http_address);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/store_writer.cpp
+++ b/src/cluster/store/store_writer.cpp
@@ -25,8 +25,9 @@
 void StoreWriter::stop() {
   std::unique_lock lock(mutex_);
   stopping_ = true;
-  wake_.notify_all();
-  const bool ended = wake_.wait_for(lock, tuning_.closing_wait, [this] { return ended_; });
+  state_changed_.notify_all();
+  const bool ended =
+      state_changed_.wait_for(lock, tuning_.shutdown_timeout, [this] { return thread_finished_; });
   lock.unlock();
   if (ended) {
     thread_.join();
@@ -38,17 +39,17 @@
 void StoreWriter::commit(StoreBatch batch, std::function<void(CommitOutcome)> done) {
   {
     const std::lock_guard lock(mutex_);
-    waiting_.push_back({std::move(batch), std::move(done)});
+    pending_.push_back({std::move(batch), std::move(done)});
   }
-  wake_.notify_all();
+  state_changed_.notify_all();
 }
 
 void StoreWriter::run(std::unique_ptr<Database> database) {
-  for (std::vector<Waiting> group = take_waiting(); !group.empty(); group = take_waiting()) {
-    if (!database) database = reopened();
+  for (std::vector<PendingCommit> group = take_pending(); !group.empty(); group = take_pending()) {
+    if (!database) database = reopen_until_stopped();
     if (!database) break;
     StoreBatch joined;
-    for (Waiting& waiting : group) append(joined, std::move(waiting.batch));
+    for (PendingCommit& waiting : group) append(joined, std::move(waiting.batch));
     const bool written = database->write(joined);
     if (!written) {
       log_event(LogLevel::error, "store_write_failed", {{"path", path_}});
@@ -58,25 +59,25 @@
   }
   database.reset();
   const std::lock_guard lock(mutex_);
-  ended_ = true;
-  wake_.notify_all();
+  thread_finished_ = true;
+  state_changed_.notify_all();
 }
 
-std::vector<StoreWriter::Waiting> StoreWriter::take_waiting() {
+std::vector<StoreWriter::PendingCommit> StoreWriter::take_pending() {
   std::unique_lock lock(mutex_);
-  wake_.wait(lock, [this] { return stopping_ || !waiting_.empty(); });
+  state_changed_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
   if (stopping_) return {};
-  return std::exchange(waiting_, {});
+  return std::exchange(pending_, {});
 }
 
-std::unique_ptr<Database> StoreWriter::reopened() {
+std::unique_ptr<Database> StoreWriter::reopen_until_stopped() {
   for (;;) {
     if (std::unique_ptr<Database> database = try_to_open()) {
       log_event(LogLevel::info, "store_reopened", {{"path", path_}});
       return database;
     }
     std::unique_lock lock(mutex_);
-    if (wake_.wait_for(lock, tuning_.reopen_pause, [this] { return stopping_; })) return nullptr;
+    if (state_changed_.wait_for(lock, tuning_.reopen_delay, [this] { return stopping_; })) return nullptr;
   }
 }
 
@@ -86,12 +87,12 @@
                               [] { return std::unique_ptr<Database>(); });
 }
 
-void StoreWriter::report(std::vector<Waiting> group, CommitOutcome outcome) {
-  auto ended = std::make_shared<std::vector<Waiting>>(std::move(group));
+void StoreWriter::report(std::vector<PendingCommit> group, CommitOutcome outcome) {
+  auto ended = std::make_shared<std::vector<PendingCommit>>(std::move(group));
   const std::lock_guard lock(mutex_);
   if (stopping_) return;
   post_to_loop_([ended, outcome] {
-    for (Waiting& waiting : *ended) waiting.done(outcome);
+    for (PendingCommit& waiting : *ended) waiting.done(outcome);
   });
 }
 
--- a/src/cluster/store/store_writer.hpp
+++ b/src/cluster/store/store_writer.hpp
@@ -29,27 +29,27 @@
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done);
 
  private:
-  struct Waiting {
+  struct PendingCommit {
     StoreBatch batch;
     std::function<void(CommitOutcome)> done;
   };
 
   void run(std::unique_ptr<Database> database);
-  std::vector<Waiting> take_waiting();
+  std::vector<PendingCommit> take_pending();
   // After a failed write LevelDB takes no more. Null: the store ends.
-  std::unique_ptr<Database> reopened();
+  std::unique_ptr<Database> reopen_until_stopped();
   std::unique_ptr<Database> try_to_open();
-  void report(std::vector<Waiting> group, CommitOutcome outcome);
+  void report(std::vector<PendingCommit> group, CommitOutcome outcome);
 
   const std::string path_;
   Disk& disk_;
   const StoreTuning tuning_;
   const PostToLoop post_to_loop_;
   std::mutex mutex_;
-  std::condition_variable wake_;
-  std::vector<Waiting> waiting_;  // guarded by mutex_
-  bool stopping_ = false;         // guarded by mutex_
-  bool ended_ = false;            // guarded by mutex_
+  std::condition_variable state_changed_;
+  std::vector<PendingCommit> pending_;  // guarded by mutex_
+  bool stopping_ = false;               // guarded by mutex_
+  bool thread_finished_ = false;        // guarded by mutex_
   std::thread thread_;
 };
 
--- a/src/cluster/store/synced_env.cpp
+++ b/src/cluster/store/synced_env.cpp
@@ -45,7 +45,7 @@
 leveldb::Status SyncedEnv::RenameFile(const std::string& from, const std::string& to) {
   const leveldb::Status renamed = leveldb::EnvWrapper::RenameFile(from, to);
   if (!renamed.ok()) return renamed;
-  if (disk_.sync_folder(folder_of(to))) return renamed;
+  if (disk_.sync_directory(folder_of(to))) return renamed;
   return leveldb::Status::IOError(to, "folder can't be synced");
 }
 
@@ -70,9 +70,9 @@
   std::string content;
   const leveldb::Status read = leveldb::ReadFileToString(target(), path, &content);
   if (!read.ok()) return read;
-  const LogScan scan = scan_log(content);
+  const LogScanResult scan = scan_log(content);
   if (scan.damaged) return leveldb::Status::Corruption(path, "damaged before its last record");
-  content.resize(scan.sound_bytes);
+  content.resize(scan.valid_bytes);
   *file = new BufferedFile(std::move(content));
   return leveldb::Status::OK();
 }
--- a/src/cluster/worker_agent/heartbeat_json.cpp
+++ b/src/cluster/worker_agent/heartbeat_json.cpp
@@ -12,14 +12,14 @@
 namespace json = boost::json;
 
 constexpr const char* kSource = "Instances.Heartbeat";
-constexpr std::size_t kShownValueBytes = 80;
-constexpr std::size_t kLongestLeafId = 128;
-constexpr std::size_t kEscapedBytesPerByte = 6;  // of a text, at most
-constexpr std::size_t kOrderFrameBytes = 64;     // quotes, commas and numbers of an order
+constexpr std::size_t kMaxErrorValueBytes = 80;
+constexpr std::size_t kMaxLeafIdBytes = 128;
+constexpr std::size_t kMaxEscapedBytesPerByte = 6;  // of a text, at most
+constexpr std::size_t kMaxOrderOverheadBytes = 64;  // quotes, commas and numbers of an order
 
 leaf::error_id invalid(std::string field, const json::value* found, std::string allowed) {
   std::string shown = found != nullptr ? json::serialize(*found) : std::string();
-  if (shown.size() > kShownValueBytes) shown.resize(kShownValueBytes);
+  if (shown.size() > kMaxErrorValueBytes) shown.resize(kMaxErrorValueBytes);
   return leaf::new_error(InvalidInput{kSource, std::move(field), std::move(shown), std::move(allowed)});
 }
 
@@ -188,14 +188,14 @@
 
 }  // namespace
 
-bool is_leaf_id(std::string_view leaf_id) {
-  if (leaf_id.empty() || leaf_id.size() > kLongestLeafId) return false;
+bool is_valid_leaf_id(std::string_view leaf_id) {
+  if (leaf_id.empty() || leaf_id.size() > kMaxLeafIdBytes) return false;
   return std::all_of(leaf_id.begin(), leaf_id.end(),
                      [](char letter) { return letter > ' ' && letter <= '~' && letter != '/'; });
 }
 
 leaf::result<Heartbeat> parse_heartbeat(const std::string& leaf_id, std::string_view body) {
-  if (!is_leaf_id(leaf_id)) {
+  if (!is_valid_leaf_id(leaf_id)) {
     return leaf::new_error(InvalidInput{kSource, "id", "", "printable characters, 128 at most"});
   }
   boost::system::error_code failure;
@@ -217,7 +217,7 @@
   return heartbeat;
 }
 
-std::string heartbeat_answer_json(const HeartbeatAnswer& answer) {
+std::string heartbeat_response_json(const HeartbeatResponse& answer) {
   json::object root;
   if (answer.hold) root["hold_ms"] = answer.hold->count();
   if (answer.last_seen != 0) root["last_seen"] = answer.last_seen;
@@ -242,9 +242,9 @@
   return json::serialize(json::object{{"error", fields}});
 }
 
-std::size_t answer_bytes_of(const wire::StartOrder& start) {
+std::size_t max_encoded_bytes(const wire::StartOrder& start) {
   const std::size_t text = start.task().size() + start.spec().size() + start.saved().size();
-  return text * kEscapedBytesPerByte + kOrderFrameBytes;
+  return text * kMaxEscapedBytesPerByte + kMaxOrderOverheadBytes;
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/heartbeat_json.hpp
+++ b/src/cluster/worker_agent/heartbeat_json.hpp
@@ -21,7 +21,7 @@
 };
 
 // What an answer to a heartbeat tells the leaf. Parts that say nothing are left out of the JSON.
-struct HeartbeatAnswer {
+struct HeartbeatResponse {
   std::optional<Millis> hold;  // counted by the leaf from the sending of its heartbeat
   std::uint64_t last_seen = 0;
   std::uint64_t fence_token = 0;
@@ -34,14 +34,14 @@
 leaf::result<Heartbeat> parse_heartbeat(const std::string& leaf_id, std::string_view body);
 
 // True if a leaf may have this id: printable ASCII, not too long.
-bool is_leaf_id(std::string_view leaf_id);
+bool is_valid_leaf_id(std::string_view leaf_id);
 
-std::string heartbeat_answer_json(const HeartbeatAnswer& answer);
+std::string heartbeat_response_json(const HeartbeatResponse& answer);
 
 // {"error":{"source","field","value","allowed"}}
 std::string error_json(const InvalidInput& error);
 
 // Most bytes that an order may take up in the JSON text of an answer.
-std::size_t answer_bytes_of(const wire::StartOrder& start);
+std::size_t max_encoded_bytes(const wire::StartOrder& start);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/leader_finder.hpp
+++ b/src/cluster/worker_agent/leader_finder.hpp
@@ -21,10 +21,10 @@
 
 class LeaderFinder {
  public:
-  using Found = std::function<void(const FoundLeader&)>;
+  using FoundCallback = std::function<void(const FoundLeader&)>;
 
   // Both references outlive the finder.
-  LeaderFinder(Runtime& runtime, const NodeSettings& settings, Found found);
+  LeaderFinder(Runtime& runtime, const NodeSettings& settings, FoundCallback found);
   ~LeaderFinder();
 
   // Looks for the leader of a service with at least this epoch, until one is found or `stop`. Does nothing
@@ -39,32 +39,32 @@
   void set_sampled(std::vector<Address> nodes) { sampled_ = std::move(nodes); }
 
  private:
-  void ask_next();
+  void probe_next_node();
   void ask(const Address& node);
   void on_answer(const CallResult& result);
-  void learn_members(const wire::ConfigurationUpdate& update);
-  void list_nodes();
+  void update_members(const wire::ConfigurationUpdate& update);
+  void rebuild_nodes();
   void pause();
   // A seed or a member, or, where all of these were asked in vain, sometimes a sampled node.
   const Address& next_node();
-  bool sampled_is_next() const;
+  bool is_sampled_turn() const;
 
   Runtime& runtime_;
-  const Found found_;
+  const FoundCallback found_;
   std::vector<Address> seeds_;    // internal listeners
   std::vector<Address> members_;  // heard of last
   std::vector<Address> nodes_;    // seeds, then members
   std::vector<Address> sampled_;
   std::size_t next_node_ = 0;
   std::size_t next_sampled_ = 0;
-  std::size_t asked_in_vain_ = 0;  // asks since a leader was found last
+  std::size_t unanswered_probes_ = 0;  // asks since a leader was found last
   std::string shard_;
-  std::uint64_t least_epoch_ = 0;
+  std::uint64_t min_epoch_ = 0;
   bool searching_ = false;
-  unsigned asking_ = 0;               // nodes that have not answered in this search
+  unsigned probes_in_flight_ = 0;     // nodes that have not answered in this search
   std::uint64_t leaders_digest_ = 0;  // of the leaders that were named last in this search
   std::uint64_t search_number_ = 0;   // rises with the end of each search
-  TimePoint asked_at_{};
+  TimePoint last_probe_at_{};
   std::unique_ptr<Timer> timer_;
   const std::shared_ptr<bool> alive_;  // false once this object is gone
 };
--- /dev/null
+++ b/src/cluster/worker_agent/leader_reporter.cpp
@@ -0,0 +1,180 @@
+#include "cluster/worker_agent/leader_reporter.hpp"
+
+#include <algorithm>
+
+namespace winchhall::cluster {
+namespace {
+
+constexpr Millis kReportTimeout{900};
+constexpr Millis kPollInterval{400};     // between reports without news, while one is outstanding
+constexpr Millis kMinReportInterval{5};  // between any two reports
+constexpr Millis kResponseTimeout{600};  // of the leader, then others are asked
+constexpr Millis kResponseCheckInterval{100};
+constexpr Millis kMinRedirectInterval{100};  // between two hints that are followed
+constexpr Millis kTakeoverRetryDelay{
+    40};  // before a node that holds the lease but does not lead yet is tried again
+constexpr unsigned kMaxReportsInFlight = 3;
+
+}  // namespace
+
+LeaderReporter::LeaderReporter(Runtime& runtime, const NodeSettings& settings, LeafSession& session,
+                               std::function<void()> on_orders)
+    : runtime_(runtime),
+      settings_(settings),
+      session_(session),
+      on_orders_accepted_(std::move(on_orders)),
+      finder_(runtime, settings, [this](const FoundLeader& leader) { follow(leader.address); }),
+      alive_(std::make_shared<bool>(true)) {}
+
+LeaderReporter::~LeaderReporter() { *alive_ = false; }
+
+void LeaderReporter::start() {
+  stopped_ = false;
+  search();
+}
+
+void LeaderReporter::stop() {
+  stopped_ = true;
+  finder_.stop();
+  poll_timer_.reset();
+  response_timer_.reset();
+}
+
+void LeaderReporter::report_now() {
+  has_unsent_changes_ = true;
+  send_if_due();
+}
+
+std::string LeaderReporter::service() const {
+  if (session_.has_leaf() && !session_.leaf().service().empty()) return session_.leaf().service();
+  return settings_.backend;
+}
+
+void LeaderReporter::search() {
+  if (stopped_ || service().empty()) return;
+  finder_.search(service(), session_.epoch());
+}
+
+// Sends a report if one is due, else sees to it that one goes out in time.
+void LeaderReporter::send_if_due() {
+  if (stopped_ || !session_.has_leaf()) return;
+  if (target_.empty()) return search();
+  if (runtime_.now() < paused_until_) {
+    poll_timer_ = runtime_.after(kTakeoverRetryDelay, [this] { send_if_due(); });
+    return;
+  }
+  const SteadyClock::duration since = runtime_.now() - sent_at_;
+  const bool wanted = has_unsent_changes_ || !has_pending_poll() || since >= kPollInterval;
+  if (wanted && reports_in_flight_ < kMaxReportsInFlight && since >= kMinReportInterval) send();
+  schedule_poll();
+}
+
+void LeaderReporter::schedule_poll() {
+  const bool soon = (has_unsent_changes_ || !has_pending_poll()) && reports_in_flight_ < kMaxReportsInFlight;
+  poll_timer_ = runtime_.after(soon ? kMinReportInterval : kPollInterval, [this] { send_if_due(); });
+}
+
+wire::WorkerReport LeaderReporter::next_report(ReportInFlight& sent) {
+  sent.report = SentReport{++report_number_, runtime_.now()};
+  sent.target = target_;
+  sent.target_number = target_generation_;
+  sent.lists_version = session_.lists_version();
+  sent.lists_included = acknowledged_lists_version_ != sent.lists_version;
+  wire::WorkerReport report;
+  session_.fill_report(report, sent.lists_included, runtime_.now());
+  report.set_report_number(sent.report.number);
+  report.set_lists_as_of(sent.lists_included ? sent.report.number : acknowledged_lists_report_);
+  return report;
+}
+
+void LeaderReporter::send() {
+  ReportInFlight sent;
+  wire::Envelope request;
+  *request.mutable_worker_report() = next_report(sent);
+  has_unsent_changes_ = false;
+  ++reports_in_flight_;
+  sent_at_ = sent.report.sent;
+  if (!response_timer_) check_response_timeout();
+  runtime_.call(target_, std::move(request), kReportTimeout,
+                [this, alive = alive_, sent](const CallResult& result) {
+                  if (*alive) on_answer(sent, result);
+                });
+}
+
+void LeaderReporter::on_answer(const ReportInFlight& sent, const CallResult& result) {
+  const bool current = sent.target_number == target_generation_;
+  if (current) --reports_in_flight_;
+  if (current) answered_number_ = std::max(answered_number_, sent.report.number);
+  if (stopped_) return;
+  if (result.answer && result.answer->has_worker_orders()) {
+    on_orders(sent, result.answer->worker_orders());
+  } else if (current) {
+    has_unsent_changes_ = true;  // the report may not have arrived
+    search();
+  }
+  send_if_due();
+}
+
+void LeaderReporter::on_orders(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
+  const ProcessedOrders accepted = session_.process_orders(sent.report, orders);
+  if (accepted.outcome != OrdersOutcome::accepted) return on_orders_refused(sent, orders);
+  if (sent.target_number == target_generation_) record_leader_response(sent, orders);
+  if (accepted.report_wanted) has_unsent_changes_ = true;
+  on_orders_accepted_();
+}
+
+void LeaderReporter::record_leader_response(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
+  last_response_at_ = runtime_.now();
+  finder_.stop();
+  if (orders.lists_wanted()) {
+    acknowledged_lists_version_ = 0;
+  } else if (sent.lists_included && sent.report.number > acknowledged_lists_report_) {
+    acknowledged_lists_version_ = sent.lists_version;
+    acknowledged_lists_report_ = sent.report.number;
+  }
+}
+
+void LeaderReporter::on_orders_refused(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
+  if (sent.target_number != target_generation_) return;
+  if (orders.leader_address() == target_) {  // it takes over
+    paused_until_ = runtime_.now() + kTakeoverRetryDelay;
+    return;
+  }
+  const bool hinted = !orders.leader_address().empty();
+  const bool paced = runtime_.now() - last_redirect_at_ >= kMinRedirectInterval;
+  if (hinted && paced) {
+    last_redirect_at_ = runtime_.now();
+    return follow(orders.leader_address());
+  }
+  target_.clear();
+  search();
+}
+
+void LeaderReporter::follow(const Address& leader) {
+  if (stopped_) return;
+  const bool changed = leader != target_;
+  const bool fell_silent = runtime_.now() - last_response_at_ >= kResponseTimeout;
+  if (changed || fell_silent) {  // what is outstanding at a leader that was away is lost
+    target_ = leader;
+    ++target_generation_;
+    reports_in_flight_ = 0;
+    answered_number_ = report_number_;
+    acknowledged_lists_version_ = 0;
+    acknowledged_lists_report_ = 0;
+  }
+  if (changed) last_response_at_ = runtime_.now();
+  has_unsent_changes_ = true;
+  send_if_due();
+}
+
+// Asks others for the leader once it has been silent for too long; goes on until it is heard.
+void LeaderReporter::check_response_timeout() {
+  const SteadyClock::duration silent = runtime_.now() - last_response_at_;
+  const Millis left = std::chrono::duration_cast<Millis>(kResponseTimeout - silent);
+  response_timer_ = runtime_.after(left.count() > 0 ? left : kResponseCheckInterval, [this] {
+    if (runtime_.now() - last_response_at_ >= kResponseTimeout) search();
+    check_response_timeout();
+  });
+}
+
+}  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/leaf_lists.hpp
+++ b/src/cluster/worker_agent/leaf_task_lists.hpp
@@ -12,42 +12,42 @@
 namespace winchhall::cluster {
 
 // A heartbeat holds this many ends at most: with so many, others may be hidden.
-inline constexpr std::size_t kMostEndsListed = 500;
+inline constexpr std::size_t kMaxFinishedListed = 500;
 
 // What a heartbeat changed: nothing, only progress or checkpoints, also ends that the leaf has forgotten, or
 // what runs or has ended.
-enum class ListsChange { none, progress, ends_forgotten, runs };
+enum class TaskListsChange { none, progress, finished_removed, runs };
 
-class LeafLists {
+class LeafTaskLists {
  public:
   // Takes in the lists of a newer heartbeat. Runs that vanish while ends may be hidden count as running until
   // they show up again or the list of ends is whole.
-  ListsChange update(std::vector<wire::RunningTask> running, std::vector<wire::FinishedTask> finished);
+  TaskListsChange update(std::vector<wire::RunningTask> running, std::vector<wire::FinishedTask> finished);
   void clear();
 
   const std::vector<wire::RunningTask>& running() const { return running_; }
   const std::vector<wire::FinishedTask>& finished() const { return finished_; }
   // True if ends may be missing from the list.
-  bool cut() const { return finished_.size() >= kMostEndsListed; }
+  bool is_truncated() const { return finished_.size() >= kMaxFinishedListed; }
   bool runs(std::string_view task, std::uint64_t run) const;
   // True if the run is listed as running or ended.
   bool lists(std::string_view task, std::uint64_t run) const;
   // True if the list holds an end with this number or a lower one.
-  bool has_end_up_to(std::uint64_t number) const;
+  bool has_finished_up_to(std::uint64_t number) const;
 
  private:
   // Newest run of a task in one of the lists, by the task's name, which the lists own.
   using Runs = std::unordered_multimap<std::string_view, std::uint64_t>;
 
   static bool contains(const Runs& runs, std::string_view task, std::uint64_t run);
-  static Runs index_ends(const std::vector<wire::FinishedTask>& finished);
-  ListsChange compare(const std::vector<wire::RunningTask>& running,
-                      const std::vector<wire::FinishedTask>& finished) const;
-  bool same_runs(const std::vector<wire::RunningTask>& running) const;
-  bool holds_ends(const std::vector<wire::FinishedTask>& finished) const;
-  bool same_progress(const std::vector<wire::RunningTask>& running) const;
-  void carry_over_hidden(std::vector<wire::RunningTask>& running,
-                         const std::vector<wire::FinishedTask>& finished) const;
+  static Runs index_finished(const std::vector<wire::FinishedTask>& finished);
+  TaskListsChange compare(const std::vector<wire::RunningTask>& running,
+                          const std::vector<wire::FinishedTask>& finished) const;
+  bool has_same_runs(const std::vector<wire::RunningTask>& running) const;
+  bool has_no_new_finished(const std::vector<wire::FinishedTask>& finished) const;
+  bool has_same_progress(const std::vector<wire::RunningTask>& running) const;
+  void carry_over_unlisted(std::vector<wire::RunningTask>& running,
+                           const std::vector<wire::FinishedTask>& finished) const;
   void rebuild_indexes();
 
   std::vector<wire::RunningTask> running_;
--- a/src/cluster/worker_agent/worker_http.cpp
+++ b/src/cluster/worker_agent/worker_http_server.cpp
@@ -1,4 +1,4 @@
-#include "cluster/worker_agent/worker_http.hpp"
+#include "cluster/worker_agent/worker_http_server.hpp"
 
 #include <optional>
 #include <string_view>
@@ -8,11 +8,11 @@
 
 constexpr std::string_view kHeartbeatPath = "/v1/Instances.Heartbeat/";
 constexpr std::string_view kDeregisterPath = "/v1/Instances.Deregister/";
-constexpr std::uint32_t kMostHeartbeatBytes = 4U << 20U;
+constexpr std::uint32_t kMaxHeartbeatBytes = 4U << 20U;
 constexpr std::uint32_t kIdleTimeoutMs = 60'000;
 
 // The ID behind a path; none: another path.
-std::optional<std::string> id_behind(std::string_view path, std::string_view prefix) {
+std::optional<std::string> id_after_prefix(std::string_view path, std::string_view prefix) {
   if (path.substr(0, prefix.size()) != prefix) return std::nullopt;
   return std::string(path.substr(prefix.size()));
 }
@@ -22,33 +22,34 @@
   return target.substr(0, target.find('?'));
 }
 
-LeafReplier to_leaf_replier(HttpReplier reply) {
-  return [reply = std::move(reply)](LeafAnswer answer) {
+LeafReplier make_leaf_replier(HttpReplyCallback reply) {
+  return [reply = std::move(reply)](LeafResponse answer) {
     reply(json_response(answer.status, std::move(answer.body)));
   };
 }
 
-void handle(WorkerAgent& agent, const HttpRequest& request, HttpReplier reply) {
+void handle(WorkerAgent& agent, const HttpRequest& request, HttpReplyCallback reply) {
   const std::string_view path = path_of(request);
-  const std::optional<std::string> heartbeat = id_behind(path, kHeartbeatPath);
-  const std::optional<std::string> deregister = id_behind(path, kDeregisterPath);
+  const std::optional<std::string> heartbeat = id_after_prefix(path, kHeartbeatPath);
+  const std::optional<std::string> deregister = id_after_prefix(path, kDeregisterPath);
   if (!heartbeat && !deregister) return reply(json_response(404, "{}"));
   if (request.method() != boost::beast::http::verb::post) return reply(json_response(405, "{}"));
-  if (heartbeat) return agent.on_heartbeat(*heartbeat, request.body(), to_leaf_replier(std::move(reply)));
-  agent.on_deregister(*deregister, to_leaf_replier(std::move(reply)));
+  if (heartbeat) return agent.on_heartbeat(*heartbeat, request.body(), make_leaf_replier(std::move(reply)));
+  agent.on_deregister(*deregister, make_leaf_replier(std::move(reply)));
 }
 
 }  // namespace
 
-HttpHandler make_worker_handler(WorkerAgent& agent) {
-  return
-      [&agent](const HttpRequest& request, HttpReplier reply) { handle(agent, request, std::move(reply)); };
+HttpHandler make_worker_http_handler(WorkerAgent& agent) {
+  return [&agent](const HttpRequest& request, HttpReplyCallback reply) {
+    handle(agent, request, std::move(reply));
+  };
 }
 
-WorkerHttp::WorkerHttp(boost::asio::io_context& loop, const Address& address, WorkerAgent& agent)
-    : server_(make_http_server(loop, address, make_worker_handler(agent))) {
+WorkerHttpServer::WorkerHttpServer(boost::asio::io_context& loop, const Address& address, WorkerAgent& agent)
+    : server_(make_http_server(loop, address, make_worker_http_handler(agent))) {
   RequestLimits limits;
-  limits.max_body_bytes = kMostHeartbeatBytes;
+  limits.max_body_bytes = kMaxHeartbeatBytes;
   limits.idle_timeout_ms = kIdleTimeoutMs;
   server_->set_limits(limits);
 }
--- a/src/cluster/worker_agent/worker_http.hpp
+++ b/src/cluster/worker_agent/worker_http_server.hpp
@@ -11,13 +11,13 @@
 
 // Handles `POST /v1/Instances.Heartbeat/ID` and `POST /v1/Instances.Deregister/ID`; 404 for other paths, 405
 // for other methods. `agent` outlives the handler.
-HttpHandler make_worker_handler(WorkerAgent& agent);
+HttpHandler make_worker_http_handler(WorkerAgent& agent);
 
 // The listener for the leaf.
-class WorkerHttp {
+class WorkerHttpServer {
  public:
   // `address`: the `control` address of the settings. Throws as `make_http_server` does.
-  WorkerHttp(boost::asio::io_context& loop, const Address& address, WorkerAgent& agent);
+  WorkerHttpServer(boost::asio::io_context& loop, const Address& address, WorkerAgent& agent);
 
  private:
   std::unique_ptr<HttpServer> server_;
--- a/testbed/cluster/stand_in_leaf.cpp
+++ b/testbed/cluster/fake_leaf.cpp
@@ -1,4 +1,4 @@
-#include "testbed/cluster/stand_in_leaf.hpp"
+#include "testbed/cluster/fake_leaf.hpp"
 
 #include <boost/json.hpp>
 
@@ -23,26 +23,26 @@
 
 }  // namespace
 
-StandInLeaf::StandInLeaf(LeafOptions options) : options_(std::move(options)), thread_([this] { live(); }) {}
+FakeLeaf::FakeLeaf(FakeLeafOptions options) : options_(std::move(options)), thread_([this] { live(); }) {}
 
-StandInLeaf::~StandInLeaf() { crash(); }
+FakeLeaf::~FakeLeaf() { crash(); }
 
-void StandInLeaf::crash() {
+void FakeLeaf::crash() {
   stopping_ = true;
   if (thread_.joinable()) thread_.join();
 }
 
-std::vector<LeafStart> StandInLeaf::starts() const {
+std::vector<FakeLeafTaskStart> FakeLeaf::starts() const {
   const std::lock_guard lock(starts_mutex_);
   return starts_;
 }
 
-void StandInLeaf::live() {
+void FakeLeaf::live() {
   Clock::time_point next = Clock::now();
   while (!stopping_) {
     const Clock::time_point now = Clock::now();
     const std::size_t ended_before = ended_.size();
-    end_what_is_due(now);
+    end_due_tasks(now);
     if (ended_.size() > ended_before) next = std::min(next, now + kPauseAfterEnd);
     if (now < next) {
       std::this_thread::sleep_for(kTurn);
@@ -54,31 +54,31 @@
     call.target = "/v1/Instances.Heartbeat/" + options_.id;
     call.body = heartbeat_body();
     call.timeout = milliseconds(1000);
-    next = Clock::now() + carry_out_answer(testbed::cluster::carry_out(call), now);
+    next = Clock::now() + apply_heartbeat_response(testbed::cluster::send_http_call(call), now);
   }
 }
 
-void StandInLeaf::end_what_is_due(Clock::time_point now) {
+void FakeLeaf::end_due_tasks(Clock::time_point now) {
   std::vector<std::string> due;
-  const bool lapsed = now >= held_until_;
+  const bool lapsed = now >= lease_expires_at_;
   for (const auto& [task, running] : running_) {
     if (lapsed || now >= running.ends) due.push_back(task);
   }
   for (const std::string& task : due) end_task(task, lapsed ? "lapsed" : "done", now);
 }
 
-void StandInLeaf::end_task(const std::string& task, const std::string& how, Clock::time_point now) {
+void FakeLeaf::end_task(const std::string& task, const std::string& how, Clock::time_point now) {
   const auto found = running_.find(task);
   if (found == running_.end()) return;
   ended_.push_back({++last_number_, task, found->second.run, how});
   const std::lock_guard lock(starts_mutex_);
-  LeafStart& start = starts_[found->second.start_index];
+  FakeLeafTaskStart& start = starts_[found->second.start_index];
   start.ended = now;
   start.done = how == "done";
   running_.erase(found);
 }
 
-std::string StandInLeaf::heartbeat_body() {
+std::string FakeLeaf::heartbeat_body() {
   json::array running;
   for (const auto& [task, state] : running_) running.push_back(json::array{task, state.run, "", 50});
   json::array finished;
@@ -98,7 +98,7 @@
   return json::serialize(body);
 }
 
-milliseconds StandInLeaf::carry_out_answer(const HttpAnswer& answer, Clock::time_point sent) {
+milliseconds FakeLeaf::apply_heartbeat_response(const HttpCallResponse& answer, Clock::time_point sent) {
   boost::system::error_code error;
   const json::value value = json::parse(answer.body, error);
   const bool in_time = Clock::now() - sent < milliseconds(1000);
@@ -108,7 +108,8 @@
   const std::uint64_t token = number_of(orders.if_contains("fence_token"));
   if (token < fence_token_) return kHeartbeatPause;
   fence_token_ = token;
-  held_until_ = std::max(held_until_, sent + milliseconds(number_of(orders.if_contains("hold_ms"))));
+  lease_expires_at_ =
+      std::max(lease_expires_at_, sent + milliseconds(number_of(orders.if_contains("hold_ms"))));
   const std::uint64_t last_seen = number_of(orders.if_contains("last_seen"));
   std::erase_if(ended_, [last_seen](const Ended& end) { return end.number <= last_seen; });
   if (const json::value* stops = orders.if_contains("stopped_at")) {
@@ -127,8 +128,8 @@
   return retry_after ? milliseconds(number_of(retry_after)) : kHeartbeatPause;
 }
 
-void StandInLeaf::start(const std::string& task, std::uint64_t run, Clock::time_point now) {
-  if (run <= highest_run_[task] || now >= held_until_) return;
+void FakeLeaf::start(const std::string& task, std::uint64_t run, Clock::time_point now) {
+  if (run <= highest_run_[task] || now >= lease_expires_at_) return;
   highest_run_[task] = run;
   const std::lock_guard lock(starts_mutex_);
   running_[task] = {run, now + options_.task_time, starts_.size()};
--- a/testbed/cluster/stand_in_leaf.hpp
+++ b/testbed/cluster/fake_leaf.hpp
@@ -15,7 +15,7 @@
 
 namespace winchhall::testbed::cluster {
 
-struct LeafOptions {
+struct FakeLeafOptions {
   std::string agent;  // "ip:port" of the worker-agent beside it
   std::string id;
   std::string service;
@@ -26,7 +26,7 @@
 };
 
 // A task that was started here, for judging afterwards.
-struct LeafStart {
+struct FakeLeafTaskStart {
   std::string task;
   std::uint64_t run = 0;
   std::chrono::steady_clock::time_point began;
@@ -34,13 +34,13 @@
   bool done = false;
 };
 
-class StandInLeaf {
+class FakeLeaf {
  public:
-  explicit StandInLeaf(LeafOptions options);
-  ~StandInLeaf();
+  explicit FakeLeaf(FakeLeafOptions options);
+  ~FakeLeaf();
 
   // Everything started so far.
-  std::vector<LeafStart> starts() const;
+  std::vector<FakeLeafTaskStart> starts() const;
   // Ends the leaf at once, as a crash would.
   void crash();
 
@@ -60,23 +60,23 @@
   };
 
   void live();
-  void end_what_is_due(Clock::time_point now);
+  void end_due_tasks(Clock::time_point now);
   void end_task(const std::string& task, const std::string& how, Clock::time_point now);
   std::string heartbeat_body();
-  std::chrono::milliseconds carry_out_answer(const HttpAnswer& answer, Clock::time_point sent);
+  std::chrono::milliseconds apply_heartbeat_response(const HttpCallResponse& answer, Clock::time_point sent);
   void start(const std::string& task, std::uint64_t run, Clock::time_point now);
 
-  LeafOptions options_;
+  FakeLeafOptions options_;
   std::atomic<bool> stopping_{false};
   std::uint64_t sequence_ = 0;
   std::uint64_t last_number_ = 0;
   std::uint64_t fence_token_ = 0;
-  Clock::time_point held_until_;
+  Clock::time_point lease_expires_at_;
   std::map<std::string, Running> running_;
   std::map<std::string, std::uint64_t> highest_run_;
   std::vector<Ended> ended_;
   mutable std::mutex starts_mutex_;
-  std::vector<LeafStart> starts_;
+  std::vector<FakeLeafTaskStart> starts_;
   std::thread thread_;
 };
 
--- a/testbed/cluster/http_call.cpp
+++ b/testbed/cluster/http_call.cpp
@@ -39,7 +39,7 @@
       if (!error) write();
     });
   }
-  HttpAnswer answer() const { return answer_; }
+  HttpCallResponse answer() const { return answer_; }
 
  private:
   void write() {
@@ -57,12 +57,12 @@
   http::request<http::string_body> request_;
   http::response<http::string_body> response_;
   beast::flat_buffer buffer_;
-  HttpAnswer answer_;
+  HttpCallResponse answer_;
 };
 
 }  // namespace
 
-HttpAnswer carry_out(const HttpCall& call) {
+HttpCallResponse send_http_call(const HttpCall& call) {
   boost::asio::io_context loop;
   Exchange exchange(loop, call);
   loop.run();
--- a/testbed/cluster/http_call.hpp
+++ b/testbed/cluster/http_call.hpp
@@ -23,12 +23,12 @@
 };
 
 // Status 0: no answer (refused, cut off or too late).
-struct HttpAnswer {
+struct HttpCallResponse {
   unsigned status = 0;
   std::string body;
 };
 
 // Carries out one call on a connection of its own and waits for its end.
-HttpAnswer carry_out(const HttpCall& call);
+HttpCallResponse send_http_call(const HttpCall& call);
 
 }  // namespace winchhall::testbed::cluster
--- a/testbed/cluster/main.cpp
+++ b/testbed/cluster/main.cpp
@@ -7,9 +7,9 @@
 #include <memory>
 #include <thread>
 
+#include "testbed/cluster/fake_leaf.hpp"
 #include "testbed/cluster/http_call.hpp"
 #include "testbed/cluster/local_cluster.hpp"
-#include "testbed/cluster/stand_in_leaf.hpp"
 
 namespace {
 
@@ -40,7 +40,7 @@
 bool call_until(const HttpCall& call, const std::string& wanted) {
   const Clock::time_point limit = Clock::now() + kPatience;
   while (Clock::now() < limit) {
-    const HttpAnswer answer = carry_out(call);
+    const HttpCallResponse answer = send_http_call(call);
     if (answer.status == 200 && answer.body.find(wanted) != std::string::npos) {
       std::printf("%s %s -> %u %s\n", call.method.c_str(), call.target.c_str(), answer.status,
                   answer.body.c_str());
@@ -66,8 +66,8 @@
   LocalCluster cluster(program_beside("winchhall-cluster"), 2, "records");
   cluster.start_all();
   std::printf("three control nodes, an ingress with its agent, two worker-agents with stand-in leaves\n");
-  const StandInLeaf first({cluster.worker_address(0), "i-1", "records", "a"});
-  const StandInLeaf second({cluster.worker_address(1), "i-2", "records", "a"});
+  const FakeLeaf first({cluster.worker_address(0), "i-1", "records", "a"});
+  const FakeLeaf second({cluster.worker_address(1), "i-2", "records", "a"});
   HttpCall put = call_to(cluster.control_address(0), "POST", "/v1/Config.Put", kConfiguration);
   put.headers.push_back({"X-Winchhall-Base-Version", "0"});
   const HttpCall ready = call_to(cluster.ready_address(), "GET", "/v1/readiness");
--- a/tests/cluster/agent/agent_fixture.hpp
+++ b/tests/cluster/agent/agent_fixture.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/agent/agent.hpp"
+#include "cluster/agent/edge_agent.hpp"
 #include "tests/cluster/support/fake_runtime.hpp"
 
 namespace winchhall::cluster::testing {
@@ -16,7 +16,7 @@
 // A control node: serves watches like a real one and answers job requests as told.
 class ScriptedControl {
  public:
-  using JobHandler = std::function<void(const wire::JobRequest&, const Replier&)>;
+  using JobHandler = std::function<void(const wire::JobRequest&, const ReplyCallback&)>;
 
   ScriptedControl(FakeRuntime& runtime, Address address) : address_(std::move(address)), runtime_(runtime) {
     start();
@@ -24,7 +24,7 @@
 
   const Address& address() const { return address_; }
   void start() {
-    runtime_.peers[address_] = [this](const wire::Envelope& request, const Replier& reply) {
+    runtime_.peers[address_] = [this](const wire::Envelope& request, const ReplyCallback& reply) {
       take(request, reply);
     };
   }
@@ -36,7 +36,7 @@
   // The node takes calls and never answers.
   void hang() {
     polls_.clear();
-    runtime_.peers[address_] = [](const wire::Envelope&, const Replier&) {};
+    runtime_.peers[address_] = [](const wire::Envelope&, const ReplyCallback&) {};
   }
 
   void set_configuration(std::uint64_t version, std::string json) {
@@ -67,11 +67,11 @@
  private:
   struct Poll {
     wire::ConfigurationWatch watch;
-    Replier reply;
+    ReplyCallback reply;
     std::unique_ptr<Timer> timer;
   };
 
-  void take(const wire::Envelope& request, const Replier& reply) {
+  void take(const wire::Envelope& request, const ReplyCallback& reply) {
     if (request.has_job_request()) {
       jobs.push_back(request.job_request());
       if (on_job) on_job(request.job_request(), reply);
@@ -79,7 +79,7 @@
     if (request.has_configuration_watch()) hold(request.configuration_watch(), reply);
   }
 
-  void hold(const wire::ConfigurationWatch& watch, const Replier& reply) {
+  void hold(const wire::ConfigurationWatch& watch, const ReplyCallback& reply) {
     ++watches;
     if (has_news(watch)) return answer(watch, reply);
     polls_.push_back({watch, reply, nullptr});
@@ -94,7 +94,7 @@
     return update_.version() > watch.version() || update_.leaders_digest() != watch.leaders_digest();
   }
 
-  void answer(const wire::ConfigurationWatch& watch, const Replier& reply) const {
+  void answer(const wire::ConfigurationWatch& watch, const ReplyCallback& reply) const {
     wire::Envelope envelope;
     auto& update = *envelope.mutable_configuration_update();
     update = update_;
@@ -121,7 +121,7 @@
 };
 
 inline ScriptedControl::JobHandler answer_with(wire::JobOutcome outcome, const Address& leader = {}) {
-  return [outcome, leader](const wire::JobRequest&, const Replier& reply) {
+  return [outcome, leader](const wire::JobRequest&, const ReplyCallback& reply) {
     wire::Envelope envelope;
     envelope.mutable_job_reply()->set_outcome(outcome);
     envelope.mutable_job_reply()->set_leader_address(leader);
@@ -140,7 +140,7 @@
 struct AgentFixture {
   FakeRuntime runtime;
   std::vector<std::unique_ptr<ScriptedControl>> controls;
-  std::unique_ptr<Agent> agent;
+  std::unique_ptr<EdgeAgent> agent;
 
   AgentFixture() {
     for (int number = 0; number < 5; ++number) {
@@ -173,7 +173,7 @@
     settings.internal_port_first = 7380;
     settings.internal_port_last = 7395;
     for (int number = 0; number < 3; ++number) settings.seeds.push_back(ip_of(number) + ":8144");
-    agent = std::make_unique<Agent>(runtime, settings);
+    agent = std::make_unique<EdgeAgent>(runtime, settings);
     agent->start();
   }
 
--- a/tests/cluster/agent/configuration_test.cpp
+++ b/tests/cluster/agent/configuration_test.cpp
@@ -78,8 +78,8 @@
     led.set_address(leader);
     return update;
   };
-  REQUIRE(view.absorb(update(9, 5, "10.0.0.2:7000"), TimePoint()).configuration);
-  const ViewChanges late = view.absorb(update(4, 3, "10.0.0.1:7000"), TimePoint());
+  REQUIRE(view.apply_update(update(9, 5, "10.0.0.2:7000"), TimePoint()).configuration);
+  const ViewChanges late = view.apply_update(update(4, 3, "10.0.0.1:7000"), TimePoint());
   CHECK_FALSE(late.configuration);
   CHECK_FALSE(late.leaders);
   CHECK(view.version() == 9);
--- a/tests/cluster/agent/job_relay_test.cpp
+++ b/tests/cluster/agent/job_relay_test.cpp
@@ -52,8 +52,8 @@
 }
 
 TEST_CASE_METHOD(RelayFixture, "the same request sent twice is relayed once and answered twice") {
-  Replier held;
-  controls[0]->on_job = [&](const wire::JobRequest&, const Replier& reply) { held = reply; };
+  ReplyCallback held;
+  controls[0]->on_job = [&](const wire::JobRequest&, const ReplyCallback& reply) { held = reply; };
   const auto first = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(50));
   const auto second = job(wire::JOB_SUBMIT);
@@ -97,7 +97,7 @@
 
 TEST_CASE_METHOD(RelayFixture, "a rejection after an unclear try is in doubt") {
   unsigned tries = 0;
-  controls[0]->on_job = [&](const wire::JobRequest& request, const Replier& reply) {
+  controls[0]->on_job = [&](const wire::JobRequest& request, const ReplyCallback& reply) {
     if (++tries > 1) answer_with(wire::JOB_REJECTED)(request, reply);
   };
   const auto answer = job(wire::JOB_SUBMIT);
@@ -124,8 +124,8 @@
 }
 
 TEST_CASE_METHOD(RelayFixture, "the late success of a try that was replaced counts") {
-  Replier late;
-  controls[0]->on_job = [&](const wire::JobRequest&, const Replier& reply) { late = reply; };
+  ReplyCallback late;
+  controls[0]->on_job = [&](const wire::JobRequest&, const ReplyCallback& reply) { late = reply; };
   const auto answer = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(100));
   set_leader("first", 2, address_of(3));
--- a/tests/cluster/agent/retry_budget_test.cpp
+++ b/tests/cluster/agent/retry_budget_test.cpp
@@ -9,7 +9,7 @@
 
 unsigned take_all(RetryBudget& budget, TimePoint now) {
   unsigned taken = 0;
-  while (budget.take(now)) ++taken;
+  while (budget.try_acquire(now)) ++taken;
   return taken;
 }
 
@@ -26,7 +26,7 @@
   const TimePoint start{std::chrono::hours(1)};
   RetryBudget budget(start);
   take_all(budget, start);
-  for (int count = 0; count < 50; ++count) budget.note_first_try(start);
+  for (int count = 0; count < 50; ++count) budget.record_first_attempt(start);
   const unsigned taken = take_all(budget, start);
   CHECK(taken >= 9);
   CHECK(taken <= 10);
--- a/tests/cluster/agent/route_history_test.cpp
+++ b/tests/cluster/agent/route_history_test.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 // The configurations that one process takes, as changes of its routes.
-struct Taker {
+struct ReplicaFixture {
   ConfigurationReplica replica;
 
   const std::vector<RouteChange>& configuration(std::uint64_t version,
                                                 const std::map<std::string, std::string>& services) {
-    REQUIRE(replica.take_json(configuration_json(version, services), "test") == TakeOutcome::taken);
+    REQUIRE(replica.apply_json(configuration_json(version, services), "test") == ApplyOutcome::applied);
     return replica.last_route_changes();
   }
 };
@@ -25,30 +25,30 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Taker, "a queue that never moved has no other service") {
+TEST_CASE_METHOD(ReplicaFixture, "a queue that never moved has no other service") {
   RouteHistory history;
   const TimePoint now{std::chrono::hours(1)};
-  history.observe(configuration(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
-  CHECK(history.other_services("queue/a/", "first", now).empty());
-  CHECK(history.other_services("unknown", "first", now).empty());
+  history.record_changes(configuration(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
+  CHECK(history.recent_other_services("queue/a/", "first", now).empty());
+  CHECK(history.recent_other_services("unknown", "first", now).empty());
 }
 
-TEST_CASE_METHOD(Taker, "a queue that moved names its earlier service for a while") {
+TEST_CASE_METHOD(ReplicaFixture, "a queue that moved names its earlier service for a while") {
   RouteHistory history;
   const TimePoint now{std::chrono::hours(1)};
-  history.observe(configuration(1, {{"/a/", "first"}}), now);
-  history.observe(configuration(2, {{"/a/", "second"}}), now + Millis(1000));
-  CHECK(history.other_services("queue/a/", "second", now + Millis(2000)) == Names{"first"});
-  CHECK(history.other_services("queue/a/", "second", now + Millis(62000)).empty());
+  history.record_changes(configuration(1, {{"/a/", "first"}}), now);
+  history.record_changes(configuration(2, {{"/a/", "second"}}), now + Millis(1000));
+  CHECK(history.recent_other_services("queue/a/", "second", now + Millis(2000)) == Names{"first"});
+  CHECK(history.recent_other_services("queue/a/", "second", now + Millis(62000)).empty());
   // An ingress with the older configuration must ask the newer service.
-  CHECK(history.other_services("queue/a/", "first", now + Millis(62000)) == Names{"second"});
+  CHECK(history.recent_other_services("queue/a/", "first", now + Millis(62000)) == Names{"second"});
 }
 
-TEST_CASE_METHOD(Taker, "a queue removed and added again elsewhere has moved") {
+TEST_CASE_METHOD(ReplicaFixture, "a queue removed and added again elsewhere has moved") {
   RouteHistory history;
   const TimePoint now{std::chrono::hours(1)};
-  history.observe(configuration(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
-  history.observe(configuration(2, {{"/b/", "second"}}), now + Millis(1000));
-  history.observe(configuration(3, {{"/a/", "second"}, {"/b/", "second"}}), now + Millis(2000));
-  CHECK(history.other_services("queue/a/", "second", now + Millis(3000)) == Names{"first"});
+  history.record_changes(configuration(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
+  history.record_changes(configuration(2, {{"/b/", "second"}}), now + Millis(1000));
+  history.record_changes(configuration(3, {{"/a/", "second"}, {"/b/", "second"}}), now + Millis(2000));
+  CHECK(history.recent_other_services("queue/a/", "second", now + Millis(3000)) == Names{"first"});
 }
--- a/tests/cluster/cli/commands_test.cpp
+++ b/tests/cluster/cli/commands_test.cpp
@@ -12,8 +12,8 @@
 
 #include "cluster/cli/command_line.hpp"
 #include "cluster/cli/control_client.hpp"
+#include "cluster/cli/error_report.hpp"
 #include "cluster/cli/exit_codes.hpp"
-#include "cluster/cli/failure_report.hpp"
 #include "cluster/cli/operator_commands.hpp"
 #include "cluster/http/server.hpp"
 
@@ -27,7 +27,7 @@
   explicit StandInControl(std::function<HttpResponse(const HttpRequest&)> answer)
       : server_(make_http_server(
             loop_, "127.0.0.1:0",
-            [this, answer = std::move(answer)](const HttpRequest& request, const HttpReplier& reply) {
+            [this, answer = std::move(answer)](const HttpRequest& request, const HttpReplyCallback& reply) {
               requests_.push_back(request);
               reply(answer(request));
             })),
@@ -268,10 +268,10 @@
     return response;
   });
   self = node.address();
-  ControlClient client(ControlClientTerms{{node.address()}, Millis(5000), Millis(0), 1});
+  ControlClient client(ControlClientOptions{{node.address()}, Millis(5000), Millis(0), 1});
   const bool gave_up = leaf::try_handle_all(
       [&]() -> leaf::result<bool> {
-        BOOST_LEAF_CHECK(client.call(ControlCall{}));
+        BOOST_LEAF_CHECK(client.call(ControlRequest{}));
         return false;
       },
       [](const ControlUnavailable&) { return true; }, [] { return false; });
@@ -290,10 +290,10 @@
 
 TEST_CASE("nodes that all fail are unavailable") {
   StandInControl broken([](const HttpRequest&) { return json_response(503, "{}"); });
-  ControlClient client(ControlClientTerms{{broken.address()}, Millis(5000), Millis(0), 3});
+  ControlClient client(ControlClientOptions{{broken.address()}, Millis(5000), Millis(0), 3});
   std::ostringstream errors;
   const auto action = [&]() -> leaf::result<int> {
-    BOOST_LEAF_CHECK(client.call(ControlCall{}));
+    BOOST_LEAF_CHECK(client.call(ControlRequest{}));
     return kExitSuccess;
   };
   CHECK(report_failures(action, errors) == kExitUnavailable);
--- a/tests/cluster/common/settings_watcher_test.cpp
+++ b/tests/cluster/common/settings_watcher_test.cpp
@@ -77,7 +77,7 @@
   write(settings_text("\"10.1.0.7:8144\",\"10.1.0.8:8144\""));
   watcher->reload();
   REQUIRE(changes.size() == 1);
-  CHECK(changes[0].seed_listeners() == std::vector<Address>{"10.1.0.7:7380", "10.1.0.8:7380"});
+  CHECK(changes[0].seed_internal_addresses() == std::vector<Address>{"10.1.0.7:7380", "10.1.0.8:7380"});
 }
 
 TEST_CASE_METHOD(WatchFixture, "a file that changes without a signal is noticed") {
--- a/tests/cluster/consensus/acceptor_test.cpp
+++ b/tests/cluster/consensus/acceptor_test.cpp
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 
 #include "cluster/consensus/ballot.hpp"
-#include "cluster/consensus/lease_terms.hpp"
+#include "cluster/consensus/lease_timing.hpp"
 #include "tests/cluster/support/sim_runtime.hpp"
 
 namespace winchhall::cluster {
@@ -20,14 +20,15 @@
 }
 
 // One acceptor on a simulated disk.
-class AcceptorBench {
+class AcceptorFixture {
  public:
-  AcceptorBench()
-      : world_(1), node_(world_.add_node("10.0.0.1:7000", [](sim::SimNode&) {
-          return sim::SimNode::Program{nullptr, [](const wire::Envelope&, const Replier&) { return false; }};
+  AcceptorFixture()
+      : simulation_(1), node_(simulation_.add_node("10.0.0.1:7000", [](sim::SimNode&) {
+          return sim::SimNode::Program{nullptr,
+                                       [](const wire::Envelope&, const ReplyCallback&) { return false; }};
         })) {
     node_.start();
-    standing_ = {7, kEpoch, true};
+    membership_status_ = {7, kEpoch, true};
     open();
   }
 
@@ -42,7 +43,7 @@
   std::optional<wire::Envelope> ask(const wire::Envelope& request) {
     auto answer = std::make_shared<std::optional<wire::Envelope>>();
     REQUIRE(acceptor_->handle(request, [answer](wire::Envelope envelope) { *answer = std::move(envelope); }));
-    world_.run_until([&] { return answer->has_value(); }, Millis(100));
+    simulation_.run_until([&] { return answer->has_value(); }, Millis(100));
     return *answer;
   }
   wire::RegisterPromise prepare(const wire::Ballot& number, std::uint64_t epoch = kEpoch) {
@@ -80,27 +81,27 @@
     return ask(request).value().shard_written();
   }
 
-  sim::SimWorld& world() { return world_; }
+  sim::Simulation& simulation() { return simulation_; }
   sim::SimNode& node() { return node_; }
-  Standing& standing() { return standing_; }
+  MembershipStatus& membership_status() { return membership_status_; }
   Acceptor& acceptor() { return *acceptor_; }
 
  private:
   void open() {
-    journal_ = std::make_unique<Journal>(node_, node_.store());
-    acceptor_ = std::make_unique<Acceptor>(node_, *journal_, standing_,
+    commit_queue_ = std::make_unique<CommitQueue>(node_, node_.store());
+    acceptor_ = std::make_unique<Acceptor>(node_, *commit_queue_, membership_status_,
                                            [](const std::string&, const RegisterValue&) {});
   }
 
-  sim::SimWorld world_;
+  sim::Simulation simulation_;
   sim::SimNode& node_;
-  Standing standing_;
-  std::unique_ptr<Journal> journal_;
+  MembershipStatus membership_status_;
+  std::unique_ptr<CommitQueue> commit_queue_;
   std::unique_ptr<Acceptor> acceptor_;
 };
 
 TEST_CASE("an acceptor refuses requests of any other member epoch and tells its own") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   for (const std::uint64_t epoch : {kEpoch - 1, kEpoch + 1}) {
     CHECK_FALSE(bench.prepare(ballot(5), epoch).promised());
     CHECK_FALSE(bench.accept(ballot(5), "x", epoch).accepted());
@@ -114,8 +115,8 @@
 }
 
 TEST_CASE("an acceptor that does not vote says so with every answer") {
-  AcceptorBench bench;
-  bench.standing().voting = false;
+  AcceptorFixture bench;
+  bench.membership_status().voting = false;
   CHECK_FALSE(bench.prepare(ballot(1)).voting());
   CHECK_FALSE(bench.accept(ballot(1), "x").voting());
   CHECK_FALSE(bench.lease(1, 1).voting());
@@ -123,7 +124,7 @@
 }
 
 TEST_CASE("a register's promise and value outlast a crash, and lower ballots are refused after it") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.accept(ballot(4), "x").accepted());
   REQUIRE(bench.prepare(ballot(9)).promised());
   bench.restart();
@@ -136,7 +137,7 @@
 }
 
 TEST_CASE("nothing is answered before it is durable") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   bench.node().hang_disk_for(Millis(5000));
   wire::Envelope prepare;
   prepare.mutable_register_prepare()->set_member_epoch(kEpoch);
@@ -150,29 +151,29 @@
 }
 
 TEST_CASE("a renewal does not wait for the disk") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.lease(1, 1).granted());
   bench.node().hang_disk_for(Millis(5000));
   CHECK(bench.lease(1, 1).granted());
 }
 
 TEST_CASE("a lease in force keeps others out, also after a restart of the acceptor that granted it") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.lease(1, 1).granted());
   CHECK_FALSE(bench.lease(2, 2).granted());
-  bench.world().run_for(Millis(1000));
+  bench.simulation().run_for(Millis(1000));
   REQUIRE(bench.lease(1, 1).granted());
   bench.restart();
   CHECK_FALSE(bench.lease(2, 2).granted());
-  bench.world().run_for(kLeaseDuration - Millis(200));
+  bench.simulation().run_for(kLeaseDuration - Millis(200));
   CHECK_FALSE(bench.lease(2, 2).granted());
-  bench.world().run_for(Millis(300));
+  bench.simulation().run_for(Millis(300));
   CHECK(bench.lease(2, 2).granted());
   CHECK_FALSE(bench.lease(1, 1).granted());
 }
 
 TEST_CASE("the holder itself may take a higher epoch at once, and a released lease is free at once") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.lease(1, 1).granted());
   bench.restart();
   CHECK(bench.lease(2, 1).granted());
@@ -181,21 +182,21 @@
 }
 
 TEST_CASE("one epoch is granted to one holder only") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.lease(1, 1).granted());
   bench.lease(1, 1, kEpoch, true);
   CHECK_FALSE(bench.lease(1, 2).granted());
 }
 
 TEST_CASE("a holder that asks for an epoch again in another life does not get it") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.lease(7, 1, kEpoch, false, 100).granted());
   CHECK_FALSE(bench.lease(7, 1, kEpoch, false, 200).granted());
   CHECK(bench.lease(7, 1, kEpoch, false, 100).granted());
 }
 
 TEST_CASE("a late release of another life or epoch does not end a lease") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.lease(7, 1, kEpoch, false, 200).granted());
   bench.lease(7, 1, kEpoch, true, 100);
   bench.lease(9, 1, kEpoch, true, 100);
@@ -205,8 +206,8 @@
 }
 
 TEST_CASE("a newcomer whose sources promised one epoch to two holders supports neither") {
-  AcceptorBench bench;
-  std::vector<StateCopy> copies(2);
+  AcceptorFixture bench;
+  std::vector<TransferredState> copies(2);
   for (std::size_t index = 0; index < 2; ++index) {
     copies[index].shards["shard"].state.set_epoch(7);
     copies[index].shards["shard"].state.set_holder(1);
@@ -219,7 +220,7 @@
 }
 
 TEST_CASE("writes of an earlier epoch are refused, those of a later one raise the promise") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.lease(5, 1).granted());
   CHECK_FALSE(bench.write(4).ok());
   CHECK(bench.write(6).ok());
@@ -227,9 +228,9 @@
 }
 
 TEST_CASE("a newcomer's merge takes promises and newest values of all copies") {
-  AcceptorBench bench;
+  AcceptorFixture bench;
   REQUIRE(bench.accept(ballot(2), "own").accepted());
-  std::vector<StateCopy> copies(2);
+  std::vector<TransferredState> copies(2);
   *copies[0].registers["key"].mutable_promised() = ballot(20);
   *copies[0].registers["key"].mutable_accepted() = ballot(3);
   copies[0].registers["key"].set_value("newer");
--- a/tests/cluster/consensus/catch_up_test.cpp
+++ b/tests/cluster/consensus/catch_up_test.cpp
@@ -26,17 +26,18 @@
 
 struct AwayFixture {
   explicit AwayFixture(std::uint64_t seed, std::size_t machines = 5) : cluster(seed, machines) {
-    cluster.world().rewrite_messages([this](std::size_t, wire::Envelope& message) {
+    cluster.simulation().rewrite_messages([this](std::size_t, wire::Envelope& message) {
       if (counting) bytes += message.ByteSizeLong();
     });
     cluster.bootstrap();
-    REQUIRE(world().run_until([this] { return cluster.settled() && leader_of(cluster); }, Millis(8000)));
-    world().run_for(Millis(5500));
+    REQUIRE(
+        simulation().run_until([this] { return cluster.is_stable() && leader_of(cluster); }, Millis(8000)));
+    simulation().run_for(Millis(5500));
   }
 
-  SimWorld& world() { return cluster.world(); }
+  Simulation& simulation() { return cluster.simulation(); }
   std::size_t leader() {
-    REQUIRE(world().run_until([this] { return leader_of(cluster).has_value(); }, Millis(5000)));
+    REQUIRE(simulation().run_until([this] { return leader_of(cluster).has_value(); }, Millis(5000)));
     return *leader_of(cluster);
   }
 
@@ -56,7 +57,7 @@
       cluster.extra(leader()).shard->write(std::move(changes), [&durable](ShardWriteOutcome outcome) {
         durable = outcome == ShardWriteOutcome::durable;
       });
-      REQUIRE(world().run_until([&durable] { return durable; }, Millis(5000)));
+      REQUIRE(simulation().run_until([&durable] { return durable; }, Millis(5000)));
     }
   }
   void change_register(std::size_t times, std::size_t at) {
@@ -68,19 +69,19 @@
       cluster.group(at).registers().update(
           "configuration", [value](const std::string&) { return value; }, Millis(3000),
           [&chosen](const std::optional<RegisterValue>& result) { chosen = result.has_value(); });
-      REQUIRE(world().run_until([&chosen] { return chosen; }, Millis(3500)));
+      REQUIRE(simulation().run_until([&chosen] { return chosen; }, Millis(3500)));
     }
   }
   bool caught_up(std::size_t index) {
-    return cluster.group(index).votes() && cluster.group(index).in_touch() &&
+    return cluster.group(index).votes() && cluster.group(index).has_quorum_contact() &&
            records_on_disk(cluster, index) == expected;
   }
   // Time until the member holds everything, in ms; looked at every 50 ms.
   std::int64_t time_to_catch_up(std::size_t index) {
-    const std::int64_t start_ms = world().now_ms();
-    for (int look = 0; look < 400 && !caught_up(index); ++look) world().run_for(Millis(50));
+    const std::int64_t start_ms = simulation().now_ms();
+    for (int look = 0; look < 400 && !caught_up(index); ++look) simulation().run_for(Millis(50));
     REQUIRE(caught_up(index));
-    return world().now_ms() - start_ms;
+    return simulation().now_ms() - start_ms;
   }
   // All but this member and one more are gone: of three, it is needed for a majority.
   void require_usable(std::size_t index) {
@@ -99,7 +100,7 @@
         [&found](const std::optional<RegisterValue>& value) {
           if (value) found = value->value;
         });
-    REQUIRE(world().run_until([&found] { return found.has_value(); }, Millis(3500)));
+    REQUIRE(simulation().run_until([&found] { return found.has_value(); }, Millis(3500)));
     CHECK(*found == register_value);
   }
 
@@ -119,19 +120,19 @@
 constexpr Millis kDiskHang{120000};
 
 void take_away(AwayFixture& fixture, Absence how, std::size_t index) {
-  fixture.away_since_ms = fixture.world().now_ms();
+  fixture.away_since_ms = fixture.simulation().now_ms();
   if (how == Absence::crashed || how == Absence::wiped) fixture.cluster.crash(index);
   if (how == Absence::wiped) fixture.cluster.node(index).lose_disk();
-  if (how == Absence::cut_off) fixture.world().isolate(index);
+  if (how == Absence::cut_off) fixture.simulation().isolate(index);
   if (how == Absence::stalled_disk) fixture.cluster.node(index).hang_disk_for(kDiskHang);
 }
 
 void bring_back(AwayFixture& fixture, Absence how, std::size_t index) {
-  if (how == Absence::cut_off) return fixture.world().heal();
+  if (how == Absence::cut_off) return fixture.simulation().heal();
   if (how == Absence::stalled_disk) {
-    const Millis passed(fixture.world().now_ms() - fixture.away_since_ms);
+    const Millis passed(fixture.simulation().now_ms() - fixture.away_since_ms);
     REQUIRE(passed < kDiskHang);
-    return fixture.world().run_for(kDiskHang - passed);
+    return fixture.simulation().run_for(kDiskHang - passed);
   }
   fixture.cluster.start(index);
 }
@@ -148,7 +149,7 @@
   fixture.write_records(200);
   const std::size_t away = follower_of(fixture, 1);
   take_away(fixture, how, away);
-  fixture.world().run_for(Millis(1500));
+  fixture.simulation().run_for(Millis(1500));
   fixture.change_register(2000, fixture.leader());
   fixture.write_records(10000);
   // A disk that hangs does not fill the memory with what waits for it.
@@ -171,7 +172,7 @@
     fixture.write_records(4000);
     const std::size_t away = follower_of(fixture, 2);
     take_away(fixture, Absence::cut_off, away);
-    fixture.world().run_for(Millis(1500));
+    fixture.simulation().run_for(Millis(1500));
     fixture.write_records(all ? 4000 : 100);
     fixture.counting = true;
     bring_back(fixture, Absence::cut_off, away);
@@ -190,16 +191,16 @@
     fixture.write_records(1500);
     const std::size_t away = follower_of(fixture, seed);
     take_away(fixture, how, away);
-    fixture.world().run_for(Millis(1200));
+    fixture.simulation().run_for(Millis(1200));
     fixture.write_records(1500, 500);
     fixture.change_register(50, fixture.leader());
     bring_back(fixture, how, away);
     for (int round = 0; round < 6; ++round) {
-      fixture.world().run_for(Millis(fixture.world().random_between(1, 120)));
-      fixture.world().isolate(away);
+      fixture.simulation().run_for(Millis(fixture.simulation().random_between(1, 120)));
+      fixture.simulation().isolate(away);
       fixture.write_records(50, 2500);
-      fixture.world().run_for(Millis(fixture.world().random_between(1, 900)));
-      fixture.world().heal();
+      fixture.simulation().run_for(Millis(fixture.simulation().random_between(1, 900)));
+      fixture.simulation().heal();
       fixture.write_records(50, 100);
       fixture.change_register(2, fixture.leader());
     }
--- a/tests/cluster/consensus/consensus_calls.hpp
+++ b/tests/cluster/consensus/consensus_calls.hpp
@@ -8,8 +8,8 @@
 
 namespace winchhall::cluster::sim {
 
-inline bool settle(ControlCluster<>& cluster, Millis limit) {
-  return cluster.world().run_until([&] { return cluster.settled(); }, limit);
+inline bool wait_until_stable(ControlCluster<>& cluster, Millis limit) {
+  return cluster.simulation().run_until([&] { return cluster.is_stable(); }, limit);
 }
 
 // Appends to a register by way of one node; false: no answer in time.
@@ -22,7 +22,7 @@
         ended = true;
         chosen = value.has_value();
       });
-  cluster.world().run_until([&] { return ended; }, Millis(3500));
+  cluster.simulation().run_until([&] { return ended; }, Millis(3500));
   return chosen;
 }
 
@@ -36,7 +36,7 @@
         ended = true;
         found = value ? value->value : "no answer";
       });
-  cluster.world().run_until([&] { return ended; }, Millis(4500));
+  cluster.simulation().run_until([&] { return ended; }, Millis(4500));
   return found;
 }
 
--- a/tests/cluster/consensus/cut_leader_test.cpp
+++ b/tests/cluster/consensus/cut_leader_test.cpp
@@ -17,12 +17,13 @@
 void play(std::uint64_t seed, std::size_t machines) {
   CAPTURE(seed, machines);
   CandidateCluster cluster(seed, machines);
-  SimWorld& world = cluster.world();
+  Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
-  REQUIRE(world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(5000)));
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                               Millis(5000)));
   const std::size_t first = *leader_of(cluster);
-  world.isolate(first);
-  REQUIRE(world.run_until(
+  simulation.isolate(first);
+  REQUIRE(simulation.run_until(
       [&] {
         const auto leader = leader_of(cluster);
         return leader.has_value() && *leader != first;
@@ -31,12 +32,12 @@
   const std::size_t second = *leader_of(cluster);
   const std::uint64_t epoch = cluster.extra(second).shard->epoch();
   std::uint64_t highest = 0;
-  world.on_event([&] { highest = std::max(highest, named_epoch(cluster, first)); });
-  world.run_for(Millis(5000));
+  simulation.on_event([&] { highest = std::max(highest, named_epoch(cluster, first)); });
+  simulation.run_for(Millis(5000));
   CHECK(highest <= epoch);
-  world.heal();
-  world.run_for(Millis(3000));
-  world.on_event(nullptr);
+  simulation.heal();
+  simulation.run_for(Millis(3000));
+  simulation.on_event(nullptr);
   CHECK(leader_of(cluster) == second);
   CHECK(cluster.extra(second).shard->epoch() == epoch);
 }
@@ -49,7 +50,7 @@
 }
 
 // Asks one acceptor for a lease in the name of another member; true: granted.
-bool ask_for_lease(ControlCluster<>& cluster, std::size_t acceptor, std::size_t holder, bool asking) {
+bool request_lease_from(ControlCluster<>& cluster, std::size_t acceptor, std::size_t holder, bool asking) {
   wire::Envelope envelope;
   wire::LeaseRequest& request = *envelope.mutable_lease_request();
   request.set_shard(kShard);
@@ -62,19 +63,19 @@
   bool granted = false;
   cluster.group(acceptor).handle(
       envelope, [&granted](const wire::Envelope& answer) { granted = answer.lease_reply().granted(); });
-  cluster.world().run_until([&granted] { return granted; }, Millis(100));
+  cluster.simulation().run_until([&granted] { return granted; }, Millis(100));
   return granted;
 }
 
 TEST_CASE("a lease that one acceptor granted is named to nobody before a majority did") {
   ControlCluster<> cluster(3, 5);
   cluster.bootstrap();
-  REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(6000)));
-  REQUIRE(ask_for_lease(cluster, 0, 1, true));
+  REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(6000)));
+  REQUIRE(request_lease_from(cluster, 0, 1, true));
   CHECK(cluster.group(0).leaders().empty());
-  cluster.world().run_for(Millis(400));  // pings have told the others
+  cluster.simulation().run_for(Millis(400));  // pings have told the others
   CHECK(cluster.group(2).leaders().empty());
-  REQUIRE(ask_for_lease(cluster, 0, 1, false));
+  REQUIRE(request_lease_from(cluster, 0, 1, false));
   REQUIRE(cluster.group(0).leaders().size() == 1);
   CHECK(cluster.group(0).leaders()[0].address() == cluster.node(1).address());
 }
@@ -83,26 +84,26 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     CandidateCluster cluster(seed, 3);
-    SimWorld& world = cluster.world();
+    Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
-    REQUIRE(
-        world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(5000)));
-    world.run_for(Millis(world.random_between(0, 300)));
+    REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                                 Millis(5000)));
+    simulation.run_for(Millis(simulation.random_between(0, 300)));
     const std::size_t holder = *leader_of(cluster);
-    world.isolate(holder);
+    simulation.isolate(holder);
     for (const std::size_t other : {(holder + 1) % 3, (holder + 2) % 3}) {
       cluster.crash(other);
       cluster.start(other);
     }
     std::size_t most = 0;
-    world.on_event([&] {
+    simulation.on_event([&] {
       std::size_t leaders = 0;
       for (std::size_t index = 0; index < 3; ++index)
         if (cluster.extra(index).shard->leads()) ++leaders;
       most = std::max(most, leaders);
     });
-    world.run_for(Millis(3000));
-    world.on_event(nullptr);
+    simulation.run_for(Millis(3000));
+    simulation.on_event(nullptr);
     CHECK(most == 1);
     CHECK(leader_of(cluster).has_value());
   }
--- a/tests/cluster/consensus/established_test.cpp
+++ b/tests/cluster/consensus/established_test.cpp
@@ -31,18 +31,18 @@
 }
 
 std::size_t wait_for_leader(FinderCluster& cluster) {
-  REQUIRE(cluster.world().run_until([&] { return leader_of(cluster).has_value(); }, Millis(8000)));
+  REQUIRE(cluster.simulation().run_until([&] { return leader_of(cluster).has_value(); }, Millis(8000)));
   return *leader_of(cluster);
 }
 
 // Writes a record that only the leader's own replica gets, and ends the leader.
 std::size_t leave_unconfirmed(FinderCluster& cluster) {
   const std::size_t writer = wait_for_leader(cluster);
-  cluster.world().isolate(writer);
+  cluster.simulation().isolate(writer);
   cluster.extra(writer).shard->write({ShardChange{"k", "v"}}, [](ShardWriteOutcome) {});
-  cluster.world().run_for(Millis(60));
+  cluster.simulation().run_for(Millis(60));
   cluster.crash(writer);
-  cluster.world().heal();
+  cluster.simulation().heal();
   return writer;
 }
 
@@ -51,9 +51,9 @@
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     FinderCluster cluster(seed, 5);
-    SimWorld& world = cluster.world();
+    Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
-    REQUIRE(world.run_until([&] { return cluster.settled(); }, Millis(8000)));
+    REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(8000)));
     const std::size_t writer = leave_unconfirmed(cluster);
     // Two of the others are away: the next holder needs the writer's replica.
     const std::size_t away[] = {(writer + 3) % 5, (writer + 4) % 5};
--- a/tests/cluster/consensus/exploration_test.cpp
+++ b/tests/cluster/consensus/exploration_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <unordered_set>
 
-#include "tests/cluster/consensus/explored_course.hpp"
+#include "tests/cluster/consensus/model_run.hpp"
 
 namespace winchhall::cluster::explore {
 namespace {
@@ -75,7 +75,7 @@
     record.set_epoch(1);
     for (std::uint64_t id = 1; id <= 3; ++id) {
       record.add_members()->set_id(id);
-      world.add_node(id, true).standing.member_epoch = 1;
+      world.add_node(id, true).membership_status.member_epoch = 1;
     }
     world.view(world.add_view(11)).adopt(record);
   }
@@ -120,8 +120,8 @@
 
 TEST_CASE("answers of members that lack the state do not count") {
   OneAttempt play;
-  play.world.node(1).standing.voting = false;
-  play.world.node(2).standing.voting = false;
+  play.world.node(1).membership_status.voting = false;
+  play.world.node(2).membership_status.voting = false;
   play.start();
   for (int round = 0; round < 3; ++round) {
     play.deliver_all();
--- a/tests/cluster/consensus/members_test.cpp
+++ b/tests/cluster/consensus/members_test.cpp
@@ -15,7 +15,7 @@
       CAPTURE(seed, machines);
       Cluster cluster(seed, machines);
       cluster.bootstrap();
-      REQUIRE(settle(cluster, Millis(5000)));
+      REQUIRE(wait_until_stable(cluster, Millis(5000)));
       REQUIRE(append(cluster, machines - 1, "x"));
       CHECK(read(cluster, 0) == "x");
     }
@@ -28,10 +28,10 @@
     Cluster cluster(seed, 5);
     cluster.bootstrap();
     cluster.crash(seed % 3);
-    cluster.world().run_for(Millis(3000));
+    cluster.simulation().run_for(Millis(3000));
     REQUIRE(append(cluster, 3, "x"));
     cluster.start(seed % 3);
-    REQUIRE(settle(cluster, Millis(6000)));
+    REQUIRE(wait_until_stable(cluster, Millis(6000)));
     CHECK(read(cluster, seed % 3) == "x");
   }
 }
@@ -41,7 +41,7 @@
     CAPTURE(seed);
     Cluster cluster(seed, 5);
     cluster.bootstrap();
-    REQUIRE(settle(cluster, Millis(5000)));
+    REQUIRE(wait_until_stable(cluster, Millis(5000)));
     std::string expected;
     for (std::size_t round = 0; round < 6; ++round) {
       const std::size_t index = (seed + round) % 5;
@@ -50,7 +50,7 @@
       expected += mark;
       const std::uint64_t old_id = cluster.group(index).member_id();
       cluster.wipe(index);
-      REQUIRE(settle(cluster, Millis(4000)));
+      REQUIRE(wait_until_stable(cluster, Millis(4000)));
       CHECK(cluster.group(index).member_id() != old_id);
       CHECK(cluster.group(0).members().members_size() == 5);
     }
@@ -64,9 +64,9 @@
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
-    SimWorld& world = cluster.world();
+    Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
-    REQUIRE(settle(cluster, Millis(5000)));
+    REQUIRE(wait_until_stable(cluster, Millis(5000)));
     std::vector<std::size_t> order{0, 1, 2, 3, 4};
     std::shuffle(order.begin(), order.end(), std::mt19937_64(seed));
     cluster.crash(order[3]);
@@ -74,11 +74,11 @@
     REQUIRE(append(cluster, order[0], "x"));
     cluster.start(order[3]);
     cluster.start(order[4]);
-    REQUIRE(settle(cluster, Millis(5000)));
+    REQUIRE(wait_until_stable(cluster, Millis(5000)));
     for (const std::size_t index : order) {
       cluster.wipe(index);
-      REQUIRE(settle(cluster, Millis(4000)));
-      world.run_for(Millis(world.random_between(0, 1000)));
+      REQUIRE(wait_until_stable(cluster, Millis(4000)));
+      simulation.run_for(Millis(simulation.random_between(0, 1000)));
     }
     CHECK(read(cluster, seed % 5) == "x");
   }
@@ -89,18 +89,18 @@
     CAPTURE(seed);
     Cluster cluster(seed, 5);
     cluster.bootstrap();
-    REQUIRE(settle(cluster, Millis(5000)));
+    REQUIRE(wait_until_stable(cluster, Millis(5000)));
     const std::size_t proposer = seed % 5;
     const std::size_t wiped = (seed / 5) % 5;
     REQUIRE(append(cluster, proposer, "x"));
     cluster.crash_all();
     cluster.node(wiped).lose_disk();
     for (std::size_t index = 0; index < 5; ++index) {
-      cluster.world().in(Millis(cluster.world().random_between(0, 1000)),
-                         [&cluster, index] { cluster.start(index); });
+      cluster.simulation().in(Millis(cluster.simulation().random_between(0, 1000)),
+                              [&cluster, index] { cluster.start(index); });
     }
-    cluster.world().run_for(Millis(1001));
-    REQUIRE(settle(cluster, Millis(6000)));
+    cluster.simulation().run_for(Millis(1001));
+    REQUIRE(wait_until_stable(cluster, Millis(6000)));
     CHECK(read(cluster, wiped) == "x");
   }
 }
@@ -110,14 +110,14 @@
     CAPTURE(seed);
     Cluster cluster(seed, 5);
     cluster.bootstrap();
-    REQUIRE(settle(cluster, Millis(5000)));
+    REQUIRE(wait_until_stable(cluster, Millis(5000)));
     REQUIRE(append(cluster, 0, "x"));
-    cluster.world().run_for(Millis(6000));
+    cluster.simulation().run_for(Millis(6000));
     const std::size_t gone = seed % 5;
     cluster.crash(gone);
     const std::size_t successor = cluster.add_machine();
     cluster.start(successor);
-    REQUIRE(settle(cluster, Millis(15000)));
+    REQUIRE(wait_until_stable(cluster, Millis(15000)));
     CHECK(cluster.group(successor).members().members_size() == 5);
     CHECK(read(cluster, successor) == "x");
     // Another one may be lost now.
@@ -131,23 +131,23 @@
     CAPTURE(seed);
     Cluster cluster(seed, 5);
     cluster.bootstrap();
-    REQUIRE(settle(cluster, Millis(5000)));
+    REQUIRE(wait_until_stable(cluster, Millis(5000)));
     const std::size_t away = seed % 5;
     const std::uint64_t old_id = cluster.group(away).member_id();
-    cluster.world().isolate(away);
-    cluster.world().run_for(Millis(20000));
-    cluster.world().heal();
-    REQUIRE(settle(cluster, Millis(4000)));
+    cluster.simulation().isolate(away);
+    cluster.simulation().run_for(Millis(20000));
+    cluster.simulation().heal();
+    REQUIRE(wait_until_stable(cluster, Millis(4000)));
     REQUIRE(cluster.group(away).member_id() == old_id);
 
-    cluster.world().isolate(away);
-    cluster.world().run_for(Millis(2000));
+    cluster.simulation().isolate(away);
+    cluster.simulation().run_for(Millis(2000));
     const std::size_t successor = cluster.add_machine();
-    cluster.world().cut_both(away, successor);
+    cluster.simulation().cut_both(away, successor);
     cluster.start(successor);
-    REQUIRE(cluster.world().run_until([&] { return cluster.is_member(successor); }, Millis(15000)));
-    cluster.world().heal();
-    REQUIRE(settle(cluster, Millis(6000)));
+    REQUIRE(cluster.simulation().run_until([&] { return cluster.is_member(successor); }, Millis(15000)));
+    cluster.simulation().heal();
+    REQUIRE(wait_until_stable(cluster, Millis(6000)));
     CHECK(cluster.group(away).member_id() != old_id);
     CHECK(cluster.group(away).members().members_size() == 6);
   }
@@ -158,9 +158,9 @@
     CAPTURE(seed);
     Cluster cluster(seed, 5);
     cluster.bootstrap();
-    cluster.world().run_for(Millis(cluster.world().random_between(0, 1500)));
+    cluster.simulation().run_for(Millis(cluster.simulation().random_between(0, 1500)));
     cluster.wipe(3);
-    REQUIRE(settle(cluster, Millis(8000)));
+    REQUIRE(wait_until_stable(cluster, Millis(8000)));
     REQUIRE(append(cluster, 3, "x"));
   }
 }
@@ -197,7 +197,8 @@
   void synchronize() {
     for (const wire::Member& member : record_.members()) {
       if (voting_.contains(member.id()) || generator_() % 2 == 0) continue;
-      const std::optional<std::set<std::uint64_t>> sources = pick(copies_needed(record_), voting_);
+      const std::optional<std::set<std::uint64_t>> sources =
+          pick(state_transfer_sources_needed(record_), voting_);
       if (!sources) continue;
       for (std::set<std::uint64_t>& holders : things_) {
         const bool copied = std::any_of(sources->begin(), sources->end(),
--- a/tests/cluster/consensus/explored_world.hpp
+++ b/tests/cluster/consensus/model_cluster.hpp
@@ -13,15 +13,15 @@
 
 #include "cluster/consensus/acceptor.hpp"
 #include "cluster/consensus/ballot.hpp"
-#include "cluster/consensus/group_view.hpp"
+#include "cluster/consensus/group_context.hpp"
 #include "cluster/consensus/member_record.hpp"
 #include "cluster/consensus/register_attempt.hpp"
-#include "cluster/consensus/state_sync.hpp"
+#include "cluster/consensus/state_transfer.hpp"
 
 namespace winchhall::cluster::explore {
 
 // Time stands still; timers never fire. Calls of the runtime's own are not made.
-class StillRuntime : public Runtime {
+class FrozenRuntime : public Runtime {
  public:
   TimePoint now() const override { return TimePoint(std::chrono::seconds(1)); }
   std::int64_t wall_clock_ms() const override { return 1; }
@@ -33,7 +33,7 @@
 };
 
 // A disk that writes when it is told to.
-class ChosenStore : public DurableStore {
+class ManualSyncStore : public DurableStore {
  public:
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done) override {
     waiting_.push_back({std::move(batch), std::move(done)});
@@ -82,14 +82,14 @@
 // One machine: its disk, what it knows of the group, and the real acceptor on top.
 struct AcceptorNode {
   AcceptorNode(Runtime& used_runtime, std::uint64_t id, bool voting) : runtime(used_runtime) {
-    standing.id = id;
-    standing.voting = voting;
+    membership_status.id = id;
+    membership_status.voting = voting;
     boot();
   }
   void boot() {
     acceptor.reset();
-    journal = std::make_unique<Journal>(runtime, store);
-    acceptor = std::make_unique<Acceptor>(runtime, *journal, standing,
+    commit_queue = std::make_unique<CommitQueue>(runtime, store);
+    acceptor = std::make_unique<Acceptor>(runtime, *commit_queue, membership_status,
                                           [](const std::string&, const RegisterValue&) {});
     store.load([this](std::string_view key, std::string_view value) { acceptor->load(key, value); });
   }
@@ -99,16 +99,17 @@
     boot();
   }
   void describe(std::string& text) const {
-    text += std::to_string(standing.member_epoch) + (standing.voting ? "v" : "-") + (lost ? "x" : "");
+    text += std::to_string(membership_status.member_epoch) + (membership_status.voting ? "v" : "-") +
+            (lost ? "x" : "");
     for (const auto& [key, state] : acceptor->registers().states()) text += key + state.SerializeAsString();
     store.describe(text);
     text += "|";
   }
 
   Runtime& runtime;
-  ChosenStore store;
-  Standing standing;
-  std::unique_ptr<Journal> journal;
+  ManualSyncStore store;
+  MembershipStatus membership_status;
+  std::unique_ptr<CommitQueue> commit_queue;
   std::unique_ptr<Acceptor> acceptor;
   bool lost = false;  // gone with its disk
 };
@@ -127,23 +128,23 @@
 class World;
 
 // What one proposer, or a newcomer that copies state, knows of the group.
-class View : public GroupView {
+class View : public GroupContext {
  public:
   View(World& world, std::size_t index, std::uint64_t self) : world_(world), index_(index), self_(self) {}
 
   Runtime& runtime() override { return runtime_; }
   const wire::MemberRecord& record() const override { return record_; }
   std::uint64_t self_id() const override { return self_; }
-  std::uint64_t unique_number() override { return 100 + self_; }
+  std::uint64_t next_unique_id() override { return 100 + self_; }
   bool voting() const override { return true; }
-  bool in_touch() const override { return true; }
-  std::vector<std::uint64_t> voting_members_heard() const override { return {}; }
+  bool has_quorum_contact() const override { return true; }
+  std::vector<std::uint64_t> reachable_voters() const override { return {}; }
   void call(const wire::Member& member, wire::Envelope request, Millis,
             std::function<void(CallResult)> done) override;
   void defer(std::function<void()> action) override { action(); }
-  void saw_member_epoch(std::uint64_t, const wire::Member&) override {}
+  void on_member_epoch_observed(std::uint64_t, const wire::Member&) override {}
   std::optional<wire::ShardLeader> lease_in_force(const std::string&) const override { return std::nullopt; }
-  std::size_t leases_held_here() const override { return 0; }
+  std::size_t own_lease_count() const override { return 0; }
   std::uint64_t promised_epoch(const std::string&) const override { return 0; }
 
   void adopt(const wire::MemberRecord& record) { record_ = record; }
@@ -152,7 +153,7 @@
   World& world_;
   const std::size_t index_;
   const std::uint64_t self_;
-  StillRuntime runtime_;
+  FrozenRuntime runtime_;
   wire::MemberRecord record_;
 };
 
@@ -178,7 +179,7 @@
   void send(std::size_t caller, std::uint64_t member, wire::Envelope request,
             std::function<void(CallResult)> done) {
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
-      if (nodes_[index]->standing.id != member) continue;
+      if (nodes_[index]->membership_status.id != member) continue;
       messages_.push_back({caller, index, false, broadcasts_[caller], std::move(request),
                            std::make_shared<std::function<void(CallResult)>>(std::move(done))});
       return;
@@ -202,9 +203,9 @@
     if (!message.body.has_state_pull()) return;
     wire::Envelope page;
     *page.mutable_state_page() = node.acceptor->state_page(message.body.state_pull().after_key());
-    page.mutable_state_page()->set_ok(node.standing.voting);
-    page.mutable_state_page()->set_acceptor(node.standing.id);
-    page.mutable_state_page()->mutable_record()->set_epoch(node.standing.member_epoch);
+    page.mutable_state_page()->set_ok(node.membership_status.voting);
+    page.mutable_state_page()->set_acceptor(node.membership_status.id);
+    page.mutable_state_page()->mutable_record()->set_epoch(node.membership_status.member_epoch);
     reply(std::move(page));
   }
   // The caller hears nothing in time.
@@ -283,7 +284,7 @@
     if (*message.done) std::exchange(*message.done, nullptr)(std::move(result));
   }
 
-  StillRuntime runtime_;
+  FrozenRuntime runtime_;
   std::vector<std::unique_ptr<AcceptorNode>> nodes_;
   std::vector<std::unique_ptr<View>> views_;
   std::vector<Message> messages_;
--- a/tests/cluster/consensus/explored_course.hpp
+++ b/tests/cluster/consensus/model_run.hpp
@@ -1,7 +1,7 @@
 // One course of events of an explored world: proposers, a newcomer and what may befall them.
 #pragma once
 
-#include "tests/cluster/consensus/explored_world.hpp"
+#include "tests/cluster/consensus/model_cluster.hpp"
 
 namespace winchhall::cluster::explore {
 
@@ -26,7 +26,7 @@
     founding_.set_epoch(1);
     founding_.set_largest(3);
     for (std::uint64_t id = 1; id <= 3; ++id) founding_.add_members()->set_id(id);
-    for (std::uint64_t id = 1; id <= 3; ++id) world_.add_node(id, true).standing.member_epoch = 1;
+    for (std::uint64_t id = 1; id <= 3; ++id) world_.add_node(id, true).membership_status.member_epoch = 1;
     for (std::size_t index = 0; index < 2; ++index) {
       world_.view(world_.add_view(11 + index)).adopt(founding_);
       proposers_.push_back(Proposer{});
@@ -134,7 +134,7 @@
       if (node.lost) continue;
       if (node.store.has_waiting()) choices.push_back({Kind::sync, index});
       if (node.store.has_waiting() && crashed_ < bounds_.crashes) choices.push_back({Kind::crash, index});
-      if (grown_chosen_ && node.standing.member_epoch < 2) choices.push_back({Kind::adopt, index});
+      if (grown_chosen_ && node.membership_status.member_epoch < 2) choices.push_back({Kind::adopt, index});
     }
     if (!grown_chosen_) return choices;
     for (std::size_t index = 0; index < proposers_.size(); ++index) {
@@ -142,9 +142,10 @@
         choices.push_back({Kind::follow, index});
     }
     const AcceptorNode& newcomer = world_.node(3);
-    if (newcomer.standing.member_epoch == 2 && copies_ < kMostCopies && !copy_started_)
+    if (newcomer.membership_status.member_epoch == 2 && copies_ < kMostCopies && !copy_started_)
       choices.push_back({Kind::copy, 3});
-    if (bounds_.lost_disk && !disk_lost_ && newcomer.standing.voting) choices.push_back({Kind::lose_disk, 0});
+    if (bounds_.lost_disk && !disk_lost_ && newcomer.membership_status.voting)
+      choices.push_back({Kind::lose_disk, 0});
     return choices;
   }
 
@@ -196,18 +197,19 @@
   void sync_all() {
     for (std::size_t index = 0; index < world_.nodes(); ++index) world_.node(index).store.sync_all();
   }
-  void adopt_at(std::size_t index) { world_.node(index).standing.member_epoch = 2; }
+  void adopt_at(std::size_t index) { world_.node(index).membership_status.member_epoch = 2; }
   void start_copy() {
     copy_started_ = true;
     ++copies_;
     world_.view(copying_).adopt(grown_);
-    copy_ = std::make_shared<StateSync>(world_.view(copying_), [this](const std::vector<StateCopy>& copies) {
-      copy_started_ = !copies.empty();  // else begun again
-      if (copies.empty()) return;
-      AcceptorNode& newcomer = world_.node(3);
-      newcomer.journal->commit(newcomer.acceptor->merge(copies),
-                               [&newcomer] { newcomer.standing.voting = true; });
-    });
+    copy_ = std::make_shared<StateTransfer>(
+        world_.view(copying_), [this](const std::vector<TransferredState>& copies) {
+          copy_started_ = !copies.empty();  // else begun again
+          if (copies.empty()) return;
+          AcceptorNode& newcomer = world_.node(3);
+          newcomer.commit_queue->commit(newcomer.acceptor->merge(copies),
+                                        [&newcomer] { newcomer.membership_status.voting = true; });
+        });
     copy_->start();
   }
 
@@ -216,8 +218,9 @@
     std::vector<const AcceptorNode*> voters;
     for (std::size_t index = 0; index < world_.nodes(); ++index) {
       const AcceptorNode& node = const_cast<World&>(world_).node(index);
-      const bool may_vote = node.standing.voting && node.standing.member_epoch <= record.epoch();
-      if (find_member(record, node.standing.id) && may_vote && !node.lost) voters.push_back(&node);
+      const bool may_vote =
+          node.membership_status.voting && node.membership_status.member_epoch <= record.epoch();
+      if (find_member(record, node.membership_status.id) && may_vote && !node.lost) voters.push_back(&node);
     }
     for (std::size_t set = 0; set < (1u << voters.size()); ++set) {
       if (static_cast<std::size_t>(__builtin_popcountll(set)) < majority(record)) continue;
@@ -246,7 +249,7 @@
   std::size_t joining_ = 0;
   std::size_t copying_ = 0;
   std::shared_ptr<RegisterAttempt> change_;
-  std::shared_ptr<StateSync> copy_;
+  std::shared_ptr<StateTransfer> copy_;
   bool grown_chosen_ = false;
   static constexpr unsigned kMostCopies = 2;
   bool copy_started_ = false;
--- a/tests/cluster/consensus/parts_test.cpp
+++ b/tests/cluster/consensus/parts_test.cpp
@@ -4,7 +4,7 @@
 
 #include "cluster/consensus/ballot.hpp"
 #include "cluster/consensus/register_attempt.hpp"
-#include "cluster/consensus/shard_follower.hpp"
+#include "cluster/consensus/replica_progress.hpp"
 #include "tests/cluster/support/sim_runtime.hpp"
 
 namespace winchhall::cluster {
@@ -46,72 +46,72 @@
 }
 
 TEST_CASE("a replica that was not watched from the start counts for no change before its content is known") {
-  HeldRecords records(1, {});
+  LeaderRecordTable records(1, {});
   const std::string value = "x";
   records.put("a", &value);
-  ShardFollower late(false);
-  CHECK(late.holds_up_to(records.last_change()) == 0);
-  late.take_content({}, records);
-  CHECK(late.holds_up_to(records.last_change()) == 0);
-  const FollowerMessage message = late.next_message(records).value();
+  ReplicaProgress late(false);
+  CHECK(late.acknowledged_up_to(records.last_change()) == 0);
+  late.reconcile_with({}, records);
+  CHECK(late.acknowledged_up_to(records.last_change()) == 0);
+  const ReplicationBatch message = late.next_message(records).value();
   late.confirmed(message, records);
-  CHECK(late.holds_up_to(records.last_change()) == 1);
+  CHECK(late.acknowledged_up_to(records.last_change()) == 1);
 }
 
 TEST_CASE("a confirmation of an older version does not stand for a newer one") {
-  HeldRecords records(1, {});
-  ShardFollower follower(true);
+  LeaderRecordTable records(1, {});
+  ReplicaProgress follower(true);
   const std::string value = "x";
   records.put("a", &value);
   follower.mark("a", 1);
-  const FollowerMessage first = follower.next_message(records).value();
+  const ReplicationBatch first = follower.next_message(records).value();
   records.put("a", &value);
   follower.mark("a", 2);
   records.put("b", &value);
   follower.mark("b", 3);
   follower.confirmed(first, records);
-  CHECK(follower.holds_up_to(3) == 1);
-  const FollowerMessage second = follower.next_message(records).value();
+  CHECK(follower.acknowledged_up_to(3) == 1);
+  const ReplicationBatch second = follower.next_message(records).value();
   follower.failed(second);
-  CHECK(follower.holds_up_to(3) == 1);
+  CHECK(follower.acknowledged_up_to(3) == 1);
   // One record first, to see whether it answers again.
-  const FollowerMessage third = follower.next_message(records).value();
+  const ReplicationBatch third = follower.next_message(records).value();
   REQUIRE(third.sent.size() == 1);
   CHECK_FALSE(follower.next_message(records));
   follower.confirmed(third, records);
-  CHECK(follower.holds_up_to(3) == 2);
-  const FollowerMessage fourth = follower.next_message(records).value();
+  CHECK(follower.acknowledged_up_to(3) == 2);
+  const ReplicationBatch fourth = follower.next_message(records).value();
   follower.confirmed(fourth, records);
-  CHECK(follower.holds_up_to(3) == 3);
+  CHECK(follower.acknowledged_up_to(3) == 3);
 }
 
 TEST_CASE("a replica that confirms nothing is sent one record at a time, however much it lacks") {
-  HeldRecords records(1, {});
-  ShardFollower follower(true);
+  LeaderRecordTable records(1, {});
+  ReplicaProgress follower(true);
   const std::string value(1000, 'x');
   std::size_t sent = 0;
   for (std::uint64_t change = 1; change <= 1000; ++change) {
     const std::string key = std::to_string(change);
     records.put(key, &value);
     follower.mark(key, change);
-    if (const std::optional<FollowerMessage> message = follower.next_message(records)) {
+    if (const std::optional<ReplicationBatch> message = follower.next_message(records)) {
       sent += message->sent.size();
       follower.failed(*message);
     }
   }
   CHECK(sent == 1000);
-  const FollowerMessage probe = follower.next_message(records).value();
+  const ReplicationBatch probe = follower.next_message(records).value();
   REQUIRE(probe.sent.size() == 1);
   follower.confirmed(probe, records);
-  std::vector<FollowerMessage> rest;
-  while (std::optional<FollowerMessage> message = follower.next_message(records)) rest.push_back(*message);
+  std::vector<ReplicationBatch> rest;
+  while (std::optional<ReplicationBatch> message = follower.next_message(records)) rest.push_back(*message);
   CHECK(rest.size() > 1);
   while (!rest.empty()) {
     follower.confirmed(rest.back(), records);
     rest.pop_back();
-    while (std::optional<FollowerMessage> message = follower.next_message(records)) rest.push_back(*message);
+    while (std::optional<ReplicationBatch> message = follower.next_message(records)) rest.push_back(*message);
   }
-  CHECK(follower.holds_up_to(1000) == 1000);
+  CHECK(follower.acknowledged_up_to(1000) == 1000);
 }
 
 TEST_CASE("a replica is established by the last of the messages that complete it, not before") {
@@ -122,12 +122,12 @@
     found[key] = shard_record(key, 1, 1);
     found[key].set_value(large);
   }
-  const HeldRecords records(2, found);
-  HeldRecords held = records;
-  ShardFollower follower(true);
-  follower.take_content({}, held);
+  const LeaderRecordTable records(2, found);
+  LeaderRecordTable held = records;
+  ReplicaProgress follower(true);
+  follower.reconcile_with({}, held);
   std::size_t sent = 0;
-  while (std::optional<FollowerMessage> message = follower.next_message(held)) {
+  while (std::optional<ReplicationBatch> message = follower.next_message(held)) {
     sent += message->sent.size();
     CHECK(message->establishes == (sent == 6));
     CHECK_FALSE(follower.next_message(held));  // one at a time
@@ -138,7 +138,7 @@
 }
 
 // A group whose members answer as a test says.
-class ScriptedGroup : public GroupView {
+class ScriptedGroup : public GroupContext {
  public:
   explicit ScriptedGroup(Runtime& runtime) : runtime_(runtime) {
     record_.set_epoch(kEpoch);
@@ -148,18 +148,18 @@
   Runtime& runtime() override { return runtime_; }
   const wire::MemberRecord& record() const override { return record_; }
   std::uint64_t self_id() const override { return 1; }
-  std::uint64_t unique_number() override { return 1; }
+  std::uint64_t next_unique_id() override { return 1; }
   bool voting() const override { return true; }
-  bool in_touch() const override { return true; }
-  std::vector<std::uint64_t> voting_members_heard() const override { return {}; }
+  bool has_quorum_contact() const override { return true; }
+  std::vector<std::uint64_t> reachable_voters() const override { return {}; }
   void call(const wire::Member& member, wire::Envelope request, Millis,
             std::function<void(CallResult)> done) override {
     calls.push_back({member.id(), std::move(request), std::move(done)});
   }
   void defer(std::function<void()> action) override { action(); }
-  void saw_member_epoch(std::uint64_t, const wire::Member&) override {}
+  void on_member_epoch_observed(std::uint64_t, const wire::Member&) override {}
   std::optional<wire::ShardLeader> lease_in_force(const std::string&) const override { return std::nullopt; }
-  std::size_t leases_held_here() const override { return 0; }
+  std::size_t own_lease_count() const override { return 0; }
   std::uint64_t promised_epoch(const std::string&) const override { return 0; }
 
   struct Call {
@@ -186,9 +186,10 @@
   return promise;
 }
 
-class AttemptBench {
+class RegisterAttemptFixture {
  public:
-  explicit AttemptBench(RegisterChange change) : world_(1), group_(world_.add_node("10.0.0.1:7000", {})) {
+  explicit RegisterAttemptFixture(RegisterChange change)
+      : simulation_(1), group_(simulation_.add_node("10.0.0.1:7000", {})) {
     attempt_ =
         std::make_shared<RegisterAttempt>(group_, "key", ballot(10), RegisterValue{}, std::move(change),
                                           [this](const AttemptResult& result) { result_ = result; });
@@ -218,7 +219,7 @@
     group_.calls.at(round + member - 1).done(CallResult{std::move(envelope), CallError::timed_out});
   }
 
-  sim::SimWorld world_;
+  sim::Simulation simulation_;
   ScriptedGroup group_;
   std::shared_ptr<RegisterAttempt> attempt_;
   std::optional<AttemptResult> result_;
@@ -230,13 +231,13 @@
 TEST_CASE(
     "an unchanged value counts as read only if a majority holds it at one ballot, else it is accepted "
     "again") {
-  AttemptBench unanimous(kLeave);
+  RegisterAttemptFixture unanimous(kLeave);
   for (const std::uint64_t member : {1, 2, 3}) unanimous.promise(member, promise_of(member, ballot(4), "x"));
   REQUIRE(unanimous.result());
   CHECK(unanimous.result()->value.value == "x");
   CHECK_FALSE(unanimous.result()->newly_chosen);
 
-  AttemptBench split(kLeave);
+  RegisterAttemptFixture split(kLeave);
   split.promise(1, promise_of(1, ballot(4), "x"));
   split.promise(2, promise_of(2, ballot(6), "y"));
   split.promise(3, promise_of(3, ballot(4), "x"));
@@ -246,7 +247,7 @@
 }
 
 TEST_CASE("answers of members that don't vote, of other epochs, of strangers or given twice don't count") {
-  AttemptBench bench(kAppend);
+  RegisterAttemptFixture bench(kAppend);
   wire::RegisterPromise silent = promise_of(1, ballot(0), "");
   silent.set_voting(false);
   wire::RegisterPromise other_epoch = promise_of(2, ballot(0), "");
@@ -261,7 +262,7 @@
   REQUIRE(bench.result());
   CHECK(bench.result()->outcome == AttemptOutcome::refused);
 
-  AttemptBench accepting(kAppend);
+  RegisterAttemptFixture accepting(kAppend);
   for (const std::uint64_t member : {1, 2, 3}) accepting.promise(member, promise_of(member, ballot(4), "x"));
   REQUIRE(accepting.accepting());
   CHECK(accepting.proposed() == "x+");
--- a/tests/cluster/consensus/register_test.cpp
+++ b/tests/cluster/consensus/register_test.cpp
@@ -68,37 +68,38 @@
 void require_all_acknowledged_found(ControlCluster<>& cluster, AppendHistory& history) {
   const std::size_t ended = history.ended();
   for (std::size_t index = 0; index < cluster.size(); ++index) history.read(index);
-  REQUIRE(cluster.world().run_until([&] { return history.ended() >= ended + cluster.size(); }, Millis(6000)));
+  REQUIRE(cluster.simulation().run_until([&] { return history.ended() >= ended + cluster.size(); },
+                                         Millis(6000)));
   REQUIRE(history.complete(history.longest()));
 }
 
-void play(std::uint64_t seed, std::size_t machines, SimTerms terms, TroubleTerms trouble_terms) {
+void play(std::uint64_t seed, std::size_t machines, SimulationOptions terms, FaultPlan fault_plan) {
   CAPTURE(seed, machines);
   ControlCluster<> cluster(seed, machines, terms);
   AppendHistory history(cluster);
-  Troubles<NoExtra> troubles(cluster, trouble_terms);
-  SimWorld& world = cluster.world();
+  FaultInjector<NoExtra> faults(cluster, fault_plan);
+  Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
-  const std::int64_t end_ms = world.now_ms() + 25000;
-  std::int64_t next_trouble_ms = 2500;
-  while (world.now_ms() < end_ms) {
+  const std::int64_t end_ms = simulation.now_ms() + 25000;
+  std::int64_t next_fault_ms = 2500;
+  while (simulation.now_ms() < end_ms) {
     const auto index =
-        static_cast<std::size_t>(world.random_between(0, static_cast<std::int64_t>(machines) - 1));
-    if (world.chance(0.7)) {
+        static_cast<std::size_t>(simulation.random_between(0, static_cast<std::int64_t>(machines) - 1));
+    if (simulation.chance(0.7)) {
       history.append(index);
     } else {
       history.read(index);
     }
-    world.run_for(Millis(world.random_between(1, 150)));
-    if (world.now_ms() < next_trouble_ms) continue;
-    troubles.one();
-    next_trouble_ms = world.now_ms() + world.random_between(50, 2500);
+    simulation.run_for(Millis(simulation.random_between(1, 150)));
+    if (simulation.now_ms() < next_fault_ms) continue;
+    faults.one();
+    next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
   }
-  troubles.end();
-  world.run_for(kLongestTrouble);
-  world.terms().loss = 0;
-  world.terms().late = 0;
-  REQUIRE(world.run_until([&] { return cluster.settled(); }, Millis(15000)));
+  faults.end();
+  simulation.run_for(kMaxFaultDuration);
+  simulation.terms().loss = 0;
+  simulation.terms().late = 0;
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
   require_all_acknowledged_found(cluster, history);
   REQUIRE(history.acknowledged() > 5);
 }
@@ -106,21 +107,21 @@
 TEST_CASE("a calm group takes changes at once and tells all its members") {
   ControlCluster<> cluster(1, 5);
   cluster.bootstrap();
-  REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(5000)));
+  REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
   std::optional<RegisterValue> chosen;
-  const std::int64_t begun_ms = cluster.world().now_ms();
+  const std::int64_t begun_ms = cluster.simulation().now_ms();
   cluster.group(4).registers().update(
       kKey, [](const std::string& current) { return current + "x"; }, Millis(2000),
       [&](std::optional<RegisterValue> value) { chosen = std::move(value); });
-  REQUIRE(cluster.world().run_until([&] { return chosen.has_value(); }, Millis(2000)));
+  REQUIRE(cluster.simulation().run_until([&] { return chosen.has_value(); }, Millis(2000)));
   CHECK(chosen->value == "x");
-  CHECK(cluster.world().now_ms() - begun_ms < 80);
+  CHECK(cluster.simulation().now_ms() - begun_ms < 80);
 }
 
 TEST_CASE("watches hear of every newer chosen value, also after a restart of all") {
   ControlCluster<> cluster(2, 5);
   cluster.bootstrap();
-  REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(5000)));
+  REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
   std::vector<std::string> heard(5);
   const auto watch = [&] {
     for (std::size_t index = 0; index < 5; ++index) {
@@ -133,15 +134,15 @@
   cluster.group(0).registers().update(
       "configuration", [](const std::string&) { return "v1"; }, Millis(2000),
       [&](const std::optional<RegisterValue>& value) { done = value.has_value(); });
-  REQUIRE(cluster.world().run_until([&] { return done; }, Millis(2000)));
-  REQUIRE(
-      cluster.world().run_until([&] { return heard == std::vector<std::string>(5, "v1"); }, Millis(1000)));
+  REQUIRE(cluster.simulation().run_until([&] { return done; }, Millis(2000)));
+  REQUIRE(cluster.simulation().run_until([&] { return heard == std::vector<std::string>(5, "v1"); },
+                                         Millis(1000)));
   cluster.crash_all();
   heard.assign(5, "");
   cluster.start_all();
   watch();
-  REQUIRE(
-      cluster.world().run_until([&] { return heard == std::vector<std::string>(5, "v1"); }, Millis(3000)));
+  REQUIRE(cluster.simulation().run_until([&] { return heard == std::vector<std::string>(5, "v1"); },
+                                         Millis(3000)));
 }
 
 TEST_CASE("a value that was only just acknowledged is told to watches after all lost power") {
@@ -149,12 +150,12 @@
     CAPTURE(seed);
     ControlCluster<> cluster(seed, 5);
     cluster.bootstrap();
-    REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(5000)));
+    REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
     bool done = false;
     cluster.group(seed % 5).registers().update(
         "configuration", [](const std::string&) { return "v1"; }, Millis(2000),
         [&](const std::optional<RegisterValue>& value) { done = value.has_value(); });
-    REQUIRE(cluster.world().run_until([&] { return done; }, Millis(2000)));
+    REQUIRE(cluster.simulation().run_until([&] { return done; }, Millis(2000)));
     cluster.crash_all();
     cluster.node(seed % 5).lose_disk();
     cluster.start_all();
@@ -162,14 +163,14 @@
     for (std::size_t index = 0; index < 5; ++index) {
       cluster.group(index).watch_register("configuration", [&](const RegisterValue&) { ++heard; });
     }
-    REQUIRE(cluster.world().run_until([&] { return heard == 5; }, Millis(6000)));
+    REQUIRE(cluster.simulation().run_until([&] { return heard == 5; }, Millis(6000)));
   }
 }
 
 TEST_CASE("without a majority an update ends without an answer") {
   ControlCluster<> cluster(3, 5);
   cluster.bootstrap();
-  REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(5000)));
+  REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
   for (std::size_t index = 1; index < 4; ++index) cluster.crash(index);
   bool ended = false;
   cluster.group(0).registers().update(
@@ -178,7 +179,7 @@
         ended = true;
         CHECK_FALSE(value);
       });
-  cluster.world().run_for(Millis(1100));
+  cluster.simulation().run_for(Millis(1100));
   CHECK(ended);
 }
 
@@ -187,39 +188,39 @@
     CAPTURE(seed);
     ControlCluster<> cluster(seed, 5);
     cluster.bootstrap();
-    REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(5000)));
+    REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
     const std::size_t slow = 1 + seed % 4;
     if (seed % 3 == 0) cluster.node(slow).freeze_for(Millis(5000));
     if (seed % 3 == 1) cluster.node(slow).hang_disk_for(Millis(5000));
-    if (seed % 3 == 2) cluster.world().isolate(slow);
+    if (seed % 3 == 2) cluster.simulation().isolate(slow);
     bool done = false;
     cluster.group(0).registers().update(
         kKey, [](const std::string& current) { return current + "x"; }, Millis(2000),
         [&](const std::optional<RegisterValue>& value) { done = value.has_value(); });
-    REQUIRE(cluster.world().run_until([&] { return done; }, Millis(100)));
+    REQUIRE(cluster.simulation().run_until([&] { return done; }, Millis(100)));
   }
 }
 
 TEST_CASE("registers are linearizable: crashes, freezes, cuts, disks in trouble") {
   for (std::uint64_t seed = 1; seed <= 120; ++seed)
-    play(seed, seed % 2 == 0 ? 5 : 3, SimTerms{}, TroubleTerms{});
+    play(seed, seed % 2 == 0 ? 5 : 3, SimulationOptions{}, FaultPlan{});
 }
 
 TEST_CASE("registers are linearizable: messages lost, doubled and late") {
-  SimTerms terms;
+  SimulationOptions terms;
   terms.loss = 0.05;
   terms.duplication = 0.1;
   terms.late = 0.05;
-  for (std::uint64_t seed = 1; seed <= 80; ++seed) play(seed, 5, terms, TroubleTerms{});
+  for (std::uint64_t seed = 1; seed <= 80; ++seed) play(seed, 5, terms, FaultPlan{});
 }
 
 TEST_CASE("registers are linearizable: members lose their disks one after another") {
-  SimTerms terms;
+  SimulationOptions terms;
   terms.duplication = 0.05;
   terms.late = 0.05;
-  TroubleTerms troubles;
-  troubles.wipes = true;
-  for (std::uint64_t seed = 1; seed <= 100; ++seed) play(seed, seed % 3 == 0 ? 4 : 5, terms, troubles);
+  FaultPlan faults;
+  faults.wipes = true;
+  for (std::uint64_t seed = 1; seed <= 100; ++seed) play(seed, seed % 3 == 0 ? 4 : 5, terms, faults);
 }
 
 }  // namespace
--- a/tests/cluster/consensus/second_loss_test.cpp
+++ b/tests/cluster/consensus/second_loss_test.cpp
@@ -20,21 +20,21 @@
 void found(Cluster& cluster) {
   cluster.bootstrap();
   cluster.use_fresh_seeds();
-  REQUIRE(settle(cluster, Millis(6000)));
-  cluster.world().run_for(Millis(6000));  // past the time in which the group grows at once
+  REQUIRE(wait_until_stable(cluster, Millis(6000)));
+  cluster.simulation().run_for(Millis(6000));  // past the time in which the group grows at once
 }
 
 // Some machines lose their disks while all others lose power; all but the given ones come back.
 void lose_disks_and_power(Cluster& cluster, const std::set<std::size_t>& wiped,
                           const std::set<std::size_t>& gone) {
-  SimWorld& world = cluster.world();
+  Simulation& simulation = cluster.simulation();
   cluster.crash_all();
   for (const std::size_t index : wiped) cluster.node(index).lose_disk();
   for (std::size_t index = 0; index < cluster.size(); ++index) {
     if (gone.contains(index)) continue;
-    world.in(Millis(world.random_between(0, 1500)), [&cluster, index] { cluster.start(index); });
+    simulation.in(Millis(simulation.random_between(0, 1500)), [&cluster, index] { cluster.start(index); });
   }
-  world.run_for(Millis(1501));
+  simulation.run_for(Millis(1501));
 }
 
 TEST_CASE("a successor holds all state within the time to catch up, so that the next loss is borne") {
@@ -48,14 +48,14 @@
       std::set<std::size_t> gone;
       for (std::size_t loss = 0; loss < borne; ++loss) gone.insert((seed + loss) % machines);
       for (const std::size_t index : gone) cluster.crash(index);
-      cluster.world().run_for(Millis(1000));
+      cluster.simulation().run_for(Millis(1000));
       for (std::size_t loss = 0; loss < borne; ++loss) cluster.start(cluster.add_machine());
-      cluster.world().run_for(kCatchUp);
+      cluster.simulation().run_for(kCatchUp);
       std::set<std::size_t> wiped;
       for (std::size_t index = 0; index < machines && wiped.size() < borne; ++index)
         if (!gone.contains(index)) wiped.insert(index);
       lose_disks_and_power(cluster, wiped, gone);
-      REQUIRE(settle(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kSettled));
       CHECK(read(cluster, machines) == "x");
     }
   }
@@ -70,16 +70,16 @@
       REQUIRE(append(cluster, 0, "x"));
       const std::size_t successor = cluster.add_machine();
       cluster.start(successor);
-      cluster.world().run_for(kCatchUp);
+      cluster.simulation().run_for(kCatchUp);
       const std::size_t old = seed % machines;
       bool left = false;
       cluster.group(old).leave(Millis(2000), [&left] { left = true; });
-      REQUIRE(cluster.world().run_until([&left] { return left; }, Millis(2000)));
+      REQUIRE(cluster.simulation().run_until([&left] { return left; }, Millis(2000)));
       cluster.crash(old);
       CHECK(static_cast<std::size_t>(cluster.group(successor).members().members_size()) == machines);
       const std::size_t wiped = (old + 1) % machines;
       lose_disks_and_power(cluster, {wiped}, {old});
-      REQUIRE(settle(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kSettled));
       CHECK(read(cluster, successor) == "x");
     }
   }
@@ -93,12 +93,12 @@
     REQUIRE(append(cluster, 0, "x"));
     const std::size_t successor = cluster.add_machine();
     cluster.start(successor);
-    cluster.world().run_for(kCatchUp);
+    cluster.simulation().run_for(kCatchUp);
     const std::size_t old = seed % 3;
     cluster.crash(old);
-    cluster.world().run_for(kSurplusRemoved);
+    cluster.simulation().run_for(kSurplusRemoved);
     lose_disks_and_power(cluster, {(old + 1) % 3}, {old});
-    REQUIRE(settle(cluster, kSettled));
+    REQUIRE(wait_until_stable(cluster, kSettled));
     CHECK(read(cluster, successor) == "x");
   }
 }
@@ -115,9 +115,9 @@
     cluster.group(index).leave(Millis(2000), [&left] { left = true; });
     CHECK(left);
     cluster.crash(index);
-    cluster.world().run_for(Millis(3000));
+    cluster.simulation().run_for(Millis(3000));
     cluster.start(index);
-    REQUIRE(settle(cluster, kSettled));
+    REQUIRE(wait_until_stable(cluster, kSettled));
     CHECK(cluster.group(index).member_id() == id);
     CHECK(cluster.group(index).members().epoch() == epoch);
   }
@@ -131,11 +131,11 @@
     REQUIRE(cluster.group(0).members().members_size() == 4);
     const std::size_t silent = seed % 4;
     const std::size_t leaving = (seed + 1) % 4;
-    cluster.world().isolate(silent);
-    cluster.world().run_for(Millis(1200));
+    cluster.simulation().isolate(silent);
+    cluster.simulation().run_for(Millis(1200));
     bool left = false;
     cluster.group(leaving).leave(Millis(300), [&left] { left = true; });
-    REQUIRE(cluster.world().run_until([&left] { return left; }, Millis(400)));
+    REQUIRE(cluster.simulation().run_until([&left] { return left; }, Millis(400)));
     CHECK(cluster.group(leaving).members().members_size() == 4);
   }
 }
@@ -145,7 +145,7 @@
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, seed % 2 == 0 ? 3 : 5);
-    SimWorld& world = cluster.world();
+    Simulation& simulation = cluster.simulation();
     found(cluster);
     REQUIRE(append(cluster, 0, "x"));
     const std::size_t newcomer = cluster.add_machine();
@@ -153,10 +153,10 @@
     const auto counted = [&] {
       return find_member(cluster.group(0).members(), cluster.group(newcomer).member_id()) != nullptr;
     };
-    REQUIRE(world.run_until(counted, kCatchUp));
-    const std::int64_t counted_ms = world.now_ms();
-    REQUIRE(world.run_until([&] { return cluster.group(newcomer).votes(); }, kCatchUp));
-    longest_ms = std::max(longest_ms, world.now_ms() - counted_ms);
+    REQUIRE(simulation.run_until(counted, kCatchUp));
+    const std::int64_t counted_ms = simulation.now_ms();
+    REQUIRE(simulation.run_until([&] { return cluster.group(newcomer).votes(); }, kCatchUp));
+    longest_ms = std::max(longest_ms, simulation.now_ms() - counted_ms);
   }
   std::printf("a newcomer is counted without its vote for %lld ms at most\n",
               static_cast<long long>(longest_ms));
@@ -176,7 +176,7 @@
 void replace_one(Cluster& cluster, std::uint64_t seed) {
   cluster.node(seed % cluster.size()).lose_disk();
   cluster.crash(seed % cluster.size());
-  cluster.world().run_for(Millis(1000));
+  cluster.simulation().run_for(Millis(1000));
   cluster.start(cluster.add_machine());
 }
 
@@ -184,7 +184,7 @@
 
 void leave_one(Cluster& cluster, std::uint64_t seed) {
   add_one(cluster, seed);
-  cluster.world().run_for(kCatchUp);
+  cluster.simulation().run_for(kCatchUp);
   cluster.group(seed % 3).leave(Millis(2000), [] {});
 }
 
@@ -208,12 +208,12 @@
       Cluster cluster(seed, repair.machines);
       found(cluster);
       REQUIRE(append(cluster, 0, "x"));
-      const std::int64_t end_us = cluster.world().now_us() + kCatchUp.count() * 1000;
+      const std::int64_t end_us = cluster.simulation().now_us() + kCatchUp.count() * 1000;
       repair.begin(cluster, seed);
-      for (int event = 0; event < events; ++event) cluster.world().step();
-      more = cluster.world().now_us() < end_us;
+      for (int event = 0; event < events; ++event) cluster.simulation().step();
+      more = cluster.simulation().now_us() < end_us;
       lose_disks_and_power(cluster, {}, gone_after(repair, seed));
-      REQUIRE(settle(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kSettled));
       CHECK(read(cluster, cluster.size() - 1) == "x");
     }
   }
@@ -224,7 +224,7 @@
     for (const std::size_t machines : {3, 5}) {
       CAPTURE(seed, machines);
       Cluster cluster(seed, machines);
-      SimWorld& world = cluster.world();
+      Simulation& simulation = cluster.simulation();
       found(cluster);
       std::string expected;
       std::set<std::size_t> gone;
@@ -239,30 +239,30 @@
         REQUIRE(append(cluster, present[1], mark));
         expected += mark;
         const std::size_t lost = present[0];
-        const std::int64_t kind = world.random_between(0, 3);
+        const std::int64_t kind = simulation.random_between(0, 3);
         if (kind == 0) {
           cluster.wipe(lost);
         } else if (kind == 1) {
           cluster.crash(lost);
           gone.insert(lost);
-          world.run_for(Millis(1000));
+          simulation.run_for(Millis(1000));
           cluster.start(cluster.add_machine());
         } else if (kind == 2) {
           cluster.start(cluster.add_machine());
-          world.run_for(kCatchUp);
+          simulation.run_for(kCatchUp);
           bool left = false;
           cluster.group(lost).leave(Millis(2000), [&left] { left = true; });
-          world.run_until([&left] { return left; }, Millis(2100));
+          simulation.run_until([&left] { return left; }, Millis(2100));
           cluster.crash(lost);
           gone.insert(lost);
         } else {
           lose_disks_and_power(cluster, {lost}, gone);
         }
-        world.run_for(kCatchUp);
+        simulation.run_for(kCatchUp);
         REQUIRE(append(cluster, present[1], "."));
         expected += ".";
       }
-      REQUIRE(settle(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kSettled));
       CHECK(read(cluster, cluster.size() - 1) == expected);
     }
   }
--- a/tests/cluster/consensus/shard_test.cpp
+++ b/tests/cluster/consensus/shard_test.cpp
@@ -91,21 +91,21 @@
   ShardUser(SimNode& node, ControlGroup& group) : node_(node) {
     ShardCallbacks callbacks;
     callbacks.on_lead = [this](std::uint64_t epoch, const std::vector<ShardEntry>& entries) {
-      REQUIRE_FALSE(told_to_lead_);
-      told_to_lead_ = true;
+      REQUIRE_FALSE(is_notified_leader_);
+      is_notified_leader_ = true;
       history_of_test->lead(epoch, entries);
       if (when_leading) when_leading(node_);
     };
     callbacks.on_lost = [this] {
-      REQUIRE(told_to_lead_);
-      told_to_lead_ = false;
+      REQUIRE(is_notified_leader_);
+      is_notified_leader_ = false;
     };
     shard_ = group.open_shard("service/one", std::move(callbacks));
   }
 
   ReplicatedShard& shard() { return *shard_; }
   bool leads() const { return shard_->leads(); }
-  bool told_to_lead() const { return told_to_lead_; }
+  bool is_notified_leader() const { return is_notified_leader_; }
 
   // Writes one record; this node has to lead.
   void write(const std::string& key, const std::string& value, std::function<void(ShardWriteOutcome)> done) {
@@ -120,16 +120,16 @@
   // Writes or removes one of a few records, if this node leads.
   void write_something() {
     if (!leads()) return;
-    SimWorld& world = node_.world();
+    Simulation& simulation = node_.simulation();
     const std::uint64_t epoch = shard_->epoch();
     std::vector<ShardChange> changes;
     std::vector<std::pair<std::string, std::size_t>> versions;
-    for (std::int64_t count = world.random_between(1, 3); count > 0; --count) {
-      const std::string key = "key" + std::to_string(world.random_between(0, keys_of_test));
+    for (std::int64_t count = simulation.random_between(1, 3); count > 0; --count) {
+      const std::string key = "key" + std::to_string(simulation.random_between(0, keys_of_test));
       if (std::any_of(versions.begin(), versions.end(),
                       [&](const auto& entry) { return entry.first == key; }))
         continue;
-      const bool removes = world.chance(0.25);
+      const bool removes = simulation.chance(0.25);
       const std::string value = removes ? "" : std::to_string(epoch) + ":" + std::to_string(++writes_);
       changes.push_back({key, removes ? std::nullopt : std::optional(value)});
       versions.emplace_back(key, history_of_test->written(epoch, key, value));
@@ -142,7 +142,7 @@
 
  private:
   SimNode& node_;
-  bool told_to_lead_ = false;
+  bool is_notified_leader_ = false;
   std::uint64_t writes_ = 0;
   std::unique_ptr<ReplicatedShard> shard_;
 };
@@ -168,8 +168,8 @@
 struct Play {
   std::uint64_t seed = 0;
   std::size_t machines = 5;
-  SimTerms terms;
-  TroubleTerms troubles;
+  SimulationOptions terms;
+  FaultPlan faults;
   std::int64_t duration_ms = 25000;
   bool hunt_leaders = false;  // new leaders soon crash or are cut off
   std::int64_t keys = 30;
@@ -178,22 +178,22 @@
 
 // Troubles that befall a leader within its first moments.
 void hunt(Cluster& cluster, SimNode& node) {
-  SimWorld& world = cluster.world();
+  Simulation& simulation = cluster.simulation();
   const std::size_t index = node.index();
-  if (world.chance(0.3)) return;
-  const Millis soon(world.random_between(0, world.chance(0.5) ? 30 : 400));
-  const Millis back(world.random_between(20, 1500));
-  if (world.chance(0.5)) {
-    world.in(soon, [&cluster, index] { cluster.crash(index); });
-    world.in(soon + back, [&cluster, index] { cluster.start(index); });
+  if (simulation.chance(0.3)) return;
+  const Millis soon(simulation.random_between(0, simulation.chance(0.5) ? 30 : 400));
+  const Millis back(simulation.random_between(20, 1500));
+  if (simulation.chance(0.5)) {
+    simulation.in(soon, [&cluster, index] { cluster.crash(index); });
+    simulation.in(soon + back, [&cluster, index] { cluster.start(index); });
     return;
   }
-  world.in(soon, [&world, index] {
-    for (std::size_t other = 0; other < world.size(); ++other) {
-      if (other != index && world.chance(0.7)) world.cut_both(index, other);
+  simulation.in(soon, [&simulation, index] {
+    for (std::size_t other = 0; other < simulation.size(); ++other) {
+      if (other != index && simulation.chance(0.7)) simulation.cut_both(index, other);
     }
   });
-  world.in(soon + back, [&world] { world.heal(); });
+  simulation.in(soon + back, [&simulation] { simulation.heal(); });
 }
 
 void play(const Play& plan) {
@@ -201,38 +201,38 @@
   ShardHistory history;
   history_of_test = &history;
   Cluster cluster(plan.seed, plan.machines, plan.terms);
-  Troubles<ShardUser> troubles(cluster, plan.troubles);
-  SimWorld& world = cluster.world();
-  world.on_event([&] { require_one_leader(cluster); });
+  FaultInjector<ShardUser> faults(cluster, plan.faults);
+  Simulation& simulation = cluster.simulation();
+  simulation.on_event([&] { require_one_leader(cluster); });
   keys_of_test = plan.keys;
   when_leading = nullptr;
   if (plan.hunt_leaders) when_leading = [&cluster](SimNode& node) { hunt(cluster, node); };
   cluster.bootstrap();
-  std::int64_t next_trouble_ms = 2500;
-  const std::int64_t end_ms = world.now_ms() + plan.duration_ms;
-  while (world.now_ms() < end_ms) {
+  std::int64_t next_fault_ms = 2500;
+  const std::int64_t end_ms = simulation.now_ms() + plan.duration_ms;
+  while (simulation.now_ms() < end_ms) {
     for (std::size_t index = 0; index < plan.machines; ++index) {
       if (!cluster.running(index) || cluster.node(index).frozen()) continue;
       for (std::int64_t write = 0; write < plan.writes_at_once; ++write)
         cluster.extra(index).write_something();
     }
-    world.run_for(Millis(world.random_between(1, 60)));
-    if (world.now_ms() < next_trouble_ms) continue;
-    troubles.one();
-    next_trouble_ms = world.now_ms() + world.random_between(50, 2500);
+    simulation.run_for(Millis(simulation.random_between(1, 60)));
+    if (simulation.now_ms() < next_fault_ms) continue;
+    faults.one();
+    next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
   }
   when_leading = nullptr;
-  troubles.end();
-  world.terms().loss = 0;
-  world.terms().late = 0;
-  world.run_for(kLongestTrouble);
-  REQUIRE(world.run_until([&] { return cluster.settled(); }, Millis(15000)));
-  REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(5000)));
+  faults.end();
+  simulation.terms().loss = 0;
+  simulation.terms().late = 0;
+  simulation.run_for(kMaxFaultDuration);
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
+  REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(5000)));
   // One more leader reads what is left.
   cluster.crash(*leader_of(cluster));
-  REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(6000)));
+  REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(6000)));
   REQUIRE(history.acknowledgements() > 20);
-  world.on_event(nullptr);
+  simulation.on_event(nullptr);
 }
 
 TEST_CASE("a lease is taken soon after the start, and again soon after its holder is gone") {
@@ -241,19 +241,19 @@
     ShardHistory history;
     history_of_test = &history;
     Cluster cluster(seed, 5);
-    SimWorld& world = cluster.world();
+    Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
-    REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2500)));
-    REQUIRE(world.run_until([&] { return cluster.settled(); }, Millis(3000)));
-    REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(1000)));
+    REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2500)));
+    REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(3000)));
+    REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(1000)));
     const std::size_t first = *leader_of(cluster);
     cluster.crash(first);
-    REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2500)));
+    REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2500)));
     const std::size_t second = *leader_of(cluster);
     REQUIRE(second != first);
     cluster.extra(second).shard().step_down();
     REQUIRE_FALSE(leader_of(cluster).has_value());
-    REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(1000)));
+    REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(1000)));
     REQUIRE(*leader_of(cluster) != second);
   }
 }
@@ -262,12 +262,13 @@
   ShardHistory history;
   history_of_test = &history;
   Cluster cluster(5, 5);
-  SimWorld& world = cluster.world();
+  Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
-  REQUIRE(world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(5000)));
-  world.run_for(Millis(1000));
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                               Millis(5000)));
+  simulation.run_for(Millis(1000));
   const std::size_t leaderships = history.leaderships();
-  world.run_for(Millis(3600000));
+  simulation.run_for(Millis(3600000));
   CHECK(history.leaderships() == leaderships);
 }
 
@@ -277,15 +278,15 @@
     ShardHistory history;
     history_of_test = &history;
     Cluster cluster(seed, 5);
-    SimWorld& world = cluster.world();
+    Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
-    REQUIRE(
-        world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(5000)));
+    REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                                 Millis(5000)));
     const std::size_t leader = *leader_of(cluster);
-    world.isolate(leader);
-    REQUIRE(world.run_until([&] { return !cluster.extra(leader).told_to_lead(); }, Millis(1500)));
+    simulation.isolate(leader);
+    REQUIRE(simulation.run_until([&] { return !cluster.extra(leader).is_notified_leader(); }, Millis(1500)));
     REQUIRE_FALSE(leader_of(cluster).has_value());
-    REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2000)));
+    REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2000)));
   }
 }
 
@@ -293,13 +294,14 @@
   ShardHistory history;
   history_of_test = &history;
   Cluster cluster(6, 5);
-  SimWorld& world = cluster.world();
+  Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
-  REQUIRE(world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(5000)));
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                               Millis(5000)));
   const std::size_t leader = *leader_of(cluster);
   cluster.crash((leader + 1) % 5);
   std::vector<int> ended;
-  const std::int64_t begun_ms = world.now_ms();
+  const std::int64_t begun_ms = simulation.now_ms();
   for (int write = 0; write < 200; ++write) {
     cluster.extra(leader).write("key" + std::to_string(write % 7), std::to_string(write),
                                 [&ended, write](ShardWriteOutcome outcome) {
@@ -307,34 +309,35 @@
                                   ended.push_back(write);
                                 });
   }
-  REQUIRE(world.run_until([&] { return ended.size() == 200; }, Millis(1000)));
+  REQUIRE(simulation.run_until([&] { return ended.size() == 200; }, Millis(1000)));
   CHECK(std::is_sorted(ended.begin(), ended.end()));
-  CHECK(world.now_ms() - begun_ms < 200);
+  CHECK(simulation.now_ms() - begun_ms < 200);
 }
 
 TEST_CASE("a member that comes back gets what it missed") {
   ShardHistory history;
   history_of_test = &history;
   Cluster cluster(7, 5);
-  SimWorld& world = cluster.world();
+  Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
-  REQUIRE(world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(5000)));
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                               Millis(5000)));
   const std::size_t leader = *leader_of(cluster);
   const std::size_t away = (leader + 1) % 5;
   cluster.crash(away);
   for (int write = 0; write < 50; ++write) {
     cluster.extra(leader).write("key" + std::to_string(write), "value", [](ShardWriteOutcome) {});
   }
-  world.run_for(Millis(3000));
+  simulation.run_for(Millis(3000));
   cluster.start(away);
-  world.run_for(Millis(2000));
+  simulation.run_for(Millis(2000));
   REQUIRE(leader_of(cluster) == leader);
   // With two more gone, the one that was away is needed for a majority.
   const std::size_t gone = (leader + 2) % 5;
   cluster.crash(gone);
   cluster.crash(leader);
   const std::size_t leaderships = history.leaderships();
-  REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(4000)));
+  REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(4000)));
   CHECK(history.leaderships() > leaderships);
 }
 
@@ -365,7 +368,7 @@
     plan.machines = seed % 3 == 0 ? 4 : 5;
     plan.terms.duplication = 0.05;
     plan.terms.late = 0.05;
-    plan.troubles.wipes = true;
+    plan.faults.wipes = true;
     play(plan);
   }
 }
@@ -379,7 +382,7 @@
     plan.terms.duplication = 0.1;
     plan.terms.late = 0.05;
     plan.terms.late_max_us = 100000;
-    plan.troubles.wipes = seed % 4 == 0;
+    plan.faults.wipes = seed % 4 == 0;
     plan.hunt_leaders = true;
     plan.keys = 4;
     plan.writes_at_once = 4;
--- a/tests/cluster/consensus/store_test.cpp
+++ b/tests/cluster/consensus/store_test.cpp
@@ -8,8 +8,8 @@
 #include <mutex>
 #include <queue>
 
-#include "cluster/consensus/journal.hpp"
-#include "cluster/store/level_store.hpp"
+#include "cluster/consensus/commit_queue.hpp"
+#include "cluster/store/leveldb_store.hpp"
 #include "tests/cluster/support/sim_runtime.hpp"
 
 namespace winchhall::cluster {
@@ -54,13 +54,13 @@
   std::queue<std::function<void()>> actions_;
 };
 
-std::unique_ptr<LevelStore> opened(const std::string& path, Loop& loop) {
-  auto store = open_level_store(path, loop.poster());
+std::unique_ptr<LevelDbStore> opened(const std::string& path, Loop& loop) {
+  auto store = open_leveldb_store(path, loop.poster());
   REQUIRE(store);
   return std::move(store.value());
 }
 
-std::map<std::string, std::string> content(LevelStore& store) {
+std::map<std::string, std::string> content(LevelDbStore& store) {
   std::map<std::string, std::string> found;
   store.load(
       [&](std::string_view key, std::string_view value) { found[std::string(key)] = std::string(value); });
@@ -112,10 +112,10 @@
   std::string found;
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_CHECK(open_level_store(path, loop.poster()));
+        BOOST_LEAF_CHECK(open_leveldb_store(path, loop.poster()));
         return {};
       },
-      [&](const UnknownStoreFormat& error) { found = error.found; }, [] {});
+      [&](const UnsupportedStoreFormat& error) { found = error.found; }, [] {});
   CHECK(found == "9");
 }
 
@@ -126,7 +126,7 @@
   bool failed = false;
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_CHECK(open_level_store(folder.path("file/data"), loop.poster()));
+        BOOST_LEAF_CHECK(open_leveldb_store(folder.path("file/data"), loop.poster()));
         return {};
       },
       [&](const StoreFailure&) { failed = true; }, [] {});
@@ -138,13 +138,14 @@
     "on") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
-    sim::SimWorld world(seed);
+    sim::Simulation simulation(seed);
     std::map<std::string, std::string> memory;
     std::vector<int> ended;
-    std::shared_ptr<Journal> journal;
-    sim::SimNode& node = world.add_node("10.0.0.1:7000", [&](sim::SimNode& self) {
-      journal = std::make_shared<Journal>(self, self.store());
-      return sim::SimNode::Program{nullptr, [](const wire::Envelope&, const Replier&) { return false; }};
+    std::shared_ptr<CommitQueue> commit_queue;
+    sim::SimNode& node = simulation.add_node("10.0.0.1:7000", [&](sim::SimNode& self) {
+      commit_queue = std::make_shared<CommitQueue>(self, self.store());
+      return sim::SimNode::Program{nullptr,
+                                   [](const wire::Envelope&, const ReplyCallback&) { return false; }};
     });
     node.start();
     const auto stored = [&] {
@@ -155,21 +156,21 @@
       return found;
     };
     for (int number = 0; number < 60; ++number) {
-      if (world.chance(0.2)) node.refuse_writes(world.chance(0.6));
-      const std::string key = "key" + std::to_string(world.random_between(0, 5));
+      if (simulation.chance(0.2)) node.refuse_writes(simulation.chance(0.6));
+      const std::string key = "key" + std::to_string(simulation.random_between(0, 5));
       memory[key] = std::to_string(number);
-      journal->commit({{key, memory[key]}}, [&, number, key, least = number] {
+      commit_queue->commit({{key, memory[key]}}, [&, number, key, least = number] {
         ended.push_back(number);
         // Durable: this version or a later one.
         REQUIRE(std::stoi(stored().at(key)) >= least);
       });
-      world.run_for(Millis(world.random_between(0, 12)));
+      simulation.run_for(Millis(simulation.random_between(0, 12)));
     }
     node.refuse_writes(false);
-    REQUIRE(world.run_until([&] { return ended.size() == 60; }, Millis(5000)));
+    REQUIRE(simulation.run_until([&] { return ended.size() == 60; }, Millis(5000)));
     CHECK(std::is_sorted(ended.begin(), ended.end()));
     CHECK(stored() == memory);
-    journal.reset();
+    commit_queue.reset();
   }
 }
 
--- a/tests/cluster/consensus/versions_test.cpp
+++ b/tests/cluster/consensus/versions_test.cpp
@@ -22,29 +22,30 @@
 void play(std::uint64_t seed, const std::vector<Version>& versions) {
   CAPTURE(seed);
   CandidateCluster cluster(seed, versions.size());
-  SimWorld& world = cluster.world();
-  world.rewrite_messages(
+  Simulation& simulation = cluster.simulation();
+  simulation.rewrite_messages(
       [&](std::size_t from, wire::Envelope& message) { write_as(versions.at(from), message); });
-  world.on_event([&] {
+  simulation.on_event([&] {
     std::size_t leaders = 0;
     for (std::size_t index = 0; index < cluster.size(); ++index)
       if (cluster.running(index) && cluster.extra(index).shard->leads()) ++leaders;
     if (leaders > 1) FAIL("two leaders at once");
   });
   cluster.bootstrap();
-  REQUIRE(world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(6000)));
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                               Millis(6000)));
   std::uint64_t epoch = 0;
   for (int change = 0; change < 4; ++change) {
     const std::size_t first = *leader_of(cluster);
     CHECK(cluster.extra(first).shard->epoch() > epoch);
     epoch = cluster.extra(first).shard->epoch();
     cluster.crash(first);
-    REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(4000)));
+    REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(4000)));
     cluster.start(first);
-    REQUIRE(
-        world.run_until([&] { return cluster.settled() && leader_of(cluster).has_value(); }, Millis(6000)));
+    REQUIRE(simulation.run_until([&] { return cluster.is_stable() && leader_of(cluster).has_value(); },
+                                 Millis(6000)));
   }
-  world.on_event(nullptr);
+  simulation.on_event(nullptr);
 }
 
 TEST_CASE("a group of older and present nodes elects its leaders, whoever crashes") {
--- a/tests/cluster/control/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -16,7 +16,7 @@
 // The configuration service of one control node, as ControlNode has it.
 struct ConfigurationNode {
   ConfigurationNode(SimNode& node, ControlGroup& group)
-      : service(node, group.registers(), surroundings_of(group)) {
+      : service(node, group.registers(), configuration_dependencies_of(group)) {
     group.watch_register(winchhall::cluster::kConfigurationRegister,
                          [this](const RegisterValue& value) { service.on_register_value(value); });
   }
@@ -25,15 +25,15 @@
 using ConfigurationCluster = ControlCluster<ConfigurationNode>;
 
 // One order, as an operator sends it again and again.
-struct OperatorOrder {
+struct OperatorRequest {
   ConfigurationChangeKind kind = ConfigurationChangeKind::put;
   std::uint64_t base = 0;
   std::uint64_t version = 0;
   std::string body;
   bool valid = true;
   // What is known of it so far.
-  bool taken = false;    // acknowledged, or seen in force
-  bool refused = false;  // answered with a conflict or as invalid
+  bool applied = false;   // acknowledged, or seen in force
+  bool rejected = false;  // answered with a conflict or as invalid
 };
 
 // Checks answers against what was answered before. Rules: an order is taken or refused, never both; of two
@@ -43,66 +43,66 @@
  public:
   explicit ConfigurationHistory(ConfigurationCluster& cluster) : cluster_(cluster) {}
 
-  std::shared_ptr<OperatorOrder> order(ConfigurationChangeKind kind, std::uint64_t base,
-                                       std::uint64_t version, bool valid = true) {
-    auto order = std::make_shared<OperatorOrder>();
-    order->kind = kind;
-    order->base = base;
-    order->version = version;
-    order->valid = valid;
-    const std::string name = "r-" + std::to_string(orders_.size() + 1);
+  std::shared_ptr<OperatorRequest> request(ConfigurationChangeKind kind, std::uint64_t base,
+                                           std::uint64_t version, bool valid = true) {
+    auto request = std::make_shared<OperatorRequest>();
+    request->kind = kind;
+    request->base = base;
+    request->version = version;
+    request->valid = valid;
+    const std::string name = "r-" + std::to_string(requests_.size() + 1);
     const std::string route = configuration_test::route_json(name, name, valid ? "core" : "unknown");
-    order->body =
+    request->body =
         kind == ConfigurationChangeKind::put
             ? configuration_test::configuration_json(version, route)
             : R"({"version":)" + std::to_string(version) + R"(,"upsert":{"routes":[)" + route + "]}}";
-    orders_.push_back(order);
-    return order;
+    requests_.push_back(request);
+    return request;
   }
 
   // Sends an order by way of one node. `told` gets the answer, unless it is lost on its way.
-  void send(std::size_t index, const std::shared_ptr<OperatorOrder>& order, double lost,
-            std::function<void(ConfigurationOutcomeKind)> told = {}) {
+  void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double lost,
+            std::function<void(ConfigurationOutcomeKind)> on_response = {}) {
     if (!cluster_.running(index)) return;
     ConfigurationService& service = cluster_.extra(index).service;
-    const auto done = [this, order, lost, told = std::move(told),
+    const auto done = [this, request, lost, on_response = std::move(on_response),
                        known = newest_](const ConfigurationOutcome& outcome) {
-      check(*order, outcome, known);
-      if (told && !cluster_.world().chance(lost)) told(outcome.kind);
+      check(*request, outcome, known);
+      if (on_response && !cluster_.simulation().chance(lost)) on_response(outcome.kind);
     };
-    const std::string base = std::to_string(order->base);
-    if (order->kind == ConfigurationChangeKind::put) return service.put(base, order->body, done);
-    service.patch(base, order->body, done);
+    const std::string base = std::to_string(request->base);
+    if (request->kind == ConfigurationChangeKind::put) return service.put(base, request->body, done);
+    service.patch(base, request->body, done);
   }
 
-  void read(std::size_t index, std::function<void(const ConfigurationRead&)> told = {}) {
+  void read(std::size_t index, std::function<void(const ConfigurationRead&)> on_response = {}) {
     if (!cluster_.running(index)) return;
     cluster_.extra(index).service.get(
-        [this, told = std::move(told), known = newest_](const ConfigurationRead& read) {
+        [this, on_response = std::move(on_response), known = newest_](const ConfigurationRead& read) {
           check(read, known);
-          if (told) told(read);
+          if (on_response) on_response(read);
         });
   }
 
   std::uint64_t newest() const { return newest_; }
-  const std::vector<std::shared_ptr<OperatorOrder>>& orders() const { return orders_; }
-  std::size_t taken() const { return by_base_.size(); }
+  const std::vector<std::shared_ptr<OperatorRequest>>& requests() const { return requests_; }
+  std::size_t applied() const { return by_base_.size(); }
 
  private:
-  void check(OperatorOrder& order, const ConfigurationOutcome& outcome, std::uint64_t known) {
-    CAPTURE(order.base, order.version, order.body, known, outcome.version);
+  void check(OperatorRequest& request, const ConfigurationOutcome& outcome, std::uint64_t known) {
+    CAPTURE(request.base, request.version, request.body, known, outcome.version);
     switch (outcome.kind) {
       case ConfigurationOutcomeKind::applied:
-        return note_taken(order);
+        return record_applied(request);
       case ConfigurationOutcomeKind::conflict:
-        REQUIRE_FALSE(order.taken);
+        REQUIRE_FALSE(request.applied);
         REQUIRE(outcome.version >= known);
-        REQUIRE(outcome.version != order.base);
-        order.refused = true;
+        REQUIRE(outcome.version != request.base);
+        request.rejected = true;
         return;
       case ConfigurationOutcomeKind::invalid:
-        REQUIRE_FALSE(order.valid);
-        order.refused = true;
+        REQUIRE_FALSE(request.valid);
+        request.rejected = true;
         return;
       case ConfigurationOutcomeKind::unavailable:
         return;
@@ -116,77 +116,78 @@
       return;
     }
     REQUIRE(read.version >= known);
-    for (const auto& order : orders_) {
-      const bool put = order->kind == ConfigurationChangeKind::put;
-      if (put && order->body == read.json) return note_taken(*order);
+    for (const auto& request : requests_) {
+      const bool put = request->kind == ConfigurationChangeKind::put;
+      if (put && request->body == read.json) return record_applied(*request);
     }
     // Made by a patch: one of the orders for this version.
-    REQUIRE(std::any_of(orders_.begin(), orders_.end(), [&](const auto& order) {
-      return order->version == read.version && order->kind == ConfigurationChangeKind::patch && order->valid;
+    REQUIRE(std::any_of(requests_.begin(), requests_.end(), [&](const auto& request) {
+      return request->version == read.version && request->kind == ConfigurationChangeKind::patch &&
+             request->valid;
     }));
     newest_ = std::max(newest_, read.version);
   }
-  void note_taken(OperatorOrder& order) {
-    REQUIRE(order.valid);
-    REQUIRE_FALSE(order.refused);
-    const auto [taken, first] = by_base_.try_emplace(order.base, &order);
-    REQUIRE(taken->second == &order);
-    order.taken = true;
-    newest_ = std::max(newest_, order.version);
+  void record_applied(OperatorRequest& request) {
+    REQUIRE(request.valid);
+    REQUIRE_FALSE(request.rejected);
+    const auto [applied, first] = by_base_.try_emplace(request.base, &request);
+    REQUIRE(applied->second == &request);
+    request.applied = true;
+    newest_ = std::max(newest_, request.version);
   }
 
   ConfigurationCluster& cluster_;
-  std::vector<std::shared_ptr<OperatorOrder>> orders_;
-  std::map<std::uint64_t, OperatorOrder*> by_base_;
+  std::vector<std::shared_ptr<OperatorRequest>> requests_;
+  std::map<std::uint64_t, OperatorRequest*> by_base_;
   std::uint64_t newest_ = 0;  // acknowledged, or read by anyone
 };
 
 // An operator: sends an order to any node until it is told something clear, then makes the next one. Goes on
 // from what it was told or read; several operators race.
-class ModelOperator {
+class SimulatedOperator {
  public:
-  ModelOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double lost_answers)
+  SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double lost_answers)
       : cluster_(cluster), history_(history), lost_answers_(lost_answers) {}
 
   void act() {
-    SimWorld& world = cluster_.world();
-    if (!order_) make_order();
-    const auto order = order_;
-    history_.send(any_node(), order, lost_answers_, [this, order](ConfigurationOutcomeKind kind) {
-      if (order != order_ || kind == ConfigurationOutcomeKind::unavailable) return;
-      order_.reset();
+    Simulation& simulation = cluster_.simulation();
+    if (!request_) make_request();
+    const auto request = request_;
+    history_.send(any_node(), request, lost_answers_, [this, request](ConfigurationOutcomeKind kind) {
+      if (request != request_ || kind == ConfigurationOutcomeKind::unavailable) return;
+      request_.reset();
     });
-    if (world.chance(0.3))
+    if (simulation.chance(0.3))
       history_.read(any_node(), [this](const ConfigurationRead& read) {
         if (read.kind == ConfigurationReadKind::found) base_ = read.version;
       });
-    if (world.chance(0.2) && !history_.orders().empty()) history_.send(any_node(), any_order(), 0);
+    if (simulation.chance(0.2) && !history_.requests().empty()) history_.send(any_node(), any_request(), 0);
   }
 
  private:
   std::size_t any_node() {
     return static_cast<std::size_t>(
-        cluster_.world().random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
+        cluster_.simulation().random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
   }
-  const std::shared_ptr<OperatorOrder>& any_order() {
-    return history_.orders()[cluster_.world().random() % history_.orders().size()];
+  const std::shared_ptr<OperatorRequest>& any_request() {
+    return history_.requests()[cluster_.simulation().random() % history_.requests().size()];
   }
-  void make_order() {
-    SimWorld& world = cluster_.world();
-    const std::uint64_t base = world.chance(0.7) ? history_.newest() : base_;
-    const auto step = static_cast<std::uint64_t>(world.random_between(1, 3));
+  void make_request() {
+    Simulation& simulation = cluster_.simulation();
+    const std::uint64_t base = simulation.chance(0.7) ? history_.newest() : base_;
+    const auto step = static_cast<std::uint64_t>(simulation.random_between(1, 3));
     // A patch of nothing has no services to name.
-    const bool patch = base > 0 && world.chance(0.4);
-    const bool valid = world.chance(0.9);
-    order_ = history_.order(patch ? ConfigurationChangeKind::patch : ConfigurationChangeKind::put, base,
-                            base + step, valid);
+    const bool patch = base > 0 && simulation.chance(0.4);
+    const bool valid = simulation.chance(0.9);
+    request_ = history_.request(patch ? ConfigurationChangeKind::patch : ConfigurationChangeKind::put, base,
+                                base + step, valid);
   }
 
   ConfigurationCluster& cluster_;
   ConfigurationHistory& history_;
   const double lost_answers_;
   std::uint64_t base_ = 0;
-  std::shared_ptr<OperatorOrder> order_;
+  std::shared_ptr<OperatorRequest> request_;
 };
 
 }  // namespace winchhall::cluster::sim
--- a/tests/cluster/control/configuration_service_test.cpp
+++ b/tests/cluster/control/configuration_service_test.cpp
@@ -1,7 +1,7 @@
 // The operator's changes: lost answers, races, repeats, invalid ones; watches.
 #include <catch2/catch.hpp>
 
-#include "cluster/control/configuration_answers.hpp"
+#include "cluster/control/configuration_responses.hpp"
 #include "tests/cluster/support/configuration_fixture.hpp"
 #include "tests/cluster/worker_agent/worker_fixture.hpp"
 
@@ -17,7 +17,7 @@
 struct ServiceFixture {
   ServiceFixture()
       : service(runtime, registers,
-                ConfigurationSurroundings{[this] { return leaders; },
+                ConfigurationDependencies{[this] { return leaders; },
                                           [] { return std::vector<wire::Member>(); }, [] { return true; }}) {}
 
   ConfigurationOutcome put(const std::string& base, const std::string& body, Fate fate = Fate::delivered) {
@@ -51,7 +51,7 @@
 
  private:
   using Change = void (ConfigurationService::*)(const std::optional<std::string>&, std::string,
-                                                ConfigurationService::ChangeDone);
+                                                ConfigurationService::ChangeCallback);
   ConfigurationOutcome change(const std::string& base, const std::string& body, Fate fate, Change call) {
     ConfigurationOutcome result;
     (service.*call)(base, body, [&](ConfigurationOutcome outcome) { result = std::move(outcome); });
@@ -129,7 +129,7 @@
 TEST_CASE_METHOD(ServiceFixture, "two nodes race: one change wins, the other is a conflict") {
   ConfigurationService other(
       runtime, registers,
-      ConfigurationSurroundings{[] { return std::vector<wire::ShardLeader>(); },
+      ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                 [] { return std::vector<wire::Member>(); }, [] { return true; }});
   put("0", small_configuration(5));
   ConfigurationOutcome first;
@@ -287,7 +287,7 @@
 TEST_CASE_METHOD(ServiceFixture, "a node that missed changes reads the snapshot before it builds on it") {
   ConfigurationService other(
       runtime, registers,
-      ConfigurationSurroundings{[] { return std::vector<wire::ShardLeader>(); },
+      ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                 [] { return std::vector<wire::Member>(); }, [] { return true; }});
   put("0", many_routes(5, 20));
   patch("5", route_patch(7, "r-30"));
@@ -303,7 +303,7 @@
 TEST_CASE_METHOD(ServiceFixture, "a node that lags judges a change by the version that it builds on") {
   ConfigurationService other(
       runtime, registers,
-      ConfigurationSurroundings{[] { return std::vector<wire::ShardLeader>(); },
+      ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                 [] { return std::vector<wire::Member>(); }, [] { return true; }});
   put("0", small_configuration(5));
   other.get([](const ConfigurationRead&) {});
@@ -334,7 +334,7 @@
   SharedRegister registers;
   bool all_read = false;
   ConfigurationService service(runtime, registers,
-                               ConfigurationSurroundings{[] { return std::vector<wire::ShardLeader>(); },
+                               ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                                          [] { return std::vector<wire::Member>(); },
                                                          [] { return true; }, [&] { return all_read; }});
   const auto record = [&] {
@@ -364,14 +364,14 @@
   ScriptedRuntime runtime;
   SharedRegister registers;
   std::vector<std::string> keys;
-  LocalRegisters local;
+  LocalRegisterReplicas local;
   local.drop = [&](const std::function<bool(const std::string&)>& unneeded) {
     std::erase_if(keys, unneeded);
   };
   ConfigurationSnapshots snapshots(registers, local);
   const auto key_of = [](std::uint64_t version, const std::string& json) {
     SharedRegister probe;
-    ConfigurationSnapshots(probe, LocalRegisters())
+    ConfigurationSnapshots(probe, LocalRegisterReplicas())
         .write(ConfigurationSnapshots::id_of(version, json), json, Millis(100), [](bool) {});
     return probe.oldest_key();
   };
--- a/tests/cluster/control/job_history_test.cpp
+++ b/tests/cluster/control/job_history_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "cluster/control/service_leader.hpp"
-#include "tests/cluster/support/long_troubles.hpp"
+#include "tests/cluster/support/long_fault_injector.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
@@ -97,7 +97,7 @@
   std::size_t acknowledged() const { return acknowledged_; }
 
  private:
-  std::int64_t now() const { return cluster_.world().now_us(); }
+  std::int64_t now() const { return cluster_.simulation().now_us(); }
 
   void call(std::size_t index, wire::JobVerb verb, const std::string& id,
             const std::function<void(const wire::JobReply&)>& check) {
@@ -149,48 +149,48 @@
 }
 
 void call_all(LeaderCluster& cluster, JobHistory& history, std::uint64_t& jobs) {
-  SimWorld& world = cluster.world();
-  const auto some_job = [&] { return id_of(world.random() % (jobs + 1)); };
+  Simulation& simulation = cluster.simulation();
+  const auto some_job = [&] { return id_of(simulation.random() % (jobs + 1)); };
   for (std::size_t index = 0; index < cluster.size(); ++index) {
-    if (world.chance(0.3)) history.submit(index, world.chance(0.7) ? id_of(++jobs) : some_job());
-    if (world.chance(0.1)) history.cancel(index, some_job());
-    if (world.chance(0.4)) history.query(index, some_job());
-    if (world.chance(0.3)) history.count(index);
+    if (simulation.chance(0.3)) history.submit(index, simulation.chance(0.7) ? id_of(++jobs) : some_job());
+    if (simulation.chance(0.1)) history.cancel(index, some_job());
+    if (simulation.chance(0.4)) history.query(index, some_job());
+    if (simulation.chance(0.3)) history.count(index);
   }
 }
 
-void play(std::uint64_t seed, std::size_t machines, bool long_ones, const SimTerms& terms) {
+void play(std::uint64_t seed, std::size_t machines, bool long_ones, const SimulationOptions& terms) {
   CAPTURE(seed, machines, long_ones);
   LeaderCluster cluster(seed, machines, terms);
   JobHistory history(cluster);
-  TroubleTerms trouble_terms;
-  Troubles<LeaderNode> troubles(cluster, trouble_terms);
-  LongTroubles<LeaderNode> long_troubles(cluster);
-  SimWorld& world = cluster.world();
-  world.on_event([&] { require_one_leader(cluster); });
+  FaultPlan fault_plan;
+  FaultInjector<LeaderNode> faults(cluster, fault_plan);
+  LongFaultInjector<LeaderNode> long_faults(cluster);
+  Simulation& simulation = cluster.simulation();
+  simulation.on_event([&] { require_one_leader(cluster); });
   cluster.bootstrap();
   std::uint64_t jobs = 0;
-  std::int64_t next_trouble_ms = 3000;
-  const std::int64_t end_ms = world.now_ms() + (long_ones ? 50000 : 25000);
-  while (world.now_ms() < end_ms) {
+  std::int64_t next_fault_ms = 3000;
+  const std::int64_t end_ms = simulation.now_ms() + (long_ones ? 50000 : 25000);
+  while (simulation.now_ms() < end_ms) {
     call_all(cluster, history, jobs);
-    world.run_for(Millis(world.random_between(20, 200)));
-    if (world.now_ms() < next_trouble_ms) continue;
+    simulation.run_for(Millis(simulation.random_between(20, 200)));
+    if (simulation.now_ms() < next_fault_ms) continue;
     if (long_ones) {
-      next_trouble_ms = world.now_ms() + long_troubles.one().count() + world.random_between(0, 3000);
+      next_fault_ms = simulation.now_ms() + long_faults.one().count() + simulation.random_between(0, 3000);
     } else {
-      troubles.one();
-      next_trouble_ms = world.now_ms() + world.random_between(50, 2500);
+      faults.one();
+      next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
     }
   }
-  troubles.end();
-  world.terms().loss = 0;
-  world.run_for(long_ones ? Millis(30000) : kLongestTrouble);
-  REQUIRE(world.run_until([&] { return leader_of(cluster).has_value(); }, Millis(15000)));
+  faults.end();
+  simulation.terms().loss = 0;
+  simulation.run_for(long_ones ? Millis(30000) : kMaxFaultDuration);
+  REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(15000)));
   const std::size_t answers = history.answers();
   const std::vector<std::string> accepted = history.accepted();
   for (const std::string& id : accepted) history.query(*leader_of(cluster), id);
-  world.run_for(Millis(5));
+  simulation.run_for(Millis(5));
   REQUIRE(history.answers() - answers == accepted.size());
   REQUIRE(history.acknowledged() > 20);
   // In calm times a cancel is acknowledged long before the operators' bound of 4 s.
@@ -199,18 +199,19 @@
     return std::all_of(accepted.begin(), accepted.end(),
                        [&](const std::string& id) { return history.canceled(id); });
   };
-  REQUIRE(world.run_until(all_canceled, Millis(500)));
-  world.on_event(nullptr);
+  REQUIRE(simulation.run_until(all_canceled, Millis(500)));
+  simulation.on_event(nullptr);
 }
 
 TEST_CASE(
     "leaders that are cut off, frozen or stalled for 5 to 30 s confirm nothing that others don't know") {
-  for (std::uint64_t seed = 1; seed <= 60; ++seed) play(seed, seed % 2 == 0 ? 5 : 3, true, SimTerms());
+  for (std::uint64_t seed = 1; seed <= 60; ++seed)
+    play(seed, seed % 2 == 0 ? 5 : 3, true, SimulationOptions());
 }
 
 TEST_CASE("leaders that change often, with messages lost, doubled and late") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    SimTerms terms;
+    SimulationOptions terms;
     terms.duplication = 0.1;
     terms.late = 0.05;
     terms.loss = seed % 3 == 0 ? 0.05 : 0;
