--- a/tests/cluster/control/operator_api_test.cpp
+++ b/tests/cluster/control/operator_api_test.cpp
@@ -22,7 +22,7 @@
     ControlStatus status;
     status.node = "core-a-1";
     status.member_id = 7;
-    status.in_touch = hears_majority;
+    status.has_quorum_contact = hears_majority;
     status.configuration_version = 12;
     status.members.set_epoch(3);
     wire::Member& member = *status.members.add_members();
@@ -32,12 +32,12 @@
     service.service = "core";
     service.leads = true;
     service.epoch = 5;
-    service.figures.live_jobs = 2;
-    service.figures.counters.ends[wire::END_DONE] = 9;
+    service.stats.live_jobs = 2;
+    service.stats.counters.ends[wire::END_DONE] = 9;
     status.services.push_back(service);
     return status;
   }
-  bool in_touch() const override { return hears_majority; }
+  bool has_quorum_contact() const override { return hears_majority; }
   Leadership leadership(const std::string& service) const override {
     if (service == "core") return {LeadershipKind::here, {}};
     if (service == "fraud") return {LeadershipKind::redirect, "127.0.0.2:8144"};
@@ -83,7 +83,7 @@
   configuration_test::SharedRegister registers;
   ConfigurationService configuration{
       runtime, registers,
-      ConfigurationSurroundings{[] { return std::vector<wire::ShardLeader>(); },
+      ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                 [] { return std::vector<wire::Member>(); }, [] { return true; }}};
   StandInNode node;
   OperatorApi api{configuration, node};
@@ -141,7 +141,7 @@
   get("/v1/jobs?limit=none");
   CHECK(node.asked_limit == kDefaultJobLimit);
   get("/v1/jobs?limit=99999999");
-  CHECK(node.asked_limit == kMostJobsListed);
+  CHECK(node.asked_limit == kMaxJobLimit);
 }
 
 TEST_CASE_METHOD(ApiFixture, "one job is shown with its stages and runs") {
--- a/tests/cluster/control/restart_test.cpp
+++ b/tests/cluster/control/restart_test.cpp
@@ -14,20 +14,20 @@
 constexpr std::size_t kNodes = 3;
 
 struct ControlNodes {
-  SimWorld world;
+  Simulation simulation;
   std::vector<ControlNode*> nodes = std::vector<ControlNode*>(kNodes);
   bool first_start = true;
   bool words_of_choices_lost = false;  // of values that were chosen
 
-  explicit ControlNodes(std::uint64_t seed) : world(seed, SimTerms{}) {
+  explicit ControlNodes(std::uint64_t seed) : simulation(seed, SimulationOptions{}) {
     for (std::size_t index = 0; index < kNodes; ++index) {
-      world.add_node(machine_ip(index) + ":7000", [this, index](SimNode& node) {
+      simulation.add_node(machine_ip(index) + ":7000", [this, index](SimNode& node) {
         auto control =
             std::make_shared<ControlNode>(node, node.store(), control_settings(index, first_start));
         nodes[index] = control.get();
         control->start();
         return SimNode::Program{control,
-                                [this, control](const wire::Envelope& request, const Replier& reply) {
+                                [this, control](const wire::Envelope& request, const ReplyCallback& reply) {
                                   if (words_of_choices_lost && request.has_register_chosen()) return true;
                                   return control->handle(request, reply);
                                 }};
@@ -35,16 +35,16 @@
     }
     start_all();
     first_start = false;
-    world.run_for(Millis(3000));
+    simulation.run_for(Millis(3000));
   }
   ~ControlNodes() { crash_all(); }
 
   void start_all() {
-    for (std::size_t index = 0; index < kNodes; ++index) world.node(index).start();
+    for (std::size_t index = 0; index < kNodes; ++index) simulation.node(index).start();
   }
   void crash_all() {
     for (std::size_t index = 0; index < kNodes; ++index) {
-      if (world.node(index).running()) world.node(index).crash();
+      if (simulation.node(index).running()) simulation.node(index).crash();
     }
   }
   // Sends a configuration to one node; true once it was acknowledged.
@@ -75,21 +75,21 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     ControlNodes control(seed);
     const auto acknowledged = control.put(0, 5, 0);
-    control.world.run_for(Millis(3000));
+    control.simulation.run_for(Millis(3000));
     REQUIRE(*acknowledged);
     REQUIRE(control.led("core"));
     control.crash_all();
-    control.world.run_for(Millis(1500));
+    control.simulation.run_for(Millis(1500));
     control.start_all();
     Millis passed{0};
     while (!control.led("core") && passed < Millis(3000)) {
-      control.world.run_for(Millis(5));
+      control.simulation.run_for(Millis(5));
       passed += Millis(5);
     }
     CAPTURE(seed, passed.count());
     CHECK(passed < Millis(400));
     for (std::size_t index = 0; index < kNodes; ++index) CHECK(control.version_at(index) == 0);
-    control.world.run_for(Millis(600));
+    control.simulation.run_for(Millis(600));
     for (std::size_t index = 0; index < kNodes; ++index) CHECK(control.version_at(index) == 5);
   }
 }
@@ -98,14 +98,14 @@
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     ControlNodes control(seed);
     control.put(0, 5, 0);
-    control.world.run_for(Millis(3000));
+    control.simulation.run_for(Millis(3000));
     control.words_of_choices_lost = true;
     const auto acknowledged = control.put(1, 7, 5);
-    while (!*acknowledged) control.world.run_for(Millis(1));
-    control.world.node(1).crash();
+    while (!*acknowledged) control.simulation.run_for(Millis(1));
+    control.simulation.node(1).crash();
     REQUIRE(control.version_at(0) == 5);
     REQUIRE(control.version_at(2) == 5);
-    control.world.run_for(Millis(1000));
+    control.simulation.run_for(Millis(1000));
     CAPTURE(seed);
     CHECK(control.version_at(0) == 7);
     CHECK(control.version_at(2) == 7);
--- a/tests/cluster/delivery/delivery_fixture.hpp
+++ b/tests/cluster/delivery/delivery_fixture.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
+#include "cluster/delivery/configuration_fetcher.hpp"
 #include "cluster/delivery/configuration_items.hpp"
 #include "cluster/delivery/configuration_replica.hpp"
-#include "cluster/delivery/difference_fetcher.hpp"
-#include "cluster/delivery/difference_server.hpp"
+#include "cluster/delivery/configuration_transfer_server.hpp"
 #include "tests/cluster/support/fake_runtime.hpp"
 
 namespace winchhall::cluster::testing {
@@ -46,12 +46,12 @@
 };
 
 // A process that holds versions and hands them on.
-struct Holder {
-  ItemTable table;
-  DifferenceServer server{table};
+struct ConfigurationSource {
+  ConfigurationItemTable table;
+  ConfigurationTransferServer server{table};
 
-  void hold(const OperatorsConfiguration& configuration) {
-    table.apply(table.difference_to(configuration.version, items_of(configuration.whole())));
+  void store_version(const OperatorsConfiguration& configuration) {
+    table.apply(table.difference_to_items(configuration.version, items_of(configuration.whole())));
   }
   wire::ConfigurationPart fetch(const wire::ConfigurationFetch& fetch) {
     wire::ConfigurationPart part;
--- a/tests/cluster/delivery/difference_test.cpp
+++ b/tests/cluster/delivery/difference_test.cpp
@@ -10,21 +10,21 @@
 
 struct DifferenceFixture {
   OperatorsConfiguration operators;
-  Holder holder;
+  ConfigurationSource source;
   ConfigurationReplica replica;
 
   DifferenceFixture() {
     operators.version = 1;
     operators.add_routes(100);
-    holder.hold(operators);
-    REQUIRE(replica.take(difference()) == TakeOutcome::taken);
+    source.store_version(operators);
+    REQUIRE(replica.apply(difference()) == ApplyOutcome::applied);
   }
   void next(std::uint64_t version) {
     operators.version = version;
-    holder.hold(operators);
+    source.store_version(operators);
   }
   wire::ConfigurationDifference difference() const {
-    return holder.table.difference_from(replica.table().id());
+    return source.table.difference_since(replica.table().id());
   }
 };
 
@@ -38,7 +38,7 @@
   const wire::ConfigurationDifference made = difference();
   CHECK(made.base_version() == 1);
   CHECK(made.items_size() == 3);
-  CHECK(replica.take(made) == TakeOutcome::taken);
+  CHECK(replica.apply(made) == ApplyOutcome::applied);
   CHECK(holds(replica, operators));
   CHECK(replica.configuration()->find_route("jobs.example", "/r-9/x") == nullptr);
 }
@@ -49,7 +49,7 @@
     next(version);
   }
   CHECK(difference().items_size() == 1);
-  CHECK(replica.take(difference()) == TakeOutcome::taken);
+  CHECK(replica.apply(difference()) == ApplyOutcome::applied);
   CHECK(holds(replica, operators));
 }
 
@@ -59,7 +59,7 @@
   next(2);
   operators.put(route_named("r-3", 900));
   next(3);
-  CHECK(replica.take(difference()) == TakeOutcome::taken);
+  CHECK(replica.apply(difference()) == ApplyOutcome::applied);
   CHECK(holds(replica, operators));
   CHECK(nothing.items_size() == 0);
 }
@@ -68,7 +68,7 @@
   operators.put(route_named("r-1", 3000, "r-2"));
   operators.put(route_named("r-2", 3000, "r-1"));
   next(2);
-  CHECK(replica.take(difference()) == TakeOutcome::taken);
+  CHECK(replica.apply(difference()) == ApplyOutcome::applied);
   CHECK(holds(replica, operators));
 }
 
@@ -78,28 +78,28 @@
   const wire::ConfigurationDifference from_first = difference();
   operators.put(route_named("r-8", 500));
   next(3);
-  REQUIRE(replica.take(difference()) == TakeOutcome::taken);
+  REQUIRE(replica.apply(difference()) == ApplyOutcome::applied);
   wire::ConfigurationDifference newer = from_first;
   newer.set_version(9);
-  CHECK(replica.take(newer) == TakeOutcome::unusable);
-  CHECK(replica.take(from_first) == TakeOutcome::stale);
+  CHECK(replica.apply(newer) == ApplyOutcome::rejected);
+  CHECK(replica.apply(from_first) == ApplyOutcome::stale);
   CHECK(holds(replica, operators));
 }
 
 TEST_CASE_METHOD(DifferenceFixture, "a version of the same number with other content is another base") {
   OperatorsConfiguration other = operators;
   other.put(route_named("r-7", 1));
-  Holder strange;
-  strange.hold(other);
+  ConfigurationSource strange;
+  strange.store_version(other);
   other.version = 2;
   other.put(route_named("r-8", 1));
-  strange.hold(other);
-  const wire::ConfigurationDifference made = strange.table.difference_from(replica.table().id());
+  strange.store_version(other);
+  const wire::ConfigurationDifference made = strange.table.difference_since(replica.table().id());
   CHECK(made.base_version() == 0);
-  wire::ConfigurationDifference forged = strange.table.difference_from({1, strange.table.id().digest});
+  wire::ConfigurationDifference forged = strange.table.difference_since({1, strange.table.id().digest});
   forged.set_base_version(1);
-  CHECK(replica.take(forged) == TakeOutcome::unusable);
-  CHECK(replica.take(made) == TakeOutcome::taken);
+  CHECK(replica.apply(forged) == ApplyOutcome::rejected);
+  CHECK(replica.apply(made) == ApplyOutcome::applied);
   CHECK(holds(replica, other));
 }
 
@@ -115,20 +115,20 @@
   }();
   wire::ConfigurationDifference damaged = difference();
   damaged.mutable_items(1)->mutable_encoded()->back() ^= 1;
-  CHECK(replica.take(damaged) == TakeOutcome::unusable);
+  CHECK(replica.apply(damaged) == ApplyOutcome::rejected);
   wire::ConfigurationDifference short_one = difference();
   short_one.mutable_items()->RemoveLast();
-  CHECK(replica.take(short_one) == TakeOutcome::unusable);
+  CHECK(replica.apply(short_one) == ApplyOutcome::rejected);
   wire::ConfigurationDifference doubled = difference();
   *doubled.add_items() = doubled.items(0);
-  CHECK(replica.take(doubled) == TakeOutcome::unusable);
+  CHECK(replica.apply(doubled) == ApplyOutcome::rejected);
   CHECK(holds(replica, before));
-  CHECK(replica.take(difference()) == TakeOutcome::taken);
+  CHECK(replica.apply(difference()) == ApplyOutcome::applied);
   CHECK(holds(replica, operators));
 }
 
 TEST_CASE_METHOD(DifferenceFixture, "who is too far behind gets the whole configuration") {
-  for (std::uint64_t version = 2; version <= ItemTable::kMostPastVersions + 10; ++version) {
+  for (std::uint64_t version = 2; version <= ConfigurationItemTable::kMaxPastVersions + 10; ++version) {
     operators.put(route_named("r-7", static_cast<std::uint32_t>(version)));
     if (version == 5) operators.routes.erase("r-9");
     next(version);
@@ -136,7 +136,7 @@
   const wire::ConfigurationDifference made = difference();
   CHECK(made.base_version() == 0);
   CHECK(made.items_size() == 101);  // 99 routes, a service, the limits
-  CHECK(replica.take(made) == TakeOutcome::taken);
+  CHECK(replica.apply(made) == ApplyOutcome::applied);
   CHECK(holds(replica, operators));
 }
 
@@ -148,18 +148,18 @@
   item.set_name("later");
   item.set_encoded("of a newer version of the program");
   items.push_back(item);
-  holder.table.apply(holder.table.difference_to(2, items));
-  CHECK(replica.take(difference()) == TakeOutcome::taken);
+  source.table.apply(source.table.difference_to_items(2, items));
+  CHECK(replica.apply(difference()) == ApplyOutcome::applied);
   CHECK(replica.version() == 2);
-  CHECK(replica.table().difference_from({}).items_size() == 103);
+  CHECK(replica.table().difference_since({}).items_size() == 103);
 }
 
 TEST_CASE_METHOD(DifferenceFixture, "what came whole as JSON is the base of differences all the same") {
   ConfigurationReplica other;
-  REQUIRE(other.take_json(configuration_json(operators.whole()), "test") == TakeOutcome::taken);
+  REQUIRE(other.apply_json(configuration_json(operators.whole()), "test") == ApplyOutcome::applied);
   CHECK(other.table().id() == replica.table().id());
   operators.put(route_named("r-7", 500));
   next(2);
-  CHECK(other.take(difference()) == TakeOutcome::taken);
+  CHECK(other.apply(difference()) == ApplyOutcome::applied);
   CHECK(holds(other, operators));
 }
--- a/tests/cluster/http/server_test.cpp
+++ b/tests/cluster/http/server_test.cpp
@@ -18,12 +18,13 @@
 
 struct ServerFixture {
   asio::io_context loop;
-  HttpHandler handler = [](HttpRequest request, HttpReplier reply) {
+  HttpHandler handler = [](HttpRequest request, HttpReplyCallback reply) {
     reply(json_response(200, std::string(request.target()) + request.body()));
   };
   std::unique_ptr<HttpServer> server = make_http_server(
       loop, "127.0.0.1:0",
-      [this](HttpRequest request, HttpReplier reply) { handler(std::move(request), std::move(reply)); }, 4);
+      [this](HttpRequest request, HttpReplyCallback reply) { handler(std::move(request), std::move(reply)); },
+      4);
 
   unsigned short port() const { return server->port(); }
 
@@ -141,26 +142,26 @@
 }
 
 TEST_CASE_METHOD(ServerFixture, "an answer may come later, and to a client that has gone") {
-  std::vector<HttpReplier> repliers;
-  handler = [&](HttpRequest, HttpReplier reply) { repliers.push_back(std::move(reply)); };
+  std::vector<HttpReplyCallback> repliers;
+  handler = [&](HttpRequest, HttpReplyCallback reply) { repliers.push_back(std::move(reply)); };
   Client staying(loop, port());
   Client leaving(loop, port());
   staying.send(get("/"));
   leaving.send(get("/"));
   REQUIRE(run_until([&] { return repliers.size() == 2; }));
-  CHECK(server->requests_open() == 2);
+  CHECK(server->open_requests() == 2);
   leaving.close();
   for (auto& reply : repliers) {
     reply(json_response(200, "late"));
     reply(json_response(200, "again"));
   }
-  REQUIRE(run_until([&] { return staying.has("late") && server->requests_open() == 0; }));
+  REQUIRE(run_until([&] { return staying.has("late") && server->open_requests() == 0; }));
   CHECK_FALSE(staying.has("again"));
   repliers.clear();
 }
 
 TEST_CASE_METHOD(ServerFixture, "a request that its handler drops or fails at ends its connection") {
-  handler = [](HttpRequest request, HttpReplier) {
+  handler = [](HttpRequest request, HttpReplyCallback) {
     if (request.target() == "/throw") throw std::runtime_error("handler");
   };
   Client dropped(loop, port());
@@ -172,12 +173,12 @@
 }
 
 TEST_CASE_METHOD(ServerFixture, "draining closes what rests and answers what is under way") {
-  HttpReplier held;
-  handler = [&](HttpRequest, HttpReplier reply) { held = std::move(reply); };
+  HttpReplyCallback held;
+  handler = [&](HttpRequest, HttpReplyCallback reply) { held = std::move(reply); };
   Client resting(loop, port());
   Client waiting(loop, port());
   waiting.send(get("/"));
-  REQUIRE(run_until([&] { return static_cast<bool>(held) && server->connections_open() == 2; }));
+  REQUIRE(run_until([&] { return static_cast<bool>(held) && server->open_connections() == 2; }));
   server->drain();
   REQUIRE(run_until([&] { return resting.ended(); }));
   CHECK_FALSE(waiting.ended());
@@ -191,7 +192,7 @@
 TEST_CASE_METHOD(ServerFixture, "a server that stops accepting serves its connections on") {
   Client client(loop, port());
   const auto own_port = port();
-  REQUIRE(run_until([&] { return server->connections_open() == 1; }));
+  REQUIRE(run_until([&] { return server->open_connections() == 1; }));
   server->stop_accepting();
   CHECK_THROWS(Client(loop, own_port));
   client.send(get("/on"));
--- a/tests/cluster/ingress/configuration_feed_test.cpp
+++ b/tests/cluster/ingress/configuration_feed_test.cpp
@@ -1,8 +1,7 @@
 // How an ingress keeps its configuration.
-#include "cluster/ingress/configuration_feed.hpp"
-
 #include <catch2/catch.hpp>
 
+#include "cluster/ingress/configuration_subscription.hpp"
 #include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
@@ -15,7 +14,7 @@
 struct FeedFixture {
   FakeRuntime runtime;
   std::vector<std::uint64_t> seen;
-  ConfigurationFeed feed{
+  ConfigurationSubscription feed{
       runtime, kAgent, [this](const Configuration& configuration) { seen.push_back(configuration.version); }};
   wire::ConfigurationUpdate update;
   std::unique_ptr<Timer> held;
@@ -34,7 +33,7 @@
 
   // An agent that answers at once when it has something newer, else after the wait.
   void start_agent() {
-    runtime.peers[kAgent] = [this](const wire::Envelope& request, const Replier& reply) {
+    runtime.peers[kAgent] = [this](const wire::Envelope& request, const ReplyCallback& reply) {
       const auto& watch = request.configuration_watch();
       const auto answer = [this, reply, version = watch.version()] {
         wire::Envelope envelope;
--- a/tests/cluster/ingress/job_gateway_test.cpp
+++ b/tests/cluster/ingress/job_gateway_test.cpp
@@ -36,7 +36,7 @@
   }
 
   void agent_answers(wire::JobReply job_reply) {
-    runtime.peers[kAgent] = [this, job_reply](const wire::Envelope& request, const Replier& reply) {
+    runtime.peers[kAgent] = [this, job_reply](const wire::Envelope& request, const ReplyCallback& reply) {
       requests.push_back(request.job_request());
       wire::Envelope envelope;
       *envelope.mutable_job_reply() = job_reply;
@@ -49,7 +49,7 @@
     agent_answers(reply);
   }
   void agent_hangs() {
-    runtime.peers[kAgent] = [this](const wire::Envelope& request, const Replier&) {
+    runtime.peers[kAgent] = [this](const wire::Envelope& request, const ReplyCallback&) {
       requests.push_back(request.job_request());
     };
   }
@@ -270,7 +270,7 @@
   const auto submitted = submit();
   const auto counted = send(http::verb::get, "/a/");
   runtime.run_for(Millis(50));
-  gateway.give_up_all();
+  gateway.fail_all_pending();
   CHECK(submitted->status == 504);
   CHECK(counted->status == 503);
   CHECK(gateway.open() == 0);
--- a/tests/cluster/ingress/shutdown_test.cpp
+++ b/tests/cluster/ingress/shutdown_test.cpp
@@ -36,7 +36,8 @@
   }
 
   void start_agent() {
-    runtime.peers[settings.feed_address()] = [this](const wire::Envelope& request, const Replier& reply) {
+    runtime.peers[settings.agent_listener_address()] = [this](const wire::Envelope& request,
+                                                              const ReplyCallback& reply) {
       if (!request.has_configuration_watch()) return;
       wire::Envelope envelope;
       auto& update = *envelope.mutable_configuration_update();
--- a/tests/cluster/integration/processes_test.cpp
+++ b/tests/cluster/integration/processes_test.cpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <thread>
 
+#include "testbed/cluster/fake_leaf.hpp"
 #include "testbed/cluster/http_call.hpp"
 #include "testbed/cluster/local_cluster.hpp"
-#include "testbed/cluster/stand_in_leaf.hpp"
 
 using namespace winchhall::testbed::cluster;
 
@@ -53,8 +53,8 @@
   explicit Site(unsigned workers = 2) : cluster(WINCHHALL_CLUSTER_PROGRAM, workers, kService) {
     cluster.start_all();
     for (unsigned i = 0; i < workers; ++i) {
-      leaves.push_back(std::make_unique<StandInLeaf>(
-          LeafOptions{cluster.worker_address(i), "i-" + std::to_string(i), kService, "a"}));
+      leaves.push_back(std::make_unique<FakeLeaf>(
+          FakeLeafOptions{cluster.worker_address(i), "i-" + std::to_string(i), kService, "a"}));
     }
   }
 
@@ -64,7 +64,7 @@
     return until([&] {
       HttpCall call = operator_call(turn++, "POST", "/v1/Config.Put", body);
       call.headers.push_back({"X-Winchhall-Base-Version", std::to_string(base)});
-      return carry_out(call).status == 200;
+      return send_http_call(call).status == 200;
     });
   }
 
@@ -72,7 +72,7 @@
     std::string body;
     unsigned turn = 0;
     until([&] {
-      const HttpAnswer answer = carry_out(operator_call(turn++, "GET", "/v1/Config.Get", ""));
+      const HttpCallResponse answer = send_http_call(operator_call(turn++, "GET", "/v1/Config.Get", ""));
       if (answer.status == 200) body = answer.body;
       return answer.status == 200;
     });
@@ -88,7 +88,7 @@
     call.host = "demo.example";
     call.body = body;
     call.timeout = std::chrono::milliseconds(4000);
-    const HttpAnswer answer = carry_out(call);
+    const HttpCallResponse answer = send_http_call(call);
     if (text) *text = answer.body;
     return answer.status;
   }
@@ -105,14 +105,14 @@
 
   // Runs of one task that were under way at the same time, or started after one was done and taken note of.
   unsigned doubled() const {
-    std::map<std::string, std::vector<LeafStart>> by_task;
+    std::map<std::string, std::vector<FakeLeafTaskStart>> by_task;
     for (const auto& leaf : leaves) {
-      for (const LeafStart& start : leaf->starts()) by_task[start.task].push_back(start);
+      for (const FakeLeafTaskStart& start : leaf->starts()) by_task[start.task].push_back(start);
     }
     unsigned found = 0;
     for (const auto& [task, starts] : by_task) {
       unsigned done = 0;
-      for (const LeafStart& start : starts) done += start.done ? 1 : 0;
+      for (const FakeLeafTaskStart& start : starts) done += start.done ? 1 : 0;
       if (done > 1) ++found;
     }
     return found;
@@ -128,7 +128,7 @@
   }
 
   LocalCluster cluster;
-  std::vector<std::unique_ptr<StandInLeaf>> leaves;
+  std::vector<std::unique_ptr<FakeLeaf>> leaves;
 
  private:
   HttpCall operator_call(unsigned turn, const char* method, const char* target,
--- a/tests/cluster/membership/sampler_test.cpp
+++ b/tests/cluster/membership/sampler_test.cpp
@@ -34,7 +34,8 @@
     samplers.back()->start();
   }
   void listen(std::size_t index) {
-    runtime.peers[address_of(index)] = [this, index](const wire::Envelope& request, const Replier& reply) {
+    runtime.peers[address_of(index)] = [this, index](const wire::Envelope& request,
+                                                     const ReplyCallback& reply) {
       bytes += request.ByteSizeLong();
       if (samplers[index]) {
         samplers[index]->handle(request, [this, reply](const wire::Envelope& answer) {
@@ -174,7 +175,7 @@
                                   descriptor("10.0.0.7:0"),  descriptor("10.0.0.7:70000"),
                                   descriptor("10.0.0.7:8x"), descriptor(std::string(5000, '1') + ":1")};
   bad.push_back(descriptor("10.0.0.7:80"));
-  bad.back().age = kLargestDescriptorAge + 1;
+  bad.back().age = kMaxDescriptorAge + 1;
   bad.push_back(descriptor("10.0.0.7:80"));
   bad.back().zone = std::string(5000, 'z');
   CHECK(sampler.handle(shuffle_of(descriptor("nobody"), bad), [](const wire::Envelope&) {}));
@@ -188,7 +189,7 @@
   PeerSampler sampler(runtime, PeerDescriptor{address_of(0), PeerRole::control, "", 0}, nullptr);
   std::vector<PeerDescriptor> many;
   for (std::size_t i = 1; i < 200; ++i) many.push_back({address_of(i), PeerRole::agent, "", 0});
-  CHECK(descriptors_of(shuffle_of(many[0], many).peer_shuffle()).size() <= kMostDescriptorsRead + 1);
+  CHECK(descriptors_of(shuffle_of(many[0], many).peer_shuffle()).size() <= kMaxDescriptorsRead + 1);
   sampler.handle(shuffle_of(many[0], many), [](const wire::Envelope&) {});
   CHECK(sampler.view().peers().size() == 8);
 }
--- a/tests/cluster/membership/sources_test.cpp
+++ b/tests/cluster/membership/sources_test.cpp
@@ -43,7 +43,7 @@
   }
 
   void serve(const Address& address) {
-    runtime.peers[address] = [this, address](const wire::Envelope&, const Replier& reply) {
+    runtime.peers[address] = [this, address](const wire::Envelope&, const ReplyCallback& reply) {
       asked.push_back(address);
       wire::Envelope answer;
       wire::ShardLeader& leader = *answer.mutable_configuration_update()->add_leaders();
@@ -60,14 +60,14 @@
  public:
   NewcomerFixture() : cluster(5, 7) {
     cluster.bootstrap();
-    REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(20'000)));
+    REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(20'000)));
     for (std::size_t seed = 0; seed < 3; ++seed) cluster.crash(seed);
     newcomer = cluster.add_machine();
     cluster.start(newcomer);
   }
 
   bool joins() {
-    return cluster.world().run_until([&] { return cluster.is_member(newcomer); }, kNewcomerTime);
+    return cluster.simulation().run_until([&] { return cluster.is_member(newcomer); }, kNewcomerTime);
   }
 
   sim::ControlCluster<> cluster;
@@ -100,7 +100,7 @@
   directory.set_sampled({"10.0.0.7:7380"});
   CHECK(directory.choose({})->address == "10.0.0.1:7380");
   for (unsigned turn = 0; turn < 20; ++turn) CHECK(directory.choose_any("") == "10.0.0.1:7380");
-  directory.note_failure("10.0.0.1:7380");
+  directory.record_failure("10.0.0.1:7380");
   CHECK(directory.choose({})->address == "10.0.0.7:7380");
   CHECK(directory.choose({"10.0.0.7:7380"})->address == "10.0.0.1:7380");
 }
--- a/tests/cluster/membership/view_test.cpp
+++ b/tests/cluster/membership/view_test.cpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "cluster/membership/contact_list.hpp"
-#include "cluster/membership/control_sample.hpp"
 #include "cluster/membership/partial_view.hpp"
+#include "cluster/membership/sampled_control_nodes.hpp"
 
 using namespace winchhall::cluster;
 
@@ -97,7 +97,7 @@
  private:
   void shuffle(std::size_t index) {
     PartialView& view = views_[index];
-    view.grow_older();
+    view.increment_ages();
     const std::optional<PeerDescriptor> partner = view.take_oldest();
     if (!partner) return;
     const std::size_t other = index_of(partner->address);
@@ -108,7 +108,7 @@
     received.insert(received.begin(), peer(index));
     views_[other].merge(received, answer);
     view.merge(answer, sent);
-    view.add_if_free(peer(other));
+    view.insert_if_space(peer(other));
   }
   std::size_t index_of(const Address& address) const {
     for (std::size_t i = 0; i < views_.size(); ++i) {
@@ -146,7 +146,7 @@
   view.merge({peer(1), peer(2), peer(3)}, {});
   view.merge({peer(4), peer(5)}, {peer(2)});
   CHECK(addresses(view.peers()) == addresses({peer(1), peer(3), peer(4)}));
-  view.add_if_free(peer(6));
+  view.insert_if_space(peer(6));
   CHECK_FALSE(view.contains(address_of(6)));
 }
 
@@ -198,7 +198,7 @@
     REQUIRE(overlay.connected());
     overlay.kill_share(0.3);
     CHECK(overlay.connected());
-    overlay.run(kLargestDescriptorAge);
+    overlay.run(kMaxDescriptorAge);
     CHECK(overlay.dead_entries() == 0);
     CHECK(overlay.connected());
   }
@@ -233,7 +233,7 @@
   CHECK(contacts.choose(view, random).empty());
   contacts.add_former(address_of(2));
   CHECK(contacts.choose(view, random) == address_of(2));
-  contacts.forget_former(address_of(2));
+  contacts.remove_former(address_of(2));
   CHECK(contacts.choose(view, random).empty());
 }
 
@@ -255,7 +255,7 @@
 }
 
 TEST_CASE("the sample lists control nodes only, the youngest ones, and forgets what nobody refreshes") {
-  ControlSample sample(address_of(0), 2);
+  SampledControlNodes sample(address_of(0), 2);
   sample.merge({peer(0, 0, PeerRole::control), peer(1, 3, PeerRole::control), peer(2, 0, PeerRole::agent),
                 peer(3, 9, PeerRole::control), peer(4, 1, PeerRole::control)});
   CHECK(sample.addresses() == std::vector<Address>{address_of(1), address_of(4)});
@@ -263,6 +263,6 @@
   CHECK(sample.addresses().size() == 2);
   sample.merge({peer(1, 1, PeerRole::agent)});  // the address has another owner now
   CHECK(sample.addresses() == std::vector<Address>{address_of(4)});
-  for (std::uint32_t round = 0; round <= kLargestDescriptorAge; ++round) sample.grow_older();
+  for (std::uint32_t round = 0; round <= kMaxDescriptorAge; ++round) sample.increment_ages();
   CHECK(sample.addresses().empty());
 }
--- a/tests/cluster/metrics/collectors_test.cpp
+++ b/tests/cluster/metrics/collectors_test.cpp
@@ -19,16 +19,16 @@
 
 ControlStatus leading_status() {
   ControlStatus status;
-  status.in_touch = true;
+  status.has_quorum_contact = true;
   status.configuration_version = 12;
   ServiceStatus service;
   service.service = "core";
   service.leads = true;
   service.leases_acquired = 2;
-  service.figures.waiting_tasks = 4;
-  service.figures.counters.jobs_accepted = 6;
-  service.figures.counters.tasks_started = 8;
-  service.figures.counters.ends[wire::END_FAILED] = 3;
+  service.stats.waiting_tasks = 4;
+  service.stats.counters.jobs_accepted = 6;
+  service.stats.counters.tasks_started = 8;
+  service.stats.counters.ends[wire::END_FAILED] = 3;
   service.write_times.add(Millis(4));
   service.write_times.add(Millis(4000));
   status.services.push_back(service);
@@ -70,7 +70,8 @@
 
 TEST_CASE("a port that is taken ends nothing") {
   boost::asio::io_context loop;
-  const auto taken = make_http_server(loop, "127.0.0.1:0", [](const HttpRequest&, const HttpReplier&) {});
+  const auto taken =
+      make_http_server(loop, "127.0.0.1:0", [](const HttpRequest&, const HttpReplyCallback&) {});
   CHECK(make_metrics_server(loop, taken->port(), [](MetricFamilies&) {}) == nullptr);
 }
 
@@ -78,7 +79,7 @@
   boost::asio::io_context loop;
   // A port that was free a moment ago.
   unsigned short port =
-      make_http_server(loop, "127.0.0.1:0", [](const HttpRequest&, const HttpReplier&) {})->port();
+      make_http_server(loop, "127.0.0.1:0", [](const HttpRequest&, const HttpReplyCallback&) {})->port();
   std::unique_ptr<HttpServer> server;
   server = make_metrics_server(loop, port,
                                [&server](MetricFamilies& families) { collect_http(*server, families); });
--- a/tests/cluster/rpc/sockets_test.cpp
+++ b/tests/cluster/rpc/sockets_test.cpp
@@ -9,8 +9,8 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <catch2/catch.hpp>
 
-#include "cluster/rpc/dialer.hpp"
-#include "cluster/rpc/listener.hpp"
+#include "cluster/rpc/rpc_client.hpp"
+#include "cluster/rpc/rpc_server.hpp"
 
 using namespace winchhall::cluster;
 
@@ -22,7 +22,7 @@
 struct Caller {
   boost::asio::io_context loop{1};
   AsioRuntime runtime{loop};
-  NngDialer dialer{loop, runtime};
+  RpcClient dialer{loop, runtime};
 
   Caller() { runtime.use(dialer); }
 
@@ -40,14 +40,13 @@
   return request;
 }
 
-std::shared_ptr<NngListener> listen(Caller& caller, const Address& address, RequestHandler handler) {
-  return leaf::try_handle_all([&] { return NngListener::open(caller.loop, address, std::move(handler)); },
-                              [] { return std::shared_ptr<NngListener>(); });
+std::shared_ptr<RpcServer> listen(Caller& caller, const Address& address, RequestHandler handler) {
+  return leaf::try_handle_all([&] { return RpcServer::open(caller.loop, address, std::move(handler)); },
+                              [] { return std::shared_ptr<RpcServer>(); });
 }
 
 // A listener on the first free port of a range.
-std::shared_ptr<NngListener> listen_anywhere(Caller& caller, Address& address,
-                                             const RequestHandler& handler) {
+std::shared_ptr<RpcServer> listen_anywhere(Caller& caller, Address& address, const RequestHandler& handler) {
   for (int port = 23100; port < 23400; ++port) {
     address = "127.0.0.1:" + std::to_string(port);
     if (auto listener = listen(caller, address, handler)) return listener;
@@ -55,7 +54,7 @@
   return nullptr;
 }
 
-bool answer_with_length(const wire::Envelope& request, const Replier& reply) {
+bool answer_with_length(const wire::Envelope& request, const ReplyCallback& reply) {
   wire::Envelope answer;
   answer.mutable_job_reply()->set_pending(
       static_cast<std::uint32_t>(request.job_request().terms().queue().size()));
@@ -97,9 +96,9 @@
 TEST_CASE("an unanswered call ends at its time-out, once, and a late answer is dropped") {
   Caller caller;
   Address address;
-  Replier kept;
+  ReplyCallback kept;
   const auto listener =
-      listen_anywhere(caller, address, [&kept](const wire::Envelope&, const Replier& reply) {
+      listen_anywhere(caller, address, [&kept](const wire::Envelope&, const ReplyCallback& reply) {
         kept = reply;
         return true;
       });
@@ -174,7 +173,7 @@
   Caller caller;
   Address address;
   MuteListener mute(caller.loop, address);
-  std::shared_ptr<NngListener> listener;
+  std::shared_ptr<RpcServer> listener;
   int calls = 0;
   bool answered = false;
   std::function<void()> ask = [&] {
@@ -208,10 +207,10 @@
 TEST_CASE("a long poll under way does not make later calls go out twice") {
   Caller caller;
   Address address;
-  std::vector<Replier> polls;
+  std::vector<ReplyCallback> polls;
   int counted = 0;
   const auto listener =
-      listen_anywhere(caller, address, [&](const wire::Envelope& request, const Replier& reply) {
+      listen_anywhere(caller, address, [&](const wire::Envelope& request, const ReplyCallback& reply) {
         if (request.job_request().terms().queue() == "poll") {
           polls.push_back(reply);
           return true;
@@ -276,7 +275,7 @@
   Caller caller;
   Address silent;
   const auto listener =
-      listen_anywhere(caller, silent, [](const wire::Envelope&, const Replier&) { return true; });
+      listen_anywhere(caller, silent, [](const wire::Envelope&, const ReplyCallback&) { return true; });
   REQUIRE(listener);
   Address mixed_up;
   MixedUpPeer peer(mixed_up);
--- a/tests/cluster/scheduler/course_test.cpp
+++ b/tests/cluster/scheduler/course_test.cpp
@@ -22,7 +22,7 @@
   CHECK(script.orders("i-1").starts_size() == 0);  // not durable yet
   script.settle();
   CHECK(script.scheduler->pending("q") == 1);
-  REQUIRE(script.scheduler->has_news("i-1"));
+  REQUIRE(script.scheduler->has_undelivered_orders("i-1"));
   wire::WorkerOrders orders = script.orders("i-1");
   REQUIRE(orders.starts_size() == 1);
   CHECK(orders.starts(0).task() == "a.0.0.0");
--- a/tests/cluster/scheduler/ended_jobs_test.cpp
+++ b/tests/cluster/scheduler/ended_jobs_test.cpp
@@ -16,9 +16,9 @@
 }
 
 // The changes that the scheduler wants made, not made durable.
-std::vector<ShardChange> taken_changes(Script& script, ChangeNumber& number) {
+std::vector<ShardChange> taken_changes(Script& script, ChangeBatchNumber& number) {
   script.scheduler->plan(script.time(), script.wall());
-  Scheduler::Changes changes = script.scheduler->take_changes();
+  Scheduler::ChangeBatch changes = script.scheduler->take_changes();
   number = changes.number;
   return changes.changes;
 }
@@ -58,12 +58,12 @@
   script.submit("a", large_job());
   script.settle();
   script.scheduler->cancel("a", script.time(), script.wall());
-  ChangeNumber end = 0;
+  ChangeBatchNumber end = 0;
   for (const ShardChange& change : taken_changes(script, end)) CHECK(change.key != "job/a");
-  ChangeNumber none = 0;
+  ChangeBatchNumber none = 0;
   for (const ShardChange& change : taken_changes(script, none)) CHECK(change.key != "job/a");
-  script.scheduler->changes_durable(end);
-  ChangeNumber after = 0;
+  script.scheduler->on_changes_durable(end);
+  ChangeBatchNumber after = 0;
   const std::vector<ShardChange> changes = taken_changes(script, after);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].key == "job/a");
--- a/tests/cluster/scheduler/inspection_test.cpp
+++ b/tests/cluster/scheduler/inspection_test.cpp
@@ -58,8 +58,8 @@
   void step() {
     for (int round = 0; round < 3; ++round) {
       scheduler->plan(now, kWall);
-      const Scheduler::Changes changes = scheduler->take_changes();
-      if (changes.number > 0) scheduler->changes_durable(changes.number);
+      const Scheduler::ChangeBatch changes = scheduler->take_changes();
+      if (changes.number > 0) scheduler->on_changes_durable(changes.number);
       now += Millis(200);
     }
   }
@@ -77,9 +77,9 @@
   CHECK(list.jobs[0].queue == "extract");
   CHECK(list.jobs[0].priority == 2);
   CHECK(list.jobs[0].state == wire::JOB_QUEUED);
-  CHECK(scheduler->figures().counters.jobs_accepted == 2);
+  CHECK(scheduler->stats().counters.jobs_accepted == 2);
   submit(kJob);
-  CHECK(scheduler->figures().counters.jobs_accepted == 2);
+  CHECK(scheduler->stats().counters.jobs_accepted == 2);
 }
 
 TEST_CASE_METHOD(SchedulerFixture, "a job is shown with its stages and runs, a leaf with what it holds") {
@@ -102,11 +102,11 @@
   CHECK(leaves[0].reserved.cpu == 2000);
   CHECK(leaves[0].runs == 2);
   CHECK(leaves[0].report_age_ms == 600);
-  const SchedulerFigures figures = scheduler->figures();
-  CHECK(figures.counters.tasks_started == 2);
-  CHECK(figures.counters.reports == 2);
-  CHECK(figures.waiting_tasks == 1);
-  CHECK(figures.runs == 2);
+  const SchedulerStats stats = scheduler->stats();
+  CHECK(stats.counters.tasks_started == 2);
+  CHECK(stats.counters.reports == 2);
+  CHECK(stats.waiting_tasks == 1);
+  CHECK(stats.runs == 2);
 }
 
 TEST_CASE_METHOD(SchedulerFixture,
@@ -118,5 +118,5 @@
   CHECK(scheduler->job(kJob)->job.state == wire::JOB_RUNNING);
   step();
   CHECK(scheduler->job(kJob)->job.state == wire::JOB_CANCELED);
-  CHECK(scheduler->figures().live_jobs == 0);
+  CHECK(scheduler->stats().live_jobs == 0);
 }
--- a/tests/cluster/scheduler/preemption_test.cpp
+++ b/tests/cluster/scheduler/preemption_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "cluster/scheduler/leaf_health.hpp"
-#include "cluster/scheduler/waiting_queue.hpp"
+#include "cluster/scheduler/stage_queue.hpp"
 #include "tests/cluster/scheduler/scheduler_script.hpp"
 
 namespace winchhall::cluster {
@@ -93,16 +93,16 @@
   late.key.sequence = 1;
   late.late_after = at(2500);
   late.worthless_after = at(9000);
-  WaitingQueue queue;
+  StageQueue queue;
   queue.add(early);
   queue.add(late);
   CHECK(queue.stages().begin()->second == &early);
-  queue.update_outlook(early, at(1600));
-  queue.update_outlook(late, at(1600));
+  queue.update_deadline_status(early, at(1600));
+  queue.update_deadline_status(late, at(1600));
   CHECK(queue.stages().begin()->second == &late);
-  queue.update_outlook(late, at(2600));
+  queue.update_deadline_status(late, at(2600));
   CHECK(queue.stages().begin()->second == &early);  // both late
-  queue.update_outlook(early, at(4001));
+  queue.update_deadline_status(early, at(4001));
   CHECK(queue.stages().begin()->second == &late);
   late.key.priority = 1;
   CHECK(early.key < late.key);  // priority first
--- a/tests/cluster/scheduler/scheduler_script.hpp
+++ b/tests/cluster/scheduler/scheduler_script.hpp
@@ -38,7 +38,7 @@
   void settle() {
     for (int i = 0; i < 3; ++i) {
       scheduler->plan(time(), wall());
-      Scheduler::Changes changes = scheduler->take_changes();
+      Scheduler::ChangeBatch changes = scheduler->take_changes();
       if (changes.number == 0) continue;
       for (ShardChange& change : changes.changes) {
         if (change.value) {
@@ -47,7 +47,7 @@
           disk.erase(change.key);
         }
       }
-      scheduler->changes_durable(changes.number);
+      scheduler->on_changes_durable(changes.number);
     }
     scheduler->plan(time(), wall());
   }
--- a/tests/cluster/scheduler/scheduler_sim.hpp
+++ b/tests/cluster/scheduler/scheduler_sim.hpp
@@ -97,7 +97,7 @@
   std::map<std::string, std::string> disk_;
   struct Write {
     std::uint64_t epoch = 0;
-    Scheduler::Changes changes;
+    Scheduler::ChangeBatch changes;
   };
   std::deque<Write> writes_;
 };
--- a/tests/cluster/scheduler/scheduler_sim_impl.hpp
+++ b/tests/cluster/scheduler/scheduler_sim_impl.hpp
@@ -43,7 +43,7 @@
   SchedulerTerms terms;
   terms.service = "s";
   terms.bounds = checker_.bounds;
-  terms.grant = Millis(4000);
+  terms.lease_duration = Millis(4000);
   leader_ = make_scheduler(terms, ++epoch_, random_());
   std::vector<ShardEntry> entries;
   for (const auto& [key, value] : disk_) entries.push_back({key, value});
@@ -69,7 +69,7 @@
 }
 
 inline void SchedulerSim::flush() {
-  Scheduler::Changes changes = leader_->take_changes();
+  Scheduler::ChangeBatch changes = leader_->take_changes();
   if (changes.number == 0) return;
   writes_.push_back({epoch_, std::move(changes)});
   std::uint64_t number = writes_.back().changes.number;
@@ -83,7 +83,7 @@
           disk_.erase(change.key);
       writes_.pop_front();
     }
-    leader_->changes_durable(number);
+    leader_->on_changes_durable(number);
   });
 }
 
@@ -151,7 +151,8 @@
   leader_->plan(time(), now_);
   flush();
   for (auto& node : nodes_)
-    if (node->answer_by >= 0 && (now_ >= node->answer_by || leader_->has_news(node->worker.leaf_id)))
+    if (node->answer_by >= 0 &&
+        (now_ >= node->answer_by || leader_->has_undelivered_orders(node->worker.leaf_id)))
       answer(*node);
   if (now_ % kStateEvery == 0) show_states();
 }
--- a/tests/cluster/scheduler/units_test.cpp
+++ b/tests/cluster/scheduler/units_test.cpp
@@ -3,10 +3,10 @@
 #include <map>
 #include <random>
 
-#include "cluster/scheduler/job_book.hpp"
-#include "cluster/scheduler/job_checks.hpp"
-#include "cluster/scheduler/leaf_book.hpp"
-#include "cluster/scheduler/records.hpp"
+#include "cluster/scheduler/job_table.hpp"
+#include "cluster/scheduler/job_validation.hpp"
+#include "cluster/scheduler/leaf_registry.hpp"
+#include "cluster/scheduler/record_codec.hpp"
 #include "cluster/scheduler/wall_clock.hpp"
 #include "placement/least_cost.hpp"
 
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE("reports that are older than one that was taken are dropped") {
-  ReportOrder order;
+  ReportDeduplicator order;
   CHECK(order.accept(11, 1));
   CHECK_FALSE(order.accept(11, 1));
   CHECK(order.accept(11, 5));
@@ -73,21 +73,21 @@
   good.add_stages()->set_count(2);
   good.add_stages()->set_count(1);
   good.mutable_stages(1)->add_depends_on(0);
-  CHECK(check_job("a", good));
+  CHECK(validate_job("a", good));
   wire::JobSpec spec;
-  CHECK_FALSE(check_job("a", spec));
-  CHECK_FALSE(check_job("", good));
+  CHECK_FALSE(validate_job("a", spec));
+  CHECK_FALSE(validate_job("", good));
   spec = good;
   spec.mutable_stages(0)->set_count(0);
-  CHECK_FALSE(check_job("a", spec));
+  CHECK_FALSE(validate_job("a", spec));
   spec.mutable_stages(0)->set_count(10001);
-  CHECK_FALSE(check_job("a", spec));
+  CHECK_FALSE(validate_job("a", spec));
   spec = good;
   spec.mutable_stages(1)->add_depends_on(1);
-  CHECK_FALSE(check_job("a", spec));
+  CHECK_FALSE(validate_job("a", spec));
   spec = good;
   spec.set_spec(std::string(4001, 'x'));
-  CHECK_FALSE(check_job("a", spec));
+  CHECK_FALSE(validate_job("a", spec));
 }
 
 TEST_CASE("progress comes back from its record as it was") {
@@ -95,7 +95,7 @@
   spec.set_repeat_count(4);
   spec.add_stages()->set_count(3);
   spec.add_stages()->set_count(2);
-  JobBook jobs;
+  JobTable jobs;
   Job& job = jobs.add("a", spec, {});
   for (std::uint32_t repeat = 0; repeat < 4; ++repeat) jobs.open_repeat(job, repeat, at(0));
   job.repeats[0].done = true;
@@ -125,7 +125,7 @@
   CHECK_FALSE(repeat_done_in(progress, 2));
   CHECK(repeat_done_in(progress, 3));
 
-  JobBook restored;
+  JobTable restored;
   Job& again = restored.add("a", spec, {});
   Repeat& opened = restored.open_repeat(again, 2, at(0));
   apply_progress(progress, 2, opened);
--- a/tests/cluster/store/damage_test.cpp
+++ b/tests/cluster/store/damage_test.cpp
@@ -13,10 +13,10 @@
 DiskFiles filled() {
   SimulatedDisk disk;
   TestLoop loop;
-  StoreTuning tuning = patient_tuning();
+  StoreTuning tuning = tuning_with_long_shutdown_timeout();
   tuning.write_buffer_bytes = 64 << 10;
   {
-    auto store = open_level_store(kFolder, loop.poster(), disk, tuning);
+    auto store = open_leveldb_store(kFolder, loop.poster(), disk, tuning);
     REQUIRE(store);
     for (std::size_t number = 0; number < 100; ++number) {
       commit(*store.value(), loop, {{"key" + std::to_string(number), std::string(1000, 'z')}});
@@ -37,13 +37,13 @@
   SimulatedDisk disk(files);
   TestLoop loop;
   {
-    auto store = open_level_store(kFolder, loop.poster(), disk, patient_tuning());
+    auto store = open_leveldb_store(kFolder, loop.poster(), disk, tuning_with_long_shutdown_timeout());
     REQUIRE(store);
     CHECK(store.value()->replaces_damaged());
     CHECK(content(*store.value()).empty());
     CHECK(commit(*store.value(), loop, {{"identity", "new"}}) == CommitOutcome::durable);
   }
-  auto again = open_level_store(kFolder, loop.poster(), disk, patient_tuning());
+  auto again = open_leveldb_store(kFolder, loop.poster(), disk, tuning_with_long_shutdown_timeout());
   REQUIRE(again);
   CHECK(again.value()->replaces_damaged());
   CHECK(content(*again.value()) == Content{{"identity", "new"}});
@@ -72,7 +72,7 @@
   table[table.size() / 3] ^= 1;
   SimulatedDisk disk(damaged);
   TestLoop loop;
-  REQUIRE(open_level_store(kFolder, loop.poster(), disk, patient_tuning()));
+  REQUIRE(open_leveldb_store(kFolder, loop.poster(), disk, tuning_with_long_shutdown_timeout()));
   std::mt19937_64 random(5);
   DiskModel model(damaged);
   for (const DiskOperation& operation : disk.trace()) {
@@ -85,19 +85,19 @@
 TEST_CASE("a scan ends at the last whole record, and tells a torn end from damage") {
   const DiskFiles files = filled();
   const std::string log = files.at(find_file(files, ".log"));
-  CHECK(scan_log(log).sound_bytes == log.size());
+  CHECK(scan_log(log).valid_bytes == log.size());
   CHECK_FALSE(scan_log(log).damaged);
-  CHECK(scan_log("").sound_bytes == 0);
+  CHECK(scan_log("").valid_bytes == 0);
   for (std::size_t size = 0; size < log.size(); size += 97) {
-    const LogScan scan = scan_log(std::string_view(log).substr(0, size));
+    const LogScanResult scan = scan_log(std::string_view(log).substr(0, size));
     CHECK_FALSE(scan.damaged);
-    CHECK(scan.sound_bytes <= size);
-    CHECK(scan_log(std::string_view(log).substr(0, scan.sound_bytes)).sound_bytes == scan.sound_bytes);
+    CHECK(scan.valid_bytes <= size);
+    CHECK(scan_log(std::string_view(log).substr(0, scan.valid_bytes)).valid_bytes == scan.valid_bytes);
   }
   std::string torn = log;
   torn.back() ^= 1;
   CHECK_FALSE(scan_log(torn).damaged);
-  CHECK(scan_log(torn).sound_bytes < log.size());
+  CHECK(scan_log(torn).valid_bytes < log.size());
   std::string damaged = log;
   damaged[20] ^= 1;
   CHECK(scan_log(damaged).damaged);
@@ -108,8 +108,8 @@
   for (unsigned round = 0; round < 200; ++round) {
     std::string bytes(random() % 70000, '\0');
     for (char& byte : bytes) byte = static_cast<char>(random());
-    const LogScan scan = scan_log(bytes);
-    CHECK(scan.sound_bytes == 0);
+    const LogScanResult scan = scan_log(bytes);
+    CHECK(scan.valid_bytes == 0);
     CHECK_FALSE(scan.damaged);
   }
 }
--- a/tests/cluster/store/power_loss_test.cpp
+++ b/tests/cluster/store/power_loss_test.cpp
@@ -12,7 +12,7 @@
 
 // Small files, so that the log, the tables and the MANIFEST change often.
 StoreTuning small_files() {
-  StoreTuning tuning = patient_tuning();
+  StoreTuning tuning = tuning_with_long_shutdown_timeout();
   tuning.write_buffer_bytes = 64 << 10;
   return tuning;
 }
@@ -73,8 +73,8 @@
   }
 };
 
-std::unique_ptr<LevelStore> opened(SimulatedDisk& disk, PostToLoop poster) {
-  auto store = open_level_store(kFolder, std::move(poster), disk, small_files());
+std::unique_ptr<LevelDbStore> opened(SimulatedDisk& disk, PostToLoop poster) {
+  auto store = open_leveldb_store(kFolder, std::move(poster), disk, small_files());
   REQUIRE(store);
   CHECK_FALSE(store.value()->replaces_damaged());
   return std::move(store.value());
@@ -94,7 +94,7 @@
       action();
     });
   };
-  const std::unique_ptr<LevelStore> store = opened(disk, note_and_post);
+  const std::unique_ptr<LevelDbStore> store = opened(disk, note_and_post);
   Life life(content(*store));
   std::size_t waiting = 0;
   for (std::size_t number = 0; number < count; ++number) {
@@ -118,7 +118,7 @@
 void check_opens(const DiskFiles& files, const Life& life, std::size_t operations) {
   SimulatedDisk disk(files);
   TestLoop loop;
-  const std::unique_ptr<LevelStore> store = opened(disk, loop.poster());
+  const std::unique_ptr<LevelDbStore> store = opened(disk, loop.poster());
   const std::optional<std::size_t> position = life.history.position(content(*store));
   REQUIRE(position);
   CHECK(*position >= life.durable_by(operations));
--- a/tests/cluster/store/refusal_test.cpp
+++ b/tests/cluster/store/refusal_test.cpp
@@ -11,15 +11,15 @@
 const std::string kFolder = "/data";
 
 StoreTuning small_files() {
-  StoreTuning tuning = patient_tuning();
+  StoreTuning tuning = tuning_with_long_shutdown_timeout();
   tuning.write_buffer_bytes = 64 << 10;
-  tuning.reopen_pause = std::chrono::milliseconds(0);
+  tuning.reopen_delay = std::chrono::milliseconds(0);
   return tuning;
 }
 
-std::unique_ptr<LevelStore> opened(SimulatedDisk& disk, TestLoop& loop,
-                                   const StoreTuning& tuning = small_files()) {
-  auto store = open_level_store(kFolder, loop.poster(), disk, tuning);
+std::unique_ptr<LevelDbStore> opened(SimulatedDisk& disk, TestLoop& loop,
+                                     const StoreTuning& tuning = small_files()) {
+  auto store = open_leveldb_store(kFolder, loop.poster(), disk, tuning);
   REQUIRE(store);
   return std::move(store.value());
 }
@@ -29,14 +29,14 @@
 }
 
 // Commits until the store says durable; a batch that failed is committed again, as the journal does.
-void commit_surely(LevelStore& store, TestLoop& loop, const StoreBatch& batch) {
+void commit_surely(LevelDbStore& store, TestLoop& loop, const StoreBatch& batch) {
   while (commit(store, loop, batch) != CommitOutcome::durable) {
   }
 }
 
 Content reopened_content(SimulatedDisk& disk) {
   TestLoop loop;
-  const std::unique_ptr<LevelStore> store = opened(disk, loop);
+  const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
   CHECK_FALSE(store->replaces_damaged());
   return content(*store);
 }
@@ -46,7 +46,7 @@
   Content expected;
   {
     TestLoop loop;
-    const std::unique_ptr<LevelStore> store = opened(disk, loop);
+    const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
     REQUIRE(commit(*store, loop, numbered(1)) == CommitOutcome::durable);
     disk.refuse(true);
     CHECK(commit(*store, loop, numbered(2)) == CommitOutcome::failed);
@@ -73,16 +73,16 @@
     std::vector<std::pair<std::size_t, Content>> durable{{0, {}}};
     {
       TestLoop loop;
-      const std::unique_ptr<LevelStore> store = opened(disk, loop);
+      const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
       // The second meets the opening that follows the first.
-      disk.refuse_later({refused, refused + 1 + random() % 25});
+      disk.refuse_changes({refused, refused + 1 + random() % 25});
       for (std::size_t number = 0; number < kBatches; ++number) {
         commit_surely(*store, loop, numbered(number));
         apply_batch(expected, numbered(number));
         durable.emplace_back(disk.operations(), expected);
       }
     }
-    disk.refuse_later({});
+    disk.refuse_changes({});
     CHECK(reopened_content(disk) == expected);
     const std::vector<DiskOperation> trace = disk.trace();
     const std::size_t cut = random() % (trace.size() + 1);
@@ -104,7 +104,7 @@
   Content expected;
   {
     TestLoop loop;
-    const std::unique_ptr<LevelStore> store = opened(disk, loop);
+    const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
     disk.set_capacity(300 << 10);
     std::size_t number = 0;
     while (commit(*store, loop, {{"key" + std::to_string(number), std::string(1000, 'y')}}) ==
@@ -126,9 +126,9 @@
   SimulatedDisk disk;
   TestLoop loop;
   StoreTuning impatient = small_files();
-  impatient.closing_wait = StoreTuning().closing_wait;
+  impatient.shutdown_timeout = StoreTuning().shutdown_timeout;
   {
-    const std::unique_ptr<LevelStore> store = opened(disk, loop, impatient);
+    const std::unique_ptr<LevelDbStore> store = opened(disk, loop, impatient);
     disk.hang(true);
     store->commit(numbered(1), [](CommitOutcome) { FAIL("reported while the disk hangs"); });
     disk.wait_for_hanging_sync();
@@ -149,7 +149,7 @@
 TEST_CASE("what waits behind a sync that hangs is synced together, in order") {
   SimulatedDisk disk;
   TestLoop loop;
-  const std::unique_ptr<LevelStore> store = opened(disk, loop);
+  const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
   disk.hang(true);
   std::vector<std::size_t> ended;
   for (std::size_t number = 0; number < 500; ++number) {
--- a/tests/cluster/store/size_test.cpp
+++ b/tests/cluster/store/size_test.cpp
@@ -50,10 +50,10 @@
   constexpr std::size_t kMostBytes = 40 * kMebibyte;  // of 128 MB
   std::mt19937_64 random(1);
   SimulatedDisk disk;
-  disk.keep_no_trace();
+  disk.disable_trace();
   TestLoop loop;
   {
-    auto store = open_level_store("/data", loop.poster(), disk, patient_tuning());
+    auto store = open_leveldb_store("/data", loop.poster(), disk, tuning_with_long_shutdown_timeout());
     REQUIRE(store);
     const Stream stream;
     for (std::size_t second = 0; second < stream.seconds; ++second) {
--- a/tests/cluster/store/store_fixture.hpp
+++ b/tests/cluster/store/store_fixture.hpp
@@ -11,16 +11,16 @@
 #include <random>
 #include <string>
 
-#include "cluster/store/level_store.hpp"
+#include "cluster/store/leveldb_store.hpp"
 #include "tests/cluster/support/simulated_disk.hpp"
 
 namespace winchhall::cluster::sim {
 
 // A store whose end is waited for however busy the machine is: a thread left behind would outlive the
 // simulated disk.
-inline StoreTuning patient_tuning() {
+inline StoreTuning tuning_with_long_shutdown_timeout() {
   StoreTuning tuning;
-  tuning.closing_wait = std::chrono::seconds(60);
+  tuning.shutdown_timeout = std::chrono::seconds(60);
   return tuning;
 }
 
@@ -54,14 +54,14 @@
 
 using Content = std::map<std::string, std::string>;
 
-inline Content content(LevelStore& store) {
+inline Content content(LevelDbStore& store) {
   Content found;
   store.load([&](std::string_view key, std::string_view value) { found.emplace(key, value); });
   return found;
 }
 
 // Commits a batch and waits for its end.
-inline CommitOutcome commit(LevelStore& store, TestLoop& loop, StoreBatch batch) {
+inline CommitOutcome commit(LevelDbStore& store, TestLoop& loop, StoreBatch batch) {
   std::optional<CommitOutcome> ended;
   store.commit(std::move(batch), [&](CommitOutcome outcome) { ended = outcome; });
   while (!ended) loop.run_one();
--- a/tests/cluster/store/tools_test.cpp
+++ b/tests/cluster/store/tools_test.cpp
@@ -7,8 +7,8 @@
 
 #include "cluster/consensus/member_record.hpp"
 #include "cluster/store/backup_file.hpp"
-#include "cluster/store/control_state.hpp"
 #include "cluster/store/offline_store.hpp"
+#include "cluster/store/state_summary.hpp"
 #include "tests/cluster/store/store_fixture.hpp"
 #include "tests/cluster/support/consensus_fixture.hpp"
 
@@ -39,8 +39,8 @@
         return Failure::none;
       },
       [](const StoreFailure&) { return Failure::store; },
-      [](const DamagedStore&) { return Failure::damaged; },
-      [](const UnknownStoreFormat&) { return Failure::format; },
+      [](const StoreCorruption&) { return Failure::damaged; },
+      [](const UnsupportedStoreFormat&) { return Failure::format; },
       [](const InvalidInput&) { return Failure::input; }, [] { return Failure::none; });
 }
 
@@ -70,22 +70,22 @@
 struct LeadingGroup {
   explicit LeadingGroup(std::uint64_t seed) : cluster(seed, 3) {
     cluster.bootstrap();
-    REQUIRE(cluster.world().run_until([&] { return cluster.settled(); }, Millis(20000)));
+    REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(20000)));
     ShardCallbacks callbacks;
     callbacks.on_lead = [this](std::uint64_t epoch, std::vector<ShardEntry>) { led_epoch = epoch; };
     callbacks.on_lost = [] {};
     shard = cluster.group(0).open_shard("service", callbacks);
-    REQUIRE(cluster.world().run_until([&] { return shard->leads(); }, Millis(20000)));
+    REQUIRE(cluster.simulation().run_until([&] { return shard->leads(); }, Millis(20000)));
     bool durable = false;
     shard->write({{"job/1", std::string("record")}},
                  [&](ShardWriteOutcome outcome) { durable = outcome == ShardWriteOutcome::durable; });
-    REQUIRE(cluster.world().run_until([&] { return durable; }, Millis(20000)));
+    REQUIRE(cluster.simulation().run_until([&] { return durable; }, Millis(20000)));
     bool chosen = false;
     cluster.group(0).registers().update(
         "configuration", [](const std::string&) { return std::optional<std::string>("routes"); },
         Millis(5000), [&](const std::optional<RegisterValue>& value) { chosen = value.has_value(); });
-    REQUIRE(cluster.world().run_until([&] { return chosen; }, Millis(20000)));
-    cluster.world().run_for(Millis(2000));
+    REQUIRE(cluster.simulation().run_until([&] { return chosen; }, Millis(20000)));
+    cluster.simulation().run_for(Millis(2000));
   }
   ~LeadingGroup() { shard.reset(); }
 
@@ -100,17 +100,17 @@
   Content expected;
   {
     TestLoop loop;
-    auto store = open_level_store(path, loop.poster());
+    auto store = open_leveldb_store(path, loop.poster());
     REQUIRE(store);
     for (std::size_t number = 0; number < 3000; ++number) {
       const std::string key = std::string("record/service\0", 15) + std::to_string(number);
       expected[key] = std::string(number % 1000, 'v');
       REQUIRE(commit(*store.value(), loop, {{key, expected[key]}}) == CommitOutcome::durable);
     }
-    CHECK(failure_of([&] { return read_offline(path); }) == Failure::store);  // in use
+    CHECK(failure_of([&] { return read_offline_store(path); }) == Failure::store);  // in use
   }
   const auto before = sizes(path);
-  auto entries = read_offline(path);
+  auto entries = read_offline_store(path);
   REQUIRE(entries);
   CHECK(as_content(entries.value()) == expected);
   CHECK(sizes(path) == before);
@@ -120,10 +120,11 @@
   auto read = read_backup(file);
   REQUIRE(read);
   CHECK(as_content(read.value()) == expected);
-  REQUIRE(write_offline(folder.path("new"), read.value()));
-  CHECK(as_content(read_offline(folder.path("new")).value()) == expected);
-  CHECK(failure_of([&] { return write_offline(folder.path("new"), {}); }) == Failure::store);  // not empty
-  CHECK(failure_of([&] { return read_offline(folder.path("none")); }) != Failure::none);
+  REQUIRE(create_offline_store(folder.path("new"), read.value()));
+  CHECK(as_content(read_offline_store(folder.path("new")).value()) == expected);
+  CHECK(failure_of([&] { return create_offline_store(folder.path("new"), {}); }) ==
+        Failure::store);  // not empty
+  CHECK(failure_of([&] { return read_offline_store(folder.path("none")); }) != Failure::none);
 }
 
 TEST_CASE("a backup that was cut off or changed anywhere, or is of an unknown version, is refused") {
@@ -162,8 +163,10 @@
   }
   CHECK(summarize_state({{"else", "?"}}).unreadable.size() == 1);
   const std::string garbage(3, '\xff');
-  CHECK(failure_of([&] { return fenced_state({{"identity", garbage}}, 1, "a", "b"); }) == Failure::damaged);
-  CHECK(failure_of([&] { return fenced_state({}, 1, "", ""); }) == Failure::input);
+  CHECK(failure_of([&] {
+          return make_restored_state({{"identity", garbage}}, 1, "a", "b");
+        }) == Failure::damaged);
+  CHECK(failure_of([&] { return make_restored_state({}, 1, "", ""); }) == Failure::input);
 }
 
 // A disk that holds given entries at the start.
@@ -185,31 +188,32 @@
 
 // One machine whose control group starts from given entries.
 struct RestoredNode {
-  RestoredNode(const std::vector<StoreEntry>& entries, std::size_t machine) : world(3) {
-    world.add_node(machine_ip(machine) + ":7000", [this, entries, machine](SimNode& node) {
+  RestoredNode(const std::vector<StoreEntry>& entries, std::size_t machine) : simulation(3) {
+    simulation.add_node(machine_ip(machine) + ":7000", [this, entries, machine](SimNode& node) {
       store = std::make_unique<PreparedStore>(node.store(), entries);
       auto group_of_node = std::make_shared<ControlGroup>(node, *store, control_settings(machine, false));
       group = group_of_node.get();
       group->start();
-      return SimNode::Program{group_of_node, [this](const wire::Envelope& request, const Replier& reply) {
+      return SimNode::Program{group_of_node,
+                              [this](const wire::Envelope& request, const ReplyCallback& reply) {
                                 return group->handle(request, reply);
                               }};
     });
-    world.node(0).start();
+    simulation.node(0).start();
   }
 
   std::unique_ptr<PreparedStore> store;
-  SimWorld world;
+  Simulation simulation;
   ControlGroup* group = nullptr;
 };
 
 TEST_CASE("a restored state leads a new group of one that the old group can't act on") {
   LeadingGroup old(2);
   const std::uint64_t old_id = old.cluster.group(1).member_id();
-  auto fenced = fenced_state(entries_of(old.cluster.node(1).store()), 4711, "", "");
+  auto fenced = make_restored_state(entries_of(old.cluster.node(1).store()), 4711, "", "");
   REQUIRE(fenced);
   RestoredNode fresh(fenced.value(), 1);
-  REQUIRE(fresh.world.run_until([&] { return fresh.group->in_touch(); }, Millis(5000)));
+  REQUIRE(fresh.simulation.run_until([&] { return fresh.group->has_quorum_contact(); }, Millis(5000)));
   CHECK(fresh.group->votes());
   CHECK(fresh.group->member_id() == 4711);
   CHECK(fresh.group->members().members_size() == 1);
@@ -224,8 +228,8 @@
   };
   callbacks.on_lost = [] {};
   auto shard = fresh.group->open_shard("service", callbacks);
-  REQUIRE(fresh.world.run_until([&] { return shard->leads(); }, Millis(20000)));
-  CHECK(epoch > old.led_epoch + kRestoreFence);
+  REQUIRE(fresh.simulation.run_until([&] { return shard->leads(); }, Millis(20000)));
+  CHECK(epoch > old.led_epoch + kRestoreFencingIncrement);
   REQUIRE(held.size() == 1);
   CHECK(held[0].key == "job/1");
   CHECK(held[0].value == "record");
@@ -235,7 +239,7 @@
       [&](const std::optional<RegisterValue>& value) {
         if (value) configuration = value->value;
       });
-  REQUIRE(fresh.world.run_until([&] { return configuration.has_value(); }, Millis(5000)));
+  REQUIRE(fresh.simulation.run_until([&] { return configuration.has_value(); }, Millis(5000)));
   CHECK(*configuration == "routes");
   shard.reset();
 }
--- a/tests/cluster/support/consensus_fixture.hpp
+++ b/tests/cluster/support/consensus_fixture.hpp
@@ -46,16 +46,16 @@
 template <typename Extra = NoExtra>
 class ControlCluster {
  public:
-  ControlCluster(std::uint64_t seed, std::size_t machines, SimTerms terms = {})
-      : world_(seed, terms), programs_(64) {
+  ControlCluster(std::uint64_t seed, std::size_t machines, SimulationOptions terms = {})
+      : simulation_(seed, terms), programs_(64) {
     for (std::size_t index = 0; index < machines; ++index) add_machine();
   }
   ~ControlCluster() { crash_all(); }
 
-  SimWorld& world() { return world_; }
-  std::size_t size() const { return world_.size(); }
-  SimNode& node(std::size_t index) { return world_.node(index); }
-  bool running(std::size_t index) { return world_.node(index).running(); }
+  Simulation& simulation() { return simulation_; }
+  std::size_t size() const { return simulation_.size(); }
+  SimNode& node(std::size_t index) { return simulation_.node(index); }
+  bool running(std::size_t index) { return simulation_.node(index).running(); }
   ControlGroup& group(std::size_t index) { return programs_.at(index)->group; }
   Extra& extra(std::size_t index) { return programs_.at(index)->extra; }
 
@@ -63,12 +63,12 @@
   void use_fresh_seeds() { fresh_seeds_ = true; }
 
   std::size_t add_machine() {
-    const std::size_t index = world_.size();
-    world_.add_node(machine_ip(index) + ":7000", [this, index](SimNode& node) {
+    const std::size_t index = simulation_.size();
+    simulation_.add_node(machine_ip(index) + ":7000", [this, index](SimNode& node) {
       auto program = std::make_shared<ControlProgram<Extra>>(node, settings_now(index));
       programs_[index] = program.get();
       ControlGroup& group = program->group;
-      return SimNode::Program{program, [&group](const wire::Envelope& request, const Replier& reply) {
+      return SimNode::Program{program, [&group](const wire::Envelope& request, const ReplyCallback& reply) {
                                 return group.handle(request, reply);
                               }};
     });
@@ -79,16 +79,17 @@
   void bootstrap() {
     first_start_ = true;
     for (std::size_t index = 0; index < size(); ++index) {
-      world_.in(Millis(world_.random_between(0, 300)), [this, index] { world_.node(index).start(); });
+      simulation_.in(Millis(simulation_.random_between(0, 300)),
+                     [this, index] { simulation_.node(index).start(); });
     }
-    world_.run_for(Millis(301));
+    simulation_.run_for(Millis(301));
     first_start_ = false;
   }
   void start(std::size_t index) {
-    if (!running(index)) world_.node(index).start();
+    if (!running(index)) simulation_.node(index).start();
   }
   void crash(std::size_t index) {
-    if (running(index)) world_.node(index).crash();
+    if (running(index)) simulation_.node(index).crash();
   }
   void crash_all() {
     for (std::size_t index = 0; index < size(); ++index) crash(index);
@@ -99,7 +100,7 @@
   // The machine comes back at once with an empty disk.
   void wipe(std::size_t index) {
     crash(index);
-    world_.node(index).lose_disk();
+    simulation_.node(index).lose_disk();
     start(index);
   }
 
@@ -111,14 +112,14 @@
     return false;
   }
   // True once every running machine is a member that votes and all know the same record of just these.
-  bool settled() {
+  bool is_stable() {
     std::size_t machines = 0;
     std::uint64_t epoch = 0;
     for (std::size_t index = 0; index < size(); ++index) {
       if (!running(index)) continue;
       ++machines;
       if (node(index).frozen() || !is_member(index)) return false;
-      if (!group(index).votes() || !group(index).in_touch()) return false;
+      if (!group(index).votes() || !group(index).has_quorum_contact()) return false;
       if (epoch == 0) epoch = group(index).members().epoch();
       if (epoch != group(index).members().epoch()) return false;
     }
@@ -138,20 +139,20 @@
     }
     constexpr std::size_t kSeeds = 3;
     if (!fresh_seeds_ || first_start_ || up.empty()) return settings;
-    std::shuffle(up.begin(), up.end(), std::mt19937_64(world_.random()));
+    std::shuffle(up.begin(), up.end(), std::mt19937_64(simulation_.random()));
     up.resize(std::min(up.size(), kSeeds));
     settings.seeds = up;
     return settings;
   }
 
-  SimWorld world_;
+  Simulation simulation_;
   std::vector<ControlProgram<Extra>*> programs_;
   bool first_start_ = false;
   bool fresh_seeds_ = false;
 };
 
 // Which troubles a schedule may hold.
-struct TroubleTerms {
+struct FaultPlan {
   bool crashes = true;
   bool power_loss = true;
   bool freezes = true;
@@ -161,36 +162,36 @@
 };
 
 // By then every trouble is over that was begun before.
-constexpr Millis kLongestTrouble{4000};
+constexpr Millis kMaxFaultDuration{4000};
 
 // Brings random troubles on a cluster, and takes them away.
 template <typename Extra>
-class Troubles {
+class FaultInjector {
  public:
-  Troubles(ControlCluster<Extra>& cluster, TroubleTerms terms) : cluster_(cluster), terms_(terms) {}
+  FaultInjector(ControlCluster<Extra>& cluster, FaultPlan terms) : cluster_(cluster), terms_(terms) {}
 
   void one() {
-    SimWorld& world = cluster_.world();
-    const auto index =
-        static_cast<std::size_t>(world.random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
-    switch (world.random_between(0, 9)) {
+    Simulation& simulation = cluster_.simulation();
+    const auto index = static_cast<std::size_t>(
+        simulation.random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
+    switch (simulation.random_between(0, 9)) {
       case 0:
       case 1:
         if (terms_.crashes) return crash(index);
         break;
       case 2:
-        if (terms_.power_loss && world.chance(0.3)) return lose_power();
+        if (terms_.power_loss && simulation.chance(0.3)) return lose_power();
         break;
       case 3:
       case 4:
-        if (terms_.freezes) world.node(index).freeze_for(Millis(world.random_between(50, 4000)));
+        if (terms_.freezes) simulation.node(index).freeze_for(Millis(simulation.random_between(50, 4000)));
         break;
       case 5:
       case 6:
         if (terms_.cuts) return cut(index);
         break;
       case 7:
-        if (terms_.disks) world.node(index).hang_disk_for(Millis(world.random_between(50, 3000)));
+        if (terms_.disks) simulation.node(index).hang_disk_for(Millis(simulation.random_between(50, 3000)));
         break;
       case 8:
         if (terms_.disks) return refuse_writes(index);
@@ -201,7 +202,7 @@
   }
 
   void end() {
-    cluster_.world().heal();
+    cluster_.simulation().heal();
     for (std::size_t index = 0; index < cluster_.size(); ++index) cluster_.node(index).refuse_writes(false);
     cluster_.start_all();
   }
@@ -212,42 +213,42 @@
     start_later(index);
   }
   void start_later(std::size_t index) {
-    SimWorld& world = cluster_.world();
-    world.in(Millis(world.random_between(1, 2500)), [this, index] { cluster_.start(index); });
+    Simulation& simulation = cluster_.simulation();
+    simulation.in(Millis(simulation.random_between(1, 2500)), [this, index] { cluster_.start(index); });
   }
   void lose_power() {
     cluster_.crash_all();
     for (std::size_t index = 0; index < cluster_.size(); ++index) start_later(index);
   }
   void cut(std::size_t index) {
-    SimWorld& world = cluster_.world();
-    const std::int64_t kind = world.random_between(0, 2);
-    const auto other =
-        static_cast<std::size_t>(world.random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
+    Simulation& simulation = cluster_.simulation();
+    const std::int64_t kind = simulation.random_between(0, 2);
+    const auto other = static_cast<std::size_t>(
+        simulation.random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
     if (kind == 0) {
-      world.isolate(index);
+      simulation.isolate(index);
     } else if (kind == 1) {
-      world.cut(index, other);
+      simulation.cut(index, other);
     } else {
       split();
     }
-    world.in(Millis(world.random_between(100, 4000)), [&world] { world.heal(); });
+    simulation.in(Millis(simulation.random_between(100, 4000)), [&simulation] { simulation.heal(); });
   }
   void split() {
-    SimWorld& world = cluster_.world();
+    Simulation& simulation = cluster_.simulation();
     std::vector<bool> side(cluster_.size());
-    for (std::size_t index = 0; index < side.size(); ++index) side[index] = world.chance(0.5);
+    for (std::size_t index = 0; index < side.size(); ++index) side[index] = simulation.chance(0.5);
     for (std::size_t left = 0; left < side.size(); ++left) {
       for (std::size_t right = left + 1; right < side.size(); ++right) {
-        if (side[left] != side[right]) world.cut_both(left, right);
+        if (side[left] != side[right]) simulation.cut_both(left, right);
       }
     }
   }
   void refuse_writes(std::size_t index) {
-    SimWorld& world = cluster_.world();
-    world.node(index).refuse_writes(true);
-    world.in(Millis(world.random_between(10, 2000)),
-             [&world, index] { world.node(index).refuse_writes(false); });
+    Simulation& simulation = cluster_.simulation();
+    simulation.node(index).refuse_writes(true);
+    simulation.in(Millis(simulation.random_between(10, 2000)),
+                  [&simulation, index] { simulation.node(index).refuse_writes(false); });
   }
   void wipe(std::size_t index) {
     if (wiped_ && !(cluster_.running(*wiped_) && cluster_.group(*wiped_).votes())) return;
@@ -257,7 +258,7 @@
   }
 
   ControlCluster<Extra>& cluster_;
-  const TroubleTerms terms_;
+  const FaultPlan terms_;
   std::optional<std::size_t> wiped_;
 };
 
--- a/tests/cluster/support/fake_runtime.hpp
+++ b/tests/cluster/support/fake_runtime.hpp
@@ -14,7 +14,7 @@
 class FakeRuntime : public Runtime {
  public:
   // Answers a request to a peer, at once or later. A peer without one is unreachable.
-  using Peer = std::function<void(const wire::Envelope& request, const Replier& reply)>;
+  using Peer = std::function<void(const wire::Envelope& request, const ReplyCallback& reply)>;
 
   // Time that a request takes to its peer, and an answer back.
   Millis one_way{1};
--- a/tests/cluster/support/long_troubles.hpp
+++ b/tests/cluster/support/long_fault_injector.hpp
@@ -7,18 +7,18 @@
 namespace winchhall::cluster::sim {
 
 template <typename Extra>
-class LongTroubles {
+class LongFaultInjector {
  public:
-  explicit LongTroubles(ControlCluster<Extra>& cluster) : cluster_(cluster) {}
+  explicit LongFaultInjector(ControlCluster<Extra>& cluster) : cluster_(cluster) {}
 
   // Begins one trouble and returns when it is over.
   Millis one() {
-    SimWorld& world = cluster_.world();
+    Simulation& simulation = cluster_.simulation();
     const std::size_t index = pick();
-    const Millis span(world.random_between(5000, 30000));
-    switch (world.random_between(0, 6)) {
+    const Millis span(simulation.random_between(5000, 30000));
+    switch (simulation.random_between(0, 6)) {
       case 0:
-        world.isolate(index);
+        simulation.isolate(index);
         break;
       case 1:
         cut_one_way(index, true);
@@ -30,44 +30,44 @@
         split();
         break;
       case 4:
-        world.node(index).freeze_for(span);
+        simulation.node(index).freeze_for(span);
         break;
       case 5:
-        world.node(index).hang_disk_for(span);
+        simulation.node(index).hang_disk_for(span);
         break;
       default:
         flap(index, span);
     }
-    world.in(span, [&world] { world.heal(); });
+    simulation.in(span, [&simulation] { simulation.heal(); });
     return span;
   }
 
  private:
   std::size_t pick() {
     return static_cast<std::size_t>(
-        cluster_.world().random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
+        cluster_.simulation().random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
   }
   void cut_one_way(std::size_t index, bool outwards) {
     for (std::size_t other = 0; other < cluster_.size(); ++other) {
       if (other == index) continue;
-      cluster_.world().cut(outwards ? index : other, outwards ? other : index);
+      cluster_.simulation().cut(outwards ? index : other, outwards ? other : index);
     }
   }
   void split() {
     std::vector<bool> side(cluster_.size());
-    for (std::size_t index = 0; index < side.size(); ++index) side[index] = cluster_.world().chance(0.5);
+    for (std::size_t index = 0; index < side.size(); ++index) side[index] = cluster_.simulation().chance(0.5);
     for (std::size_t left = 0; left < side.size(); ++left) {
       for (std::size_t right = left + 1; right < side.size(); ++right) {
-        if (side[left] != side[right]) cluster_.world().cut_both(left, right);
+        if (side[left] != side[right]) cluster_.simulation().cut_both(left, right);
       }
     }
   }
   // Cut off and back, again and again.
   void flap(std::size_t index, Millis span) {
-    SimWorld& world = cluster_.world();
-    for (Millis at{0}; at < span; at += Millis(world.random_between(300, 2500))) {
-      const bool on = world.chance(0.6);
-      world.in(at, [&world, index, on] { world.isolate(index, on); });
+    Simulation& simulation = cluster_.simulation();
+    for (Millis at{0}; at < span; at += Millis(simulation.random_between(300, 2500))) {
+      const bool on = simulation.chance(0.6);
+      simulation.in(at, [&simulation, index, on] { simulation.isolate(index, on); });
     }
   }
 
--- a/tests/cluster/support/sim_runtime.hpp
+++ b/tests/cluster/support/sim_runtime.hpp
@@ -21,7 +21,7 @@
 namespace winchhall::cluster::sim {
 
 // What the network and the disks do. Probabilities are per message or batch.
-struct SimTerms {
+struct SimulationOptions {
   std::int64_t delay_min_us = 200;
   std::int64_t delay_max_us = 4000;
   double loss = 0;
@@ -33,7 +33,7 @@
   double clock_drift = 0.009;  // steady clocks run at speeds within 1 +- this
 };
 
-class SimWorld;
+class Simulation;
 
 // A disk: what is synced lasts; what is not lasts or is lost, batch by batch, when the machine crashes.
 class SimStore : public DurableStore {
@@ -84,7 +84,7 @@
   };
   using Boot = std::function<Program(SimNode&)>;
 
-  SimNode(SimWorld& world, std::size_t index, Address address, Boot boot);
+  SimNode(Simulation& simulation, std::size_t index, Address address, Boot boot);
 
   TimePoint now() const override;
   std::int64_t wall_clock_ms() const override;
@@ -94,13 +94,13 @@
   std::uint64_t random() override;
 
   SimStore& store() { return store_; }
-  SimWorld& world() { return world_; }
+  Simulation& simulation() { return simulation_; }
   std::size_t index() const { return index_; }
   const Address& address() const { return address_; }
   bool running() const { return running_; }
   bool frozen() const;
   // Starts of this process so far.
-  unsigned life() const { return life_; }
+  unsigned incarnation() const { return incarnation_; }
 
   void start();
   // The process ends at once; batches that are not synced last or not, each at random.
@@ -112,13 +112,13 @@
   void refuse_writes(bool refuse) { refuse_writes_ = refuse; }
 
  private:
-  friend class SimWorld;
+  friend class Simulation;
   friend class SimStore;
 
   // Runs an action of this process at a time, later while it is frozen, never in another life.
   void run_at(std::int64_t time_us, std::function<void()> action);
 
-  SimWorld& world_;
+  Simulation& simulation_;
   const std::size_t index_;
   const Address address_;
   const Boot boot_;
@@ -126,17 +126,17 @@
   Program program_;
   bool running_ = false;
   bool refuse_writes_ = false;
-  unsigned life_ = 0;
+  unsigned incarnation_ = 0;
   std::int64_t frozen_until_us_ = 0;
   double clock_rate_ = 1;
   std::int64_t clock_offset_us_ = 0;
 };
 
-class SimWorld {
+class Simulation {
  public:
-  explicit SimWorld(std::uint64_t seed, SimTerms terms = {}) : terms_(terms), generator_(seed) {}
+  explicit Simulation(std::uint64_t seed, SimulationOptions terms = {}) : terms_(terms), generator_(seed) {}
   // Programs end before the world they run in.
-  ~SimWorld() {
+  ~Simulation() {
     for (const auto& node : nodes_) {
       if (node->running_) node->crash();
     }
@@ -153,7 +153,7 @@
   // True time since the start.
   std::int64_t now_us() const { return now_us_; }
   std::int64_t now_ms() const { return now_us_ / 1000; }
-  SimTerms& terms() { return terms_; }
+  SimulationOptions& terms() { return terms_; }
 
   // Cuts, or restores, one direction between two machines.
   void cut(std::size_t from, std::size_t to, bool on = true) {
@@ -259,7 +259,7 @@
     }
   }
 
-  SimTerms terms_;
+  SimulationOptions terms_;
   std::mt19937_64 generator_;
   std::int64_t now_us_ = 0;
   std::uint64_t last_event_ = 0;
@@ -280,31 +280,35 @@
   std::shared_ptr<bool> wanted_;
 };
 
-inline SimNode::SimNode(SimWorld& world, std::size_t index, Address address, Boot boot)
-    : world_(world), index_(index), address_(std::move(address)), boot_(std::move(boot)), store_(*this) {
-  const double spread = static_cast<double>(world.random_between(-1000, 1000)) / 1000;
-  clock_rate_ = 1 + spread * world.terms().clock_drift;
-  clock_offset_us_ = world.random_between(1, 1000) * 1000000;
+inline SimNode::SimNode(Simulation& simulation, std::size_t index, Address address, Boot boot)
+    : simulation_(simulation),
+      index_(index),
+      address_(std::move(address)),
+      boot_(std::move(boot)),
+      store_(*this) {
+  const double spread = static_cast<double>(simulation.random_between(-1000, 1000)) / 1000;
+  clock_rate_ = 1 + spread * simulation.terms().clock_drift;
+  clock_offset_us_ = simulation.random_between(1, 1000) * 1000000;
 }
 
 inline TimePoint SimNode::now() const {
-  const double elapsed_us = static_cast<double>(world_.now_us()) * clock_rate_;
+  const double elapsed_us = static_cast<double>(simulation_.now_us()) * clock_rate_;
   return TimePoint(std::chrono::microseconds(clock_offset_us_ + static_cast<std::int64_t>(elapsed_us)));
 }
 
-inline std::int64_t SimNode::wall_clock_ms() const { return 1700000000000 + world_.now_ms(); }
+inline std::int64_t SimNode::wall_clock_ms() const { return 1700000000000 + simulation_.now_ms(); }
 
-inline bool SimNode::frozen() const { return world_.now_us() < frozen_until_us_; }
+inline bool SimNode::frozen() const { return simulation_.now_us() < frozen_until_us_; }
 
-inline std::uint64_t SimNode::random() { return world_.random(); }
+inline std::uint64_t SimNode::random() { return simulation_.random(); }
 
 inline void SimNode::run_at(std::int64_t time_us, std::function<void()> action) {
-  world_.at(time_us, [this, life = life_, action = std::move(action)]() mutable {
-    if (!running_ || life != life_) return;
+  simulation_.at(time_us, [this, incarnation = incarnation_, action = std::move(action)]() mutable {
+    if (!running_ || incarnation != incarnation_) return;
     if (frozen()) {
       // What waited is found in any order: timers and sockets are looked at one after the other.
       constexpr std::int64_t kCatchUpUs = 2000;
-      return run_at(frozen_until_us_ + world_.random_between(0, kCatchUpUs), std::move(action));
+      return run_at(frozen_until_us_ + simulation_.random_between(0, kCatchUpUs), std::move(action));
     }
     action();
   });
@@ -313,7 +317,7 @@
 inline std::unique_ptr<Timer> SimNode::after(Millis delay, std::function<void()> action) {
   auto wanted = std::make_shared<bool>(true);
   const double true_us = static_cast<double>(delay.count()) * 1000 / clock_rate_;
-  run_at(world_.now_us() + static_cast<std::int64_t>(true_us) + 1, [wanted, action = std::move(action)] {
+  run_at(simulation_.now_us() + static_cast<std::int64_t>(true_us) + 1, [wanted, action = std::move(action)] {
     if (*wanted) action();
   });
   return std::make_unique<SimTimer>(wanted);
@@ -326,35 +330,36 @@
   const auto tell = [caller](CallResult result) {
     if (*caller) std::exchange(*caller, nullptr)(std::move(result));
   };
-  run_at(world_.now_us() + timeout.count() * 1000, [tell] {
+  run_at(simulation_.now_us() + timeout.count() * 1000, [tell] {
     tell(CallResult{std::nullopt, CallError::timed_out});
   });
-  SimNode* receiver = world_.find(peer);
+  SimNode* receiver = simulation_.find(peer);
   if (!receiver) return;
-  world_.rewrite(index_, request);
+  simulation_.rewrite(index_, request);
   const std::size_t from = index_;
   const std::size_t to = receiver->index_;
-  world_.carry(from, to, [this, receiver, from, to, life = life_, tell, request = std::move(request)] {
-    const auto answer_back = [this, from, to, life, tell](CallResult result) {
-      world_.carry(to, from, [this, life, tell, result = std::move(result)] {
-        if (!running_ || life != life_) return;
-        run_at(world_.now_us(), [tell, result] { tell(result); });
+  simulation_.carry(
+      from, to, [this, receiver, from, to, incarnation = incarnation_, tell, request = std::move(request)] {
+        const auto answer_back = [this, from, to, incarnation, tell](CallResult result) {
+          simulation_.carry(to, from, [this, incarnation, tell, result = std::move(result)] {
+            if (!running_ || incarnation != incarnation_) return;
+            run_at(simulation_.now_us(), [tell, result] { tell(result); });
+          });
+        };
+        if (!receiver->running_) return answer_back(CallResult{std::nullopt, CallError::unreachable});
+        receiver->run_at(simulation_.now_us(), [receiver, request, answer_back] {
+          auto answered = std::make_shared<bool>(false);
+          receiver->program_.handler(request, [receiver, answered, answer_back](wire::Envelope answer) {
+            if (std::exchange(*answered, true)) return;
+            receiver->simulation_.rewrite(receiver->index_, answer);
+            answer_back(CallResult{std::move(answer), CallError::timed_out});
+          });
+        });
       });
-    };
-    if (!receiver->running_) return answer_back(CallResult{std::nullopt, CallError::unreachable});
-    receiver->run_at(world_.now_us(), [receiver, request, answer_back] {
-      auto answered = std::make_shared<bool>(false);
-      receiver->program_.handler(request, [receiver, answered, answer_back](wire::Envelope answer) {
-        if (std::exchange(*answered, true)) return;
-        receiver->world_.rewrite(receiver->index_, answer);
-        answer_back(CallResult{std::move(answer), CallError::timed_out});
-      });
-    });
-  });
 }
 
 inline void SimNode::start() {
-  ++life_;
+  ++incarnation_;
   running_ = true;
   frozen_until_us_ = 0;
   program_ = boot_(*this);
@@ -366,10 +371,12 @@
   program_ = Program{};
 }
 
-inline void SimNode::freeze_for(Millis span) { frozen_until_us_ = world_.now_us() + span.count() * 1000; }
+inline void SimNode::freeze_for(Millis span) {
+  frozen_until_us_ = simulation_.now_us() + span.count() * 1000;
+}
 
 inline void SimNode::hang_disk_for(Millis span) {
-  store_.hangs_until_us_ = world_.now_us() + span.count() * 1000;
+  store_.hangs_until_us_ = simulation_.now_us() + span.count() * 1000;
   store_.busy_until_us_ = std::max(store_.busy_until_us_, store_.hangs_until_us_);
 }
 
--- a/tests/cluster/support/simulated_disk.hpp
+++ b/tests/cluster/support/simulated_disk.hpp
@@ -14,7 +14,7 @@
 
 namespace winchhall::cluster::sim {
 
-enum class DiskOperationKind { create, write, sync, rename, remove, sync_folder };
+enum class DiskOperationKind { create, write, sync, rename, remove, sync_directory };
 
 struct DiskOperation {
   DiskOperationKind kind;
@@ -38,7 +38,7 @@
       files_[file] = {content, content, {}};
       names_[path] = file;
     }
-    lasting_names_ = names_;
+    durable_names_ = names_;
   }
 
   // Applies an operation; for `create`, returns the number of the file.
@@ -66,8 +66,8 @@
         unsynced_names_.push_back({operation, names_.at(operation.path)});
         names_.erase(operation.path);
         break;
-      case DiskOperationKind::sync_folder:
-        lasting_names_ = names_;
+      case DiskOperationKind::sync_directory:
+        durable_names_ = names_;
         unsynced_names_.clear();
         break;
     }
@@ -88,7 +88,7 @@
   }
 
   DiskFiles after_power_loss(std::mt19937_64& random) const {
-    std::map<std::string, int> names = lasting_names_;
+    std::map<std::string, int> names = durable_names_;
     for (const NameChange& change : unsynced_names_) {
       if (random() % 2 == 0) keep(change, names);
     }
@@ -134,11 +134,11 @@
     file.synced = file.content;
     file.unsynced.clear();
     for (const auto& [path, named] : names_) {
-      if (named == number && !lasts_under_another_name(number)) lasting_names_[path] = number;
+      if (named == number && !lasts_under_another_name(number)) durable_names_[path] = number;
     }
   }
   bool lasts_under_another_name(int number) const {
-    for (const auto& [path, file] : lasting_names_) {
+    for (const auto& [path, file] : durable_names_) {
       if (file == number) return true;
     }
     return false;
@@ -198,7 +198,7 @@
 
   std::map<int, File> files_;
   std::map<std::string, int> names_;
-  std::map<std::string, int> lasting_names_;
+  std::map<std::string, int> durable_names_;
   std::vector<NameChange> unsynced_names_;
   int next_file_ = 1;
 };
@@ -210,9 +210,9 @@
   ~SimulatedDisk() override;
 
   leveldb::Env& files() override;
-  bool make_folder(const std::string&) override { return true; }
-  bool sync_folder(const std::string& path) override {
-    return change({DiskOperationKind::sync_folder, path, "", "", 0}).ok();
+  bool create_directories(const std::string&) override { return true; }
+  bool sync_directory(const std::string& path) override {
+    return change({DiskOperationKind::sync_directory, path, "", "", 0}).ok();
   }
 
   // Everything done so far.
@@ -241,7 +241,7 @@
     return written_bytes_;
   }
   // For long runs.
-  void keep_no_trace() {
+  void disable_trace() {
     const std::lock_guard lock(mutex_);
     record_ = false;
   }
@@ -251,7 +251,7 @@
     refusing_ = on;
   }
   // Refuses just these of the changes to come, counted from 0.
-  void refuse_later(const std::set<std::size_t>& numbers) {
+  void refuse_changes(const std::set<std::size_t>& numbers) {
     const std::lock_guard lock(mutex_);
     refused_attempts_.clear();
     for (const std::size_t number : numbers) refused_attempts_.insert(attempts_ + number);
--- a/tests/cluster/worker_agent/heartbeat_test.cpp
+++ b/tests/cluster/worker_agent/heartbeat_test.cpp
@@ -69,8 +69,8 @@
   CHECK(refused_field("i-1", "{}").empty());
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a bad heartbeat is answered 400 and changes nothing") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a bad heartbeat is answered 400 and changes nothing") {
+  complete_first_exchange();
   const auto answer = raw_heartbeat("i-1", "{\"sequence\":");
   REQUIRE(answer->answered);
   CHECK(answer->status == 400);
@@ -79,26 +79,26 @@
 }
 
 TEST_CASE("an answer leaves out what says nothing") {
-  CHECK(heartbeat_answer_json({}) == "{}");
-  HeartbeatAnswer answer;
+  CHECK(heartbeat_response_json({}) == "{}");
+  HeartbeatResponse answer;
   answer.hold = Millis(4000);
   answer.last_seen = 58;
   answer.fence_token = 7;
   answer.starts.push_back(start_order(1, "5c.0.1.18", 1));
   answer.stops.push_back(stop_order(2, "5c.0.1.17", 2));
   answer.retry_after = Millis(200);
-  CHECK(heartbeat_answer_json(answer) ==
+  CHECK(heartbeat_response_json(answer) ==
         R"({"hold_ms":4000,"last_seen":58,"fence_token":7,"started_at":[["5c.0.1.18",1,"work",""]],)"
         R"("stopped_at":[["5c.0.1.17",2]],"retry_after_ms":200})");
 }
 
 TEST_CASE("a leaf that lists its tasks in another order has changed nothing") {
-  LeafLists lists;
+  LeafTaskLists lists;
   wire::RunningTask one;
   one.set_task("a");
   wire::RunningTask other;
   other.set_task("b");
-  CHECK(lists.update({one, other}, {}) == ListsChange::runs);
-  CHECK(lists.update({other, one}, {}) == ListsChange::none);
-  CHECK(lists.update({other}, {}) == ListsChange::runs);
+  CHECK(lists.update({one, other}, {}) == TaskListsChange::runs);
+  CHECK(lists.update({other, one}, {}) == TaskListsChange::none);
+  CHECK(lists.update({other}, {}) == TaskListsChange::runs);
 }
--- a/tests/cluster/worker_agent/http_test.cpp
+++ b/tests/cluster/worker_agent/http_test.cpp
@@ -1,7 +1,7 @@
 // The two calls of a leaf, as HTTP requests.
 #include <catch2/catch.hpp>
 
-#include "cluster/worker_agent/worker_http.hpp"
+#include "cluster/worker_agent/worker_http_server.hpp"
 #include "tests/cluster/worker_agent/worker_fixture.hpp"
 
 using namespace winchhall::cluster;
@@ -16,14 +16,14 @@
                                const std::string& body = "") {
   HttpRequest request(method, path, 11, body);
   auto status = std::make_shared<unsigned>(0);
-  make_worker_handler(agent)(std::move(request),
-                             [status](const HttpResponse& response) { *status = response.result_int(); });
+  make_worker_http_handler(agent)(
+      std::move(request), [status](const HttpResponse& response) { *status = response.result_int(); });
   return status;
 }
 
 }  // namespace
 
-TEST_CASE_METHOD(WorkerFixture, "heartbeats and deregistrations reach the agent") {
+TEST_CASE_METHOD(WorkerAgentFixture, "heartbeats and deregistrations reach the agent") {
   start();
   const auto heartbeat =
       call(*agent, http::verb::post, "/v1/Instances.Heartbeat/i-7?x=1", R"({"backend":"core","sequence":1})");
@@ -34,7 +34,7 @@
   CHECK(*call(*agent, http::verb::post, "/v1/Instances.Deregister/i-7") == 200);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "other calls are refused") {
+TEST_CASE_METHOD(WorkerAgentFixture, "other calls are refused") {
   CHECK(*call(*agent, http::verb::get, "/v1/Instances.Heartbeat/i-7") == 405);
   CHECK(*call(*agent, http::verb::post, "/v1/Instances.List") == 404);
   CHECK(*call(*agent, http::verb::post, "/v1/Instances.Heartbeat/", "{}") == 400);
--- a/tests/cluster/worker_agent/leader_test.cpp
+++ b/tests/cluster/worker_agent/leader_test.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(WorkerFixture, "without a leader the leaf is answered, without a hold") {
+TEST_CASE_METHOD(WorkerAgentFixture, "without a leader the leaf is answered, without a hold") {
   agent->start();
   const auto answer = heartbeat(ScriptedHeartbeat().runs(kTask, 7));
   runtime.advance(Millis(50));
@@ -23,8 +23,9 @@
   CHECK_FALSE(answer->has("fence_token"));
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a hold lasts as long as the grant, counted from the sending of the report") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture,
+                 "a hold lasts as long as the grant, counted from the sending of the report") {
+  complete_first_exchange();
   lead(orders_of(5));  // the next report goes out now
   const ScriptedRuntime::Call report = take_newest_report();
   REQUIRE(report.done);
@@ -39,16 +40,16 @@
   CHECK(answer->number("hold_ms") == 3500);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a hold is never longer than hold_max") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a hold is never longer than hold_max") {
+  complete_first_exchange();
   const auto answer = heartbeat({});
   runtime.advance(Millis(250));
   CHECK(answer->number("hold_ms") == 6000);
 }
 
-TEST_CASE_METHOD(WorkerFixture,
+TEST_CASE_METHOD(WorkerAgentFixture,
                  "once the grant has run out nothing is held or started, yet the leaf is answered") {
-  settle_in();
+  complete_first_exchange();
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   runtime.calls.clear();  // nobody answers from now on
   runtime.advance(Millis(11'000));
@@ -59,8 +60,8 @@
   CHECK(answer->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a start is not told under a hold that is about to end") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a start is not told under a hold that is about to end") {
+  complete_first_exchange();
   wire::WorkerOrders orders = orders_of(5, {start_order(1, kTask, 7)});
   orders.set_grant_ms(1);
   lead(orders);
@@ -71,8 +72,8 @@
   CHECK(answer->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a new epoch drops older orders that were not told") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a new epoch drops older orders that were not told") {
+  complete_first_exchange();
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   lead(orders_of(6));
   const auto answer = heartbeat({});
@@ -82,9 +83,9 @@
   CHECK(answer->number("fence_token") == 6);
 }
 
-TEST_CASE_METHOD(WorkerFixture,
+TEST_CASE_METHOD(WorkerAgentFixture,
                  "lists are vouched for under a new epoch only after a heartbeat has shown them") {
-  settle_in();
+  complete_first_exchange();
   heartbeat({});
   lead(orders_of(5, {start_order(1, kTask, 7)}));  // told now
   lead(orders_of(6));
@@ -98,8 +99,8 @@
   CHECK(next->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "with nothing told a new epoch is reported at once") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "with nothing told a new epoch is reported at once") {
+  complete_first_exchange();
   heartbeat({});
   runtime.advance(Millis(250));
   lead(orders_of(6));
@@ -107,8 +108,8 @@
   CHECK(lead(orders_of(6)).epoch() == 6);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "orders of an epoch that is over are ignored") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "orders of an epoch that is over are ignored") {
+  complete_first_exchange();
   lead(orders_of(6));
   runtime.advance(Millis(20));
   lead(orders_of(5, {start_order(1, kTask, 7)}));
@@ -119,8 +120,8 @@
   CHECK(answer->number("fence_token") == 6);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a leaf with a new id ends the old life and its orders") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a leaf with a new id ends the old life and its orders") {
+  complete_first_exchange();
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   ScriptedHeartbeat reborn;
   reborn.leaf_id = "i-2";
@@ -141,11 +142,11 @@
   CHECK(lead(orders_of(5)).leaf().leaf_id() == "i-2");
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a leaf that leaves is acknowledged, reported and told no more starts") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a leaf that leaves is acknowledged, reported and told no more starts") {
+  complete_first_exchange();
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   unsigned status = 0;
-  agent->on_deregister("i-1", [&status](const LeafAnswer& answer) { status = answer.status; });
+  agent->on_deregister("i-1", [&status](const LeafResponse& answer) { status = answer.status; });
   CHECK(status == 200);
   runtime.advance(Millis(20));
   CHECK(lead(orders_of(5)).left());
@@ -153,8 +154,8 @@
   CHECK(late->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "lists that the leader has answered for are not sent again") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "lists that the leader has answered for are not sent again") {
+  complete_first_exchange();
   heartbeat(ScriptedHeartbeat().runs(kTask, 7));
   const wire::WorkerReport with_lists = lead(orders_of(5));
   CHECK(with_lists.lists_included());
@@ -171,8 +172,8 @@
   CHECK(lead(orders_of(5)).lists_included());
 }
 
-TEST_CASE_METHOD(WorkerFixture, "lists whose report got no answer are sent again") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "lists whose report got no answer are sent again") {
+  complete_first_exchange();
   heartbeat(ScriptedHeartbeat().runs(kTask, 7));
   runtime.calls.clear();
   runtime.advance(Millis(950));
@@ -180,8 +181,8 @@
   CHECK(take_newest_report().request.worker_report().lists_included());
 }
 
-TEST_CASE_METHOD(WorkerFixture, "progress alone is reported twice a second at most") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "progress alone is reported twice a second at most") {
+  complete_first_exchange();
   heartbeat(ScriptedHeartbeat().runs(kTask, 7, 10));
   lead(orders_of(5));
   runtime.advance(Millis(50));
@@ -197,8 +198,8 @@
   CHECK(report.lists_as_of() > 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "at most three reports are out at once") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "at most three reports are out at once") {
+  complete_first_exchange();
   runtime.advance(Millis(1000));
   runtime.calls.clear();
   agent = std::make_unique<WorkerAgent>(runtime, settings);
@@ -212,8 +213,8 @@
   CHECK(reports == 3);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a silent leader is looked for elsewhere, without a storm") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a silent leader is looked for elsewhere, without a storm") {
+  complete_first_exchange();
   heartbeat({});
   runtime.calls.clear();
   runtime.advance(Millis(800));
@@ -229,7 +230,7 @@
   CHECK(report.request.worker_report().lists_included());
 }
 
-TEST_CASE_METHOD(WorkerFixture, "while one control node does not answer another is asked") {
+TEST_CASE_METHOD(WorkerAgentFixture, "while one control node does not answer another is asked") {
   agent->start();
   runtime.advance(Millis(280));
   std::vector<Address> asked;
@@ -239,9 +240,9 @@
   CHECK(asked[0] != asked[1]);
 }
 
-TEST_CASE_METHOD(WorkerFixture,
+TEST_CASE_METHOD(WorkerAgentFixture,
                  "a leader that was away and leads again at its address is reported to at once") {
-  settle_in();
+  complete_first_exchange();
   for (std::uint64_t beat = 0; beat < 3; ++beat) {
     heartbeat(ScriptedHeartbeat().runs(kTask, 100 + beat));
     runtime.advance(Millis(20));
@@ -257,8 +258,8 @@
   CHECK(reports() == before + 1);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a hint of a former leader is followed") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a hint of a former leader is followed") {
+  complete_first_exchange();
   heartbeat({});
   wire::WorkerOrders refusal;
   refusal.set_leader_address("10.0.0.7:7000");
@@ -267,9 +268,9 @@
   CHECK(take_newest_report().peer == "10.0.0.7:7000");
 }
 
-TEST_CASE_METHOD(WorkerFixture,
+TEST_CASE_METHOD(WorkerAgentFixture,
                  "a leader of an older epoch than the one known is not taken from a control node") {
-  settle_in();
+  complete_first_exchange();
   heartbeat({});
   lead(orders_of(9));
   lead(wire::WorkerOrders());
@@ -283,8 +284,8 @@
   CHECK(take_newest_report().peer == "10.0.0.4:7000");
 }
 
-TEST_CASE_METHOD(WorkerFixture, "after a freeze the late answer carries no orders") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "after a freeze the late answer carries no orders") {
+  complete_first_exchange();
   const auto answer = heartbeat({});
   REQUIRE(peek_report());
   const ScriptedRuntime::Call report = take_newest_report();
@@ -293,8 +294,8 @@
   CHECK(answer->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "shutting down answers what is held, with its hold and without orders") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "shutting down answers what is held, with its hold and without orders") {
+  complete_first_exchange();
   const auto answer = heartbeat({});
   bool done = false;
   agent->shut_down([&done] { done = true; });
@@ -308,8 +309,8 @@
   CHECK(later->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "an idle leaf is asked to come back later than a busy one") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "an idle leaf is asked to come back later than a busy one") {
+  complete_first_exchange();
   const auto idle = heartbeat({});
   runtime.advance(Millis(150));
   CHECK_FALSE(idle->answered);
--- a/tests/cluster/worker_agent/orders_test.cpp
+++ b/tests/cluster/worker_agent/orders_test.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(WorkerFixture, "a start rides on the held answer at once") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a start rides on the held answer at once") {
+  complete_first_exchange();
   const auto answer = heartbeat({});
   CHECK_FALSE(answer->answered);
   lead(orders_of(5, {start_order(1, kTask, 7)}));
@@ -26,8 +26,8 @@
   CHECK(answer->number("hold_ms") > 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a start that the next heartbeat doesn't list is told again") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a start that the next heartbeat doesn't list is told again") {
+  complete_first_exchange();
   const auto lost = heartbeat({});
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   REQUIRE(lost->starts() == 1);
@@ -37,8 +37,8 @@
   CHECK(lead(orders_of(5)).orders_settled() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a start is settled once it is listed, and not told again") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a start is settled once it is listed, and not told again") {
+  complete_first_exchange();
   heartbeat({});
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   const auto next = heartbeat(ScriptedHeartbeat().runs(kTask, 7));
@@ -52,8 +52,8 @@
   CHECK(next->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a start that ended at once is settled") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a start that ended at once is settled") {
+  complete_first_exchange();
   heartbeat({});
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   heartbeat(ScriptedHeartbeat().ended(1, kTask, 7, "failed"));
@@ -63,8 +63,8 @@
   CHECK(report.finished(0).how() == wire::END_FAILED);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a start that a stop withdraws before it is told is never told") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a start that a stop withdraws before it is told is never told") {
+  complete_first_exchange();
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   lead(orders_of(5, {}, {stop_order(2, kTask, 7)}));
   const auto answer = heartbeat({});
@@ -75,9 +75,9 @@
   CHECK(lead(orders_of(5)).orders_settled() == 2);
 }
 
-TEST_CASE_METHOD(WorkerFixture,
+TEST_CASE_METHOD(WorkerAgentFixture,
                  "a start whose answer was lost and that was withdrawn since is not told again") {
-  settle_in();
+  complete_first_exchange();
   heartbeat({});
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   lead(orders_of(5, {}, {stop_order(2, kTask, 7)}));
@@ -88,8 +88,8 @@
   CHECK(next->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a stop is told until its run is no longer running") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a stop is told until its run is no longer running") {
+  complete_first_exchange();
   const auto first = heartbeat(ScriptedHeartbeat().runs(kTask, 7));
   lead(orders_of(5, {}, {stop_order(1, kTask, 7)}));
   REQUIRE(first->answered);
@@ -105,8 +105,8 @@
   CHECK(third->stops() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "orders that come twice are told once") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "orders that come twice are told once") {
+  complete_first_exchange();
   const auto first = heartbeat({});
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   heartbeat(ScriptedHeartbeat().runs(kTask, 7));
@@ -119,8 +119,8 @@
   CHECK(next->starts() == 0);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a new process doesn't tell a start that runs already") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a new process doesn't tell a start that runs already") {
+  complete_first_exchange();
   agent = std::make_unique<WorkerAgent>(runtime, settings);
   runtime.calls.clear();
   start();
@@ -133,8 +133,9 @@
   CHECK(lead(orders_of(5)).orders_settled() == 1);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a heartbeat while an older answer is held ends the older call unanswered") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture,
+                 "a heartbeat while an older answer is held ends the older call unanswered") {
+  complete_first_exchange();
   const auto older = heartbeat({});
   const auto newer = heartbeat({});
   lead(orders_of(5, {start_order(1, kTask, 7)}));
@@ -143,8 +144,8 @@
   CHECK(newer->starts() == 1);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a late heartbeat is answered empty and changes nothing") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a late heartbeat is answered empty and changes nothing") {
+  complete_first_exchange();
   const auto current = heartbeat(ScriptedHeartbeat().runs(kTask, 7));
   ScriptedHeartbeat late;
   late.sequence = 1;
@@ -157,8 +158,8 @@
   CHECK(current->answered);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "a draining leaf is started nothing more") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "a draining leaf is started nothing more") {
+  complete_first_exchange();
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   ScriptedHeartbeat draining;
   draining.state = "draining";
@@ -173,8 +174,8 @@
   CHECK(lead(orders_of(5)).orders_settled() == 2);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "an answer holds 200 starts at most; the others follow") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture, "an answer holds 200 starts at most; the others follow") {
+  complete_first_exchange();
   std::vector<wire::StartOrder> starts;
   for (std::uint64_t number = 1; number <= 250; ++number) {
     starts.push_back(start_order(number, "5c0e7a21d94b36f8.0.0." + std::to_string(number), 1));
@@ -189,8 +190,9 @@
   CHECK(heartbeat(next)->starts() == 50);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "ends up to last_seen are told to be forgotten until the leaf has heard") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture,
+                 "ends up to last_seen are told to be forgotten until the leaf has heard") {
+  complete_first_exchange();
   const auto first = heartbeat(ScriptedHeartbeat().ended(1, kTask, 7));
   wire::WorkerOrders orders = orders_of(5);
   orders.set_last_seen(1);
@@ -207,15 +209,16 @@
   CHECK(lead(orders).last_seen_delivered() == 1);
 }
 
-TEST_CASE_METHOD(WorkerFixture, "with ends hidden behind a full list nothing is taken for not carried out") {
-  settle_in();
+TEST_CASE_METHOD(WorkerAgentFixture,
+                 "with ends hidden behind a full list nothing is taken for not carried out") {
+  complete_first_exchange();
   ScriptedHeartbeat busy;
   busy.runs(kOtherTask, 3);
   const auto first = heartbeat(busy);
   lead(orders_of(5, {start_order(1, kTask, 7)}));
   REQUIRE(first->starts() == 1);
   ScriptedHeartbeat full;
-  for (std::uint64_t number = 1; number <= kMostEndsListed; ++number) {
+  for (std::uint64_t number = 1; number <= kMaxFinishedListed; ++number) {
     full.ended(number, "0000000000000000.0.0." + std::to_string(number), 1);
   }
   const auto second = heartbeat(full);
--- a/tests/cluster/worker_agent/property_test.cpp
+++ b/tests/cluster/worker_agent/property_test.cpp
@@ -29,9 +29,10 @@
 };
 
 // A leaf as the protocol describes it: one heartbeat at a time, late answers dropped, holds that lapse.
-class SimLeaf {
+class SimulatedLeaf {
  public:
-  SimLeaf(ScriptedRuntime& runtime, std::mt19937_64& generator) : runtime_(runtime), generator_(generator) {}
+  SimulatedLeaf(ScriptedRuntime& runtime, std::mt19937_64& generator)
+      : runtime_(runtime), generator_(generator) {}
 
   void step(WorkerAgent& agent) {
     take_due_answer();
@@ -42,7 +43,7 @@
   }
 
   void crash() {
-    ++life_;
+    ++incarnation_;
     running_.clear();
     ended_.clear();
     sequence_ = 0;
@@ -55,10 +56,10 @@
   }
   void drain() { draining_ = true; }
 
-  std::string id() const { return "i-" + std::to_string(life_); }
+  std::string id() const { return "i-" + std::to_string(incarnation_); }
   const std::set<Run>& running() const { return running_; }
   TimePoint hold_until() const { return hold_until_; }
-  bool draining_told() const { return draining_told_ == life_; }
+  bool draining_told() const { return draining_told_ == incarnation_; }
 
   std::function<void(const Run&)> on_start;
 
@@ -80,9 +81,9 @@
     const std::uint64_t number = ++call_number_;
     const TimePoint sent = runtime_.now();
     if (chance(3)) return;  // the heartbeat is lost
-    const std::uint64_t drained_life = draining_ ? life_ : 0;
+    const std::uint64_t drained_life = draining_ ? incarnation_ : 0;
     agent.on_heartbeat(
-        id(), boost::json::serialize(body), [this, number, sent, drained_life](const LeafAnswer& answer) {
+        id(), boost::json::serialize(body), [this, number, sent, drained_life](const LeafResponse& answer) {
           if (drained_life != 0) draining_told_ = drained_life;
           if (chance(8)) return;  // the answer is lost
           const Millis delay(chance(5) ? 900 + generator_() % 300 : generator_() % 10);
@@ -154,7 +155,7 @@
 
   ScriptedRuntime& runtime_;
   std::mt19937_64& generator_;
-  std::uint64_t life_ = 1;
+  std::uint64_t incarnation_ = 1;
   std::uint64_t draining_told_ = 0;
   std::uint64_t sequence_ = 0;
   std::uint64_t fence_ = 0;
@@ -172,9 +173,9 @@
 };
 
 // Leaders, one epoch after the other: each orders at random and believes what reports vouch for.
-class SimLeaders {
+class SimulatedLeaders {
  public:
-  SimLeaders(ScriptedRuntime& runtime, std::mt19937_64& generator)
+  SimulatedLeaders(ScriptedRuntime& runtime, std::mt19937_64& generator)
       : runtime_(runtime), generator_(generator) {}
 
   // Takes what a new report vouches for.
@@ -202,7 +203,7 @@
     orders.set_last_seen(last_seen_[report.leaf().leaf_id()]);
     const std::uint64_t received = report.epoch() == epoch ? report.orders_received() : 0;
     for (const Order& order : orders_) add_order(orders, order, epoch, received);
-    WorkerFixture::answer_orders(call, orders);
+    WorkerAgentFixture::answer_orders(call, orders);
   }
 
   void next_epoch() {
@@ -269,9 +270,9 @@
   std::map<std::uint64_t, std::set<Run>> lists_;  // by report
 };
 
-class World {
+class WorkerAgentSimulation {
  public:
-  explicit World(std::uint64_t seed)
+  explicit WorkerAgentSimulation(std::uint64_t seed)
       : generator_(seed), leaf_(runtime_, generator_), leaders_(runtime_, generator_) {
     settings_.bounds.hold_max = Millis(3000);
     agent_ = std::make_unique<WorkerAgent>(runtime_, settings_);
@@ -348,8 +349,8 @@
   std::mt19937_64 generator_;
   ScriptedRuntime runtime_;
   NodeSettings settings_ = worker_settings();
-  SimLeaf leaf_;
-  SimLeaders leaders_;
+  SimulatedLeaf leaf_;
+  SimulatedLeaders leaders_;
   std::unique_ptr<WorkerAgent> agent_;
   std::vector<Waiting> reports_;
   TimePoint granted_until_{};
@@ -360,7 +361,7 @@
 TEST_CASE("reports, holds and drains are kept to, whatever gets lost") {
   std::size_t starts = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(seed);
+    WorkerAgentSimulation world(seed);
     world.run();
     INFO("seed " << seed << ": " << (world.violations.empty() ? "" : world.violations.front()));
     REQUIRE(world.violations.empty());
--- a/tests/cluster/worker_agent/worker_fixture.hpp
+++ b/tests/cluster/worker_agent/worker_fixture.hpp
@@ -139,7 +139,7 @@
   return orders;
 }
 
-// One heartbeat of the scripted leaf, to be sent with `WorkerFixture::heartbeat`.
+// One heartbeat of the scripted leaf, to be sent with `WorkerAgentFixture::heartbeat`.
 struct ScriptedHeartbeat {
   std::string leaf_id = "i-1";
   std::optional<std::uint64_t> sequence;  // none: the next one
@@ -179,9 +179,10 @@
   }
 };
 
-class WorkerFixture {
+class WorkerAgentFixture {
  public:
-  WorkerFixture() : settings(worker_settings()), agent(std::make_unique<WorkerAgent>(runtime, settings)) {}
+  WorkerAgentFixture()
+      : settings(worker_settings()), agent(std::make_unique<WorkerAgent>(runtime, settings)) {}
 
   // Starts the agent and lets it find the leader.
   void start() {
@@ -202,7 +203,7 @@
 
   std::shared_ptr<ReceivedAnswer> raw_heartbeat(const std::string& leaf_id, const std::string& body) {
     auto received = std::make_shared<ReceivedAnswer>();
-    agent->on_heartbeat(leaf_id, body, [received](const LeafAnswer& answer) {
+    agent->on_heartbeat(leaf_id, body, [received](const LeafResponse& answer) {
       received->answered = true;
       received->status = answer.status;
       received->body = boost::json::parse(answer.body).as_object();
@@ -280,7 +281,7 @@
   }
 
   // First heartbeat, first report, first grant of epoch 5; the answer is due and given.
-  void settle_in() {
+  void complete_first_exchange() {
     start();
     const auto first = heartbeat({});
     lead(orders_of(5));
