--- a/tests/compatibility_command_line_test.cpp
+++ b/tests/aggregator/compatibility/command_line_test.cpp
@@ -7,8 +7,8 @@
 #include <set>
 #include <string>
 
-#include "compatibility/program_run.hpp"
-#include "compatibility/recorded_lines.hpp"
+#include "tests/compatibility/program_run.hpp"
+#include "tests/compatibility/recorded_lines.hpp"
 
 using namespace winchhall::compatibility;
 
--- a/tests/compatibility_stored_data_test.cpp
+++ b/tests/aggregator/compatibility/stored_data_test.cpp
@@ -8,13 +8,13 @@
 #include <fstream>
 #include <string>
 
-#include "app/operator_file.hpp"
-#include "compatibility/program_run.hpp"
-#include "files/folder.hpp"
-#include "generations/digest.hpp"
-#include "generations/generation.hpp"
-#include "store/store.hpp"
-#include "takeover/folder.hpp"
+#include "aggregator/app/operator_file.hpp"
+#include "aggregator/dynamic_config/digest.hpp"
+#include "aggregator/dynamic_config/folder.hpp"
+#include "aggregator/dynamic_config/generation.hpp"
+#include "aggregator/dynamic_config/store.hpp"
+#include "aggregator/hot_restart/folder.hpp"
+#include "tests/compatibility/program_run.hpp"
 
 using namespace winchhall;
 using generations::Kind;
@@ -73,13 +73,13 @@
   CHECK(first.entry.server == "s-1");
   CHECK(first.entry.cell == 3);
   CHECK(first.entry.size == 1.5);
-  CHECK(first.entry.state == pewterrill::ServerState::draining);
+  CHECK(first.entry.state == winchhall::ServerState::draining);
   CHECK(first.entry.started == 123.25);
   CHECK(first.endpoint == "127.0.0.1:9");
   const auto& second = state.members[1];
   CHECK(second.entry.server == "s-2");
   CHECK(second.entry.size == 0.25);
-  CHECK(second.entry.state == pewterrill::ServerState::ready);
+  CHECK(second.entry.state == winchhall::ServerState::ready);
   CHECK_FALSE(second.entry.started);
 }
 
--- a/tests/cluster/compatibility_command_line_test.cpp
+++ b/tests/cluster/compatibility/command_line_test.cpp
@@ -12,15 +12,15 @@
 #include <string>
 #include <thread>
 
-#include "compatibility/json_lines.hpp"
-#include "compatibility/program_run.hpp"
-#include "compatibility/recorded_lines.hpp"
-#include "lab/cluster/http_call.hpp"
-#include "lab/cluster/local_cluster.hpp"
-#include "lab/cluster/stand_in_leaf.hpp"
+#include "testbed/cluster/fake_leaf.hpp"
+#include "testbed/cluster/http_call.hpp"
+#include "testbed/cluster/local_cluster.hpp"
+#include "tests/compatibility/json_lines.hpp"
+#include "tests/compatibility/program_run.hpp"
+#include "tests/compatibility/recorded_lines.hpp"
 
 using namespace winchhall::compatibility;
-using namespace winchhall::lab::cluster;
+using namespace winchhall::testbed::cluster;
 
 namespace {
 
@@ -94,7 +94,7 @@
  public:
   CommandSite() : cluster_(kProgram, 1, "records") {
     cluster_.start_all();
-    leaf_ = std::make_unique<StandInLeaf>(LeafOptions{cluster_.worker_address(0), "i-1", "records", "a"});
+    leaf_ = std::make_unique<FakeLeaf>(FakeLeafOptions{cluster_.worker_address(0), "i-1", "records", "a"});
   }
 
   ProgramRun run(const std::string& arguments) const {
@@ -119,7 +119,7 @@
   }
 
  private:
-  HttpAnswer client(const std::string& method, const std::string& body) const {
+  HttpCallResponse client(const std::string& method, const std::string& body) const {
     HttpCall call;
     call.address = cluster_.front_address();
     call.method = method;
@@ -130,7 +130,7 @@
   }
 
   LocalCluster cluster_;
-  std::unique_ptr<StandInLeaf> leaf_;
+  std::unique_ptr<FakeLeaf> leaf_;
 };
 
 // Adds key paths and types of a command's JSON, and the columns of its table.
--- a/tests/cluster/compatibility_http_test.cpp
+++ b/tests/cluster/compatibility/http_test.cpp
@@ -7,17 +7,17 @@
 
 #include "cluster/config/configuration.hpp"
 #include "cluster/config/configuration_document.hpp"
-#include "cluster/control/configuration_answers.hpp"
-#include "cluster/control/inspection_answers.hpp"
+#include "cluster/control/configuration_responses.hpp"
+#include "cluster/control/inspection_responses.hpp"
 #include "cluster/control/operator_call.hpp"
-#include "cluster/ingress/job_answers.hpp"
 #include "cluster/ingress/job_json.hpp"
+#include "cluster/ingress/job_responses.hpp"
 #include "cluster/ingress/request_target.hpp"
 #include "cluster/metrics/collectors.hpp"
 #include "cluster/metrics/metrics_server.hpp"
 #include "cluster/worker_agent/heartbeat_json.hpp"
-#include "compatibility/json_lines.hpp"
-#include "compatibility/recorded_lines.hpp"
+#include "tests/compatibility/json_lines.hpp"
+#include "tests/compatibility/recorded_lines.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::compatibility;
@@ -87,7 +87,7 @@
   for (std::size_t kind = 0; kind < kEndKinds; ++kind) service.figures.counters.ends[kind] = 40 + kind;
   service.leases_acquired = 51;
   service.leases_lost = 52;
-  service.answers_waiting = 53;
+  service.pending_job_replies = 53;
   service.write_times.add(Millis(4));
   service.write_times.add(Millis(4000));
   return status;
@@ -157,7 +157,7 @@
   answers.add("cancel.not_found", cancel_response(CancelOutcome::not_found, "00000000000000a1"));
   answers.add("cancel.unavailable", cancel_response(CancelOutcome::unavailable, "00000000000000a1"));
   answers.add("redirect", redirect_response("127.0.0.2:7102", "/v1/jobs?service=records"));
-  answers.add("out_of_touch", out_of_touch_response());
+  answers.add("out_of_touch", no_quorum_contact_response());
   answers.add("error", error_response(400, {"source", "field", "value", "allowed"}));
 }
 
@@ -188,22 +188,22 @@
       reply.set_retry_after_ms(1300);
       reply.set_reason("why");
       const std::string name = "client." + std::to_string(verb) + "." + std::to_string(outcome);
-      answers.add(name, job_answer(static_cast<wire::JobVerb>(verb), reply));
+      answers.add(name, make_job_response(static_cast<wire::JobVerb>(verb), reply));
     }
   }
   for (int state = wire::JobState_MIN; state <= wire::JobState_MAX; ++state) {
     wire::JobReply reply;
     reply.set_outcome(wire::JOB_OK);
     reply.set_state(static_cast<wire::JobState>(state));
-    answers.add("client.state." + std::to_string(state), job_answer(wire::JOB_QUERY, reply));
+    answers.add("client.state." + std::to_string(state), make_job_response(wire::JOB_QUERY, reply));
   }
-  answers.add("client.not_taken", not_taken_answer(Millis(2500)));
-  answers.add("client.in_doubt", in_doubt_answer());
+  answers.add("client.not_taken", make_unavailable_response(Millis(2500)));
+  answers.add("client.in_doubt", make_unknown_outcome_response());
 }
 
 void add_heartbeat_answers(AnswerLines& answers) {
-  HeartbeatAnswer answer;
-  answers.add_text("heartbeat.empty", heartbeat_answer_json(answer));
+  HeartbeatResponse answer;
+  answers.add_text("heartbeat.empty", heartbeat_response_json(answer));
   answer.hold = Millis(4000);
   answer.last_seen = 3;
   answer.fence_token = 21;
@@ -216,7 +216,7 @@
   stop.set_task("00000000000000a1.0.1.3");
   stop.set_run(4098);
   answer.retry_after = Millis(700);
-  answers.add_text("heartbeat.full", heartbeat_answer_json(answer));
+  answers.add_text("heartbeat.full", heartbeat_response_json(answer));
   answers.add_text("heartbeat.error", error_json({"source", "field", "value", "allowed"}));
 }
 
@@ -262,9 +262,9 @@
   void set_limits(const RequestLimits&) override {}
   void stop_accepting() override {}
   void drain() override {}
-  std::size_t requests_open() const override { return 1; }
-  std::size_t connections_open() const override { return 2; }
-  const std::map<unsigned, std::uint64_t>& answers_by_status() const override { return answers_; }
+  std::size_t open_requests() const override { return 1; }
+  std::size_t open_connections() const override { return 2; }
+  const std::map<unsigned, std::uint64_t>& responses_by_status() const override { return answers_; }
   unsigned short port() const override { return 0; }
 
  private:
@@ -299,7 +299,7 @@
 
 TEST_CASE("calls of the operator's API keep their paths, methods and parameters") {
   const auto kind = [](http::verb method, const std::string& target) {
-    const OperatorCall call = read_operator_call(request_of(method, target));
+    const OperatorCall call = parse_operator_call(request_of(method, target));
     return call.method_allowed ? call.kind : OperatorCallKind::unknown;
   };
   CHECK(kind(http::verb::get, "/v1/Config.Get") == OperatorCallKind::configuration_get);
@@ -313,11 +313,11 @@
   CHECK(kind(http::verb::post, "/v1/status") == OperatorCallKind::unknown);
   CHECK(kind(http::verb::get, "/v1/Config.Put") == OperatorCallKind::unknown);
   const OperatorCall call =
-      read_operator_call(request_of(http::verb::get, "/v1/jobs?service=records&limit=7"));
+      parse_operator_call(request_of(http::verb::get, "/v1/jobs?service=records&limit=7"));
   CHECK(call.service == "records");
   CHECK(call.limit == 7);
-  CHECK(read_operator_call(request_of(http::verb::get, "/v1/jobs")).limit == 200);
-  CHECK(read_operator_call(request_of(http::verb::post, "/v1/jobs/00000000000000a1/cancel")).id ==
+  CHECK(parse_operator_call(request_of(http::verb::get, "/v1/jobs")).limit == 200);
+  CHECK(parse_operator_call(request_of(http::verb::post, "/v1/jobs/00000000000000a1/cancel")).id ==
         "00000000000000a1");
 }
 
@@ -325,13 +325,13 @@
   const Configuration configuration = read_example_configuration();
   const std::string path = "/extract/00000000000000a1";
   const auto verb = [&](http::verb method, const std::string& target) {
-    return find_target(configuration, request_of(method, target)).verb;
+    return resolve_target(configuration, request_of(method, target)).verb;
   };
   CHECK(verb(http::verb::post, path) == wire::JOB_SUBMIT);
   CHECK(verb(http::verb::get, path) == wire::JOB_QUERY);
   CHECK(verb(http::verb::delete_, path) == wire::JOB_CANCEL);
   CHECK(verb(http::verb::get, "/extract/") == wire::JOB_COUNT);
-  CHECK(find_target(configuration, request_of(http::verb::get, path)).id == "00000000000000a1");
+  CHECK(resolve_target(configuration, request_of(http::verb::get, path)).id == "00000000000000a1");
   HttpRequest request = request_of(http::verb::get, path);
   request.set("X-Winchhall-Deadline", "1234");
   CHECK(client_deadline(request) == Millis(1234));
--- a/tests/cluster/compatibility_store_test.cpp
+++ b/tests/cluster/compatibility/store_test.cpp
@@ -18,13 +18,13 @@
 #include <vector>
 
 #include "cluster/store/backup_file.hpp"
-#include "cluster/store/control_state.hpp"
-#include "cluster/store/level_store.hpp"
+#include "cluster/store/leveldb_store.hpp"
 #include "cluster/store/offline_store.hpp"
+#include "cluster/store/state_summary.hpp"
 #include "cluster/wire/cluster.pb.h"
-#include "compatibility/child_process.hpp"
-#include "compatibility/program_run.hpp"
-#include "compatibility/recorded_lines.hpp"
+#include "tests/compatibility/child_process.hpp"
+#include "tests/compatibility/program_run.hpp"
+#include "tests/compatibility/recorded_lines.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::compatibility;
@@ -69,7 +69,7 @@
 }
 
 std::vector<StoreEntry> read_entries(const std::string& store) {
-  return value_of<std::vector<StoreEntry>>([&] { return read_offline(store); });
+  return value_of<std::vector<StoreEntry>>([&] { return read_offline_store(store); });
 }
 
 std::string hex_of(char byte) {
@@ -156,8 +156,8 @@
   const StoreCopy copy;
   std::vector<StoreEntry> entries;
   {
-    const auto store = value_of<std::unique_ptr<LevelStore>>(
-        [&] { return open_level_store(copy.store(), [](std::function<void()>) {}); });
+    const auto store = value_of<std::unique_ptr<LevelDbStore>>(
+        [&] { return open_leveldb_store(copy.store(), [](std::function<void()>) {}); });
     store->load([&](std::string_view key, std::string_view value) {
       entries.push_back({std::string(key), std::string(value)});
     });
--- a/tests/cluster/compatibility_wire_test.cpp
+++ b/tests/cluster/compatibility/wire_test.cpp
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "cluster/wire/cluster.pb.h"
-#include "compatibility/proto_fields.hpp"
-#include "compatibility/recorded_lines.hpp"
+#include "tests/compatibility/proto_fields.hpp"
+#include "tests/compatibility/recorded_lines.hpp"
 
 namespace wire = winchhall::cluster::wire;
 using namespace winchhall::compatibility;
--- a/tests/cluster/scheduler_sim.hpp
+++ b/tests/cluster/scheduler/scheduler_sim.hpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "cluster/scheduler/scheduler.hpp"
-#include "scheduler_sim_checker.hpp"
-#include "scheduler_sim_worker.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_checker.hpp"
+#include "tests/cluster/scheduler/scheduler_sim_worker.hpp"
 
 namespace winchhall::cluster::test {
 
@@ -97,7 +97,7 @@
   std::map<std::string, std::string> disk_;
   struct Write {
     std::uint64_t epoch = 0;
-    Scheduler::Changes changes;
+    Scheduler::ChangeBatch changes;
   };
   std::deque<Write> writes_;
 };
