--- a/testbed/cluster/local_cluster.cpp
+++ b/testbed/cluster/local_cluster.cpp
@@ -92,8 +92,14 @@
   first_start_ = false;
 }
 
+void LocalCluster::set_program(const std::string& name, std::string program) {
+  programs_[find(name).name] = std::move(program);
+}
+
 void LocalCluster::start(const std::string& name) {
   LocalProcess& process = find(name);
+  const auto own_program = programs_.find(name);
+  const std::string& program = own_program == programs_.end() ? program_ : own_program->second;
   const std::string settings_file = (folder_of(name) / "settings.toml").string();
   std::ofstream(settings_file) << settings_of(process);
   const std::string log_file = (folder_of(name) / "log").string();
@@ -104,7 +110,7 @@
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
     setenv(kSettingsVariable, settings_file.c_str(), 1);
-    execl(program_.c_str(), program_.c_str(), process.command.c_str(), nullptr);
+    execl(program.c_str(), program.c_str(), process.command.c_str(), nullptr);
     _exit(127);
   }
   process.pid = pid;
--- a/testbed/cluster/local_cluster.hpp
+++ b/testbed/cluster/local_cluster.hpp
@@ -31,6 +31,8 @@
 
   void start_all();
   void start(const std::string& name);
+  // The process is started from `program` from its next start on; its settings and folder stay.
+  void set_program(const std::string& name, std::string program);
   // SIGKILL, and waits for its end.
   void kill(const std::string& name);
   // SIGTERM, and waits for its end; the exit status as by waitpid.
@@ -50,7 +52,8 @@
   std::string settings_of(const LocalProcess& process) const;
   std::filesystem::path folder_of(const std::string& name) const { return folder_ / name; }
 
-  std::string program_;
+  std::string program_;                          // of processes without an entry in `programs_`
+  std::map<std::string, std::string> programs_;  // by name of the process
   std::string service_;
   std::filesystem::path folder_;
   unsigned network_;  // second byte of all addresses, so that two clusters don't meet
--- a/testbed/cluster/main.cpp
+++ b/testbed/cluster/main.cpp
@@ -1,15 +1,18 @@
-// winchhall-cluster-testbed: a whole cluster on loopback, for a look at it.
+// winchhall-cluster-testbed: a whole cluster on loopback. Without arguments, a demonstration;
+// `rolling-upgrade OLD_PROGRAM NEW_PROGRAM`: a trial of replacing its processes one at a time.
 #include <unistd.h>
 
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
 #include <memory>
+#include <string>
 #include <thread>
 
 #include "testbed/cluster/fake_leaf.hpp"
 #include "testbed/cluster/http_call.hpp"
 #include "testbed/cluster/local_cluster.hpp"
+#include "testbed/cluster/rolling_upgrade.hpp"
 
 namespace {
 
@@ -26,6 +29,7 @@
 constexpr const char* kJob =
     R"({"spec":"count rainfall","stages":[{"count":4,"cpu":500,"mem_mb":256,"estimated_ms":300},)"
     R"({"count":2,"cpu":1000,"mem_mb":512,"estimated_ms":300,"depends_on":[0]}]})";
+constexpr int kExitUsage = 2;
 constexpr const char* kHost = "demo.example";
 constexpr const char* kJobPath = "/extract/5c0e7a21d94b36f8";
 
@@ -83,4 +87,9 @@
 
 }  // namespace
 
-int main() { return demo(); }
+int main(int argc, char** argv) {
+  if (argc == 1) return demo();
+  if (argc == 4 && std::string(argv[1]) == "rolling-upgrade") return try_rolling_upgrade(argv[2], argv[3]);
+  std::fprintf(stderr, "usage: winchhall-cluster-testbed [rolling-upgrade OLD_PROGRAM NEW_PROGRAM]\n");
+  return kExitUsage;
+}
--- /dev/null
+++ b/testbed/cluster/rolling_upgrade.cpp
@@ -0,0 +1,269 @@
+#include "testbed/cluster/rolling_upgrade.hpp"
+
+#include <boost/json.hpp>
+#include <chrono>
+#include <cstdio>
+#include <cstdlib>
+#include <functional>
+#include <map>
+#include <memory>
+#include <thread>
+#include <vector>
+
+#include "testbed/cluster/fake_leaf.hpp"
+#include "testbed/cluster/http_call.hpp"
+#include "testbed/cluster/local_cluster.hpp"
+
+namespace winchhall::testbed::cluster {
+
+namespace {
+
+using Clock = std::chrono::steady_clock;
+
+constexpr std::chrono::seconds kPatience{40};
+constexpr std::chrono::milliseconds kPause{50};
+constexpr std::chrono::milliseconds kCallTimeout{4000};
+constexpr unsigned kControlNodes = 3;
+constexpr unsigned kWorkers = 2;
+constexpr unsigned kOk = 200;
+constexpr const char* kHost = "demo.example";
+constexpr const char* kService = "records";
+constexpr const char* kFirstConfiguration =
+    R"({"version":1,"routes":[{"name":"extract","hostname":"demo.example","path_prefix":"/extract/",)"
+    R"("route_type":"unsafe","timeout_ms":3000,"target_latency_ms":800,"priority":0,"backend":"records",)"
+    R"("max_retries":3,"stretch":1.5}],"services":[{"name":"records","health_check_path":"/health",)"
+    R"("max_connections":64,"protocol":"h1","tls":false,"preconditions":false}],"limits":{}})";
+constexpr const char* kJob =
+    R"({"spec":"x","stages":[{"count":6,"cpu":1000,"mem_mb":100,"estimated_ms":300},)"
+    R"({"count":3,"cpu":1000,"mem_mb":100,"estimated_ms":300,"depends_on":[0]}]})";
+
+bool wait_until(const std::function<bool()>& reached) {
+  const Clock::time_point limit = Clock::now() + kPatience;
+  while (Clock::now() < limit) {
+    if (reached()) return true;
+    std::this_thread::sleep_for(kPause);
+  }
+  return false;
+}
+
+// A change of the configuration that was acknowledged.
+struct AcknowledgedChange {
+  std::uint64_t base_version = 0;
+  std::uint64_t version = 0;
+  std::string route;  // that it added; empty: the first configuration
+  std::string path;
+  std::string body;
+};
+
+class RollingUpgrade {
+ public:
+  RollingUpgrade(const std::string& old_program, std::string new_program)
+      : new_program_(std::move(new_program)), cluster_(old_program, kWorkers, kService) {}
+
+  int run() {
+    if (!begin()) return EXIT_FAILURE;
+    std::vector<std::string> names;
+    for (unsigned index = 0; index < kControlNodes; ++index)
+      names.push_back("control-" + std::to_string(index));
+    names.insert(names.end(), {"agent", "ingress"});
+    for (unsigned index = 0; index < kWorkers; ++index) names.push_back("worker-" + std::to_string(index));
+    for (const std::string& name : names) {
+      if (!replace(name)) break;
+    }
+    check_jobs();
+    check_tasks();
+    check_changes();
+    std::printf("%zu jobs and %zu changes of the configuration acknowledged, %u faults\n", jobs_.size(),
+                changes_.size(), faults_);
+    return faults_ == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+  }
+
+ private:
+  bool fail(const std::string& fault) {
+    std::printf("FAULT: %s\n", fault.c_str());
+    std::fflush(stdout);
+    ++faults_;
+    return false;
+  }
+
+  bool begin() {
+    cluster_.start_all();
+    for (unsigned index = 0; index < kWorkers; ++index) {
+      leaves_.push_back(std::make_unique<FakeLeaf>(
+          FakeLeafOptions{cluster_.worker_address(index), "i-" + std::to_string(index), kService, "a"}));
+    }
+    const AcknowledgedChange first{0, 1, "", "/v1/Config.Put", kFirstConfiguration};
+    if (!acknowledged(first)) return fail("the first configuration is not taken");
+    changes_.push_back(first);
+    return submit_job() && change_configuration();
+  }
+
+  bool replace(const std::string& name) {
+    std::printf("replacing %s\n", name.c_str());
+    std::fflush(stdout);
+    const bool in_way_of_clients = name == "agent" || name == "ingress";
+    if (!submit_job()) return false;
+    const int status = cluster_.terminate(name);
+    if (status != 0) fail(name + " ended with status " + std::to_string(status));
+    if (!change_configuration()) return false;
+    if (!in_way_of_clients && !submit_job()) return false;
+    cluster_.set_program(name, new_program_);
+    cluster_.start(name);
+    if (!wait_until([&] { return is_back(name); })) return fail(name + " does not come back");
+    return submit_job() && change_configuration();
+  }
+
+  bool is_back(const std::string& name) const {
+    HttpCall call;
+    call.address = cluster_.ready_address();
+    call.target = "/v1/readiness";
+    const bool control = name.rfind("control-", 0) == 0;
+    if (control) {
+      call.address =
+          cluster_.control_address(static_cast<unsigned>(std::stoul(name.substr(name.find('-') + 1))));
+      call.target = "/v1/status";
+    }
+    const HttpCallResponse response = send_http_call(call);
+    if (response.status != kOk) return false;
+    return !control || (response.body.find(R"("votes":true)") != std::string::npos &&
+                        response.body.find(R"("in_touch":true)") != std::string::npos);
+  }
+
+  HttpCallResponse call_as_client(const char* method, const std::string& job, const char* body) const {
+    HttpCall call;
+    call.address = cluster_.front_address();
+    call.method = method;
+    call.target = "/extract/" + job;
+    call.host = kHost;
+    call.body = body;
+    call.timeout = kCallTimeout;
+    return send_http_call(call);
+  }
+
+  bool submit_job() {
+    char id[17];
+    std::snprintf(id, sizeof id, "%016zx", jobs_.size() + 1);
+    const std::string job = id;
+    if (!wait_until([&] { return call_as_client("POST", job, kJob).status == kOk; })) {
+      return fail("job " + job + " is not taken");
+    }
+    jobs_.push_back(job);
+    return true;
+  }
+
+  // Sends a change, to the control nodes in turn, until it is acknowledged with its version.
+  bool acknowledged(const AcknowledgedChange& change) {
+    const std::string wanted = R"("version":)" + std::to_string(change.version) + "}";
+    return wait_until([&] {
+      HttpCall call;
+      call.address = cluster_.control_address(next_control_++ % kControlNodes);
+      call.method = "POST";
+      call.target = change.path;
+      call.body = change.body;
+      call.headers.push_back({"X-Winchhall-Base-Version", std::to_string(change.base_version)});
+      call.timeout = kCallTimeout;
+      const HttpCallResponse response = send_http_call(call);
+      return response.status == kOk && response.body.find(wanted) != std::string::npos;
+    });
+  }
+
+  bool change_configuration() {
+    AcknowledgedChange change;
+    change.base_version = changes_.back().version;
+    change.version = change.base_version + 1;
+    change.route = "step-" + std::to_string(change.version);
+    change.path = "/v1/Config.Patch";
+    change.body = R"({"version":)" + std::to_string(change.version) + R"(,"upsert":{"routes":[{"name":")" +
+                  change.route + R"(","hostname":"demo.example","path_prefix":"/)" + change.route +
+                  R"(/","route_type":"unsafe","timeout_ms":3000,"target_latency_ms":800,"priority":2,)"
+                  R"("backend":"records","max_retries":3,"stretch":2.5}]}})";
+    if (!acknowledged(change)) return fail("change " + change.route + " is not taken");
+    changes_.push_back(change);
+    return true;
+  }
+
+  void check_jobs() {
+    for (const std::string& job : jobs_) {
+      HttpCallResponse last;
+      const bool completed = wait_until([&] {
+        last = call_as_client("GET", job, "");
+        return last.status == kOk && last.body.find("completed") != std::string::npos;
+      });
+      if (!completed) fail("job " + job + ": " + std::to_string(last.status) + " " + last.body);
+    }
+    std::string list;
+    const bool listed = wait_until([&] {
+      HttpCall call;
+      call.address = cluster_.control_address(next_control_++ % kControlNodes);
+      call.target = std::string("/v1/jobs?service=") + kService;
+      const HttpCallResponse response = send_http_call(call);
+      list = response.body;
+      return response.status == kOk;
+    });
+    if (!listed) fail("no control node lists the jobs");
+    for (const std::string& job : jobs_) {
+      if (list.find('"' + job + '"') == std::string::npos) fail("job " + job + " is not listed");
+    }
+  }
+
+  // A leader may not have a task carried out again after its end was reported.
+  void check_tasks() {
+    std::map<std::string, unsigned> completed;
+    for (const auto& leaf : leaves_) {
+      for (const FakeLeafTaskStart& start : leaf->starts()) completed[start.task] += start.done ? 1 : 0;
+    }
+    for (const auto& [task, times] : completed) {
+      if (times > 1) fail("task " + task + " was completed " + std::to_string(times) + " times");
+    }
+    std::printf("%zu tasks were started\n", completed.size());
+  }
+
+  void check_changes() {
+    std::string json;
+    const bool read = wait_until([&] {
+      HttpCall call;
+      call.address = cluster_.control_address(next_control_++ % kControlNodes);
+      call.target = "/v1/Config.Get";
+      const HttpCallResponse response = send_http_call(call);
+      json = response.body;
+      return response.status == kOk;
+    });
+    if (!read) {
+      fail("the configuration can't be read");
+      return;
+    }
+    const boost::json::value configuration = boost::json::parse(json);
+    const auto version = configuration.at("version").to_number<std::uint64_t>();
+    if (version != changes_.back().version) fail("the configuration has version " + std::to_string(version));
+    std::vector<std::string> found;
+    for (const auto& route : configuration.at("routes").as_array()) {
+      found.emplace_back(route.at("name").as_string().c_str());
+    }
+    std::vector<std::string> wanted = {"extract"};
+    for (const AcknowledgedChange& change : changes_) {
+      if (!change.route.empty()) wanted.push_back(change.route);
+    }
+    if (found != wanted) fail("the routes are not those of the acknowledged changes in their order: " + json);
+    // An acknowledged change that is sent again is acknowledged again, with the version that it made.
+    for (const AcknowledgedChange& change : changes_) {
+      if (!acknowledged(change)) fail("version " + std::to_string(change.version) + " is not known any more");
+    }
+  }
+
+  const std::string new_program_;
+  LocalCluster cluster_;
+  std::vector<std::unique_ptr<FakeLeaf>> leaves_;
+  std::vector<std::string> jobs_;            // acknowledged, in order
+  std::vector<AcknowledgedChange> changes_;  // in order
+  unsigned next_control_ = 0;
+  unsigned faults_ = 0;
+};
+
+}  // namespace
+
+int try_rolling_upgrade(const std::string& old_program, const std::string& new_program) {
+  RollingUpgrade upgrade(old_program, new_program);
+  return upgrade.run();
+}
+
+}  // namespace winchhall::testbed::cluster
