--- a/tests/cluster/compatibility/command_line_test.cpp
+++ b/tests/cluster/compatibility/command_line_test.cpp
@@ -126,7 +126,7 @@
     call.target = std::string("/extract/") + kJobId;
     call.host = "demo.example";
     call.body = body;
-    return carry_out(call);
+    return send_http_call(call);
   }
 
   LocalCluster cluster_;
