--- a/src/cluster/worker_agent/heartbeat_json.cpp
+++ b/src/cluster/worker_agent/heartbeat_json.cpp
@@ -11,20 +11,20 @@
 
 namespace json = boost::json;
 
-constexpr const char* kSource = "Instances.Heartbeat";
+constexpr const char* kErrorSource = "Instances.Heartbeat";
 constexpr std::size_t kMaxErrorValueBytes = 80;
 constexpr std::size_t kMaxLeafIdBytes = 128;
-constexpr std::size_t kMaxEscapedBytesPerByte = 6;  // of a text, at most
-constexpr std::size_t kMaxOrderOverheadBytes = 64;  // quotes, commas and numbers of an order
+constexpr std::size_t kMaxEscapedBytesPerByte = 6;  // as \u00XX
+constexpr std::size_t kMaxOrderOverheadBytes = 64;  // brackets, quotes, commas and numbers
 
 leaf::error_id invalid(std::string field, const json::value* found, std::string allowed) {
   std::string shown = found != nullptr ? json::serialize(*found) : std::string();
   if (shown.size() > kMaxErrorValueBytes) shown.resize(kMaxErrorValueBytes);
-  return leaf::new_error(InvalidInput{kSource, std::move(field), std::move(shown), std::move(allowed)});
+  return leaf::new_error(InvalidInput{kErrorSource, std::move(field), std::move(shown), std::move(allowed)});
 }
 
-// Null: the field is missing.
-const json::value* field_of(const json::object& object, std::string_view name) {
+// Null: the field is missing, or its value is null.
+const json::value* find_field(const json::object& object, std::string_view name) {
   const json::value* const found = object.if_contains(name);
   return found != nullptr && !found->is_null() ? found : nullptr;
 }
@@ -49,7 +49,7 @@
   return invalid(field, value, "a number that is not negative");
 }
 
-// Numbers beyond the field's type count as its largest.
+// Like `read_number`; numbers beyond 32 bits become the largest 32-bit one.
 leaf::result<std::uint32_t> read_small_number(const json::value* value, const std::string& field) {
   BOOST_LEAF_AUTO(number, read_number(value, field));
   constexpr std::uint64_t kLargest = std::numeric_limits<std::uint32_t>::max();
@@ -57,40 +57,41 @@
 }
 
 leaf::result<const json::array*> read_list(const json::object& object, std::string_view name) {
-  const json::value* const value = field_of(object, name);
+  const json::value* const value = find_field(object, name);
   if (value == nullptr) return nullptr;
   if (!value->is_array()) return invalid(std::string(name), value, "a list");
   return &value->get_array();
 }
 
-// One entry of a list of lists, with the number of fields that it must have at least.
+// One entry of a list of tuples; `min_size`: number of items that it must have.
 leaf::result<const json::array*> read_entry(const json::value& entry, const std::string& field,
-                                            std::size_t least) {
+                                            std::size_t min_size) {
   const json::array* const items = entry.if_array();
-  if (items == nullptr || items->size() < least) {
-    return invalid(field, &entry, "a list of at least " + std::to_string(least));
+  if (items == nullptr || items->size() < min_size) {
+    return invalid(field, &entry, "a list of at least " + std::to_string(min_size));
   }
   return items;
 }
 
-const json::value* item_of(const json::array& items, std::size_t position) {
+const json::value* find_item(const json::array& items, std::size_t position) {
   return position < items.size() ? &items[position] : nullptr;
 }
 
 leaf::result<wire::RunningTask> read_running(const json::value& entry, const std::string& field) {
   BOOST_LEAF_AUTO(items, read_entry(entry, field, 2));
   wire::RunningTask task;
-  BOOST_LEAF_AUTO(name, read_text(item_of(*items, 0), field));
-  BOOST_LEAF_AUTO(run, read_number(item_of(*items, 1), field));
-  BOOST_LEAF_AUTO(saved, read_text(item_of(*items, 2), field));
-  BOOST_LEAF_AUTO(percent, read_small_number(item_of(*items, 3), field));
+  BOOST_LEAF_AUTO(name, read_text(find_item(*items, 0), field));
+  BOOST_LEAF_AUTO(run, read_number(find_item(*items, 1), field));
+  BOOST_LEAF_AUTO(checkpoint, read_text(find_item(*items, 2), field));
+  BOOST_LEAF_AUTO(percent, read_small_number(find_item(*items, 3), field));
   task.set_task(std::move(name));
   task.set_run(run);
-  task.set_saved(std::move(saved));
+  task.set_saved(std::move(checkpoint));
   task.set_percent(percent);
   return task;
 }
 
+// Unknown words are accepted: a newer leaf may have more kinds of ends.
 wire::EndKind end_kind(std::string_view how) {
   if (how == "done") return wire::END_DONE;
   if (how == "failed") return wire::END_FAILED;
@@ -105,47 +106,45 @@
 leaf::result<wire::FinishedTask> read_finished(const json::value& entry, const std::string& field) {
   BOOST_LEAF_AUTO(items, read_entry(entry, field, 4));
   wire::FinishedTask task;
-  BOOST_LEAF_AUTO(number, read_number(item_of(*items, 0), field));
-  BOOST_LEAF_AUTO(name, read_text(item_of(*items, 1), field));
-  BOOST_LEAF_AUTO(run, read_number(item_of(*items, 2), field));
-  BOOST_LEAF_AUTO(how, read_text(item_of(*items, 3), field));
-  BOOST_LEAF_AUTO(saved, read_text(item_of(*items, 4), field));
+  BOOST_LEAF_AUTO(number, read_number(find_item(*items, 0), field));
+  BOOST_LEAF_AUTO(name, read_text(find_item(*items, 1), field));
+  BOOST_LEAF_AUTO(run, read_number(find_item(*items, 2), field));
+  BOOST_LEAF_AUTO(how, read_text(find_item(*items, 3), field));
+  BOOST_LEAF_AUTO(checkpoint, read_text(find_item(*items, 4), field));
   task.set_number(number);
   task.set_task(std::move(name));
   task.set_run(run);
   task.set_how(end_kind(how));
-  task.set_saved(std::move(saved));
+  task.set_saved(std::move(checkpoint));
   return task;
 }
 
-leaf::result<void> read_lists(const json::object& root, Heartbeat& heartbeat) {
-  BOOST_LEAF_AUTO(running, read_list(root, "running"));
-  if (running != nullptr) {
-    heartbeat.running.reserve(running->size());
-    for (const json::value& entry : *running) {
-      BOOST_LEAF_AUTO(task, read_running(entry, "running"));
-      heartbeat.running.push_back(std::move(task));
-    }
-  }
-  BOOST_LEAF_AUTO(finished, read_list(root, "finished"));
-  if (finished != nullptr) {
-    heartbeat.finished.reserve(finished->size());
-    for (const json::value& entry : *finished) {
-      BOOST_LEAF_AUTO(task, read_finished(entry, "finished"));
-      heartbeat.finished.push_back(std::move(task));
-    }
+template <typename Task>
+using TaskReader = leaf::result<Task> (*)(const json::value& entry, const std::string& field);
+
+// A missing list counts as empty.
+template <typename Task>
+leaf::result<std::vector<Task>> read_tasks(const json::object& root, const std::string& field,
+                                           TaskReader<Task> read_task) {
+  std::vector<Task> tasks;
+  BOOST_LEAF_AUTO(entries, read_list(root, field));
+  if (entries == nullptr) return tasks;
+  tasks.reserve(entries->size());
+  for (const json::value& entry : *entries) {
+    BOOST_LEAF_AUTO(task, read_task(entry, field));
+    tasks.push_back(std::move(task));
   }
-  return {};
+  return tasks;
 }
 
 leaf::result<void> read_capacity(const json::object& root, wire::LeafDescription& leaf) {
-  const json::value* const value = field_of(root, "capacity");
+  const json::value* const value = find_field(root, "capacity");
   if (value == nullptr) return {};
   const json::object* const capacity = value->if_object();
   if (capacity == nullptr) return invalid("capacity", value, "an object");
-  BOOST_LEAF_AUTO(cpu, read_small_number(field_of(*capacity, "cpu"), "capacity.cpu"));
-  BOOST_LEAF_AUTO(mem_mb, read_small_number(field_of(*capacity, "mem_mb"), "capacity.mem_mb"));
-  BOOST_LEAF_AUTO(gpu, read_small_number(field_of(*capacity, "gpu"), "capacity.gpu"));
+  BOOST_LEAF_AUTO(cpu, read_small_number(find_field(*capacity, "cpu"), "capacity.cpu"));
+  BOOST_LEAF_AUTO(mem_mb, read_small_number(find_field(*capacity, "mem_mb"), "capacity.mem_mb"));
+  BOOST_LEAF_AUTO(gpu, read_small_number(find_field(*capacity, "gpu"), "capacity.gpu"));
   leaf.set_cpu(cpu);
   leaf.set_mem_mb(mem_mb);
   leaf.set_gpu(gpu);
@@ -153,9 +152,9 @@
 }
 
 leaf::result<void> read_state(const json::object& root, wire::LeafDescription& leaf) {
-  BOOST_LEAF_AUTO(state, read_text(field_of(root, "state"), "state"));
-  BOOST_LEAF_AUTO(remaining_ms, read_small_number(field_of(root, "remaining_ms"), "remaining_ms"));
-  BOOST_LEAF_AUTO(warmup_left_ms, read_small_number(field_of(root, "warmup_left_ms"), "warmup_left_ms"));
+  BOOST_LEAF_AUTO(state, read_text(find_field(root, "state"), "state"));
+  BOOST_LEAF_AUTO(remaining_ms, read_small_number(find_field(root, "remaining_ms"), "remaining_ms"));
+  BOOST_LEAF_AUTO(warmup_left_ms, read_small_number(find_field(root, "warmup_left_ms"), "warmup_left_ms"));
   leaf.set_draining(state == "draining");
   leaf.set_remaining_ms(remaining_ms);
   leaf.set_warmup_left_ms(warmup_left_ms);
@@ -173,11 +172,11 @@
 }
 
 leaf::result<void> read_identity(const json::object& root, wire::LeafDescription& leaf) {
-  BOOST_LEAF_AUTO(service, read_text(field_of(root, "backend"), "backend"));
-  BOOST_LEAF_AUTO(address, read_text(field_of(root, "address"), "address"));
-  BOOST_LEAF_AUTO(zone, read_text(field_of(root, "zone"), "zone"));
-  BOOST_LEAF_AUTO(version, read_text(field_of(root, "version"), "version"));
-  BOOST_LEAF_AUTO(slots, read_small_number(field_of(root, "slots"), "slots"));
+  BOOST_LEAF_AUTO(service, read_text(find_field(root, "backend"), "backend"));
+  BOOST_LEAF_AUTO(address, read_text(find_field(root, "address"), "address"));
+  BOOST_LEAF_AUTO(zone, read_text(find_field(root, "zone"), "zone"));
+  BOOST_LEAF_AUTO(version, read_text(find_field(root, "version"), "version"));
+  BOOST_LEAF_AUTO(slots, read_small_number(find_field(root, "slots"), "slots"));
   leaf.set_service(std::move(service));
   leaf.set_address(std::move(address));
   leaf.set_zone(std::move(zone));
@@ -191,17 +190,17 @@
 bool is_valid_leaf_id(std::string_view leaf_id) {
   if (leaf_id.empty() || leaf_id.size() > kMaxLeafIdBytes) return false;
   return std::all_of(leaf_id.begin(), leaf_id.end(),
-                     [](char letter) { return letter > ' ' && letter <= '~' && letter != '/'; });
+                     [](char character) { return character > ' ' && character <= '~' && character != '/'; });
 }
 
 leaf::result<Heartbeat> parse_heartbeat(const std::string& leaf_id, std::string_view body) {
   if (!is_valid_leaf_id(leaf_id)) {
-    return leaf::new_error(InvalidInput{kSource, "id", "", "printable characters, 128 at most"});
+    return leaf::new_error(InvalidInput{kErrorSource, "id", "", "printable characters, 128 at most"});
   }
   boost::system::error_code failure;
   const json::value root = json::parse(body, failure);
   if (failure || !root.is_object()) {
-    return leaf::new_error(InvalidInput{kSource, "body", failure.message(), "one whole JSON object"});
+    return leaf::new_error(InvalidInput{kErrorSource, "body", failure.message(), "one whole JSON object"});
   }
   const json::object& fields = root.get_object();
   Heartbeat heartbeat;
@@ -210,29 +209,30 @@
   BOOST_LEAF_CHECK(read_state(fields, heartbeat.leaf));
   BOOST_LEAF_CHECK(read_capacity(fields, heartbeat.leaf));
   BOOST_LEAF_CHECK(read_labels(fields, heartbeat.leaf));
-  BOOST_LEAF_CHECK(read_lists(fields, heartbeat));
-  if (const json::value* const sequence = field_of(fields, "sequence")) {
+  BOOST_LEAF_ASSIGN(heartbeat.running, read_tasks<wire::RunningTask>(fields, "running", read_running));
+  BOOST_LEAF_ASSIGN(heartbeat.finished, read_tasks<wire::FinishedTask>(fields, "finished", read_finished));
+  if (const json::value* const sequence = find_field(fields, "sequence")) {
     BOOST_LEAF_ASSIGN(heartbeat.sequence, read_number(sequence, "sequence"));
   }
   return heartbeat;
 }
 
-std::string heartbeat_response_json(const HeartbeatResponse& answer) {
+std::string heartbeat_response_json(const HeartbeatResponse& response) {
   json::object root;
-  if (answer.hold) root["hold_ms"] = answer.hold->count();
-  if (answer.last_seen != 0) root["last_seen"] = answer.last_seen;
-  if (answer.fence_token != 0) root["fence_token"] = answer.fence_token;
-  if (!answer.starts.empty()) {
+  if (response.lease) root["hold_ms"] = response.lease->count();
+  if (response.last_seen != 0) root["last_seen"] = response.last_seen;
+  if (response.fence_token != 0) root["fence_token"] = response.fence_token;
+  if (!response.starts.empty()) {
     json::array& starts = root["started_at"].emplace_array();
-    for (const wire::StartOrder& start : answer.starts) {
+    for (const wire::StartOrder& start : response.starts) {
       starts.push_back(json::array{start.task(), start.run(), start.spec(), start.saved()});
     }
   }
-  if (!answer.stops.empty()) {
+  if (!response.stops.empty()) {
     json::array& stops = root["stopped_at"].emplace_array();
-    for (const wire::StopOrder& stop : answer.stops) stops.push_back(json::array{stop.task(), stop.run()});
+    for (const wire::StopOrder& stop : response.stops) stops.push_back(json::array{stop.task(), stop.run()});
   }
-  if (answer.retry_after.count() != 0) root["retry_after_ms"] = answer.retry_after.count();
+  if (response.retry_after.count() != 0) root["retry_after_ms"] = response.retry_after.count();
   return json::serialize(root);
 }
 
--- a/src/cluster/worker_agent/leader_finder.cpp
+++ b/src/cluster/worker_agent/leader_finder.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 constexpr Millis kProbeTimeout{500};
-constexpr Millis kProbeWait{250};  // a node that knows nothing new answers after so long, or once it does
+constexpr Millis kProbeWait{250};  // a node without newer leaders holds a long poll this long
 constexpr unsigned kMaxProbesInFlight = 3;
-constexpr Millis kPause{100};
-constexpr Millis kHedge{200};  // without an answer for so long, another node is asked beside
-constexpr std::uint64_t kPauseJitterMs = 50;
+constexpr Millis kRetryDelay{100};
+constexpr std::uint64_t kRetryJitterMs = 50;
+constexpr Millis kHedgeDelay{200};
 constexpr std::size_t kMaxNodes = 64;
 
 }  // namespace
 
-LeaderFinder::LeaderFinder(Runtime& runtime, const NodeSettings& settings, FoundCallback found)
+LeaderFinder::LeaderFinder(Runtime& runtime, const NodeSettings& settings, FoundCallback on_found)
     : runtime_(runtime),
-      found_(std::move(found)),
+      on_found_(std::move(on_found)),
       seeds_(settings.seed_internal_addresses()),
       nodes_(seeds_),
       next_node_(static_cast<std::size_t>(runtime.random() % std::max<std::size_t>(1, nodes_.size()))),
@@ -26,15 +26,15 @@
 
 LeaderFinder::~LeaderFinder() { *alive_ = false; }
 
-void LeaderFinder::search(const std::string& service, std::uint64_t least_epoch) {
+void LeaderFinder::search(const std::string& service, std::uint64_t min_epoch) {
   shard_ = "service/" + service;
-  min_epoch_ = least_epoch;
-  if (searching_ || (nodes_.empty() && sampled_.empty())) return;
+  min_epoch_ = min_epoch;
+  if (searching_ || !has_nodes()) return;
   searching_ = true;
   leaders_digest_ = 0;
-  const bool too_soon = last_probe_at_ != TimePoint{} && runtime_.now() - last_probe_at_ < kPause;
-  if (too_soon) {
-    pause();
+  const bool probed_recently = last_probe_at_ != TimePoint{} && runtime_.now() - last_probe_at_ < kRetryDelay;
+  if (probed_recently) {
+    schedule_retry();
   } else {
     probe_next_node();
   }
@@ -48,9 +48,9 @@
 }
 
 bool LeaderFinder::is_sampled_turn() const {
-  const bool all_asked = unanswered_probes_ >= nodes_.size();
-  const bool turn = nodes_.empty() || unanswered_probes_ % 2 == 0;
-  return all_asked && turn && !sampled_.empty();
+  const bool all_probed = unanswered_probes_ >= nodes_.size();
+  const bool every_other_time = nodes_.empty() || unanswered_probes_ % 2 == 0;
+  return all_probed && every_other_time && !sampled_.empty();
 }
 
 const Address& LeaderFinder::next_node() {
@@ -66,19 +66,19 @@
 
 void LeaderFinder::probe_next_node() {
   if (!searching_) return;
-  if ((nodes_.empty() && sampled_.empty()) || probes_in_flight_ >= kMaxProbesInFlight) return pause();
-  ask(next_node());
+  if (!has_nodes() || probes_in_flight_ >= kMaxProbesInFlight) return schedule_retry();
+  probe(next_node());
 }
 
-void LeaderFinder::ask(const Address& node) {
+void LeaderFinder::probe(const Address& node) {
   wire::Envelope request;
   wire::ConfigurationWatch& watch = *request.mutable_configuration_watch();
-  watch.set_version(std::numeric_limits<std::uint64_t>::max());  // the configuration itself is not wanted
+  watch.set_version(std::numeric_limits<std::uint64_t>::max());  // only the leaders are wanted
   watch.set_leaders_digest(leaders_digest_);
   if (leaders_digest_ != 0) watch.set_wait_ms(static_cast<std::uint32_t>(kProbeWait.count()));
   ++probes_in_flight_;
   last_probe_at_ = runtime_.now();
-  timer_ = runtime_.after(kHedge, [this] { probe_next_node(); });
+  timer_ = runtime_.after(kHedgeDelay, [this] { probe_next_node(); });
   runtime_.call(node, std::move(request), kProbeTimeout,
                 [this, alive = alive_, number = search_number_](const CallResult& result) {
                   if (!*alive) return;
@@ -93,15 +93,20 @@
   update_members(update);
   if (!searching_) return;
   leaders_digest_ = update.leaders_digest();
-  FoundLeader best;
-  for (const wire::ShardLeader& leader : update.leaders()) {
-    const bool better = leader.shard() == shard_ && !leader.address().empty() && leader.epoch() >= best.epoch;
-    if (better) best = FoundLeader{leader.address(), leader.epoch()};
-  }
-  if (best.address.empty() || best.epoch < min_epoch_) return pause();
+  const FoundLeader leader = newest_leader_in(update);
+  if (leader.address.empty() || leader.epoch < min_epoch_) return schedule_retry();
   stop();
   unanswered_probes_ = 0;
-  found_(best);
+  on_found_(leader);
+}
+
+FoundLeader LeaderFinder::newest_leader_in(const wire::ConfigurationUpdate& update) const {
+  FoundLeader newest;
+  for (const wire::ShardLeader& leader : update.leaders()) {
+    if (leader.shard() != shard_ || leader.address().empty()) continue;
+    if (leader.epoch() >= newest.epoch) newest = FoundLeader{leader.address(), leader.epoch()};
+  }
+  return newest;
 }
 
 void LeaderFinder::update_members(const wire::ConfigurationUpdate& update) {
@@ -124,10 +129,10 @@
   }
 }
 
-void LeaderFinder::pause() {
+void LeaderFinder::schedule_retry() {
   if (!searching_) return;
-  const Millis jitter(static_cast<std::int64_t>(runtime_.random() % kPauseJitterMs));
-  timer_ = runtime_.after(kPause + jitter, [this] { probe_next_node(); });
+  const Millis jitter(static_cast<std::int64_t>(runtime_.random() % kRetryJitterMs));
+  timer_ = runtime_.after(kRetryDelay + jitter, [this] { probe_next_node(); });
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/leader_finder.hpp
+++ b/src/cluster/worker_agent/leader_finder.hpp
@@ -1,4 +1,4 @@
-// Finds the leader of a service by asking control nodes in turn, a few of them at once.
+// Finds the leader of a service by querying control nodes.
 #pragma once
 
 #include <cstdint>
@@ -19,54 +19,60 @@
   std::uint64_t epoch = 0;
 };
 
+// Probes control nodes one after the other until one names a leader. A node that does not answer soon is
+// hedged by a probe to the next one, with a bounded number of probes in flight. The nodes are the seeds, the
+// members that an answer has listed and, while all of these leave probes without a result, every other time a
+// node from peer sampling. Not thread-safe; calls back on the runtime's thread.
 class LeaderFinder {
  public:
   using FoundCallback = std::function<void(const FoundLeader&)>;
 
-  // Both references outlive the finder.
-  LeaderFinder(Runtime& runtime, const NodeSettings& settings, FoundCallback found);
+  // `runtime` outlives the finder. `on_found` is called at the end of each successful search.
+  LeaderFinder(Runtime& runtime, const NodeSettings& settings, FoundCallback on_found);
   ~LeaderFinder();
 
-  // Looks for the leader of a service with at least this epoch, until one is found or `stop`. Does nothing
-  // while a search is on.
-  void search(const std::string& service, std::uint64_t least_epoch);
+  // Searches for the leader of `service` until one with an epoch of at least `min_epoch` is found or `stop`
+  // is called. If a search is running, only changes what it looks for. Does nothing while no node is known.
+  void search(const std::string& service, std::uint64_t min_epoch);
   void stop();
   bool searching() const { return searching_; }
-  // Internal listeners of the seeds, after a change of the settings.
+  // Replaces the seeds (their internal listeners), after a change of the settings.
   void set_seeds(std::vector<Address> seeds);
-  // Control nodes that peer sampling brought up: asked in turn with the others once all those were asked in
-  // vain.
+  // Replaces the control nodes known from peer sampling.
   void set_sampled(std::vector<Address> nodes) { sampled_ = std::move(nodes); }
 
  private:
+  bool has_nodes() const { return !nodes_.empty() || !sampled_.empty(); }
   void probe_next_node();
-  void ask(const Address& node);
+  void probe(const Address& node);
   void on_answer(const CallResult& result);
+  // The leader of the searched shard with the highest epoch; empty address: the update names none.
+  FoundLeader newest_leader_in(const wire::ConfigurationUpdate& update) const;
   void update_members(const wire::ConfigurationUpdate& update);
   void rebuild_nodes();
-  void pause();
-  // A seed or a member, or, where all of these were asked in vain, sometimes a sampled node.
+  void schedule_retry();
+  // Precondition: `has_nodes()`.
   const Address& next_node();
   bool is_sampled_turn() const;
 
   Runtime& runtime_;
-  const FoundCallback found_;
+  const FoundCallback on_found_;
   std::vector<Address> seeds_;    // internal listeners
-  std::vector<Address> members_;  // heard of last
+  std::vector<Address> members_;  // as the newest answer listed them
   std::vector<Address> nodes_;    // seeds, then members
   std::vector<Address> sampled_;
   std::size_t next_node_ = 0;
   std::size_t next_sampled_ = 0;
-  std::size_t unanswered_probes_ = 0;  // asks since a leader was found last
+  std::size_t unanswered_probes_ = 0;  // that named no leader, since one was last found
   std::string shard_;
   std::uint64_t min_epoch_ = 0;
   bool searching_ = false;
-  unsigned probes_in_flight_ = 0;     // nodes that have not answered in this search
-  std::uint64_t leaders_digest_ = 0;  // of the leaders that were named last in this search
+  unsigned probes_in_flight_ = 0;     // of this search
+  std::uint64_t leaders_digest_ = 0;  // of the leaders that this search was told last
   std::uint64_t search_number_ = 0;   // rises with the end of each search
   TimePoint last_probe_at_{};
   std::unique_ptr<Timer> timer_;
-  const std::shared_ptr<bool> alive_;  // false once this object is gone
+  const std::shared_ptr<bool> alive_;  // false once this object is destroyed
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/leader_reporter.cpp
+++ b/src/cluster/worker_agent/leader_reporter.cpp
@@ -6,24 +6,23 @@
 namespace {
 
 constexpr Millis kReportTimeout{900};
-constexpr Millis kPollInterval{400};     // between reports without news, while one is outstanding
+constexpr Millis kPollInterval{400};     // between reports without changes, while one is outstanding
 constexpr Millis kMinReportInterval{5};  // between any two reports
-constexpr Millis kResponseTimeout{600};  // of the leader, then others are asked
+constexpr Millis kResponseTimeout{600};
 constexpr Millis kResponseCheckInterval{100};
-constexpr Millis kMinRedirectInterval{100};  // between two hints that are followed
-constexpr Millis kTakeoverRetryDelay{
-    40};  // before a node that holds the lease but does not lead yet is tried again
+constexpr Millis kMinRedirectInterval{100};
+constexpr Millis kTakeoverRetryDelay{40};  // for a node that holds the lease and does not lead yet
 constexpr unsigned kMaxReportsInFlight = 3;
 
 }  // namespace
 
 LeaderReporter::LeaderReporter(Runtime& runtime, const NodeSettings& settings, LeafSession& session,
-                               std::function<void()> on_orders)
+                               std::function<void()> on_orders_accepted)
     : runtime_(runtime),
       settings_(settings),
       session_(session),
-      on_orders_accepted_(std::move(on_orders)),
-      finder_(runtime, settings, [this](const FoundLeader& leader) { follow(leader.address); }),
+      on_orders_accepted_(std::move(on_orders_accepted)),
+      finder_(runtime, settings, [this](const FoundLeader& leader) { switch_to(leader.address); }),
       alive_(std::make_shared<bool>(true)) {}
 
 LeaderReporter::~LeaderReporter() { *alive_ = false; }
@@ -36,7 +35,7 @@
 void LeaderReporter::stop() {
   stopped_ = true;
   finder_.stop();
-  poll_timer_.reset();
+  check_timer_.reset();
   response_timer_.reset();
 }
 
@@ -55,29 +54,27 @@
   finder_.search(service(), session_.epoch());
 }
 
-// Sends a report if one is due, else sees to it that one goes out in time.
 void LeaderReporter::send_if_due() {
   if (stopped_ || !session_.has_leaf()) return;
   if (target_.empty()) return search();
   if (runtime_.now() < paused_until_) {
-    poll_timer_ = runtime_.after(kTakeoverRetryDelay, [this] { send_if_due(); });
+    check_timer_ = runtime_.after(kTakeoverRetryDelay, [this] { send_if_due(); });
     return;
   }
-  const SteadyClock::duration since = runtime_.now() - sent_at_;
-  const bool wanted = has_unsent_changes_ || !has_pending_poll() || since >= kPollInterval;
-  if (wanted && reports_in_flight_ < kMaxReportsInFlight && since >= kMinReportInterval) send();
-  schedule_poll();
+  const SteadyClock::duration since_last = runtime_.now() - sent_at_;
+  const bool due = is_report_urgent() || since_last >= kPollInterval;
+  if (due && reports_in_flight_ < kMaxReportsInFlight && since_last >= kMinReportInterval) send();
+  schedule_check();
 }
 
-void LeaderReporter::schedule_poll() {
-  const bool soon = (has_unsent_changes_ || !has_pending_poll()) && reports_in_flight_ < kMaxReportsInFlight;
-  poll_timer_ = runtime_.after(soon ? kMinReportInterval : kPollInterval, [this] { send_if_due(); });
+void LeaderReporter::schedule_check() {
+  const bool soon = is_report_urgent() && reports_in_flight_ < kMaxReportsInFlight;
+  check_timer_ = runtime_.after(soon ? kMinReportInterval : kPollInterval, [this] { send_if_due(); });
 }
 
-wire::WorkerReport LeaderReporter::next_report(ReportInFlight& sent) {
+wire::WorkerReport LeaderReporter::make_report(ReportInFlight& sent) {
   sent.report = SentReport{++report_number_, runtime_.now()};
-  sent.target = target_;
-  sent.target_number = target_generation_;
+  sent.target_generation = target_generation_;
   sent.lists_version = session_.lists_version();
   sent.lists_included = acknowledged_lists_version_ != sent.lists_version;
   wire::WorkerReport report;
@@ -90,7 +87,7 @@
 void LeaderReporter::send() {
   ReportInFlight sent;
   wire::Envelope request;
-  *request.mutable_worker_report() = next_report(sent);
+  *request.mutable_worker_report() = make_report(sent);
   has_unsent_changes_ = false;
   ++reports_in_flight_;
   sent_at_ = sent.report.sent;
@@ -102,13 +99,15 @@
 }
 
 void LeaderReporter::on_answer(const ReportInFlight& sent, const CallResult& result) {
-  const bool current = sent.target_number == target_generation_;
-  if (current) --reports_in_flight_;
-  if (current) answered_number_ = std::max(answered_number_, sent.report.number);
+  const bool at_target = is_at_target(sent);
+  if (at_target) {
+    --reports_in_flight_;
+    answered_number_ = std::max(answered_number_, sent.report.number);
+  }
   if (stopped_) return;
   if (result.answer && result.answer->has_worker_orders()) {
     on_orders(sent, result.answer->worker_orders());
-  } else if (current) {
+  } else if (at_target) {
     has_unsent_changes_ = true;  // the report may not have arrived
     search();
   }
@@ -116,10 +115,10 @@
 }
 
 void LeaderReporter::on_orders(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
-  const ProcessedOrders accepted = session_.process_orders(sent.report, orders);
-  if (accepted.outcome != OrdersOutcome::accepted) return on_orders_refused(sent, orders);
-  if (sent.target_number == target_generation_) record_leader_response(sent, orders);
-  if (accepted.report_wanted) has_unsent_changes_ = true;
+  const ProcessedOrders processed = session_.process_orders(sent.report, orders);
+  if (processed.outcome != OrdersOutcome::accepted) return on_orders_refused(sent, orders);
+  if (is_at_target(sent)) record_leader_response(sent, orders);
+  if (processed.report_needed) has_unsent_changes_ = true;
   on_orders_accepted_();
 }
 
@@ -135,26 +134,27 @@
 }
 
 void LeaderReporter::on_orders_refused(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
-  if (sent.target_number != target_generation_) return;
-  if (orders.leader_address() == target_) {  // it takes over
+  if (!is_at_target(sent)) return;
+  const bool taking_over = orders.leader_address() == target_;
+  if (taking_over) {
     paused_until_ = runtime_.now() + kTakeoverRetryDelay;
     return;
   }
-  const bool hinted = !orders.leader_address().empty();
-  const bool paced = runtime_.now() - last_redirect_at_ >= kMinRedirectInterval;
-  if (hinted && paced) {
+  const bool redirected = !orders.leader_address().empty();
+  const bool may_follow = runtime_.now() - last_redirect_at_ >= kMinRedirectInterval;
+  if (redirected && may_follow) {
     last_redirect_at_ = runtime_.now();
-    return follow(orders.leader_address());
+    return switch_to(orders.leader_address());
   }
   target_.clear();
   search();
 }
 
-void LeaderReporter::follow(const Address& leader) {
+void LeaderReporter::switch_to(const Address& leader) {
   if (stopped_) return;
   const bool changed = leader != target_;
-  const bool fell_silent = runtime_.now() - last_response_at_ >= kResponseTimeout;
-  if (changed || fell_silent) {  // what is outstanding at a leader that was away is lost
+  const bool timed_out = runtime_.now() - last_response_at_ >= kResponseTimeout;
+  if (changed || timed_out) {  // a leader that returns has lost what was in flight to it
     target_ = leader;
     ++target_generation_;
     reports_in_flight_ = 0;
@@ -167,10 +167,9 @@
   send_if_due();
 }
 
-// Asks others for the leader once it has been silent for too long; goes on until it is heard.
 void LeaderReporter::check_response_timeout() {
-  const SteadyClock::duration silent = runtime_.now() - last_response_at_;
-  const Millis left = std::chrono::duration_cast<Millis>(kResponseTimeout - silent);
+  const SteadyClock::duration without_response = runtime_.now() - last_response_at_;
+  const Millis left = std::chrono::duration_cast<Millis>(kResponseTimeout - without_response);
   response_timer_ = runtime_.after(left.count() > 0 ? left : kResponseCheckInterval, [this] {
     if (runtime_.now() - last_response_at_ >= kResponseTimeout) search();
     check_response_timeout();
--- a/src/cluster/worker_agent/leaf_task_lists.cpp
+++ b/src/cluster/worker_agent/leaf_task_lists.cpp
@@ -1,20 +1,18 @@
 #include "cluster/worker_agent/leaf_task_lists.hpp"
 
 #include <algorithm>
+#include <iterator>
+#include <tuple>
 
 namespace winchhall::cluster {
 namespace {
 
-// A leaf may list its tasks in any order: that alone is no change.
-void sort_lists(std::vector<wire::RunningTask>& running, std::vector<wire::FinishedTask>& finished) {
-  std::sort(running.begin(), running.end(),
-            [](const wire::RunningTask& left, const wire::RunningTask& right) {
-              return left.task() != right.task() ? left.task() < right.task() : left.run() < right.run();
-            });
-  std::sort(finished.begin(), finished.end(),
-            [](const wire::FinishedTask& left, const wire::FinishedTask& right) {
-              return left.number() < right.number();
-            });
+bool is_before(const wire::RunningTask& left, const wire::RunningTask& right) {
+  return std::forward_as_tuple(left.task(), left.run()) < std::forward_as_tuple(right.task(), right.run());
+}
+
+bool has_lower_number(const wire::FinishedTask& left, const wire::FinishedTask& right) {
+  return left.number() < right.number();
 }
 
 }  // namespace
@@ -22,7 +20,9 @@
 TaskListsChange LeafTaskLists::update(std::vector<wire::RunningTask> running,
                                       std::vector<wire::FinishedTask> finished) {
   if (finished.size() >= kMaxFinishedListed) carry_over_unlisted(running, finished);
-  sort_lists(running, finished);
+  // A leaf may list its tasks in any order: another order alone is no change.
+  std::sort(running.begin(), running.end(), is_before);
+  std::sort(finished.begin(), finished.end(), has_lower_number);
   const TaskListsChange change = compare(running, finished);
   running_ = std::move(running);
   finished_ = std::move(finished);
@@ -43,29 +43,30 @@
   rebuild_indexes();
 }
 
-bool LeafTaskLists::runs(std::string_view task, std::uint64_t run) const {
-  return contains(running_runs_, task, run);
+bool LeafTaskLists::is_running(std::string_view task, std::uint64_t run) const {
+  return contains(running_index_, task, run);
 }
 
-bool LeafTaskLists::lists(std::string_view task, std::uint64_t run) const {
-  return runs(task, run) || contains(finished_runs_, task, run);
+bool LeafTaskLists::is_listed(std::string_view task, std::uint64_t run) const {
+  return is_running(task, run) || contains(finished_index_, task, run);
 }
 
 bool LeafTaskLists::has_finished_up_to(std::uint64_t number) const {
   return std::any_of(finished_.begin(), finished_.end(),
-                     [number](const wire::FinishedTask& end) { return end.number() <= number; });
+                     [number](const wire::FinishedTask& task) { return task.number() <= number; });
 }
 
-bool LeafTaskLists::contains(const Runs& runs, std::string_view task, std::uint64_t run) {
-  const auto [first, last] = runs.equal_range(task);
-  return std::any_of(first, last, [run](const auto& entry) { return entry.second == run; });
+template <typename Task>
+LeafTaskLists::RunIndex LeafTaskLists::index_runs(const std::vector<Task>& tasks) {
+  RunIndex index;
+  index.reserve(tasks.size());
+  for (const Task& task : tasks) index.emplace(task.task(), task.run());
+  return index;
 }
 
-LeafTaskLists::Runs LeafTaskLists::index_finished(const std::vector<wire::FinishedTask>& finished) {
-  Runs runs;
-  runs.reserve(finished.size());
-  for (const wire::FinishedTask& end : finished) runs.emplace(end.task(), end.run());
-  return runs;
+bool LeafTaskLists::contains(const RunIndex& index, std::string_view task, std::uint64_t run) {
+  const auto [first, last] = index.equal_range(task);
+  return std::any_of(first, last, [run](const auto& entry) { return entry.second == run; });
 }
 
 bool LeafTaskLists::has_same_runs(const std::vector<wire::RunningTask>& running) const {
@@ -75,12 +76,9 @@
                     });
 }
 
-// Both lists are in the order of the numbers.
 bool LeafTaskLists::has_no_new_finished(const std::vector<wire::FinishedTask>& finished) const {
   return std::includes(finished_.begin(), finished_.end(), finished.begin(), finished.end(),
-                       [](const wire::FinishedTask& left, const wire::FinishedTask& right) {
-                         return left.number() < right.number();
-                       });
+                       has_lower_number);
 }
 
 bool LeafTaskLists::has_same_progress(const std::vector<wire::RunningTask>& running) const {
@@ -92,22 +90,21 @@
 
 void LeafTaskLists::carry_over_unlisted(std::vector<wire::RunningTask>& running,
                                         const std::vector<wire::FinishedTask>& finished) const {
-  const Runs ended = index_finished(finished);
-  Runs still_running;
-  for (const wire::RunningTask& task : running) still_running.emplace(task.task(), task.run());
-  std::vector<wire::RunningTask> hidden;
-  for (const wire::RunningTask& task : running_) {
-    if (contains(still_running, task.task(), task.run())) continue;
-    if (contains(ended, task.task(), task.run())) continue;
-    hidden.push_back(task);
-  }
-  std::move(hidden.begin(), hidden.end(), std::back_inserter(running));
+  const RunIndex listed_running = index_runs(running);
+  const RunIndex listed_finished = index_runs(finished);
+  std::vector<wire::RunningTask> unlisted;
+  std::copy_if(running_.begin(), running_.end(), std::back_inserter(unlisted),
+               [&](const wire::RunningTask& task) {
+                 return !contains(listed_running, task.task(), task.run()) &&
+                        !contains(listed_finished, task.task(), task.run());
+               });
+  // Appended only now: the indexes refer to names in `running`, whose elements an insertion may move.
+  std::move(unlisted.begin(), unlisted.end(), std::back_inserter(running));
 }
 
 void LeafTaskLists::rebuild_indexes() {
-  running_runs_.clear();
-  for (const wire::RunningTask& task : running_) running_runs_.emplace(task.task(), task.run());
-  finished_runs_ = index_finished(finished_);
+  running_index_ = index_runs(running_);
+  finished_index_ = index_runs(finished_);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/leaf_task_lists.hpp
+++ b/src/cluster/worker_agent/leaf_task_lists.hpp
@@ -1,4 +1,4 @@
-// What runs on a leaf and what has ended there, as of its newest heartbeat.
+// The tasks of a leaf that run and those that have finished, as of its newest heartbeat.
 #pragma once
 
 #include <cstdint>
@@ -11,49 +11,58 @@
 
 namespace winchhall::cluster {
 
-// A heartbeat holds this many ends at most: with so many, others may be hidden.
+// A heartbeat lists at most this many finished tasks; a list of this length may be truncated.
 inline constexpr std::size_t kMaxFinishedListed = 500;
 
-// What a heartbeat changed: nothing, only progress or checkpoints, also ends that the leaf has forgotten, or
-// what runs or has ended.
-enum class TaskListsChange { none, progress, finished_removed, runs };
+// What a heartbeat has changed in the lists; the greatest change counts.
+enum class TaskListsChange {
+  none,
+  progress,          // only percentages or checkpoints
+  finished_removed,  // the leaf has dropped finished tasks that the leader has acknowledged
+  runs,              // runs have started or finished
+};
 
+// The lists of the newest heartbeat, with indexes by run. A run is identified by the task's name and the
+// run's number. Not thread-safe.
 class LeafTaskLists {
  public:
-  // Takes in the lists of a newer heartbeat. Runs that vanish while ends may be hidden count as running until
-  // they show up again or the list of ends is whole.
+  // Replaces the lists by those of a newer heartbeat, in any order. While the list of finished tasks may be
+  // truncated, a run that is in neither list any more is kept as running, since it may have finished without
+  // being listed; it is dropped by the first list that is not truncated.
   TaskListsChange update(std::vector<wire::RunningTask> running, std::vector<wire::FinishedTask> finished);
   void clear();
 
-  const std::vector<wire::RunningTask>& running() const { return running_; }
-  const std::vector<wire::FinishedTask>& finished() const { return finished_; }
-  // True if ends may be missing from the list.
+  const std::vector<wire::RunningTask>& running() const { return running_; }     // by task and run
+  const std::vector<wire::FinishedTask>& finished() const { return finished_; }  // by number
+  // True if finished tasks may be missing from the list.
   bool is_truncated() const { return finished_.size() >= kMaxFinishedListed; }
-  bool runs(std::string_view task, std::uint64_t run) const;
-  // True if the run is listed as running or ended.
-  bool lists(std::string_view task, std::uint64_t run) const;
-  // True if the list holds an end with this number or a lower one.
+  bool is_running(std::string_view task, std::uint64_t run) const;
+  // True if the run is listed as running or as finished.
+  bool is_listed(std::string_view task, std::uint64_t run) const;
+  // True if a finished task with this number or a lower one is listed.
   bool has_finished_up_to(std::uint64_t number) const;
 
  private:
-  // Newest run of a task in one of the lists, by the task's name, which the lists own.
-  using Runs = std::unordered_multimap<std::string_view, std::uint64_t>;
+  // Run numbers by task name. The names are owned by the lists that the index was built from.
+  using RunIndex = std::unordered_multimap<std::string_view, std::uint64_t>;
 
-  static bool contains(const Runs& runs, std::string_view task, std::uint64_t run);
-  static Runs index_finished(const std::vector<wire::FinishedTask>& finished);
+  template <typename Task>
+  static RunIndex index_runs(const std::vector<Task>& tasks);
+  static bool contains(const RunIndex& index, std::string_view task, std::uint64_t run);
   TaskListsChange compare(const std::vector<wire::RunningTask>& running,
                           const std::vector<wire::FinishedTask>& finished) const;
   bool has_same_runs(const std::vector<wire::RunningTask>& running) const;
   bool has_no_new_finished(const std::vector<wire::FinishedTask>& finished) const;
   bool has_same_progress(const std::vector<wire::RunningTask>& running) const;
+  // Appends to `running` the runs of the previous heartbeat that the new one lists nowhere.
   void carry_over_unlisted(std::vector<wire::RunningTask>& running,
                            const std::vector<wire::FinishedTask>& finished) const;
   void rebuild_indexes();
 
   std::vector<wire::RunningTask> running_;
   std::vector<wire::FinishedTask> finished_;
-  Runs running_runs_;
-  Runs finished_runs_;
+  RunIndex running_index_;
+  RunIndex finished_index_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/pending_command_table.cpp
+++ b/src/cluster/worker_agent/pending_command_table.cpp
@@ -5,55 +5,77 @@
 #include "cluster/worker_agent/heartbeat_json.hpp"
 
 namespace winchhall::cluster {
+namespace {
+
+bool is_revoked_by(const wire::StartOrder& start, const wire::StopOrder& stop) {
+  return start.task() == stop.task() && start.run() <= stop.run();
+}
+
+}  // namespace
 
 void PendingCommandTable::clear() {
   starts_.clear();
   stops_.clear();
-  received_ = 0;
+  received_revision_ = 0;
 }
 
 void PendingCommandTable::receive(const wire::WorkerOrders& orders, const LeafTaskLists& lists) {
-  const std::uint64_t known = received_;
+  const std::uint64_t known_revision = received_revision_;
   for (const wire::StartOrder& start : orders.starts()) {
-    if (start.revision() > known) add_start(start, lists);
+    if (start.revision() > known_revision) add_start(start, lists);
   }
   for (const wire::StopOrder& stop : orders.stops()) {
-    if (stop.revision() > known) add_stop(stop, lists);
+    if (stop.revision() > known_revision) add_stop(stop, lists);
   }
-  received_ = std::max(received_, orders.revision());
+  received_revision_ = std::max(received_revision_, orders.revision());
 }
 
 void PendingCommandTable::add_start(const wire::StartOrder& order, const LeafTaskLists& lists) {
-  received_ = std::max(received_, order.revision());
-  if (lists.lists(order.task(), order.run())) return;  // told by an earlier process here
-  starts_[order.revision()] = Start{order, false, false};
+  received_revision_ = std::max(received_revision_, order.revision());
+  // An earlier process of this node may have sent it already.
+  if (lists.is_listed(order.task(), order.run())) return;
+  starts_[order.revision()] = PendingStart{order, false, false};
 }
 
 void PendingCommandTable::add_stop(const wire::StopOrder& order, const LeafTaskLists& lists) {
-  received_ = std::max(received_, order.revision());
+  received_revision_ = std::max(received_revision_, order.revision());
+  withdraw_starts_before(order);
+  const bool may_run = lists.is_running(order.task(), order.run()) || has_pending_start_for(order);
+  if (may_run) stops_[order.revision()] = PendingStop{order, false};
+}
+
+void PendingCommandTable::withdraw_starts_before(const wire::StopOrder& stop) {
   for (auto entry = starts_.begin(); entry != starts_.end();) {
-    Start& start = entry->second;
-    const bool meant = start.order.task() == order.task() && start.order.run() <= order.run();
-    if (meant) start.withdrawn = true;
-    entry = meant && !start.sent ? starts_.erase(entry) : std::next(entry);
+    PendingStart& start = entry->second;
+    const bool revoked = is_revoked_by(start.order, stop);
+    if (revoked) start.withdrawn = true;
+    entry = revoked && !start.sent ? starts_.erase(entry) : std::next(entry);
   }
-  const bool may_run = lists.runs(order.task(), order.run()) || has_pending_start_for(order);
-  if (may_run) stops_[order.revision()] = Stop{order, false};
 }
 
 void PendingCommandTable::reconcile(const LeafTaskLists& lists) {
+  // Starts first: a stop stays pending for as long as a start that it revokes does.
+  reconcile_starts(lists);
+  reconcile_stops(lists);
+}
+
+void PendingCommandTable::reconcile_starts(const LeafTaskLists& lists) {
   for (auto entry = starts_.begin(); entry != starts_.end();) {
-    Start& start = entry->second;
-    const bool listed = lists.lists(start.order.task(), start.order.run());
-    const bool unknown = start.sent && !listed && lists.is_truncated();  // its end may be hidden
+    PendingStart& start = entry->second;
+    const bool listed = lists.is_listed(start.order.task(), start.order.run());
+    // With a truncated list the run may have finished without being listed.
+    const bool unknown = start.sent && !listed && lists.is_truncated();
     if (!unknown) start.sent = false;
-    const bool over = listed || (start.withdrawn && !unknown);
-    entry = over ? starts_.erase(entry) : std::next(entry);
+    const bool resolved = listed || (start.withdrawn && !unknown);
+    entry = resolved ? starts_.erase(entry) : std::next(entry);
   }
+}
+
+void PendingCommandTable::reconcile_stops(const LeafTaskLists& lists) {
   for (auto entry = stops_.begin(); entry != stops_.end();) {
     const wire::StopOrder& order = entry->second.order;
-    const bool over = !lists.runs(order.task(), order.run()) && !has_pending_start_for(order);
-    entry = over ? stops_.erase(entry) : std::next(entry);
+    const bool resolved = !lists.is_running(order.task(), order.run()) && !has_pending_start_for(order);
+    entry = resolved ? stops_.erase(entry) : std::next(entry);
   }
 }
 
@@ -73,8 +95,8 @@
   return std::any_of(stops_.begin(), stops_.end(), [](const auto& entry) { return !entry.second.sent; });
 }
 
-CommandBatch PendingCommandTable::take_batch(bool with_starts, std::size_t most_starts,
-                                             std::size_t most_bytes) {
+CommandBatch PendingCommandTable::take_batch(bool with_starts, std::size_t max_starts,
+                                             std::size_t max_start_bytes) {
   CommandBatch batch;
   for (auto& [revision, stop] : stops_) {
     stop.sent = true;
@@ -85,24 +107,23 @@
   for (auto& [revision, start] : starts_) {
     if (start.sent || start.withdrawn) continue;
     bytes += max_encoded_bytes(start.order);
-    if (batch.starts.size() == most_starts || bytes > most_bytes) break;
+    if (batch.starts.size() == max_starts || bytes > max_start_bytes) break;
     start.sent = true;
     batch.starts.push_back(start.order);
   }
   return batch;
 }
 
-std::uint64_t PendingCommandTable::settled() const {
-  std::uint64_t settled = received_;
-  if (!starts_.empty()) settled = std::min(settled, starts_.begin()->first - 1);
-  if (!stops_.empty()) settled = std::min(settled, stops_.begin()->first - 1);
-  return settled;
+std::uint64_t PendingCommandTable::acknowledged_revision() const {
+  std::uint64_t acknowledged = received_revision_;
+  if (!starts_.empty()) acknowledged = std::min(acknowledged, starts_.begin()->first - 1);
+  if (!stops_.empty()) acknowledged = std::min(acknowledged, stops_.begin()->first - 1);
+  return acknowledged;
 }
 
-bool PendingCommandTable::has_pending_start_for(const wire::StopOrder& order) const {
-  return std::any_of(starts_.begin(), starts_.end(), [&order](const auto& entry) {
-    return entry.second.order.task() == order.task() && entry.second.order.run() <= order.run();
-  });
+bool PendingCommandTable::has_pending_start_for(const wire::StopOrder& stop) const {
+  return std::any_of(starts_.begin(), starts_.end(),
+                     [&stop](const auto& entry) { return is_revoked_by(entry.second.order, stop); });
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/pending_command_table.hpp
+++ b/src/cluster/worker_agent/pending_command_table.hpp
@@ -1,9 +1,4 @@
-// The orders of one leader epoch to one life of the leaf: which are still to be told, which were told and not
-// yet seen to be carried out, and up to which revision all are settled.
-//
-// Heartbeats and their answers take turns, so a heartbeat shows what became of everything told before it: a
-// start that is listed was carried out, one that isn't listed was not; a stop is carried out once its run is
-// not running.
+// Start and stop orders of the leader that a leaf has not yet been seen to carry out.
 #pragma once
 
 #include <cstdint>
@@ -15,55 +10,69 @@
 
 namespace winchhall::cluster {
 
-// Orders for one answer.
+// The orders that go into one heartbeat response.
 struct CommandBatch {
   std::vector<wire::StartOrder> starts;
   std::vector<wire::StopOrder> stops;
 };
 
+// The pending orders of one leader epoch for one incarnation of the leaf, by revision.
+//
+// Heartbeats and their responses alternate, so a heartbeat acknowledges everything sent before it: a start
+// was carried out if and only if the heartbeat lists its run (running or finished), and a stop was carried
+// out once its run is no longer running. An order that was not carried out is sent again.
+//
+// Invariant: every order received with a revision up to `acknowledged_revision()` is reflected in the lists
+// of the newest heartbeat. Not thread-safe.
 class PendingCommandTable {
  public:
-  // Forgets everything, for another epoch or another life of the leaf.
+  // Discards everything, for another epoch or another incarnation of the leaf.
   void clear();
 
-  // Notes the orders of an answer of the leader that are above the highest revision noted so far.
+  // Adds the orders of a leader's answer whose revision is above the highest one received so far.
   // `lists`: of the newest heartbeat.
   void receive(const wire::WorkerOrders& orders, const LeafTaskLists& lists);
-  // Compares what was told with the lists of a new heartbeat.
+  // Removes the orders that the lists of a new heartbeat acknowledge; marks the others as unsent, so that
+  // they are sent again.
   void reconcile(const LeafTaskLists& lists);
-  // No start is told any more: those that were not are dropped.
+  // Drops the starts that were not sent, and prevents those that were sent from being sent again.
   void withdraw_unsent_starts();
 
   bool has_unsent_starts() const;
   bool has_unsent_stops() const;
   bool empty() const { return starts_.empty() && stops_.empty(); }
-  // Takes orders for an answer, oldest starts first; they count as told. Stops are told with every answer
-  // until they are settled. `most_bytes` bounds the starts' share of the answer.
-  CommandBatch take_batch(bool with_starts, std::size_t most_starts, std::size_t most_bytes);
+  // Returns the orders for a response, oldest starts first, and marks them as sent. Stops are part of every
+  // response until they are acknowledged. `max_starts` and `max_start_bytes` (encoded size) bound the starts;
+  // without `with_starts` there are none.
+  CommandBatch take_batch(bool with_starts, std::size_t max_starts, std::size_t max_start_bytes);
 
-  // Highest revision received.
-  std::uint64_t received_revision() const { return received_; }
-  // Every order up to this revision shows in the lists of the newest heartbeat.
-  std::uint64_t settled() const;
+  // Highest revision received from the leader; 0: none.
+  std::uint64_t received_revision() const { return received_revision_; }
+  // Highest revision up to which all orders are acknowledged.
+  std::uint64_t acknowledged_revision() const;
 
  private:
-  struct Start {
+  struct PendingStart {
     wire::StartOrder order;
-    bool sent = false;
-    bool withdrawn = false;  // not to be told again
+    bool sent = false;       // since the newest heartbeat, or earlier with an unknown result
+    bool withdrawn = false;  // must not be sent again
   };
-  struct Stop {
+  struct PendingStop {
     wire::StopOrder order;
     bool sent = false;
   };
 
   void add_start(const wire::StartOrder& order, const LeafTaskLists& lists);
   void add_stop(const wire::StopOrder& order, const LeafTaskLists& lists);
-  bool has_pending_start_for(const wire::StopOrder& order) const;
+  void reconcile_starts(const LeafTaskLists& lists);
+  void reconcile_stops(const LeafTaskLists& lists);
+  // Withdraws the starts that a stop revokes: those of the same task with the same run or an earlier one.
+  void withdraw_starts_before(const wire::StopOrder& stop);
+  bool has_pending_start_for(const wire::StopOrder& stop) const;
 
-  std::map<std::uint64_t, Start> starts_;  // by revision
-  std::map<std::uint64_t, Stop> stops_;    // by revision
-  std::uint64_t received_ = 0;
+  std::map<std::uint64_t, PendingStart> starts_;  // by revision
+  std::map<std::uint64_t, PendingStop> stops_;    // by revision
+  std::uint64_t received_revision_ = 0;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/worker_agent.hpp
+++ b/src/cluster/worker_agent/worker_agent.hpp
@@ -1,5 +1,4 @@
-// The process beside a leaf: takes its heartbeats, reports them to the leader of its service and answers them
-// with the leader's orders and holds.
+// The process beside a leaf, between the leaf and the leader of its service.
 #pragma once
 
 #include <functional>
@@ -15,50 +14,52 @@
 
 namespace winchhall::cluster {
 
-// An HTTP answer to the leaf: status and JSON body.
+// An HTTP response to the leaf: status and JSON body.
 struct LeafResponse {
   unsigned status = 200;
   std::string body;
 };
-// Answers a call of the leaf. Destroyed uncalled: the call gets no answer.
-using LeafReplier = std::function<void(LeafResponse)>;
+// Responds to a call of the leaf. Destroyed without a call: the leaf gets no response.
+using LeafReplyCallback = std::function<void(LeafResponse)>;
 
+// Takes the heartbeats of a leaf, reports them to the leader of its service and responds with the leader's
+// orders. The response to a heartbeat is deferred for a short time in which orders may still arrive.
+// Not thread-safe: all calls are made on the runtime's thread.
 class WorkerAgent {
  public:
   // Both references outlive the agent.
   WorkerAgent(Runtime& runtime, const NodeSettings& settings);
 
-  // Looks for the leader, so that it is known when the leaf calls.
+  // Starts to look for the leader, so that it is known when the leaf calls.
   void start();
-  // Internal listeners of the seeds, after a change of the settings.
+  // Replaces the seeds (their internal listeners), after a change of the settings.
   void set_seeds(std::vector<Address> seeds) { reporter_.set_seeds(std::move(seeds)); }
-  // Control nodes that peer sampling brought up: a further source beside seeds and members.
+  // Replaces the control nodes known from peer sampling, which are used besides seeds and members.
   void set_sampled_control(std::vector<Address> nodes) { reporter_.set_sampled_control(std::move(nodes)); }
-  // Instances.Heartbeat. An answer is held back for a short while where orders may still come.
-  void on_heartbeat(const std::string& leaf_id, const std::string& body, LeafReplier reply);
-  // Instances.Deregister.
-  void on_deregister(const std::string& leaf_id, const LeafReplier& reply);
-  // Requests of other processes: none is for a worker-agent.
-  bool handle(const wire::Envelope& request, const ReplyCallback& reply);
-  // Answers what is held back, without orders; `done` is called once the answer has had time to leave.
+  // Instances.Heartbeat: responds 400 to a body that cannot be parsed, `{}` to a stale heartbeat. A response
+  // that is still deferred for an earlier call is never sent.
+  void on_heartbeat(const std::string& leaf_id, const std::string& body, LeafReplyCallback reply);
+  // Instances.Deregister: always responds 200.
+  void on_deregister(const std::string& leaf_id, const LeafReplyCallback& reply);
+  // Planned end: sends the deferred response without orders, and calls `done` once it has had time to leave.
   void shut_down(std::function<void()> done);
 
   const LeafSession& session() const { return session_; }
 
  private:
-  void process_heartbeat(Heartbeat heartbeat, LeafReplier reply);
-  void defer_response(LeafReplier reply);
+  void process_heartbeat(Heartbeat heartbeat, LeafReplyCallback reply);
+  void defer_response(LeafReplyCallback reply);
   void respond_if_urgent();
   void send_deferred_response();
 
   Runtime& runtime_;
   LeafSession session_;
   LeaderReporter reporter_;
-  LeafReplier deferred_reply_;  // of the newest heartbeat, not yet answered
+  LeafReplyCallback deferred_reply_;  // to the newest heartbeat; empty: it was sent
   TimePoint deferred_at_{};
   std::unique_ptr<Timer> response_delay_timer_;
   bool shutting_down_ = false;
-  std::unique_ptr<Timer> shut_down_timer_;
+  std::unique_ptr<Timer> shutdown_timer_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/worker_agent/worker_http_server.cpp
+++ b/src/cluster/worker_agent/worker_http_server.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kMaxHeartbeatBytes = 4U << 20U;
 constexpr std::uint32_t kIdleTimeoutMs = 60'000;
 
-// The ID behind a path; none: another path.
+// The id that follows `prefix` in `path`; none: the path has another prefix.
 std::optional<std::string> id_after_prefix(std::string_view path, std::string_view prefix) {
   if (path.substr(0, prefix.size()) != prefix) return std::nullopt;
   return std::string(path.substr(prefix.size()));
@@ -22,9 +22,9 @@
   return target.substr(0, target.find('?'));
 }
 
-LeafReplier make_leaf_replier(HttpReplyCallback reply) {
-  return [reply = std::move(reply)](LeafResponse answer) {
-    reply(json_response(answer.status, std::move(answer.body)));
+LeafReplyCallback make_leaf_reply_callback(HttpReplyCallback reply) {
+  return [reply = std::move(reply)](LeafResponse response) {
+    reply(json_response(response.status, std::move(response.body)));
   };
 }
 
@@ -34,8 +34,9 @@
   const std::optional<std::string> deregister = id_after_prefix(path, kDeregisterPath);
   if (!heartbeat && !deregister) return reply(json_response(404, "{}"));
   if (request.method() != boost::beast::http::verb::post) return reply(json_response(405, "{}"));
-  if (heartbeat) return agent.on_heartbeat(*heartbeat, request.body(), make_leaf_replier(std::move(reply)));
-  agent.on_deregister(*deregister, make_leaf_replier(std::move(reply)));
+  if (heartbeat)
+    return agent.on_heartbeat(*heartbeat, request.body(), make_leaf_reply_callback(std::move(reply)));
+  agent.on_deregister(*deregister, make_leaf_reply_callback(std::move(reply)));
 }
 
 }  // namespace
--- a/src/cluster/worker_agent/worker_http_server.hpp
+++ b/src/cluster/worker_agent/worker_http_server.hpp
@@ -1,4 +1,4 @@
-// HTTP face of the worker-agent: the two calls of a leaf.
+// The HTTP interface of the worker-agent for its leaf.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,14 +9,15 @@
 
 namespace winchhall::cluster {
 
-// Handles `POST /v1/Instances.Heartbeat/ID` and `POST /v1/Instances.Deregister/ID`; 404 for other paths, 405
-// for other methods. `agent` outlives the handler.
+// Handles `POST /v1/Instances.Heartbeat/ID` and `POST /v1/Instances.Deregister/ID`; responds 404 to other
+// paths and 405 to other methods. `agent` outlives the handler.
 HttpHandler make_worker_http_handler(WorkerAgent& agent);
 
-// The listener for the leaf.
+// Listens for the leaf's calls for as long as the object lives, on the thread that runs `loop`.
 class WorkerHttpServer {
  public:
-  // `address`: the `control` address of the settings. Throws as `make_http_server` does.
+  // `address`: the settings' `control` address. `loop` and `agent` outlive the server. Throws as
+  // `make_http_server` does.
   WorkerHttpServer(boost::asio::io_context& loop, const Address& address, WorkerAgent& agent);
 
  private:
--- a/tests/cluster/worker_agent/heartbeat_test.cpp
+++ b/tests/cluster/worker_agent/heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// The leaf's JSON: what is read, what is refused, what is written.
+// The JSON encoding of heartbeats and responses, and the comparison of task lists.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/worker_agent/worker_fixture.hpp"
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Field that a heartbeat is refused for; empty: it is taken.
-std::string refused_field(const std::string& leaf_id, const std::string& body) {
+// The field that a heartbeat is rejected for; empty: it is accepted.
+std::string rejected_field(const std::string& leaf_id, const std::string& body) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
         BOOST_LEAF_CHECK(parse_heartbeat(leaf_id, body));
@@ -18,14 +18,14 @@
       [](const InvalidInput& error) { return error.field; }, [] { return std::string("?"); });
 }
 
-Heartbeat parsed(const std::string& body) {
+Heartbeat parse_valid(const std::string& body) {
   return leaf::try_handle_all([&] { return parse_heartbeat("i-1", body); }, [] { return Heartbeat(); });
 }
 
 }  // namespace
 
-TEST_CASE("a whole heartbeat is read") {
-  const Heartbeat heartbeat = parsed(
+TEST_CASE("a complete heartbeat is parsed") {
+  const Heartbeat heartbeat = parse_valid(
       R"({"backend":"huvo11a","address":"10.128.0.9:8080","zone":"z",)"
       R"("version":"v1","slots":8,"state":"draining",)"
       R"("warmup_left_ms":0,"remaining_ms":1500,"capacity":{"cpu":16000,"mem_mb":32768,"gpu":2},)"
@@ -44,32 +44,32 @@
   CHECK(heartbeat.finished[0].saved() == "aa");
 }
 
-TEST_CASE("empty lists may be left out") {
-  const Heartbeat heartbeat = parsed(R"({"backend":"b","sequence":1})");
+TEST_CASE("missing lists count as empty") {
+  const Heartbeat heartbeat = parse_valid(R"({"backend":"b","sequence":1})");
   CHECK(heartbeat.leaf.leaf_id() == "i-1");
   CHECK(heartbeat.running.empty());
 }
 
-TEST_CASE("bad heartbeats are refused with the field") {
-  CHECK(refused_field("i-1", "") == "body");
-  CHECK(refused_field("i-1", "[]") == "body");
-  CHECK(refused_field("i-1", R"({"backend":"b")") == "body");
-  CHECK(refused_field("i-1", "{\"backend\":\"\xff\"}") == "body");
-  CHECK(refused_field("i-1", R"({"backend":7})") == "backend");
-  CHECK(refused_field("i-1", R"({"slots":-1})") == "slots");
-  CHECK(refused_field("i-1", R"({"sequence":"4"})") == "sequence");
-  CHECK(refused_field("i-1", R"({"capacity":[]})") == "capacity");
-  CHECK(refused_field("i-1", R"({"capacity":{"cpu":"a"}})") == "capacity.cpu");
-  CHECK(refused_field("i-1", R"({"running":{}})") == "running");
-  CHECK(refused_field("i-1", R"({"running":[["t"]]})") == "running");
-  CHECK(refused_field("i-1", R"({"finished":[[1,"t",1]]})") == "finished");
-  CHECK(refused_field("i-1", R"({"labels":[1]})") == "labels");
-  CHECK(refused_field("", "{}") == "id");
-  CHECK(refused_field("a/b", "{}") == "id");
-  CHECK(refused_field("i-1", "{}").empty());
+TEST_CASE("an invalid heartbeat is rejected with the name of the field") {
+  CHECK(rejected_field("i-1", "") == "body");
+  CHECK(rejected_field("i-1", "[]") == "body");
+  CHECK(rejected_field("i-1", R"({"backend":"b")") == "body");
+  CHECK(rejected_field("i-1", "{\"backend\":\"\xff\"}") == "body");
+  CHECK(rejected_field("i-1", R"({"backend":7})") == "backend");
+  CHECK(rejected_field("i-1", R"({"slots":-1})") == "slots");
+  CHECK(rejected_field("i-1", R"({"sequence":"4"})") == "sequence");
+  CHECK(rejected_field("i-1", R"({"capacity":[]})") == "capacity");
+  CHECK(rejected_field("i-1", R"({"capacity":{"cpu":"a"}})") == "capacity.cpu");
+  CHECK(rejected_field("i-1", R"({"running":{}})") == "running");
+  CHECK(rejected_field("i-1", R"({"running":[["t"]]})") == "running");
+  CHECK(rejected_field("i-1", R"({"finished":[[1,"t",1]]})") == "finished");
+  CHECK(rejected_field("i-1", R"({"labels":[1]})") == "labels");
+  CHECK(rejected_field("", "{}") == "id");
+  CHECK(rejected_field("a/b", "{}") == "id");
+  CHECK(rejected_field("i-1", "{}").empty());
 }
 
-TEST_CASE_METHOD(WorkerAgentFixture, "a bad heartbeat is answered 400 and changes nothing") {
+TEST_CASE_METHOD(WorkerAgentFixture, "an invalid heartbeat gets status 400 and changes nothing") {
   complete_first_exchange();
   const auto answer = raw_heartbeat("i-1", "{\"sequence\":");
   REQUIRE(answer->answered);
@@ -78,10 +78,10 @@
   CHECK(agent->session().leaf().leaf_id() == "i-1");
 }
 
-TEST_CASE("an answer leaves out what says nothing") {
+TEST_CASE("a response leaves out empty fields") {
   CHECK(heartbeat_response_json({}) == "{}");
   HeartbeatResponse answer;
-  answer.hold = Millis(4000);
+  answer.lease = Millis(4000);
   answer.last_seen = 58;
   answer.fence_token = 7;
   answer.starts.push_back(start_order(1, "5c.0.1.18", 1));
@@ -92,7 +92,7 @@
         R"("stopped_at":[["5c.0.1.17",2]],"retry_after_ms":200})");
 }
 
-TEST_CASE("a leaf that lists its tasks in another order has changed nothing") {
+TEST_CASE("another order of the listed tasks is no change") {
   LeafTaskLists lists;
   wire::RunningTask one;
   one.set_task("a");
--- a/tests/cluster/worker_agent/http_test.cpp
+++ b/tests/cluster/worker_agent/http_test.cpp
@@ -1,4 +1,4 @@
-// The two calls of a leaf, as HTTP requests.
+// The HTTP interface of the worker-agent.
 #include <catch2/catch.hpp>
 
 #include "cluster/worker_agent/worker_http_server.hpp"
@@ -11,7 +11,7 @@
 
 namespace http = boost::beast::http;
 
-// Status of the answer to a call; 0: none yet.
+// Status of the response to a call; 0: there is none yet.
 std::shared_ptr<unsigned> call(WorkerAgent& agent, http::verb method, const std::string& path,
                                const std::string& body = "") {
   HttpRequest request(method, path, 11, body);
@@ -27,14 +27,14 @@
   start();
   const auto heartbeat =
       call(*agent, http::verb::post, "/v1/Instances.Heartbeat/i-7?x=1", R"({"backend":"core","sequence":1})");
-  CHECK(*heartbeat == 0);  // held back
+  CHECK(*heartbeat == 0);  // deferred
   runtime.advance(Millis(250));
   CHECK(*heartbeat == 200);
   CHECK(agent->session().leaf().leaf_id() == "i-7");
   CHECK(*call(*agent, http::verb::post, "/v1/Instances.Deregister/i-7") == 200);
 }
 
-TEST_CASE_METHOD(WorkerAgentFixture, "other calls are refused") {
+TEST_CASE_METHOD(WorkerAgentFixture, "other paths, methods and invalid calls are rejected") {
   CHECK(*call(*agent, http::verb::get, "/v1/Instances.Heartbeat/i-7") == 405);
   CHECK(*call(*agent, http::verb::post, "/v1/Instances.List") == 404);
   CHECK(*call(*agent, http::verb::post, "/v1/Instances.Heartbeat/", "{}") == 400);
--- a/tests/cluster/worker_agent/worker_fixture.hpp
+++ b/tests/cluster/worker_agent/worker_fixture.hpp
@@ -1,11 +1,9 @@
-// A worker-agent between a scripted leaf and a scripted leader, on a clock that the test moves.
+// A worker-agent between a scripted leaf and a scripted leader, with a manual clock.
 #pragma once
 
 #include <boost/json/parse.hpp>
 #include <boost/json/serialize.hpp>
 #include <deque>
-#include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
@@ -13,82 +11,10 @@
 #include <vector>
 
 #include "cluster/worker_agent/worker_agent.hpp"
+#include "tests/cluster/worker_agent/scripted_runtime.hpp"
 
 namespace winchhall::cluster::worker_test {
 
-// A runtime whose clock moves only with `advance`; calls wait until the test answers them or they time out.
-class ScriptedRuntime : public Runtime {
- public:
-  struct Call {
-    Address peer;
-    wire::Envelope request;
-    std::function<void(CallResult)> done;
-  };
-
-  TimePoint now() const override { return now_; }
-  std::int64_t wall_clock_ms() const override { return 0; }
-  std::uint64_t random() override { return ++random_; }
-
-  std::unique_ptr<Timer> after(Millis delay, std::function<void()> action) override {
-    const auto cancelled = std::make_shared<bool>(false);
-    add_timer(delay, cancelled, std::move(action));
-    return std::make_unique<ScriptedTimer>(cancelled);
-  }
-
-  void call(const Address& peer, wire::Envelope request, Millis timeout,
-            std::function<void(CallResult)> done) override {
-    const auto open = std::make_shared<std::function<void(CallResult)>>(std::move(done));
-    const auto finish = [open](CallResult result) {
-      if (*open) std::exchange(*open, nullptr)(std::move(result));
-    };
-    add_timer(timeout, std::make_shared<bool>(false), [finish] {
-      finish(CallResult{std::nullopt, CallError::timed_out});
-    });
-    calls.push_back(Call{peer, std::move(request), finish});
-  }
-
-  // Moves the clock and runs what falls due.
-  void advance(Millis span) {
-    const TimePoint end = now_ + span;
-    while (!timers_.empty() && timers_.begin()->first.first <= end) {
-      const auto first = timers_.begin();
-      now_ = std::max(now_, first->first.first);
-      Entry entry = std::move(first->second);
-      timers_.erase(first);
-      if (!*entry.cancelled) entry.action();
-    }
-    now_ = end;
-  }
-
-  // Moves the clock while the process stands still: timers fire late.
-  void freeze(Millis span) { now_ += span; }
-
-  std::deque<Call> calls;
-
- private:
-  struct Entry {
-    std::shared_ptr<bool> cancelled;
-    std::function<void()> action;
-  };
-  struct ScriptedTimer : Timer {
-    explicit ScriptedTimer(std::shared_ptr<bool> flag) : cancelled(std::move(flag)) {}
-    ~ScriptedTimer() override { *cancelled = true; }
-    std::shared_ptr<bool> cancelled;
-  };
-
-  void add_timer(Millis delay, std::shared_ptr<bool> cancelled, std::function<void()> action) {
-    timers_.emplace(std::make_pair(now_ + delay, ++timer_number_),
-                    Entry{std::move(cancelled), std::move(action)});
-  }
-
-  TimePoint now_{std::chrono::seconds(1000)};
-  std::uint64_t random_ = 0;
-  std::uint64_t timer_number_ = 0;
-  std::map<std::pair<TimePoint, std::uint64_t>, Entry> timers_;
-};
-
-inline const Address kSeed = "10.0.0.1:7000";
-inline const Address kOtherSeed = "10.0.0.2:7000";
 inline const Address kLeader = "10.0.0.3:7000";
 
 inline NodeSettings worker_settings() {
@@ -119,7 +45,7 @@
   return order;
 }
 
-// Orders of an epoch to a leaf, with a grant of 10 s.
+// Orders of an epoch for the leaf i-1, with a grant of 10 s.
 inline wire::WorkerOrders orders_of(std::uint64_t epoch, std::vector<wire::StartOrder> starts = {},
                                     std::vector<wire::StopOrder> stops = {}) {
   wire::WorkerOrders orders;
@@ -158,8 +84,8 @@
   }
 };
 
-// The answer to a heartbeat, as far as it has come.
-struct ReceivedAnswer {
+// The response to a heartbeat, once it was sent.
+struct ReceivedResponse {
   bool answered = false;
   unsigned status = 0;
   boost::json::object body;
@@ -187,10 +113,10 @@
   // Starts the agent and lets it find the leader.
   void start() {
     agent->start();
-    answer_watch();
+    answer_probe();
   }
 
-  std::shared_ptr<ReceivedAnswer> heartbeat(ScriptedHeartbeat heartbeat) {
+  std::shared_ptr<ReceivedResponse> heartbeat(ScriptedHeartbeat heartbeat) {
     boost::json::object body{{"backend", "core"},
                              {"state", heartbeat.state},
                              {"capacity", boost::json::object{{"cpu", 16000}, {"mem_mb", 32768}}},
@@ -201,8 +127,8 @@
     return raw_heartbeat(heartbeat.leaf_id, boost::json::serialize(body));
   }
 
-  std::shared_ptr<ReceivedAnswer> raw_heartbeat(const std::string& leaf_id, const std::string& body) {
-    auto received = std::make_shared<ReceivedAnswer>();
+  std::shared_ptr<ReceivedResponse> raw_heartbeat(const std::string& leaf_id, const std::string& body) {
+    auto received = std::make_shared<ReceivedResponse>();
     agent->on_heartbeat(leaf_id, body, [received](const LeafResponse& answer) {
       received->answered = true;
       received->status = answer.status;
@@ -211,7 +137,7 @@
     return received;
   }
 
-  // Oldest waiting report; none: nothing waits.
+  // The oldest unanswered report, if any.
   std::optional<wire::WorkerReport> peek_report() {
     for (const ScriptedRuntime::Call& call : runtime.calls) {
       if (call.request.has_worker_report()) return call.request.worker_report();
@@ -219,7 +145,7 @@
     return std::nullopt;
   }
 
-  // Takes the newest waiting report; older ones stay unanswered and time out.
+  // Removes all calls and returns the newest report; older ones are never answered and time out.
   ScriptedRuntime::Call take_newest_report() {
     ScriptedRuntime::Call newest;
     for (ScriptedRuntime::Call& call : runtime.calls) {
@@ -236,8 +162,9 @@
     report.done(CallResult{std::move(answer), CallError::timed_out});
   }
 
-  // Answers the newest report, after the least gap between two: what is new by now stands in it.
-  wire::WorkerReport lead(const wire::WorkerOrders& orders) {
+  // Answers the newest report and returns it. Waits for the minimum interval between two reports first, so
+  // that it holds all changes until now.
+  wire::WorkerReport answer_report(const wire::WorkerOrders& orders) {
     runtime.advance(Millis(12));
     answer_older_reports(orders.epoch());
     const ScriptedRuntime::Call report = take_newest_report();
@@ -246,8 +173,7 @@
     return report.request.worker_report();
   }
 
-  // Answers every waiting report but the newest without orders, as a leader does that has heard of a newer
-  // one.
+  // Answers every report but the newest without orders, as a leader does once a newer one arrives.
   void answer_older_reports(std::uint64_t epoch) {
     const std::deque<ScriptedRuntime::Call> waiting = std::exchange(runtime.calls, {});
     std::size_t newest = waiting.size();
@@ -264,27 +190,27 @@
     runtime.calls.push_front(waiting[newest]);
   }
 
-  // Answers the newest question for the leader; gives whom it was put to.
-  Address answer_watch(const Address& leader = kLeader, std::uint64_t epoch = 5) {
-    ScriptedRuntime::Call asked;
+  // Answers the newest probe for the leader; returns the node that was probed.
+  Address answer_probe(const Address& leader = kLeader, std::uint64_t epoch = 5) {
+    ScriptedRuntime::Call probe;
     for (ScriptedRuntime::Call& call : runtime.calls) {
-      if (call.request.has_configuration_watch()) asked = call;
+      if (call.request.has_configuration_watch()) probe = call;
     }
-    if (!asked.done) return {};
+    if (!probe.done) return {};
     wire::Envelope answer;
     wire::ShardLeader& entry = *answer.mutable_configuration_update()->add_leaders();
     entry.set_shard("service/core");
     entry.set_address(leader);
     entry.set_epoch(epoch);
-    asked.done(CallResult{std::move(answer), CallError::timed_out});
-    return asked.peer;
+    probe.done(CallResult{std::move(answer), CallError::timed_out});
+    return probe.peer;
   }
 
-  // First heartbeat, first report, first grant of epoch 5; the answer is due and given.
+  // The first heartbeat, its report, a grant of epoch 5 and the response.
   void complete_first_exchange() {
     start();
     const auto first = heartbeat({});
-    lead(orders_of(5));
+    answer_report(orders_of(5));
     runtime.advance(Millis(250));
   }
 
