--- a/src/cluster/agent/cluster_view.cpp
+++ b/src/cluster/agent/cluster_view.cpp
@@ -9,7 +9,7 @@
 constexpr char kServiceShardPrefix[] = "service/";
 constexpr char kControlSource[] = "control";
 
-bool same_member(const wire::Member& left, const wire::Member& right) {
+bool is_same_member(const wire::Member& left, const wire::Member& right) {
   return left.id() == right.id() && left.address() == right.address() && left.zone() == right.zone();
 }
 
@@ -48,19 +48,20 @@
 bool ClusterView::apply_leader(const wire::ShardLeader& leader) {
   wire::ShardLeader& known = leaders_[leader.shard()];
   const bool newer = leader.epoch() > known.epoch();
-  const bool completes = leader.epoch() == known.epoch() && known.address().empty();
-  if (!newer && !completes) return false;
-  const bool moved = known.address() != leader.address();
+  const bool adds_address = leader.epoch() == known.epoch() && known.address().empty();
+  if (!newer && !adds_address) return false;
+  const bool address_changed = known.address() != leader.address();
   known = leader;
-  return moved;
+  return address_changed;
 }
 
-// A node that is cut off may hold an old list.
+// Only a node with a quorum knows the present members: one that is partitioned may hold an old list.
 bool ClusterView::apply_members(const wire::ConfigurationUpdate& update) {
   if (!update.in_touch() || update.members().empty()) return false;
   const auto& members = update.members();
-  const bool same = std::equal(members.begin(), members.end(), members_.begin(), members_.end(), same_member);
-  if (same) return false;
+  const bool unchanged =
+      std::equal(members.begin(), members.end(), members_.begin(), members_.end(), is_same_member);
+  if (unchanged) return false;
   members_.assign(members.begin(), members.end());
   return true;
 }
--- a/src/cluster/agent/configuration_watch_server.cpp
+++ b/src/cluster/agent/configuration_watch_server.cpp
@@ -22,25 +22,25 @@
   }
 }
 
-void ConfigurationWatchServer::set_in_touch(bool in_touch) {
-  if (in_touch == in_touch_) return;
-  in_touch_ = in_touch;
+void ConfigurationWatchServer::set_quorum_contact(bool has_contact) {
+  if (has_contact == has_quorum_contact_) return;
+  has_quorum_contact_ = has_contact;
   answer_all();
 }
 
-void ConfigurationWatchServer::set_max_wait(Millis longest_wait) {
-  max_wait_ = longest_wait;
+void ConfigurationWatchServer::set_max_wait(Millis max_wait) {
+  max_wait_ = max_wait;
   answer_all();
 }
 
-// An ingress with a newer configuration than this process has is told nothing of the older one.
 void ConfigurationWatchServer::answer(Polls::iterator poll) {
   wire::Envelope envelope;
   auto& update = *envelope.mutable_configuration_update();
   update.set_version(view_.version());
-  update.set_in_touch(in_touch_);
-  const bool sent_whole = !poll->fetches && view_.version() > poll->version;
-  if (sent_whole) update.set_configuration(configuration_json(*view_.configuration()));
+  update.set_in_touch(has_quorum_contact_);
+  // Never to an ingress that has a newer configuration than this process.
+  const bool send_configuration = !poll->fetches && view_.version() > poll->version;
+  if (send_configuration) update.set_configuration(configuration_json(*view_.configuration()));
   Polls answered;
   answered.splice(answered.end(), polls_, poll);
   poll->reply(std::move(envelope));
--- a/src/cluster/agent/configuration_watch_server.hpp
+++ b/src/cluster/agent/configuration_watch_server.hpp
@@ -1,4 +1,4 @@
-// Answers the long polls of the ingress on the same machine, and hands the newest configuration on to it.
+// Serves the configuration to the ingress on the same machine.
 #pragma once
 
 #include <list>
@@ -10,25 +10,30 @@
 
 namespace winchhall::cluster {
 
+// Answers long polls for a newer configuration, and hands it on as differences, or as a whole to an ingress
+// that does not fetch. Not thread-safe.
 class ConfigurationWatchServer {
  public:
+  // Both references outlive the server.
   ConfigurationWatchServer(Runtime& runtime, const ClusterView& view);
 
+  // Answers at once if the view's version is newer than the poll's, else when it becomes so, when the quorum
+  // contact changes, or after the poll's wait.
   void watch(const wire::ConfigurationWatch& watch, const ReplyCallback& reply);
   void fetch(const wire::ConfigurationFetch& fetch, const ReplyCallback& reply) {
     differences_.handle(fetch, reply);
   }
-  // The view has a newer configuration: answers all polls that wait for one.
+  // The view has a newer configuration: answers the polls that wait for it.
   void on_newer_configuration();
-  // What is told of the link to the control group; a change answers all polls.
-  void set_in_touch(bool in_touch);
-  // Polls are held no longer than this.
-  void set_max_wait(Millis longest_wait);
+  // Whether this process has contact to a control node with a quorum; a change answers all polls.
+  void set_quorum_contact(bool has_contact);
+  // Bounds the wait of polls from now on, and answers all that are held.
+  void set_max_wait(Millis max_wait);
 
  private:
   struct Poll {
-    std::uint64_t version = 0;
-    bool fetches = false;
+    std::uint64_t version = 0;  // that the ingress has
+    bool fetches = false;       // it fetches differences: no answer needs to hold the configuration
     ReplyCallback reply;
     std::unique_ptr<Timer> timer;
   };
@@ -41,7 +46,7 @@
   const ClusterView& view_;
   ConfigurationTransferServer differences_;
   Polls polls_;
-  bool in_touch_ = false;
+  bool has_quorum_contact_ = false;
   Millis max_wait_{10000};
 };
 
--- a/src/cluster/agent/control_directory.cpp
+++ b/src/cluster/agent/control_directory.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-// A node that failed is asked again after this long; doubled with each failure in a row.
-constexpr Millis kInitialBackoff{200};
+constexpr Millis kInitialBackoff{200};  // doubled with each failure in a row
 constexpr unsigned kMaxBackoffDoublings = 4;
 
 }  // namespace
@@ -19,14 +18,14 @@
 
 void ControlDirectory::set_seeds(const std::vector<Address>& seeds) {
   for (Node& node : nodes_) node.seed = false;
-  for (const Address& seed : seeds) add(seed).seed = true;
+  for (const Address& seed : seeds) find_or_add(seed).seed = true;
   remove_unlisted();
 }
 
 void ControlDirectory::set_members(const std::vector<wire::Member>& members) {
   for (Node& node : nodes_) node.member = false;
   for (const wire::Member& member : members) {
-    Node& node = add(member.address());
+    Node& node = find_or_add(member.address());
     node.member = true;
     node.zone = member.zone();
   }
@@ -35,7 +34,7 @@
 
 void ControlDirectory::set_sampled(const std::vector<Address>& nodes) {
   for (Node& node : nodes_) node.sampled = false;
-  for (const Address& node : nodes) add(node).sampled = true;
+  for (const Address& node : nodes) find_or_add(node).sampled = true;
   remove_unlisted();
 }
 
@@ -45,7 +44,7 @@
 
 std::optional<ControlChoice> ControlDirectory::choose(const std::set<Address>& excluded) const {
   const Node* best = nullptr;
-  std::uint64_t ties = 0;
+  std::uint64_t ties = 0;  // with the best: each of them is chosen with equal probability
   for (const Node& node : nodes_) {
     if (excluded.count(node.address) != 0) continue;
     const bool better = best == nullptr || rank(node) < rank(*best);
@@ -54,20 +53,19 @@
     if (better || (equal && runtime_.random() % ties == 0)) best = &node;
   }
   if (best == nullptr) return std::nullopt;
-  return ControlChoice{best->address, best->backoff_until <= runtime_.now()};
+  return ControlChoice{best->address, !is_backing_off(*best)};
 }
 
 Address ControlDirectory::choose_any(const Address& excluded) const {
-  std::vector<const Node*> rested;
+  std::vector<const Node*> preferred;
   std::vector<const Node*> others;
   for (const Node& node : nodes_) {
     if (node.address == excluded) continue;
-    const bool listed = node.seed || node.member;
-    const bool first_choice = listed && node.backoff_until <= runtime_.now();
-    (first_choice ? rested : others).push_back(&node);
+    const bool is_preferred = (node.seed || node.member) && !is_backing_off(node);
+    (is_preferred ? preferred : others).push_back(&node);
   }
-  const auto& from = rested.empty() ? others : rested;
-  return from.empty() ? Address() : from[runtime_.random() % from.size()]->address;
+  const auto& candidates = preferred.empty() ? others : preferred;
+  return candidates.empty() ? Address() : candidates[runtime_.random() % candidates.size()]->address;
 }
 
 void ControlDirectory::record_success(const Address& address) {
@@ -86,12 +84,12 @@
 }
 
 ControlDirectory::Node* ControlDirectory::find(const Address& address) {
-  const auto same = [&](const Node& node) { return node.address == address; };
-  const auto found = std::find_if(nodes_.begin(), nodes_.end(), same);
+  const auto is_same = [&](const Node& node) { return node.address == address; };
+  const auto found = std::find_if(nodes_.begin(), nodes_.end(), is_same);
   return found == nodes_.end() ? nullptr : &*found;
 }
 
-ControlDirectory::Node& ControlDirectory::add(const Address& address) {
+ControlDirectory::Node& ControlDirectory::find_or_add(const Address& address) {
   if (Node* known = find(address)) return *known;
   Node node;
   node.address = address;
@@ -99,16 +97,15 @@
   return nodes_.back();
 }
 
-// Lower is better.
 int ControlDirectory::rank(const Node& node) const {
-  constexpr int kResting = 8;
+  constexpr int kBackingOff = 8;
   constexpr int kOnlySampled = 4;
-  constexpr int kNoMember = 2;
+  constexpr int kNotMember = 2;
   constexpr int kOtherZone = 1;
   int rank = 0;
-  if (node.backoff_until > runtime_.now()) rank += kResting;
+  if (is_backing_off(node)) rank += kBackingOff;
   if (!node.member && !node.seed) rank += kOnlySampled;
-  if (!node.member) rank += kNoMember;
+  if (!node.member) rank += kNotMember;
   if (node.zone != own_zone_) rank += kOtherZone;
   return rank;
 }
--- a/src/cluster/agent/control_directory.hpp
+++ b/src/cluster/agent/control_directory.hpp
@@ -1,8 +1,6 @@
-// Control nodes that may be asked: the seeds, the members and, where these fail, the nodes that peer sampling
-// brought up; with what is known of how they answer.
+// The control nodes that this process may call.
 #pragma once
 
-#include <functional>
 #include <optional>
 #include <set>
 #include <string>
@@ -13,29 +11,37 @@
 
 namespace winchhall::cluster {
 
-// A control node chosen to be asked. `rested`: it has not failed lately.
+// A control node chosen to be called.
 struct ControlChoice {
   Address address;
-  bool rested = true;
+  bool ready = true;  // false: it has failed, and its backoff has not elapsed
 };
 
+// Lists the seeds, the members and the nodes known from peer sampling, and keeps a backoff for those that
+// fail. A node is removed once no source lists it any more. Not thread-safe.
 class ControlDirectory {
  public:
+  // `runtime` outlives the directory.
   ControlDirectory(Runtime& runtime, const NodeSettings& settings);
 
-  // Internal listeners of the seeds.
+  // Replaces the seeds (their internal listeners).
   void set_seeds(const std::vector<Address>& seeds);
-  // Nodes that are not listed any more are dropped unless they are known from elsewhere.
   void set_members(const std::vector<wire::Member>& members);
-  // Nodes from peer sampling: asked while no seed and no member is at hand that has not failed lately.
+  // Replaces the nodes from peer sampling: these are chosen only while every seed and member is excluded or
+  // backing off.
   void set_sampled(const std::vector<Address>& nodes);
-  // The best node not among `excluded`: one that has not failed lately, a member, of the own zone, else at
-  // random. None: all are excluded.
+
+  // The best node that is not in `excluded`: by preference one that is not backing off, then a seed or member
+  // rather than a sampled node, a member, one of the own zone; at random among equals. None: all are
+  // excluded.
   std::optional<ControlChoice> choose(const std::set<Address>& excluded) const;
-  // Any node but `excluded`, by preference one that has not failed lately; empty: there is none.
+  // A random node other than `excluded`: a seed or member that is not backing off, if there is one. Empty: no
+  // other node is known.
   Address choose_any(const Address& excluded) const;
 
+  // Ends the backoff of a node.
   void record_success(const Address& address);
+  // Starts the backoff of a node, or doubles it up to a limit.
   void record_failure(const Address& address);
 
  private:
@@ -50,9 +56,10 @@
   };
 
   Node* find(const Address& address);
-  Node& add(const Address& address);
-  // Drops the nodes that no source lists.
+  Node& find_or_add(const Address& address);
   void remove_unlisted();
+  bool is_backing_off(const Node& node) const { return node.backoff_until > runtime_.now(); }
+  // Lower is better.
   int rank(const Node& node) const;
 
   Runtime& runtime_;
--- a/src/cluster/agent/control_watcher.cpp
+++ b/src/cluster/agent/control_watcher.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr Millis kWait{1000};
-constexpr Millis kCallTimeout{1600};
-// Between tries of a slot for which no node is at hand that has not failed lately.
-constexpr Millis kChoosePause{100};
-// Polls of one slot start at least this far apart, unless a newer configuration came.
+constexpr Millis kLongPollWait{1000};
+constexpr Millis kLongPollTimeout{1600};
+// Before a slot polls a node that is backing off, or looks again for a node.
+constexpr Millis kNoReadyPeerDelay{100};
+// Between the starts of two polls of a slot, unless the first one brought a newer configuration.
 constexpr Millis kMinPollInterval{100};
-constexpr Millis kUnusableConfigurationPause{1000};
+constexpr Millis kMinPollIntervalAfterRejection{1000};
 constexpr Millis kRefreshTimeout{500};
 constexpr Millis kMinRefreshInterval{50};
-constexpr Millis kSilence{3000};
+constexpr Millis kContactTimeout{3000};
 
 wire::Envelope watch_request(std::uint64_t version, std::uint64_t leaders_digest, Millis wait) {
   wire::Envelope request;
@@ -35,19 +35,19 @@
       view_(view),
       directory_(directory),
       on_change_(std::move(on_change)),
-      fetcher_(runtime, view.replica(), [this] { on_fetched(); }) {}
+      fetcher_(runtime, view.replica(), [this] { on_difference_fetched(); }) {}
 
 void ControlWatcher::start() {
-  for (std::size_t number = 0; number < kSlots; ++number) assign_peer(number);
+  for (std::size_t index = 0; index < kSlots; ++index) assign_peer(index);
 }
 
-bool ControlWatcher::in_touch() const {
-  return last_quorum_contact_ && runtime_.now() - *last_quorum_contact_ <= kSilence;
+bool ControlWatcher::has_quorum_contact() const {
+  return last_quorum_contact_ && runtime_.now() - *last_quorum_contact_ <= kContactTimeout;
 }
 
 void ControlWatcher::refresh(const Address& failed) {
-  const bool just_done = last_refresh_ && runtime_.now() - *last_refresh_ < kMinRefreshInterval;
-  if (refreshing_ || just_done) return;
+  const bool just_refreshed = last_refresh_ && runtime_.now() - *last_refresh_ < kMinRefreshInterval;
+  if (refreshing_ || just_refreshed) return;
   const Address peer = directory_.choose_any(failed);
   if (peer.empty()) return;
   refreshing_ = true;
@@ -63,59 +63,55 @@
   apply_update(peer, result.answer->configuration_update());
 }
 
-void ControlWatcher::assign_peer(std::size_t number) {
-  Slot& slot = slots_[number];
+void ControlWatcher::assign_peer(std::size_t index) {
+  Slot& slot = slots_[index];
   slot.timer.reset();
   const auto choice = directory_.choose(peers());
   if (!choice) {
-    slot.timer = runtime_.after(kChoosePause, [this, number] { assign_peer(number); });
+    slot.timer = runtime_.after(kNoReadyPeerDelay, [this, index] { assign_peer(index); });
     return;
   }
   slot.peer = choice->address;
   slot.leaders_digest = 0;
-  if (choice->rested) return poll(number);
-  poll_later(number, kChoosePause);
+  if (choice->ready) return poll(index);
+  poll_after(index, kNoReadyPeerDelay);
 }
 
-void ControlWatcher::poll(std::size_t number) {
-  Slot& slot = slots_[number];
+void ControlWatcher::poll(std::size_t index) {
+  Slot& slot = slots_[index];
   slot.timer.reset();
-  slot.sent = runtime_.now();
-  // What the peer has offered is being fetched: only what is newer is news.
+  slot.sent_at = runtime_.now();
+  // The version that the peer has announced is being fetched: only a newer one should end the poll.
   const std::uint64_t version = std::max(view_.version(), fetcher_.announced_version(slot.peer));
-  runtime_.call(slot.peer, watch_request(version, slot.leaders_digest, kWait), kCallTimeout,
-                [this, number](const CallResult& result) { on_answer(number, result); });
+  runtime_.call(slot.peer, watch_request(version, slot.leaders_digest, kLongPollWait), kLongPollTimeout,
+                [this, index](const CallResult& result) { on_answer(index, result); });
 }
 
-void ControlWatcher::poll_later(std::size_t number, Millis pause) {
-  slots_[number].timer = runtime_.after(pause, [this, number] { poll(number); });
+void ControlWatcher::poll_after(std::size_t index, Millis delay) {
+  slots_[index].timer = runtime_.after(delay, [this, index] { poll(index); });
 }
 
-void ControlWatcher::on_answer(std::size_t number, const CallResult& result) {
-  Slot& slot = slots_[number];
-  if (!result.answer || !result.answer->has_configuration_update()) {
-    directory_.record_failure(slot.peer);
-    return replace_peer(number);
-  }
+void ControlWatcher::on_answer(std::size_t index, const CallResult& result) {
+  Slot& slot = slots_[index];
+  const bool answered = result.answer && result.answer->has_configuration_update();
+  if (!answered) return replace_failed_peer(index);
   const auto& update = result.answer->configuration_update();
   slot.leaders_digest = update.leaders_digest();
-  const auto changes = apply_update(slot.peer, update);
-  if (!update.in_touch()) {
-    directory_.record_failure(slot.peer);
-    return replace_peer(number);
-  }
-  if (changes.configuration) return poll(number);
-  const auto elapsed = std::chrono::duration_cast<Millis>(runtime_.now() - slot.sent);
-  const Millis spacing = changes.rejected ? kUnusableConfigurationPause : kMinPollInterval;
-  if (elapsed >= spacing) return poll(number);
-  poll_later(number, spacing - elapsed);
+  const ViewChanges changes = apply_update(slot.peer, update);
+  if (!update.in_touch()) return replace_failed_peer(index);
+  if (changes.configuration) return poll(index);
+  const auto elapsed = std::chrono::duration_cast<Millis>(runtime_.now() - slot.sent_at);
+  const Millis interval = changes.rejected ? kMinPollIntervalAfterRejection : kMinPollInterval;
+  if (elapsed >= interval) return poll(index);
+  poll_after(index, interval - elapsed);
 }
 
-// The node that failed rests for a while, so that another one is chosen if there is any.
-void ControlWatcher::replace_peer(std::size_t number) {
-  fetcher_.remove_peer(slots_[number].peer);
-  slots_[number].peer.clear();
-  assign_peer(number);
+void ControlWatcher::replace_failed_peer(std::size_t index) {
+  Slot& slot = slots_[index];
+  directory_.record_failure(slot.peer);
+  fetcher_.remove_peer(slot.peer);
+  slot.peer.clear();
+  assign_peer(index);
 }
 
 std::set<Address> ControlWatcher::peers() const {
@@ -134,12 +130,12 @@
   const ViewChanges changes = view_.apply_update(update, runtime_.now());
   if (changes.members) directory_.set_members(view_.members());
   if (changes.configuration || changes.leaders) on_change_(changes);
-  const bool to_fetch = update.version() > view_.version() && update.configuration().empty();
-  if (to_fetch) fetcher_.on_version_announced(peer, update.version());
+  const bool announces_newer = update.version() > view_.version() && update.configuration().empty();
+  if (announces_newer) fetcher_.on_version_announced(peer, update.version());
   return changes;
 }
 
-void ControlWatcher::on_fetched() {
+void ControlWatcher::on_difference_fetched() {
   view_.on_difference_applied(runtime_.now());
   ViewChanges changes;
   changes.configuration = true;
--- a/src/cluster/agent/control_watcher.hpp
+++ b/src/cluster/agent/control_watcher.hpp
@@ -1,5 +1,4 @@
-// Long-polls several control nodes at once for the newest version of the configuration and the leaders,
-// replaces those that fail, and fetches a newer configuration from one of them.
+// Follows the configuration and the leaders by long polls on control nodes.
 #pragma once
 
 #include <array>
@@ -15,38 +14,42 @@
 
 namespace winchhall::cluster {
 
+// Keeps a long poll on each of several control nodes, replaces a node that fails or has no quorum contact by
+// another one, and fetches a newer configuration from the nodes that announce it. Not thread-safe; calls back
+// on the runtime's thread.
 class ControlWatcher {
  public:
   using OnChange = std::function<void(const ViewChanges&)>;
 
-  // `on_change` is called after each update that has changed the view.
+  // `on_change` is called after each update that has changed the view's configuration or leaders. All
+  // references outlive the watcher.
   ControlWatcher(Runtime& runtime, ClusterView& view, ControlDirectory& directory, OnChange on_change);
 
   void start();
-  // Asks another control node than `failed` at once for the leaders, unless that is under way or was done
-  // just now.
+  // Queries a control node other than `failed` for the leaders at once, unless a query is under way or has
+  // just ended. `failed` may be empty.
   void refresh(const Address& failed);
-  // A control node that hears a majority of its group has answered lately.
-  bool in_touch() const;
+  // True if a control node with quorum contact has answered within the contact time-out.
+  bool has_quorum_contact() const;
 
  private:
-  // A poll under way on one control node.
+  // A long poll on one control node.
   struct Slot {
-    Address peer;  // empty: none chosen
-    std::uint64_t leaders_digest = 0;
-    TimePoint sent;
+    Address peer;                      // empty: none chosen
+    std::uint64_t leaders_digest = 0;  // of the leaders that the peer has named
+    TimePoint sent_at;
     std::unique_ptr<Timer> timer;
   };
 
-  void assign_peer(std::size_t number);
-  void poll(std::size_t number);
-  void poll_later(std::size_t number, Millis pause);
-  void on_answer(std::size_t number, const CallResult& result);
-  void replace_peer(std::size_t number);
+  void assign_peer(std::size_t index);
+  void poll(std::size_t index);
+  void poll_after(std::size_t index, Millis delay);
+  void on_answer(std::size_t index, const CallResult& result);
+  // Starts the backoff of the slot's node and chooses another one.
+  void replace_failed_peer(std::size_t index);
   std::set<Address> peers() const;
   ViewChanges apply_update(const Address& peer, const wire::ConfigurationUpdate& update);
-  // A difference was fetched and taken.
-  void on_fetched();
+  void on_difference_fetched();
   void on_refreshed(const Address& peer, const CallResult& result);
 
   static constexpr std::size_t kSlots = 3;
--- a/src/cluster/agent/edge_agent.cpp
+++ b/src/cluster/agent/edge_agent.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr Millis kLinkCheckInterval{500};
+constexpr Millis kContactCheckInterval{500};
 constexpr Millis kShutdownCheckInterval{100};
-// Kept back of the grace period for the process' end; less than the ingress keeps, which ends first.
+// Part of the grace period that is left for the process' end; less than the ingress leaves, which ends first.
 constexpr Millis kShutdownReserve{500};
-// While ending, polls of the ingress are held this long, so that its silence shows soon.
-constexpr Millis kMaxWaitWhileDraining{300};
+// Bounds the ingress' polls during a shutdown, so that it soon counts as idle once it has stopped calling.
+constexpr Millis kMaxWaitDuringShutdown{300};
 constexpr Millis kIngressIdleTimeout{1000};
 
 }  // namespace
@@ -31,39 +31,34 @@
 
 void EdgeAgent::start() {
   watcher_.start();
-  check_control_link();
+  check_quorum_contact();
 }
 
 bool EdgeAgent::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   if (request.has_configuration_watch()) {
-    last_ingress_call_ = runtime_.now();
     watch_server_.watch(request.configuration_watch(), reply);
-    return true;
-  }
-  if (request.has_configuration_fetch()) {
-    last_ingress_call_ = runtime_.now();
+  } else if (request.has_configuration_fetch()) {
     watch_server_.fetch(request.configuration_fetch(), reply);
-    return true;
-  }
-  if (request.has_job_request()) {
-    last_ingress_call_ = runtime_.now();
+  } else if (request.has_job_request()) {
     relay_.handle(request.job_request(), reply);
-    return true;
+  } else {
+    return false;
   }
-  return false;
+  last_ingress_call_ = runtime_.now();
+  return true;
 }
 
 void EdgeAgent::shut_down(std::function<void()> done) {
-  if (done_) return;
-  done_ = std::move(done);
-  end_ = runtime_.now() + std::max(settings_.bounds.grace_period - kShutdownReserve, Millis(0));
+  if (shutdown_done_) return;
+  shutdown_done_ = std::move(done);
+  shutdown_deadline_ = runtime_.now() + std::max(settings_.bounds.grace_period - kShutdownReserve, Millis(0));
   last_ingress_call_ = runtime_.now();
-  watch_server_.set_max_wait(kMaxWaitWhileDraining);
+  watch_server_.set_max_wait(kMaxWaitDuringShutdown);
   check_shutdown();
 }
 
 void EdgeAgent::on_change(const ViewChanges& changes) {
-  update_control_link();
+  update_quorum_contact();
   if (changes.configuration) {
     log_event(LogLevel::info, "configuration", {{"version", static_cast<std::int64_t>(view_.version())}});
     watch_server_.on_newer_configuration();
@@ -71,28 +66,28 @@
   if (changes.leaders) relay_.on_leaders_changed();
 }
 
-void EdgeAgent::update_control_link() {
-  const bool in_touch = watcher_.in_touch();
-  if (std::exchange(in_touch_, in_touch) == in_touch) return;
-  log_event(LogLevel::info, in_touch ? "control_group_found" : "control_group_lost");
-  watch_server_.set_in_touch(in_touch);
+void EdgeAgent::update_quorum_contact() {
+  const bool has_contact = watcher_.has_quorum_contact();
+  if (std::exchange(had_quorum_contact_, has_contact) == has_contact) return;
+  log_event(LogLevel::info, has_contact ? "control_group_found" : "control_group_lost");
+  watch_server_.set_quorum_contact(has_contact);
 }
 
-void EdgeAgent::check_control_link() {
-  update_control_link();
-  link_timer_ = runtime_.after(kLinkCheckInterval, [this] { check_control_link(); });
+void EdgeAgent::check_quorum_contact() {
+  update_quorum_contact();
+  contact_timer_ = runtime_.after(kContactCheckInterval, [this] { check_quorum_contact(); });
 }
 
 void EdgeAgent::check_shutdown() {
-  if (is_ingress_idle() || runtime_.now() >= end_) {
-    const auto finished = std::move(done_);
-    return finished();
+  if (is_ingress_idle() || runtime_.now() >= shutdown_deadline_) {
+    const auto done = std::move(shutdown_done_);
+    return done();
   }
-  end_timer_ = runtime_.after(kShutdownCheckInterval, [this] { check_shutdown(); });
+  shutdown_timer_ = runtime_.after(kShutdownCheckInterval, [this] { check_shutdown(); });
 }
 
 bool EdgeAgent::is_ingress_idle() const {
-  return relay_.open() == 0 && runtime_.now() - last_ingress_call_ >= kIngressIdleTimeout;
+  return !relay_.has_open_requests() && runtime_.now() - last_ingress_call_ >= kIngressIdleTimeout;
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/edge_agent.hpp
+++ b/src/cluster/agent/edge_agent.hpp
@@ -1,5 +1,4 @@
-// Process beside the ingress of an `edge` machine: keeps the link to the control group, feeds the ingress
-// with the configuration, and relays its job requests to the services' leaders.
+// The process beside the ingress of an `edge` machine (sub-command `agent`).
 #pragma once
 
 #include <functional>
@@ -16,31 +15,35 @@
 
 namespace winchhall::cluster {
 
+// Follows the control group, serves the configuration to the ingress and relays its job requests to the
+// services' leaders. Not thread-safe: all calls are made on the runtime's thread.
 class EdgeAgent {
  public:
-  // Of `settings` are used: seeds, internal ports, zone and the grace period.
+  // Uses the settings' seeds, internal ports, zone and grace period. `runtime` outlives the agent.
   EdgeAgent(Runtime& runtime, const NodeSettings& settings);
 
   void start();
-  // Internal listeners of the seeds, after a change of the settings.
+  // Replaces the seeds (their internal listeners), after a change of the settings.
   void set_seeds(const std::vector<Address>& seeds) { directory_.set_seeds(seeds); }
-  // Control nodes that peer sampling brought up: a further source beside seeds and members.
+  // Replaces the control nodes known from peer sampling, which are used besides seeds and members.
   void set_sampled_control(const std::vector<Address>& nodes) { directory_.set_sampled(nodes); }
-  // Takes ConfigurationWatch, ConfigurationFetch and JobRequest, of the ingress on this machine.
+  // Handles ConfigurationWatch, ConfigurationFetch and JobRequest of the ingress on this machine; false:
+  // another kind of request.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
-  // Planned end: serves on for as long as the ingress asks, then calls `done`; shortly before the grace
-  // period ends at the latest.
+  // Planned end: goes on serving until the ingress has stopped calling, or until shortly before the end of
+  // the grace period; then calls `done`. Further calls do nothing.
   void shut_down(std::function<void()> done);
 
   const ClusterView& view() const { return view_; }
-  // A control node that hears a majority has answered lately.
-  bool in_touch() const { return watcher_.in_touch(); }
+  // See ControlWatcher::has_quorum_contact.
+  bool in_touch() const { return watcher_.has_quorum_contact(); }
 
  private:
   void on_change(const ViewChanges& changes);
-  // Tells the ingress when the control group is lost or found.
-  void update_control_link();
-  void check_control_link();
+  // Logs a change of the quorum contact and passes it on to the ingress.
+  void update_quorum_contact();
+  // Checks the quorum contact periodically: it is lost without any event.
+  void check_quorum_contact();
   void check_shutdown();
   bool is_ingress_idle() const;
 
@@ -53,11 +56,11 @@
   RetryBudget budget_;
   JobRelay relay_;
   TimePoint last_ingress_call_;
-  bool in_touch_ = false;
-  std::unique_ptr<Timer> link_timer_;
-  TimePoint end_;
-  std::function<void()> done_;
-  std::unique_ptr<Timer> end_timer_;
+  bool had_quorum_contact_ = false;  // at the last check
+  std::unique_ptr<Timer> contact_timer_;
+  std::function<void()> shutdown_done_;  // empty: not shutting down
+  TimePoint shutdown_deadline_;
+  std::unique_ptr<Timer> shutdown_timer_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/leader_call.cpp
+++ b/src/cluster/agent/leader_call.cpp
@@ -10,7 +10,7 @@
 constexpr Millis kInitialCallBackoff{30};
 constexpr Millis kMaxCallBackoff{200};
 constexpr unsigned kMaxRedirects = 3;
-// A submit that was sent nowhere is given up after this long, so that its client may come back later.
+// A submit for which no leader is known is rejected after this long, so that its client retries later.
 constexpr Millis kUnsentSubmitTimeout{2000};
 constexpr std::uint32_t kRetryAfterMs = 500;
 
@@ -26,7 +26,7 @@
       backoff_(kInitialCallBackoff) {}
 
 void LeaderCall::start() {
-  end_timer_ = context_.runtime.after(left_until(deadline_), [self = weak_from_this()] {
+  deadline_timer_ = context_.runtime.after(time_until(deadline_), [self = weak_from_this()] {
     if (const auto call = self.lock()) call->give_up();
   });
   context_.budget.record_first_attempt(context_.runtime.now());
@@ -37,44 +37,44 @@
   if (finished_) return;
   const Address leader = context_.view.leader_of(request_.service());
   if (leader.empty() || leader == attempt_target_) return;
-  const bool waits = attempt_target_.empty() && timer_ != nullptr;
-  const bool elsewhere = !attempt_target_.empty();
-  if (waits || elsewhere) send(leader);
+  const bool waits_for_retry = attempt_target_.empty() && retry_timer_ != nullptr;
+  const bool is_under_way = !attempt_target_.empty();
+  if (waits_for_retry || is_under_way) send(leader);
 }
 
 void LeaderCall::begin_attempt() {
-  timer_.reset();
+  retry_timer_.reset();
   const auto now = context_.runtime.now();
   if (was_never_sent() && now >= unsent_deadline()) return give_up();
-  const Address next = context_.view.leader_of(request_.service());
-  if (next.empty()) {
+  const Address leader = context_.view.leader_of(request_.service());
+  if (leader.empty()) {
     context_.watcher.refresh({});
     return back_off();
   }
-  if (attempts_ > 0 && !context_.budget.try_acquire(now)) return wait(kMaxCallBackoff);
-  send(next);
+  if (attempts_ > 0 && !context_.budget.try_acquire(now)) return retry_after(kMaxCallBackoff);
+  send(leader);
 }
 
 void LeaderCall::send(const Address& target) {
-  timer_.reset();
-  const auto number = ++attempts_;
+  retry_timer_.reset();
+  const unsigned attempt = ++attempts_;
   attempt_target_ = target;
-  const Millis timeout = std::min(kAttemptTimeout, left_until(deadline_));
+  const Millis timeout = std::min(kAttemptTimeout, time_until(deadline_));
   wire::Envelope envelope;
   *envelope.mutable_job_request() = request_;
   envelope.mutable_job_request()->set_deadline_ms(static_cast<std::uint32_t>(timeout.count()));
   context_.runtime.call(target, std::move(envelope), timeout,
-                        [self = shared_from_this(), number, target](const CallResult& result) {
-                          self->on_result(number, target, result);
+                        [self = shared_from_this(), attempt, target](const CallResult& result) {
+                          self->on_result(attempt, target, result);
                         });
 }
 
-void LeaderCall::on_result(unsigned try_number, const Address& target, const CallResult& result) {
+void LeaderCall::on_result(unsigned attempt, const Address& target, const CallResult& result) {
   if (finished_) return;
   const bool answered = result.answer && result.answer->has_job_reply();
-  const bool newest = try_number == attempts_ && !attempt_target_.empty();
+  const bool newest = attempt == attempts_ && !attempt_target_.empty();
   if (!newest) {
-    // A try that another has replaced: only its success still counts.
+    // Of an attempt that another one has replaced, only a success counts.
     if (answered && result.answer->job_reply().outcome() == wire::JOB_OK) finish(result.answer->job_reply());
     return;
   }
@@ -91,7 +91,7 @@
     case wire::JOB_NO_QUEUE:
       return finish(reply);
     case wire::JOB_REJECTED:
-      // With an earlier try, another node may have taken it all the same.
+      // Another node may have accepted an earlier attempt.
       return attempts_ == 1 ? finish(reply) : give_up();
     case wire::JOB_NOT_LEADER:
       return on_not_leader(reply, target);
@@ -101,11 +101,11 @@
 }
 
 void LeaderCall::on_not_leader(const wire::JobReply& reply, const Address& target) {
-  const Address& hint = reply.leader_address();
-  const bool follow = !hint.empty() && hint != target && redirects_followed_ < kMaxRedirects;
-  if (!follow) return retry_after_failure(target);
+  const Address& leader = reply.leader_address();
+  const bool is_other_node = !leader.empty() && leader != target;
+  if (!is_other_node || redirects_followed_ >= kMaxRedirects) return retry_after_failure(target);
   ++redirects_followed_;
-  send(hint);
+  send(leader);
 }
 
 void LeaderCall::retry_after_failure(const Address& failed) {
@@ -114,14 +114,14 @@
 }
 
 void LeaderCall::back_off() {
-  const auto span = static_cast<std::uint64_t>(backoff_.count());
-  const Millis pause(span / 2 + context_.runtime.random() % (span / 2 + 1));
+  const auto half = static_cast<std::uint64_t>(backoff_.count()) / 2;
+  const Millis delay(half + context_.runtime.random() % (half + 1));
   backoff_ = std::min(backoff_ * 2, kMaxCallBackoff);
-  wait(pause);
+  retry_after(delay);
 }
 
-void LeaderCall::wait(Millis pause) {
-  timer_ = context_.runtime.after(pause, [self = weak_from_this()] {
+void LeaderCall::retry_after(Millis delay) {
+  retry_timer_ = context_.runtime.after(delay, [self = weak_from_this()] {
     if (const auto call = self.lock()) call->begin_attempt();
   });
 }
@@ -142,13 +142,13 @@
 void LeaderCall::finish(const wire::JobReply& reply) {
   if (finished_) return;
   finished_ = true;
-  timer_.reset();
-  end_timer_.reset();
+  retry_timer_.reset();
+  deadline_timer_.reset();
   const auto done = std::move(done_);
   done(reply);
 }
 
-Millis LeaderCall::left_until(TimePoint end) const {
+Millis LeaderCall::time_until(TimePoint end) const {
   const auto left = std::chrono::duration_cast<Millis>(end - context_.runtime.now());
   return std::max(left, Millis(1));
 }
--- /dev/null
+++ b/src/cluster/agent/reply_aggregator.hpp
@@ -0,0 +1,31 @@
+// Combines the replies of several services to one job request.
+#pragma once
+
+#include <cstddef>
+#include <functional>
+
+#include "cluster/wire/cluster.pb.h"
+
+namespace winchhall::cluster {
+
+// Reports the first JOB_OK at once; JOB_NOT_FOUND if every service has replied so; else JOB_IN_DOUBT, once
+// all have replied. Not thread-safe.
+class ReplyAggregator {
+ public:
+  using Done = std::function<void(const wire::JobReply&)>;
+
+  // `expected`: number of replies, at least 1. `done` is called exactly once.
+  ReplyAggregator(std::size_t expected, Done done);
+
+  // Replies after the result are ignored.
+  void add(const wire::JobReply& reply);
+
+ private:
+  void finish(const wire::JobReply& reply);
+
+  std::size_t missing_;
+  bool all_not_found_ = true;
+  Done done_;  // empty: was called
+};
+
+}  // namespace winchhall::cluster
--- a/src/cluster/agent/retry_budget.cpp
+++ b/src/cluster/agent/retry_budget.cpp
@@ -17,9 +17,9 @@
 }
 
 void RetryBudget::refill(TimePoint now) {
-  const std::chrono::duration<double> passed = now - refilled_at_;
+  const std::chrono::duration<double> elapsed = now - refilled_at_;
   refilled_at_ = now;
-  tokens_ = std::min(kMaxTokens, tokens_ + passed.count() * kMinRetriesPerSecond);
+  tokens_ = std::min(kMaxTokens, tokens_ + elapsed.count() * kMinRetriesPerSecond);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/route_history.cpp
+++ b/src/cluster/agent/route_history.cpp
@@ -5,7 +5,8 @@
 namespace winchhall::cluster {
 
 void RouteHistory::record_changes(const std::vector<RouteChange>& changes, TimePoint now) {
-  expire(now);
+  remove_expired(now);
+  // All ends before all beginnings: a queue may take over the host and prefix of another one.
   for (const RouteChange& change : changes) {
     if (change.before) end_use(*change.before, now);
   }
@@ -17,55 +18,55 @@
 std::vector<std::string> RouteHistory::recent_other_services(const std::string& queue,
                                                              const std::string& service,
                                                              TimePoint now) const {
-  std::vector<std::string> others;
-  const auto place = route_keys_.find(queue);
-  if (place == route_keys_.end()) return others;
-  const auto uses = uses_.find(place->second);
-  if (uses == uses_.end()) return others;
+  std::vector<std::string> services;
+  const auto key = route_keys_.find(queue);
+  if (key == route_keys_.end()) return services;
+  const auto uses = uses_.find(key->second);
+  if (uses == uses_.end()) return services;
   for (const ServiceUse& use : uses->second) {
-    const bool recent = use.seen == TimePoint::max() || now - use.seen <= kRetention;
-    if (recent && use.service != service) others.push_back(use.service);
+    const bool recent = use.ended_at == TimePoint::max() || now - use.ended_at <= kRetention;
+    if (recent && use.service != service) services.push_back(use.service);
   }
-  return others;
+  return services;
 }
 
 void RouteHistory::end_use(const Route& route, TimePoint now) {
-  const RouteKey place = route_key_of(route);
-  for (ServiceUse& use : uses_[place]) {
-    if (use.service == route.backend) use.seen = std::min(use.seen, now);
+  const RouteKey key = route_key_of(route);
+  for (ServiceUse& use : uses_[key]) {
+    if (use.service == route.backend) use.ended_at = std::min(use.ended_at, now);
   }
-  ended_.push_back({now, place, route.name});
+  ended_.push_back({now, key, route.name});
 }
 
 void RouteHistory::begin_use(const Route& route) {
-  const RouteKey place = route_key_of(route);
-  route_keys_[route.name] = place;
-  auto& uses = uses_[place];
-  const auto same = [&](const ServiceUse& use) { return use.service == route.backend; };
-  const auto found = std::find_if(uses.begin(), uses.end(), same);
-  if (found != uses.end()) {
-    found->seen = TimePoint::max();
+  const RouteKey key = route_key_of(route);
+  route_keys_[route.name] = key;
+  auto& uses = uses_[key];
+  const auto is_same = [&](const ServiceUse& use) { return use.service == route.backend; };
+  const auto known = std::find_if(uses.begin(), uses.end(), is_same);
+  if (known != uses.end()) {
+    known->ended_at = TimePoint::max();
   } else {
     uses.push_back({route.backend, TimePoint::max()});
   }
 }
 
-void RouteHistory::expire(TimePoint now) {
+void RouteHistory::remove_expired(TimePoint now) {
   while (!ended_.empty() && now - ended_.front().at > kRetention) {
-    expire(ended_.front());
+    remove_uses_of(ended_.front());
     ended_.pop_front();
   }
 }
 
-// A use that was opened again since is in force, or ended again later and is kept until then.
-void RouteHistory::expire(const EndedUse& ended) {
-  const auto entry = uses_.find(ended.place);
-  if (entry == uses_.end()) return;
-  std::erase_if(entry->second, [&](const ServiceUse& use) { return use.seen <= ended.at; });
-  if (!entry->second.empty()) return;
-  uses_.erase(entry);
-  const auto queue = route_keys_.find(ended.queue);
-  if (queue != route_keys_.end() && queue->second == ended.place) route_keys_.erase(queue);
+// Keeps a use that has begun again since: it is in force, or has a later end that expires on its own.
+void RouteHistory::remove_uses_of(const EndedRoute& ended) {
+  const auto uses = uses_.find(ended.key);
+  if (uses == uses_.end()) return;
+  std::erase_if(uses->second, [&](const ServiceUse& use) { return use.ended_at <= ended.at; });
+  if (!uses->second.empty()) return;
+  uses_.erase(uses);
+  const auto key = route_keys_.find(ended.queue);
+  if (key != route_keys_.end() && key->second == ended.key) route_keys_.erase(key);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/route_history.hpp
+++ b/src/cluster/agent/route_history.hpp
@@ -1,5 +1,4 @@
-// Remembers for a while which services a queue was sent to earlier: a job handed in again after its queue has
-// moved may already be known there.
+// The services that queues were routed to until recently.
 #pragma once
 
 #include <deque>
@@ -13,15 +12,17 @@
 
 namespace winchhall::cluster {
 
+// Remembers the former services of a queue after its route has changed: a job that a client submits again may
+// already be known to one of them. Entries expire after `kRetention`. Not thread-safe.
 class RouteHistory {
  public:
-  // How long after its queue has moved a service may still be asked for: longer than a client goes on trying.
+  // Longer than any client goes on retrying a submit.
   static constexpr Millis kRetention{60000};
 
-  // Takes in what a configuration that comes into force changes.
+  // Records the changes of a configuration that comes into force.
   void record_changes(const std::vector<RouteChange>& changes, TimePoint now);
-  // Services other than `service` that the queue named `queue`, or one at its host and prefix, was sent to
-  // lately.
+  // The services other than `service` to which the queue named `queue`, or any queue with its host and path
+  // prefix, was routed within the retention time.
   std::vector<std::string> recent_other_services(const std::string& queue, const std::string& service,
                                                  TimePoint now) const;
 
@@ -30,24 +31,24 @@
   using RouteKey = std::pair<std::string, std::string>;
   struct ServiceUse {
     std::string service;
-    TimePoint seen;  // last time a configuration sent the queue there; max: the newest one does
+    TimePoint ended_at;  // max: the route is in force
   };
-  // A use that has ended, to be forgotten in time.
-  struct EndedUse {
+  // A route that has ended, in the queue of what will expire.
+  struct EndedRoute {
     TimePoint at;
-    RouteKey place;
+    RouteKey key;
     std::string queue;
   };
 
   static RouteKey route_key_of(const Route& route) { return {route.hostname, route.path_prefix}; }
   void end_use(const Route& route, TimePoint now);
   void begin_use(const Route& route);
-  void expire(TimePoint now);
-  void expire(const EndedUse& ended);
+  void remove_expired(TimePoint now);
+  void remove_uses_of(const EndedRoute& ended);
 
   std::map<RouteKey, std::vector<ServiceUse>> uses_;
   std::map<std::string, RouteKey> route_keys_;  // by name of the queue
-  std::deque<EndedUse> ended_;                  // oldest first
+  std::deque<EndedRoute> ended_;                // oldest first
 };
 
 }  // namespace winchhall::cluster
--- a/tests/cluster/agent/agent_fixture.hpp
+++ b/tests/cluster/agent/agent_fixture.hpp
@@ -1,4 +1,4 @@
-// An agent amid scripted control nodes.
+// An agent with scripted control nodes.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace winchhall::cluster::testing {
 
-// A control node: serves watches like a real one and answers job requests as told.
+// A control node that serves watches like a real one and answers job requests with the test's handler.
 class ScriptedControl {
  public:
   using JobHandler = std::function<void(const wire::JobRequest&, const ReplyCallback&)>;
@@ -25,7 +25,7 @@
   const Address& address() const { return address_; }
   void start() {
     runtime_.peers[address_] = [this](const wire::Envelope& request, const ReplyCallback& reply) {
-      take(request, reply);
+      handle(request, reply);
     };
   }
   // The node is down: calls to it fail at once.
@@ -33,7 +33,7 @@
     runtime_.peers.erase(address_);
     polls_.clear();
   }
-  // The node takes calls and never answers.
+  // The node receives calls and never answers.
   void hang() {
     polls_.clear();
     runtime_.peers[address_] = [](const wire::Envelope&, const ReplyCallback&) {};
@@ -44,7 +44,7 @@
     update_.set_configuration(std::move(json));
     answer_polls();
   }
-  void set_in_touch(bool in_touch) { update_.set_in_touch(in_touch); }
+  void set_quorum_contact(bool has_contact) { update_.set_in_touch(has_contact); }
   void add_member(const Address& address, const std::string& zone) {
     auto& member = *update_.add_members();
     member.set_id(static_cast<std::uint64_t>(update_.members_size()));
@@ -71,7 +71,7 @@
     std::unique_ptr<Timer> timer;
   };
 
-  void take(const wire::Envelope& request, const ReplyCallback& reply) {
+  void handle(const wire::Envelope& request, const ReplyCallback& reply) {
     if (request.has_job_request()) {
       jobs.push_back(request.job_request());
       if (on_job) on_job(request.job_request(), reply);
@@ -81,7 +81,7 @@
 
   void hold(const wire::ConfigurationWatch& watch, const ReplyCallback& reply) {
     ++watches;
-    if (has_news(watch)) return answer(watch, reply);
+    if (has_newer(watch)) return answer(watch, reply);
     polls_.push_back({watch, reply, nullptr});
     const auto poll = std::prev(polls_.end());
     poll->timer = runtime_.after(Millis(watch.wait_ms()), [this, poll] {
@@ -90,7 +90,7 @@
     });
   }
 
-  bool has_news(const wire::ConfigurationWatch& watch) const {
+  bool has_newer(const wire::ConfigurationWatch& watch) const {
     return update_.version() > watch.version() || update_.leaders_digest() != watch.leaders_digest();
   }
 
@@ -106,7 +106,7 @@
     std::list<Poll> polls;
     polls.swap(polls_);
     for (auto& poll : polls) {
-      if (has_news(poll.watch)) {
+      if (has_newer(poll.watch)) {
         answer(poll.watch, poll.reply);
       } else {
         hold(poll.watch, poll.reply);
@@ -129,7 +129,7 @@
   };
 }
 
-// What a call to the agent brought.
+// The answer to a call of the agent, once there is one.
 struct AgentAnswer {
   std::optional<wire::Envelope> answer;
   TimePoint at;
@@ -147,7 +147,7 @@
       controls.push_back(std::make_unique<ScriptedControl>(runtime, address_of(number)));
     }
     for (auto& control : controls) {
-      control->set_in_touch(true);
+      control->set_quorum_contact(true);
       control->set_configuration(1, configuration_json(1, {{"/a/", "first"}, {"/b/", "second"}}));
       for (int number = 0; number < 5; ++number) control->add_member(address_of(number), zone_of(number));
     }
--- a/tests/cluster/agent/configuration_test.cpp
+++ b/tests/cluster/agent/configuration_test.cpp
@@ -1,4 +1,4 @@
-// How an agent keeps up with the control group and feeds its ingress.
+// How an agent follows the control group and serves the configuration to its ingress.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/agent/agent_fixture.hpp"
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(AgentFixture, "a started agent soon has the configuration and is in touch") {
+TEST_CASE_METHOD(AgentFixture, "a started agent soon has the configuration and quorum contact") {
   start_agent();
   runtime.run_for(Millis(50));
   CHECK(agent->view().version() == 1);
@@ -22,7 +22,7 @@
   CHECK(agent->view().leader_of("first") == address_of(0));
 }
 
-TEST_CASE_METHOD(AgentFixture, "a held poll is answered as soon as a newer configuration is there") {
+TEST_CASE_METHOD(AgentFixture, "a pending poll is answered as soon as a newer configuration arrives") {
   start_agent();
   runtime.run_for(Millis(1500));
   const auto poll = watch(1, Millis(2000));
@@ -34,7 +34,7 @@
   CHECK_FALSE(poll->answer->configuration_update().configuration().empty());
 }
 
-TEST_CASE_METHOD(AgentFixture, "a poll without news ends after its wait") {
+TEST_CASE_METHOD(AgentFixture, "a poll without a newer configuration ends after its wait") {
   start_agent();
   runtime.run_for(Millis(1000));
   const auto poll = watch(1, Millis(2000));
@@ -45,7 +45,7 @@
   CHECK(poll->answer->configuration_update().configuration().empty());
 }
 
-TEST_CASE_METHOD(AgentFixture, "an ingress that is ahead is told nothing older") {
+TEST_CASE_METHOD(AgentFixture, "an ingress with a newer version gets no older configuration") {
   start_agent();
   runtime.run_for(Millis(1000));
   const auto poll = watch(7, Millis(100));
@@ -54,7 +54,7 @@
   CHECK(poll->answer->configuration_update().configuration().empty());
 }
 
-TEST_CASE_METHOD(AgentFixture, "an older configuration of a node that lags changes nothing") {
+TEST_CASE_METHOD(AgentFixture, "an older configuration of a lagging node changes nothing") {
   start_agent();
   runtime.run_for(Millis(100));
   set_configuration(9, {{"/a/", "second"}});
@@ -65,7 +65,7 @@
   CHECK(agent->view().version() == 9);
 }
 
-TEST_CASE("an answer that was long on its way does not bring an older configuration or leader back") {
+TEST_CASE("a delayed answer does not bring back an older configuration or leader") {
   ClusterView view;
   const auto update = [](std::uint64_t version, std::uint64_t epoch, const std::string& leader) {
     wire::ConfigurationUpdate update;
@@ -86,7 +86,7 @@
   CHECK(view.leader_of("first") == "10.0.0.2:7000");
 }
 
-TEST_CASE_METHOD(AgentFixture, "nodes that are down or hang are replaced by others") {
+TEST_CASE_METHOD(AgentFixture, "control nodes that are down or do not respond are replaced") {
   controls[0]->stop();
   controls[1]->hang();
   start_agent();
@@ -97,7 +97,7 @@
   CHECK(agent->view().version() == 2);
 }
 
-TEST_CASE_METHOD(AgentFixture, "an agent that hears no node in touch says so and finds the way back") {
+TEST_CASE_METHOD(AgentFixture, "a loss of quorum contact is reported, and so is its return") {
   start_agent();
   runtime.run_for(Millis(500));
   const auto before = watch(1, Millis(0));
@@ -105,8 +105,8 @@
   for (auto& control : controls) control->stop();
   runtime.run_for(Millis(5000));
   CHECK_FALSE(agent->in_touch());
-  const auto cut_off = watch(1, Millis(0));
-  CHECK_FALSE(cut_off->answer->configuration_update().in_touch());
+  const auto without_contact = watch(1, Millis(0));
+  CHECK_FALSE(without_contact->answer->configuration_update().in_touch());
   const auto poll = watch(1, Millis(2000));
   controls[4]->start();
   runtime.run_for(Millis(1500));
@@ -115,7 +115,7 @@
   CHECK(poll->answer->configuration_update().in_touch());
 }
 
-TEST_CASE_METHOD(AgentFixture, "watching three nodes at rest costs about three calls a second") {
+TEST_CASE_METHOD(AgentFixture, "watching three idle nodes costs about three calls a second") {
   start_agent();
   runtime.run_for(Millis(2000));
   const auto before = runtime.calls_made;
@@ -124,14 +124,14 @@
   CHECK(runtime.calls_made - before <= 33);
 }
 
-TEST_CASE_METHOD(AgentFixture, "while no node answers the agent does not storm") {
+TEST_CASE_METHOD(AgentFixture, "while no node answers the rate of calls is bounded") {
   for (auto& control : controls) control->stop();
   start_agent();
   runtime.run_for(Millis(10000));
   CHECK(runtime.calls_made <= 310);
 }
 
-TEST_CASE_METHOD(AgentFixture, "an ending agent serves until its ingress is silent") {
+TEST_CASE_METHOD(AgentFixture, "an agent that shuts down serves until its ingress has stopped calling") {
   start_agent();
   runtime.run_for(Millis(500));
   bool done = false;
--- a/tests/cluster/agent/job_relay_test.cpp
+++ b/tests/cluster/agent/job_relay_test.cpp
@@ -1,4 +1,4 @@
-// How an agent relays job requests: only what is certain is said for certain.
+// How an agent relays job requests: a result is certain, or says that it is in doubt.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/agent/agent_fixture.hpp"
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(RelayFixture, "a request goes to the leader and its answer comes back") {
+TEST_CASE_METHOD(RelayFixture, "a request is relayed to the leader and its reply returned") {
   controls[0]->on_job = answer_with(wire::JOB_OK);
   const auto answer = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(10));
@@ -25,7 +25,7 @@
   CHECK(controls[0]->jobs.size() == 1);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a node that does not lead names the leader") {
+TEST_CASE_METHOD(RelayFixture, "a redirect to the leader is followed") {
   controls[0]->on_job = answer_with(wire::JOB_NOT_LEADER, address_of(2));
   controls[2]->on_job = answer_with(wire::JOB_OK);
   const auto answer = job(wire::JOB_SUBMIT);
@@ -33,17 +33,17 @@
   CHECK(outcome_of(answer) == wire::JOB_OK);
 }
 
-TEST_CASE_METHOD(RelayFixture, "nodes that name each other are not followed for ever") {
+TEST_CASE_METHOD(RelayFixture, "a redirect loop is not followed for ever") {
   controls[0]->on_job = answer_with(wire::JOB_NOT_LEADER, address_of(2));
   controls[2]->on_job = answer_with(wire::JOB_NOT_LEADER, address_of(0));
   const auto answer = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(2900));
-  // A copy of the request may still reach a node that leads by then.
+  // A duplicate of the request may still reach a node that leads by then.
   CHECK(outcome_of(answer) == wire::JOB_IN_DOUBT);
   CHECK(controls[0]->jobs.size() + controls[2]->jobs.size() <= 25);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a rejection after a node that did not lead is in doubt") {
+TEST_CASE_METHOD(RelayFixture, "a rejection after a redirect is in doubt") {
   controls[0]->on_job = answer_with(wire::JOB_NOT_LEADER, address_of(2));
   controls[2]->on_job = answer_with(wire::JOB_REJECTED);
   const auto answer = job(wire::JOB_SUBMIT);
@@ -51,9 +51,9 @@
   CHECK(outcome_of(answer) == wire::JOB_IN_DOUBT);
 }
 
-TEST_CASE_METHOD(RelayFixture, "the same request sent twice is relayed once and answered twice") {
-  ReplyCallback held;
-  controls[0]->on_job = [&](const wire::JobRequest&, const ReplyCallback& reply) { held = reply; };
+TEST_CASE_METHOD(RelayFixture, "a duplicate request is relayed once and answered twice") {
+  ReplyCallback pending_reply;
+  controls[0]->on_job = [&](const wire::JobRequest&, const ReplyCallback& reply) { pending_reply = reply; };
   const auto first = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(50));
   const auto second = job(wire::JOB_SUBMIT);
@@ -61,13 +61,13 @@
   REQUIRE(controls[0]->jobs.size() == 1);
   wire::Envelope success;
   success.mutable_job_reply()->set_outcome(wire::JOB_OK);
-  held(success);
+  pending_reply(success);
   runtime.run_for(Millis(10));
   CHECK(outcome_of(first) == wire::JOB_OK);
   CHECK(outcome_of(second) == wire::JOB_OK);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a request that joined another has its own time") {
+TEST_CASE_METHOD(RelayFixture, "a request that joined another one keeps its own deadline") {
   controls[0]->hang();
   const auto first = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(1500));
@@ -88,32 +88,32 @@
   CHECK(answer->answer->job_reply().retry_after_ms() == 500);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a submit that a leader may have taken is in doubt") {
+TEST_CASE_METHOD(RelayFixture, "a submit that a leader may have accepted is in doubt") {
   controls[0]->hang();
   const auto answer = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(2900));
   CHECK(outcome_of(answer) == wire::JOB_IN_DOUBT);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a rejection after an unclear try is in doubt") {
-  unsigned tries = 0;
+TEST_CASE_METHOD(RelayFixture, "a rejection after an attempt without a reply is in doubt") {
+  unsigned attempts = 0;
   controls[0]->on_job = [&](const wire::JobRequest& request, const ReplyCallback& reply) {
-    if (++tries > 1) answer_with(wire::JOB_REJECTED)(request, reply);
+    if (++attempts > 1) answer_with(wire::JOB_REJECTED)(request, reply);
   };
   const auto answer = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(2900));
-  CHECK(tries == 2);
+  CHECK(attempts == 2);
   CHECK(outcome_of(answer) == wire::JOB_IN_DOUBT);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a rejection of the first try is passed on") {
+TEST_CASE_METHOD(RelayFixture, "a rejection of the first attempt is passed on") {
   controls[0]->on_job = answer_with(wire::JOB_REJECTED);
   const auto answer = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(10));
   CHECK(outcome_of(answer) == wire::JOB_REJECTED);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a request waiting on a lost leader goes to the new one at once") {
+TEST_CASE_METHOD(RelayFixture, "a request that waits for a lost leader goes to the new one at once") {
   controls[0]->hang();
   controls[3]->on_job = answer_with(wire::JOB_OK);
   const auto answer = job(wire::JOB_SUBMIT);
@@ -123,7 +123,7 @@
   CHECK(outcome_of(answer) == wire::JOB_OK);
 }
 
-TEST_CASE_METHOD(RelayFixture, "the late success of a try that was replaced counts") {
+TEST_CASE_METHOD(RelayFixture, "the late success of a superseded attempt counts") {
   ReplyCallback late;
   controls[0]->on_job = [&](const wire::JobRequest&, const ReplyCallback& reply) { late = reply; };
   const auto answer = job(wire::JOB_SUBMIT);
@@ -138,7 +138,7 @@
   CHECK(outcome_of(answer) == wire::JOB_OK);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a lost job is looked for in every other service") {
+TEST_CASE_METHOD(RelayFixture, "a job that is not found is searched for in every other service") {
   controls[0]->on_job = answer_with(wire::JOB_NOT_FOUND);
   SECTION("found there") {
     controls[1]->on_job = answer_with(wire::JOB_OK);
@@ -161,11 +161,11 @@
   }
 }
 
-TEST_CASE_METHOD(RelayFixture, "a submit to a queue that moved asks the earlier service first") {
+TEST_CASE_METHOD(RelayFixture, "a submit to a moved queue queries its previous service first") {
   controls[1]->on_job = answer_with(wire::JOB_OK);
   set_configuration(2, {{"/a/", "second"}, {"/b/", "first"}});
   runtime.run_for(Millis(200));
-  SECTION("the earlier service knows the job") {
+  SECTION("the previous service knows the job") {
     controls[0]->on_job = answer_with(wire::JOB_OK);
     const auto answer = job(wire::JOB_SUBMIT, "second");
     runtime.run_for(Millis(10));
@@ -174,7 +174,7 @@
     REQUIRE(controls[0]->jobs.size() == 1);
     CHECK(controls[0]->jobs[0].verb() == wire::JOB_QUERY);
   }
-  SECTION("the earlier service does not know it") {
+  SECTION("the previous service does not know it") {
     controls[0]->on_job = answer_with(wire::JOB_NOT_FOUND);
     const auto answer = job(wire::JOB_SUBMIT, "second");
     runtime.run_for(Millis(10));
@@ -182,7 +182,7 @@
     REQUIRE(controls[1]->jobs.size() == 1);
     CHECK(controls[1]->jobs[0].verb() == wire::JOB_SUBMIT);
   }
-  SECTION("the earlier service does not answer") {
+  SECTION("the previous service does not answer") {
     const auto answer = job(wire::JOB_SUBMIT, "second");
     runtime.run_for(Millis(2900));
     CHECK(outcome_of(answer) == wire::JOB_IN_DOUBT);
@@ -196,6 +196,7 @@
   const auto before = runtime.calls_made;
   runtime.run_for(Millis(2900));
   const auto extra = runtime.calls_made - before;
-  // Shares of the 200 first tries, three seconds' floor, what was saved up, and the agent's own polls.
+  // The ratio of the 200 first attempts, three seconds of the minimum rate, the unused budget, and the
+  // agent's own polls.
   CHECK(extra <= 40 + 60 + 30 + 60);
 }
--- a/tests/cluster/agent/retry_budget_test.cpp
+++ b/tests/cluster/agent/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// Retries are bounded to a share of the first tries plus a floor.
+// The retry budget: a ratio of the first attempts plus a minimum rate.
 #include "cluster/agent/retry_budget.hpp"
 
 #include <catch2/catch.hpp>
@@ -7,33 +7,33 @@
 
 namespace {
 
-unsigned take_all(RetryBudget& budget, TimePoint now) {
-  unsigned taken = 0;
-  while (budget.try_acquire(now)) ++taken;
-  return taken;
+unsigned acquire_all(RetryBudget& budget, TimePoint now) {
+  unsigned acquired = 0;
+  while (budget.try_acquire(now)) ++acquired;
+  return acquired;
 }
 
 }  // namespace
 
-TEST_CASE("a second brings the floor's retries") {
+TEST_CASE("a second brings the minimum rate of retries") {
   const TimePoint start{std::chrono::hours(1)};
   RetryBudget budget(start);
-  take_all(budget, start);
-  CHECK(take_all(budget, start + Millis(1000)) == 20);
+  acquire_all(budget, start);
+  CHECK(acquire_all(budget, start + Millis(1000)) == 20);
 }
 
-TEST_CASE("five first tries bring one retry") {
+TEST_CASE("five first attempts bring one retry") {
   const TimePoint start{std::chrono::hours(1)};
   RetryBudget budget(start);
-  take_all(budget, start);
+  acquire_all(budget, start);
   for (int count = 0; count < 50; ++count) budget.record_first_attempt(start);
-  const unsigned taken = take_all(budget, start);
-  CHECK(taken >= 9);
-  CHECK(taken <= 10);
+  const unsigned acquired = acquire_all(budget, start);
+  CHECK(acquired >= 9);
+  CHECK(acquired <= 10);
 }
 
-TEST_CASE("what is saved up is bounded") {
+TEST_CASE("the unused budget is bounded") {
   const TimePoint start{std::chrono::hours(1)};
   RetryBudget budget(start);
-  CHECK(take_all(budget, start + std::chrono::hours(1)) == 200);
+  CHECK(acquire_all(budget, start + std::chrono::hours(1)) == 200);
 }
--- a/tests/cluster/agent/route_history_test.cpp
+++ b/tests/cluster/agent/route_history_test.cpp
@@ -1,4 +1,4 @@
-// Which services a queue was sent to earlier.
+// The services that a queue was routed to until recently.
 #include "cluster/agent/route_history.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,12 +10,12 @@
 
 namespace {
 
-// The configurations that one process takes, as changes of its routes.
+// Applies configurations and returns the changes of the routes.
 struct ReplicaFixture {
   ConfigurationReplica replica;
 
-  const std::vector<RouteChange>& configuration(std::uint64_t version,
-                                                const std::map<std::string, std::string>& services) {
+  const std::vector<RouteChange>& apply(std::uint64_t version,
+                                        const std::map<std::string, std::string>& services) {
     REQUIRE(replica.apply_json(configuration_json(version, services), "test") == ApplyOutcome::applied);
     return replica.last_route_changes();
   }
@@ -28,27 +28,27 @@
 TEST_CASE_METHOD(ReplicaFixture, "a queue that never moved has no other service") {
   RouteHistory history;
   const TimePoint now{std::chrono::hours(1)};
-  history.record_changes(configuration(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
+  history.record_changes(apply(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
   CHECK(history.recent_other_services("queue/a/", "first", now).empty());
   CHECK(history.recent_other_services("unknown", "first", now).empty());
 }
 
-TEST_CASE_METHOD(ReplicaFixture, "a queue that moved names its earlier service for a while") {
+TEST_CASE_METHOD(ReplicaFixture, "a moved queue keeps its previous service for the retention time") {
   RouteHistory history;
   const TimePoint now{std::chrono::hours(1)};
-  history.record_changes(configuration(1, {{"/a/", "first"}}), now);
-  history.record_changes(configuration(2, {{"/a/", "second"}}), now + Millis(1000));
+  history.record_changes(apply(1, {{"/a/", "first"}}), now);
+  history.record_changes(apply(2, {{"/a/", "second"}}), now + Millis(1000));
   CHECK(history.recent_other_services("queue/a/", "second", now + Millis(2000)) == Names{"first"});
   CHECK(history.recent_other_services("queue/a/", "second", now + Millis(62000)).empty());
-  // An ingress with the older configuration must ask the newer service.
+  // An ingress with the older configuration must query the newer service.
   CHECK(history.recent_other_services("queue/a/", "first", now + Millis(62000)) == Names{"second"});
 }
 
 TEST_CASE_METHOD(ReplicaFixture, "a queue removed and added again elsewhere has moved") {
   RouteHistory history;
   const TimePoint now{std::chrono::hours(1)};
-  history.record_changes(configuration(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
-  history.record_changes(configuration(2, {{"/b/", "second"}}), now + Millis(1000));
-  history.record_changes(configuration(3, {{"/a/", "second"}, {"/b/", "second"}}), now + Millis(2000));
+  history.record_changes(apply(1, {{"/a/", "first"}, {"/b/", "second"}}), now);
+  history.record_changes(apply(2, {{"/b/", "second"}}), now + Millis(1000));
+  history.record_changes(apply(3, {{"/a/", "second"}, {"/b/", "second"}}), now + Millis(2000));
   CHECK(history.recent_other_services("queue/a/", "second", now + Millis(3000)) == Names{"first"});
 }
