--- a/src/cluster/agent/configuration_watch_server.hpp
+++ b/src/cluster/agent/configuration_watch_server.hpp
@@ -33,7 +33,7 @@
  private:
   struct Poll {
     std::uint64_t version = 0;  // that the ingress has
-    bool fetches = false;       // it fetches differences: no answer needs to hold the configuration
+    bool fetches = false;       // it fetches differences: answers do not contain the configuration
     ReplyCallback reply;
     std::unique_ptr<Timer> timer;
   };
--- a/src/cluster/agent/job_router.cpp
+++ b/src/cluster/agent/job_router.cpp
@@ -25,7 +25,7 @@
 }
 
 void JobRouter::on_leaders_changed() {
-  // A call may end, and remove itself, while it is told.
+  // A call may end, and remove itself, while it is notified.
   for (auto next = calls_.begin(); next != calls_.end();) {
     const auto call = *next++;
     call->on_leaders_changed();
--- a/src/cluster/worker_agent/leader_finder.cpp
+++ b/src/cluster/worker_agent/leader_finder.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Millis kProbeTimeout{500};
-constexpr Millis kProbeWait{250};  // a node without newer leaders holds a long poll this long
+constexpr Millis kProbeWait{250};  // a node without newer leaders defers its answer this long
 constexpr unsigned kMaxProbesInFlight = 3;
 constexpr Millis kRetryDelay{100};
 constexpr std::uint64_t kRetryJitterMs = 50;
--- a/src/cluster/worker_agent/leader_finder.hpp
+++ b/src/cluster/worker_agent/leader_finder.hpp
@@ -68,7 +68,7 @@
   std::uint64_t min_epoch_ = 0;
   bool searching_ = false;
   unsigned probes_in_flight_ = 0;     // of this search
-  std::uint64_t leaders_digest_ = 0;  // of the leaders that this search was told last
+  std::uint64_t leaders_digest_ = 0;  // of the leaders that this search has received last
   std::uint64_t search_number_ = 0;   // rises with the end of each search
   TimePoint last_probe_at_{};
   std::unique_ptr<Timer> timer_;
--- a/src/cluster/worker_agent/leader_reporter.cpp
+++ b/src/cluster/worker_agent/leader_reporter.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kResponseTimeout{600};
 constexpr Millis kResponseCheckInterval{100};
 constexpr Millis kMinRedirectInterval{100};
-constexpr Millis kTakeoverRetryDelay{40};  // for a node that holds the lease and does not lead yet
+constexpr Millis kTakeoverRetryDelay{40};  // for a node that has the lease and does not lead yet
 constexpr unsigned kMaxReportsInFlight = 3;
 
 }  // namespace
--- a/src/cluster/worker_agent/leader_reporter.hpp
+++ b/src/cluster/worker_agent/leader_reporter.hpp
@@ -17,7 +17,7 @@
 
 // Keeps one report outstanding at the leader as a long poll, so that the leader can answer with orders at any
 // time; sends changes at once, and follows changes of the leader. Bounds the reports in flight and their
-// rate. A report holds the task lists only if the leader has not answered for their present version.
+// rate. A report contains the task lists only if the leader has not answered for their present version.
 //
 // Answers of a former leader are recognised by the generation of the target that the report was sent to.
 // Not thread-safe; calls back on the runtime's thread.
--- a/src/cluster/worker_agent/leaf_session.hpp
+++ b/src/cluster/worker_agent/leaf_session.hpp
@@ -45,7 +45,7 @@
 //
 // Epochs: the highest epoch seen is adopted at once and the orders of older ones are dropped. Reports go on
 // naming the older epoch until a heartbeat has shown the result of every order sent under it; so a report
-// that names an epoch vouches that no order of an older epoch is still on its way to the leaf.
+// that names an epoch guarantees that no order of an older epoch is still on its way to the leaf.
 //
 // Lease ("hold" on the wire and in the settings): how long the leaf may go on running its tasks without
 // another response. It never exceeds the leader's grant, which counts from the sending of the report that it
@@ -60,7 +60,7 @@
   bool deregister(const std::string& leaf_id);
   ProcessedOrders process_orders(const SentReport& report, const wire::WorkerOrders& orders);
 
-  // True if a response would tell the leaf something that it should learn at once.
+  // True if a response would contain something that the leaf should receive at once.
   bool needs_prompt_response(TimePoint now) const;
   // True if the leaf should send its heartbeats in quick succession.
   bool is_busy() const;
@@ -77,7 +77,7 @@
   std::uint64_t epoch() const { return epoch_; }
   // Rises whenever the lists have changed enough to be reported again.
   std::uint64_t lists_version() const { return lists_version_; }
-  // Sets all fields of a report but its number and the number of the report that holds the lists.
+  // Sets all fields of a report but its number and the number of the report that contains the lists.
   void fill_report(wire::WorkerReport& report, bool with_lists, TimePoint now) const;
 
  private:
--- a/tests/cluster/agent/agent_fixture.hpp
+++ b/tests/cluster/agent/agent_fixture.hpp
@@ -76,10 +76,10 @@
       jobs.push_back(request.job_request());
       if (on_job) on_job(request.job_request(), reply);
     }
-    if (request.has_configuration_watch()) hold(request.configuration_watch(), reply);
+    if (request.has_configuration_watch()) serve_watch(request.configuration_watch(), reply);
   }
 
-  void hold(const wire::ConfigurationWatch& watch, const ReplyCallback& reply) {
+  void serve_watch(const wire::ConfigurationWatch& watch, const ReplyCallback& reply) {
     ++watches;
     if (has_newer(watch)) return answer(watch, reply);
     polls_.push_back({watch, reply, nullptr});
@@ -109,7 +109,7 @@
       if (has_newer(poll.watch)) {
         answer(poll.watch, poll.reply);
       } else {
-        hold(poll.watch, poll.reply);
+        serve_watch(poll.watch, poll.reply);
       }
     }
   }
