--- a/tests/cluster/compatibility/http_test.cpp
+++ b/tests/cluster/compatibility/http_test.cpp
@@ -60,7 +60,7 @@
   status.zone = "zone-a";
   status.member_id = 7;
   status.votes = true;
-  status.in_touch = true;
+  status.has_quorum_contact = true;
   status.configuration_version = 12;
   status.members.set_epoch(3);
   wire::Member& member = *status.members.add_members();
@@ -77,14 +77,14 @@
   service.service = "records";
   service.leads = true;
   service.epoch = 22;
-  service.figures.live_jobs = 31;
-  service.figures.waiting_tasks = 32;
-  service.figures.runs = 33;
-  service.figures.leaves = 34;
-  service.figures.counters.jobs_accepted = 35;
-  service.figures.counters.tasks_started = 36;
-  service.figures.counters.reports = 37;
-  for (std::size_t kind = 0; kind < kEndKinds; ++kind) service.figures.counters.ends[kind] = 40 + kind;
+  service.stats.live_jobs = 31;
+  service.stats.waiting_tasks = 32;
+  service.stats.runs = 33;
+  service.stats.leaves = 34;
+  service.stats.counters.jobs_accepted = 35;
+  service.stats.counters.tasks_started = 36;
+  service.stats.counters.reports = 37;
+  for (std::size_t kind = 0; kind < kEndKinds; ++kind) service.stats.counters.ends[kind] = 40 + kind;
   service.leases_acquired = 51;
   service.leases_lost = 52;
   service.pending_job_replies = 53;
@@ -204,7 +204,7 @@
 void add_heartbeat_answers(AnswerLines& answers) {
   HeartbeatResponse answer;
   answers.add_text("heartbeat.empty", heartbeat_response_json(answer));
-  answer.hold = Millis(4000);
+  answer.lease = Millis(4000);
   answer.last_seen = 3;
   answer.fence_token = 21;
   wire::StartOrder& start = answer.starts.emplace_back();
