--- a/src/cluster/cli/store_command.cpp
+++ b/src/cluster/cli/store_command.cpp
@@ -7,6 +7,7 @@
 
 #include "cluster/store/backup_file.hpp"
 #include "cluster/store/offline_store.hpp"
+#include "cluster/store/restored_state.hpp"
 #include "cluster/store/state_summary.hpp"
 
 namespace winchhall::cluster {
--- a/src/cluster/store/backup_file.hpp
+++ b/src/cluster/store/backup_file.hpp
@@ -1,7 +1,8 @@
-// Backups of a store: one file, versioned, checked as a whole.
+// Backups of a store: one versioned file with a checksum over all of it.
 //
-// Layout, all numbers little-endian: a line with the format's name and version, the number of entries (8
-// bytes), each entry's key length (4), value length (4), key and value, and the CRC-32C of all before it (4).
+// Layout, numbers little-endian: a line "winchhall-store-backup VERSION", the number of entries (8 bytes),
+// for each entry the length of its key (4 bytes), the length of its value (4 bytes), its key and its value,
+// and at the end the CRC-32C of everything before it (4 bytes).
 #pragma once
 
 #include <string>
@@ -11,9 +12,10 @@
 
 namespace winchhall::cluster {
 
-// Writes a new file and syncs it. Errors: StoreFailure (also where the file exists).
+// Writes a new file and syncs it. Errors: StoreFailure (an I/O error, or the file exists).
 leaf::result<void> write_backup(const std::string& file, const std::vector<StoreEntry>& entries);
-// Errors: StoreFailure, StoreCorruption (cut off or changed), UnsupportedStoreFormat.
+// Reads and verifies a backup. Errors: StoreFailure (an I/O error), StoreCorruption (truncated or changed, or
+// no backup), UnsupportedStoreFormat (written by another version of the program).
 leaf::result<std::vector<StoreEntry>> read_backup(const std::string& file);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/database.hpp
+++ b/src/cluster/store/database.hpp
@@ -1,4 +1,4 @@
-// A LevelDB database with the format and the file operations of the store.
+// A LevelDB database with the store's on-disk format, synchronous writes and checksum verification.
 #pragma once
 
 #include <leveldb/cache.h>
@@ -14,15 +14,15 @@
 
 namespace winchhall::cluster {
 
-// Sizes that bound disk and memory, measured by tests/cluster/store/size_test.cpp, and times.
+// Limits on disk and memory use, and time-outs. tests/cluster/store/size_test.cpp measures what the
+// sizes lead to.
 struct StoreTuning {
   std::size_t write_buffer_bytes = 1 << 20;
   std::size_t file_bytes = 1 << 20;
   std::size_t block_cache_bytes = 128 << 10;
-  int open_files = 74;  // the least that LevelDB allows: 64 tables, one descriptor each, and 10 others
-  std::chrono::milliseconds reopen_delay{100};  // between attempts to open a database that failed
-  std::chrono::milliseconds shutdown_timeout{
-      100};  // for the disk, at the end; then its thread is left behind
+  int open_files = 74;  // LevelDB's minimum: 64 tables with one descriptor each, and 10 other files
+  std::chrono::milliseconds reopen_delay{100};      // between attempts to reopen a failed database
+  std::chrono::milliseconds shutdown_timeout{100};  // for a write in progress; then its thread is detached
 };
 
 struct StoreEntry {
@@ -32,32 +32,36 @@
 
 enum class OpenMode { create_if_missing, existing };
 
+// Not thread-safe: used by one thread at a time.
 class Database {
  public:
-  // Opens a database in an existing folder. Errors: StoreFailure (the disk refused; may pass),
-  // StoreCorruption, UnsupportedStoreFormat.
+  // Opens the database in an existing directory. `disk` must outlive the database.
+  // Errors: StoreFailure (an I/O error, possibly transient), StoreCorruption, UnsupportedStoreFormat.
   static leaf::result<std::unique_ptr<Database>> open(const std::string& path, Disk& disk,
                                                       const StoreTuning& tuning, OpenMode mode);
 
-  // Writes and syncs a batch whole. False: it may or may not be durable, and the database takes no more.
+  // Writes a batch atomically and syncs it. After false it is unknown whether the batch is durable, and the
+  // database accepts no further writes: it must be reopened.
   bool write(const StoreBatch& batch);
-  // All entries in the order of their keys but the store's own, each block checked against its checksum.
+  // Reads all entries in key order, without the store's reserved ones, verifying every block's checksum.
   // Errors: as for `open`.
   leaf::result<std::vector<StoreEntry>> read_all();
 
-  // True if this database was made in place of a damaged one.
+  // True if this database was created in place of a damaged one.
   bool replaces_damaged() const { return replaces_damaged_; }
-  // Notes that; durable once true is returned.
-  bool mark_replacement();
+  // Records that this database replaces a damaged one. Returns true once the record is durable.
+  bool record_replacement();
 
  private:
   Database(std::string path, Disk& disk, const StoreTuning& tuning);
 
-  leveldb::Options options(const StoreTuning& tuning, OpenMode mode);
+  leveldb::Options make_options(const StoreTuning& tuning, OpenMode mode);
+  // Verifies the format entry, or writes it into an empty database.
   leaf::result<void> check_format();
   leaf::result<bool> has_entries();
   leaf::result<void> read_replacement_marker();
-  leaf::error_id failure(const char* operation, const leveldb::Status& status) const;
+  // StoreCorruption for a corruption, StoreFailure for any other status.
+  leaf::error_id make_error(const char* operation, const leveldb::Status& status) const;
 
   const std::string path_;
   SyncedEnv env_;
--- a/src/cluster/store/database_replacement.hpp
+++ b/src/cluster/store/database_replacement.hpp
@@ -1,5 +1,5 @@
-// Sets a damaged database aside and makes an empty one in its place, so that the node comes back as one that
-// lost its disk: with what it promised gone, it must not vote under its old identity.
+// Replaces a damaged database by an empty one. The acceptor state in it, that is promises and accepted
+// values, is lost, so the node must come back as a new member and must not vote under its former identity.
 #pragma once
 
 #include <memory>
@@ -9,11 +9,12 @@
 
 namespace winchhall::cluster {
 
-// True if the folder's database is gone in part, or its replacement was begun and not ended.
+// True if files of the directory's database are missing, or if a replacement was interrupted.
 bool needs_replacement(const std::string& path, Disk& disk);
 
-// Moves the database's files to the sub-folder "damaged", in place of what was there, and makes an empty,
-// marked database. May be cut off anywhere and begun again. Errors: StoreFailure.
+// Moves the database's files to the sub-directory "damaged", deleting what an earlier replacement left there,
+// and creates an empty database that is marked as a replacement. Can be interrupted at any point, also by a
+// power loss, and run again. Errors: StoreFailure, and those of Database::open.
 leaf::result<std::unique_ptr<Database>> replace_damaged_database(const std::string& path, Disk& disk,
                                                                  const StoreTuning& tuning);
 
--- a/src/cluster/store/disk.cpp
+++ b/src/cluster/store/disk.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-leveldb::Status io_error(const std::string& path, int code) {
-  return leveldb::Status::IOError(path, std::strerror(code));
+leveldb::Status io_error(const std::string& path, int error_number) {
+  return leveldb::Status::IOError(path, std::strerror(error_number));
 }
 
-// Reads with pread. LevelDB's own reader maps files, whose pages would count as memory of the process.
+// Reads with pread(2). LevelDB's own implementation maps files, whose pages would count as resident memory of
+// the process.
 class PreadFile : public leveldb::RandomAccessFile {
  public:
   PreadFile(std::string path, int descriptor) : path_(std::move(path)), descriptor_(descriptor) {}
@@ -25,12 +26,12 @@
                        char* scratch) const override {
     std::size_t filled = 0;
     while (filled < size) {
-      const ssize_t got =
+      const ssize_t count =
           ::pread(descriptor_, scratch + filled, size - filled, static_cast<off_t>(offset + filled));
-      if (got < 0 && errno == EINTR) continue;
-      if (got < 0) return io_error(path_, errno);
-      if (got == 0) break;
-      filled += static_cast<std::size_t>(got);
+      if (count < 0 && errno == EINTR) continue;
+      if (count < 0) return io_error(path_, errno);
+      if (count == 0) break;
+      filled += static_cast<std::size_t>(count);
     }
     *result = leveldb::Slice(scratch, filled);
     return leveldb::Status::OK();
@@ -41,9 +42,9 @@
   const int descriptor_;
 };
 
-class LocalFiles : public leveldb::EnvWrapper {
+class LocalEnv : public leveldb::EnvWrapper {
  public:
-  LocalFiles() : leveldb::EnvWrapper(leveldb::Env::Default()) {}
+  LocalEnv() : leveldb::EnvWrapper(leveldb::Env::Default()) {}
 
   leveldb::Status NewRandomAccessFile(const std::string& path, leveldb::RandomAccessFile** file) override {
     *file = nullptr;
@@ -56,7 +57,7 @@
 
 class LocalDisk : public Disk {
  public:
-  leveldb::Env& files() override { return files_; }
+  leveldb::Env& files() override { return env_; }
 
   bool create_directories(const std::string& path) override {
     std::error_code error;
@@ -64,20 +65,20 @@
     if (error) return false;
     const std::filesystem::path parent =
         std::filesystem::absolute(path, error).lexically_normal().parent_path();
-    sync_directory(parent.string());  // The parent may lie outside of what this process may sync.
+    sync_directory(parent.string());  // Best effort: this process may lack permission for the parent.
     return true;
   }
 
   bool sync_directory(const std::string& path) override {
-    const int folder = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (folder < 0) return false;
-    const bool synced = ::fsync(folder) == 0;
-    ::close(folder);
+    const int descriptor = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (descriptor < 0) return false;
+    const bool synced = ::fsync(descriptor) == 0;
+    ::close(descriptor);
     return synced;
   }
 
  private:
-  LocalFiles files_;
+  LocalEnv env_;
 };
 
 }  // namespace
--- a/src/cluster/store/leveldb_store.cpp
+++ b/src/cluster/store/leveldb_store.cpp
@@ -42,8 +42,9 @@
 leaf::result<std::unique_ptr<LevelDbStore>> open_leveldb_store(const std::string& path,
                                                                PostToLoop post_to_loop, Disk& disk,
                                                                const StoreTuning& tuning) {
-  if (!disk.create_directories(path))
+  if (!disk.create_directories(path)) {
     return leaf::new_error(StoreFailure{path, "create", "folder can't be made"});
+  }
   BOOST_LEAF_AUTO(opened, open_or_replace(path, disk, tuning));
   disk.sync_directory(path);
   const bool replaces_damaged = opened.database->replaces_damaged();
--- a/src/cluster/store/leveldb_store.hpp
+++ b/src/cluster/store/leveldb_store.hpp
@@ -1,5 +1,5 @@
-// Durable store of a control node on LevelDB. A thread of its own writes and syncs; the event loop never
-// waits for the disk.
+// The durable store of a control node on LevelDB. A writer thread does all disk access after opening, so that
+// the event loop never waits for the disk.
 #pragma once
 
 #include <functional>
@@ -15,17 +15,16 @@
 
 class LevelDbStore : public DurableStore {
  public:
-  // Takes over a writer and what its database held; see `open_leveldb_store`.
+  // Takes over a started writer and the entries read from its database; see `open_leveldb_store`.
   LevelDbStore(std::shared_ptr<StoreWriter> writer, std::vector<StoreEntry> entries, bool replaces_damaged);
-  // Batches that still wait are dropped. Waits for the write that is under way, but not for a disk that hangs
-  // longer than StoreTuning::shutdown_timeout.
+  // Discards pending commits. Waits for a write in progress, at most StoreTuning::shutdown_timeout.
   ~LevelDbStore() override;
 
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done) override;
   void load(const std::function<void(std::string_view key, std::string_view value)>& visit) override;
 
-  // True if a damaged store was set aside here: this node must not found a group, as it may have been part of
-  // one.
+  // True if a damaged store was set aside in this directory, now or at an earlier start. This node must then
+  // not bootstrap a control group, since it may have been a member of one.
   bool replaces_damaged() const { return replaces_damaged_; }
 
  private:
@@ -34,8 +33,9 @@
   const bool replaces_damaged_;
 };
 
-// Opens the store in a folder, which is made where it is missing; a damaged one is set aside, with an empty
-// one in its place. Errors: StoreFailure (may pass; try again), UnsupportedStoreFormat.
+// Opens the store in a directory, creating both if missing. A damaged store is set aside and replaced by an
+// empty one. `disk` must outlive the writer thread.
+// Errors: StoreFailure (possibly transient: retry), UnsupportedStoreFormat.
 leaf::result<std::unique_ptr<LevelDbStore>> open_leveldb_store(const std::string& path,
                                                                PostToLoop post_to_loop,
                                                                Disk& disk = local_disk(),
--- a/src/cluster/store/log_scan.cpp
+++ b/src/cluster/store/log_scan.cpp
@@ -1,95 +1,123 @@
 #include "cluster/store/log_scan.hpp"
 
-#include <boost/crc.hpp>
 #include <cstdint>
 #include <optional>
 
+#include "cluster/store/crc32c.hpp"
+
 namespace winchhall::cluster {
 
 namespace {
 
-// LevelDB's doc/log_format.md: blocks of 32 KiB with fragments that never cross their bounds. A fragment is a
-// masked CRC-32C of type and data (4 bytes), the length of the data (2), the type (1) and the data.
+// LevelDB's doc/log_format.md: a log is a sequence of blocks of 32 KiB. A record is split into fragments that
+// don't cross a block's end. A fragment is a masked CRC-32C of type and data (4 bytes), the length of the
+// data (2 bytes), the type (1 byte) and the data; numbers are little-endian.
 constexpr std::size_t kBlockBytes = 32768;
+constexpr std::size_t kLengthOffset = 4;
+constexpr std::size_t kTypeOffset = 6;
 constexpr std::size_t kHeaderBytes = 7;
 
 enum class FragmentType : std::uint8_t { full = 1, first = 2, middle = 3, last = 4 };
 
 struct Fragment {
   FragmentType type = FragmentType::full;
-  std::size_t end = 0;  // offset behind it
+  std::size_t end = 0;  // offset of the first byte after the fragment
 };
 
 std::uint32_t byte_at(std::string_view content, std::size_t offset) {
   return static_cast<unsigned char>(content[offset]);
 }
 
-std::uint32_t masked_checksum(std::string_view bytes) {
+std::uint32_t checksum_at(std::string_view content, std::size_t offset) {
+  std::uint32_t checksum = 0;
+  for (std::size_t index = 0; index < 4; ++index) checksum |= byte_at(content, offset + index) << (8 * index);
+  return checksum;
+}
+
+std::size_t length_at(std::string_view content, std::size_t offset) {
+  return byte_at(content, offset + kLengthOffset) | byte_at(content, offset + kLengthOffset + 1) << 8;
+}
+
+// LevelDB stores checksums masked, since the CRC of data that contains CRCs is weak.
+std::uint32_t masked_crc32c(std::string_view bytes) {
   constexpr std::uint32_t kMaskDelta = 0xa282ead8;
-  boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true> crc;
-  crc.process_bytes(bytes.data(), bytes.size());
-  const std::uint32_t value = crc.checksum();
-  return ((value >> 15) | (value << 17)) + kMaskDelta;
+  const std::uint32_t crc = crc32c(bytes);
+  return ((crc >> 15) | (crc << 17)) + kMaskDelta;
 }
 
 std::size_t block_end(std::size_t offset) { return (offset / kBlockBytes + 1) * kBlockBytes; }
 
-std::size_t data_length(std::string_view content, std::size_t offset) {
-  return byte_at(content, offset + 4) | byte_at(content, offset + 5) << 8;
-}
+bool fits_header(std::size_t offset) { return block_end(offset) - offset >= kHeaderBytes; }
 
-// The fragment at an offset that leaves room for a header; none: it is not whole.
-std::optional<Fragment> fragment_at(std::string_view content, std::size_t offset) {
-  const std::size_t end = offset + kHeaderBytes + data_length(content, offset);
-  const std::uint32_t type = byte_at(content, offset + 6);
+// The fragment at an offset where a whole header is present; none if the fragment is incomplete or invalid.
+std::optional<Fragment> read_fragment(std::string_view content, std::size_t offset) {
+  const std::size_t end = offset + kHeaderBytes + length_at(content, offset);
+  const std::uint32_t type = byte_at(content, offset + kTypeOffset);
   if (end > content.size() || end > block_end(offset) || type < 1 || type > 4) return std::nullopt;
-  std::uint32_t stored = 0;
-  for (std::size_t index = 0; index < 4; ++index) stored |= byte_at(content, offset + index) << (8 * index);
-  const std::string_view checked = content.substr(offset + 6, end - offset - 6);
-  if (stored != masked_checksum(checked)) return std::nullopt;
+  const std::string_view checked = content.substr(offset + kTypeOffset, end - offset - kTypeOffset);
+  if (checksum_at(content, offset) != masked_crc32c(checked)) return std::nullopt;
   return Fragment{static_cast<FragmentType>(type), end};
 }
 
-// Where to look on after a fragment that is not whole: behind it, if its length may be right.
-std::size_t offset_behind_torn(std::string_view content, std::size_t offset) {
-  const std::size_t length = data_length(content, offset);
+// Where to resume after an invalid fragment: after its data if its length is plausible, else at the next
+// block.
+std::size_t offset_after_invalid(std::string_view content, std::size_t offset) {
+  const std::size_t length = length_at(content, offset);
   const std::size_t end = offset + kHeaderBytes + length;
   return length > 0 && end <= block_end(offset) ? end : block_end(offset);
 }
 
+// Assembles records from consecutive fragments.
+class RecordAssembler {
+ public:
+  void on_invalid_fragment() {
+    has_gap_ = true;
+    in_record_ = false;
+  }
+  // Returns true if the fragment completes a record.
+  bool on_fragment(FragmentType type) {
+    const bool starts = type == FragmentType::full || type == FragmentType::first;
+    const bool ends = type == FragmentType::full || type == FragmentType::last;
+    // Either the previous record has no end, or this one has no start.
+    if (starts == in_record_) has_gap_ = true;
+    const bool belongs_to_record = starts || in_record_;
+    in_record_ = belongs_to_record && !ends;
+    return belongs_to_record && ends;
+  }
+  // True if a part of some record was missing or invalid so far.
+  bool has_gap() const { return has_gap_; }
+
+ private:
+  bool has_gap_ = false;
+  bool in_record_ = false;
+};
+
 }  // namespace
 
 LogScanResult scan_log(std::string_view content) {
-  LogScanResult scan;
-  bool torn = false;
-  bool in_record = false;
+  LogScanResult result;
+  RecordAssembler records;
   std::size_t offset = 0;
   while (offset + kHeaderBytes <= content.size()) {
-    if (block_end(offset) - offset < kHeaderBytes) {
+    if (!fits_header(offset)) {
       offset = block_end(offset);
       continue;
     }
-    const std::optional<Fragment> fragment = fragment_at(content, offset);
+    const std::optional<Fragment> fragment = read_fragment(content, offset);
     if (!fragment) {
-      torn = true;
-      in_record = false;
-      offset = offset_behind_torn(content, offset);
+      records.on_invalid_fragment();
+      offset = offset_after_invalid(content, offset);
       continue;
     }
     offset = fragment->end;
-    const bool starts = fragment->type == FragmentType::full || fragment->type == FragmentType::first;
-    const bool ends = fragment->type == FragmentType::full || fragment->type == FragmentType::last;
-    if (starts == in_record) torn = true;  // The one before has no end, or this one no start.
-    const bool complete = ends && (starts || in_record);
-    in_record = !ends && (starts || in_record);
-    if (!complete) continue;
-    if (torn) {
-      scan.damaged = true;
-      return scan;
+    if (!records.on_fragment(fragment->type)) continue;
+    if (records.has_gap()) {
+      result.damaged = true;
+      return result;
     }
-    scan.valid_bytes = offset;
+    result.valid_bytes = offset;
   }
-  return scan;
+  return result;
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/log_scan.hpp
+++ b/src/cluster/store/log_scan.hpp
@@ -1,8 +1,8 @@
-// Finds the end of what is whole in a file of LevelDB's log format (write-ahead logs and MANIFEST files).
+// Finds the last complete record in a file of LevelDB's log format (write-ahead logs and MANIFEST files).
 //
-// The store syncs after each record, so at most the last one may be torn by a loss of power. What follows the
-// last whole record is such a torn end, unless another whole record stands behind it: then synced data is
-// damaged.
+// Every record is synced before the next is written, so a power loss can tear the last record only. Invalid
+// data after the last complete record is such a torn tail and may be dropped. Invalid data before a complete
+// record is damage to data that had been synced.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +11,11 @@
 namespace winchhall::cluster {
 
 struct LogScanResult {
-  std::size_t valid_bytes = 0;  // length of the part that consists of whole records
-  bool damaged = false;         // a whole record stands behind one that is not
+  std::size_t valid_bytes = 0;  // length of the prefix that consists of complete records
+  bool damaged = false;         // a complete record follows invalid data
 };
 
+// `content` is the whole file.
 LogScanResult scan_log(std::string_view content);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/offline_store.cpp
+++ b/src/cluster/store/offline_store.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "cluster/store/database_files.hpp"
 #include "cluster/store/database_replacement.hpp"
 
 namespace winchhall::cluster {
@@ -12,7 +13,7 @@
 
 constexpr std::size_t kEntriesPerBatch = 1000;
 
-class MemoryDisk : public Disk {
+class InMemoryDisk : public Disk {
  public:
   leveldb::Env& files() override { return *files_; }
   bool create_directories(const std::string&) override { return true; }
@@ -22,16 +23,20 @@
   const std::unique_ptr<leveldb::Env> files_{leveldb::NewMemEnv(leveldb::Env::Default())};
 };
 
-// Holds LevelDB's lock of a folder, if there is one to hold.
+// Holds LevelDB's lock of a directory while in scope, if the lock file exists.
 class DatabaseLock {
  public:
   DatabaseLock(leveldb::Env& files, const std::string& path) : files_(files) {
-    const std::string lock = path + "/LOCK";
-    if (files_.FileExists(lock)) status_ = files_.LockFile(lock, &lock_);
+    const std::string lock_file = path + "/LOCK";
+    if (files_.FileExists(lock_file)) status_ = files_.LockFile(lock_file, &lock_);
   }
   ~DatabaseLock() {
     if (lock_) files_.UnlockFile(lock_);
   }
+  DatabaseLock(const DatabaseLock&) = delete;
+  DatabaseLock& operator=(const DatabaseLock&) = delete;
+
+  // Not ok: another process holds the lock.
   const leveldb::Status& status() const { return status_; }
 
  private:
@@ -40,48 +45,55 @@
   leveldb::Status status_;
 };
 
-leaf::error_id failure(const std::string& path, const char* operation, const leveldb::Status& status) {
+leaf::error_id store_failure(const std::string& path, const char* operation, const leveldb::Status& status) {
   return leaf::new_error(StoreFailure{path, operation, status.ToString()});
 }
 
 leaf::result<void> copy_file(const std::string& path, leveldb::Env& from, leveldb::Env& to) {
   std::string content;
   const leveldb::Status read = leveldb::ReadFileToString(&from, path, &content);
-  if (!read.ok()) return failure(path, "read", read);
+  if (!read.ok()) return store_failure(path, "read", read);
   const leveldb::Status written = leveldb::WriteStringToFile(&to, content, path);
-  if (!written.ok()) return failure(path, "copy", written);
+  if (!written.ok()) return store_failure(path, "copy", written);
   return {};
 }
 
-bool is_database_file(const std::string& name) {
-  return name == "CURRENT" || name.starts_with("MANIFEST-") || name.ends_with(".log") ||
-         name.ends_with(".ldb") || name.ends_with(".sst");
-}
-
 leaf::result<void> copy_database_files(const std::string& path, leveldb::Env& from, leveldb::Env& to) {
   std::vector<std::string> names;
-  const leveldb::Status listed = from.GetChildren(path, &names);
-  if (!listed.ok()) return failure(path, "list", listed);
+  const leveldb::Status listed = list_directory(from, path, names);
+  if (!listed.ok()) return store_failure(path, "list", listed);
   for (const std::string& name : names) {
     if (is_database_file(name)) BOOST_LEAF_CHECK(copy_file(path + "/" + name, from, to));
   }
   return {};
 }
 
-bool is_empty(const std::string& path, Disk& disk) {
+bool is_empty_directory(const std::string& path, Disk& disk) {
   std::vector<std::string> names;
-  disk.files().GetChildren(path, &names);
-  return std::all_of(names.begin(), names.end(),
-                     [](const std::string& name) { return name == "." || name == ".."; });
+  list_directory(disk.files(), path, names);
+  return names.empty();
+}
+
+leaf::result<void> write_in_batches(Database& database, const std::string& path,
+                                    const std::vector<StoreEntry>& entries) {
+  for (std::size_t start = 0; start < entries.size(); start += kEntriesPerBatch) {
+    const std::size_t end = std::min(entries.size(), start + kEntriesPerBatch);
+    StoreBatch batch;
+    for (std::size_t index = start; index < end; ++index) {
+      batch.push_back({entries[index].key, entries[index].value});
+    }
+    if (!database.write(batch)) return leaf::new_error(StoreFailure{path, "write", "disk refused"});
+  }
+  return {};
 }
 
 }  // namespace
 
 leaf::result<std::vector<StoreEntry>> read_offline_store(const std::string& path, Disk& disk) {
   const DatabaseLock lock(disk.files(), path);
-  if (!lock.status().ok()) return failure(path, "lock", lock.status());
+  if (!lock.status().ok()) return store_failure(path, "lock", lock.status());
   if (needs_replacement(path, disk)) return leaf::new_error(StoreCorruption{path, "files are missing"});
-  MemoryDisk memory;
+  InMemoryDisk memory;
   BOOST_LEAF_CHECK(copy_database_files(path, disk.files(), memory.files()));
   BOOST_LEAF_AUTO(database, Database::open(path, memory, {}, OpenMode::existing));
   return database->read_all();
@@ -89,20 +101,17 @@
 
 leaf::result<void> create_offline_store(const std::string& path, const std::vector<StoreEntry>& entries,
                                         Disk& disk) {
-  if (!disk.create_directories(path))
+  if (!disk.create_directories(path)) {
     return leaf::new_error(StoreFailure{path, "create", "folder can't be made"});
-  if (!is_empty(path, disk)) return leaf::new_error(StoreFailure{path, "create", "folder is not empty"});
-  BOOST_LEAF_AUTO(database, Database::open(path, disk, {}, OpenMode::create_if_missing));
-  for (std::size_t start = 0; start < entries.size(); start += kEntriesPerBatch) {
-    StoreBatch batch;
-    const std::size_t end = std::min(entries.size(), start + kEntriesPerBatch);
-    for (std::size_t index = start; index < end; ++index) {
-      batch.push_back({entries[index].key, entries[index].value});
-    }
-    if (!database->write(batch)) return leaf::new_error(StoreFailure{path, "write", "disk refused"});
   }
-  if (!disk.sync_directory(path))
+  if (!is_empty_directory(path, disk)) {
+    return leaf::new_error(StoreFailure{path, "create", "folder is not empty"});
+  }
+  BOOST_LEAF_AUTO(database, Database::open(path, disk, {}, OpenMode::create_if_missing));
+  BOOST_LEAF_CHECK(write_in_batches(*database, path, entries));
+  if (!disk.sync_directory(path)) {
     return leaf::new_error(StoreFailure{path, "write", "folder can't be synced"});
+  }
   return {};
 }
 
--- a/src/cluster/store/offline_store.hpp
+++ b/src/cluster/store/offline_store.hpp
@@ -1,5 +1,4 @@
-// Reads the store of a node that is not running. The files are copied to memory and opened there, so that a
-// store that is looked at, damaged or whole, stays as it is.
+// Access to the store of a node that is not running, for the operators' `store` commands.
 #pragma once
 
 #include <string>
@@ -9,11 +8,14 @@
 
 namespace winchhall::cluster {
 
-// All entries, in the order of their keys. Errors: StoreFailure (also where a running process has the store
-// in use), StoreCorruption, UnsupportedStoreFormat.
+// Reads all entries in key order without changing the store, damaged or not: its files are copied to memory
+// and opened there. Errors: StoreFailure (an I/O error, or a running process uses the store),
+// StoreCorruption, UnsupportedStoreFormat.
 leaf::result<std::vector<StoreEntry>> read_offline_store(const std::string& path, Disk& disk = local_disk());
 
-// Makes a store in a folder that is empty or missing, with just these entries. Errors: StoreFailure.
+// Creates a store with exactly these entries in an empty or missing directory. Entries are written in their
+// order, so that after an interruption the later ones are missing. Errors: StoreFailure, and those of
+// Database::open.
 leaf::result<void> create_offline_store(const std::string& path, const std::vector<StoreEntry>& entries,
                                         Disk& disk = local_disk());
 
--- a/src/cluster/store/store.hpp
+++ b/src/cluster/store/store.hpp
@@ -1,4 +1,4 @@
-// Durable key-value state of a control node.
+// Interface of the durable key-value store in which a control node keeps its consensus state.
 #pragma once
 
 #include <functional>
@@ -11,26 +11,29 @@
 
 namespace winchhall::cluster {
 
-// One change of a key; no value: the key is removed.
+// A put, or a removal if there is no value.
 struct StoreWrite {
   std::string key;
   std::optional<std::string> value;
 };
 
-// Changes that become durable together or not at all.
+// Writes that become durable atomically, applied in order.
 using StoreBatch = std::vector<StoreWrite>;
 
-// How a commit ended. After `failed` the batch may or may not be durable, and nothing may be promised on it.
+// Result of a commit. After `failed` it is unknown whether the batch is durable: the caller must not rely on
+// either.
 enum class CommitOutcome { durable, failed };
 
-// Commits are carried out in the order in which they are given; many that wait are synced to disk together.
+// Commits take effect in the order of the calls; pending commits may share one disk sync (group commit). Used
+// from the event loop's thread only.
 class DurableStore {
  public:
   virtual ~DurableStore() = default;
-  // Calls `done` on the event loop once the batch is synced to disk, never from within this function.
+  // Starts a commit and returns at once. `done` is called on the event loop when the batch has been synced to
+  // disk or has failed, never from within this call.
   virtual void commit(StoreBatch batch, std::function<void(CommitOutcome)> done) = 0;
-  // Everything that was durable when the store was opened, in the order of its keys. Called once, at the
-  // start.
+  // Visits every entry that was durable when the store was opened, in key order. To be called once, before
+  // the first commit.
   virtual void load(const std::function<void(std::string_view key, std::string_view value)>& visit) = 0;
 };
 
--- a/src/cluster/store/store_writer.cpp
+++ b/src/cluster/store/store_writer.cpp
@@ -26,10 +26,10 @@
   std::unique_lock lock(mutex_);
   stopping_ = true;
   state_changed_.notify_all();
-  const bool ended =
+  const bool finished =
       state_changed_.wait_for(lock, tuning_.shutdown_timeout, [this] { return thread_finished_; });
   lock.unlock();
-  if (ended) {
+  if (finished) {
     thread_.join();
   } else {
     thread_.detach();
@@ -49,14 +49,15 @@
     if (!database) database = reopen_until_stopped();
     if (!database) break;
     StoreBatch joined;
-    for (PendingCommit& waiting : group) append(joined, std::move(waiting.batch));
+    for (PendingCommit& commit : group) append(joined, std::move(commit.batch));
     const bool written = database->write(joined);
     if (!written) {
       log_event(LogLevel::error, "store_write_failed", {{"path", path_}});
       database.reset();
     }
-    report(std::move(group), written ? CommitOutcome::durable : CommitOutcome::failed);
+    post_outcome(std::move(group), written ? CommitOutcome::durable : CommitOutcome::failed);
   }
+  // Closed before the thread is reported as finished: the owner may destroy the disk after that.
   database.reset();
   const std::lock_guard lock(mutex_);
   thread_finished_ = true;
@@ -72,7 +73,7 @@
 
 std::unique_ptr<Database> StoreWriter::reopen_until_stopped() {
   for (;;) {
-    if (std::unique_ptr<Database> database = try_to_open()) {
+    if (std::unique_ptr<Database> database = try_reopen()) {
       log_event(LogLevel::info, "store_reopened", {{"path", path_}});
       return database;
     }
@@ -81,18 +82,18 @@
   }
 }
 
-std::unique_ptr<Database> StoreWriter::try_to_open() {
-  // Never replaced here: what this node holds in memory belongs to the database that was damaged.
+std::unique_ptr<Database> StoreWriter::try_reopen() {
+  // A damaged database is not replaced at this point: the node's state in memory was read from it.
   return leaf::try_handle_all([this] { return Database::open(path_, disk_, tuning_, OpenMode::existing); },
                               [] { return std::unique_ptr<Database>(); });
 }
 
-void StoreWriter::report(std::vector<PendingCommit> group, CommitOutcome outcome) {
-  auto ended = std::make_shared<std::vector<PendingCommit>>(std::move(group));
+void StoreWriter::post_outcome(std::vector<PendingCommit> group, CommitOutcome outcome) {
+  auto finished = std::make_shared<std::vector<PendingCommit>>(std::move(group));
   const std::lock_guard lock(mutex_);
   if (stopping_) return;
-  post_to_loop_([ended, outcome] {
-    for (PendingCommit& waiting : *ended) waiting.done(outcome);
+  post_to_loop_([finished, outcome] {
+    for (PendingCommit& commit : *finished) commit.done(outcome);
   });
 }
 
--- a/src/cluster/store/store_writer.hpp
+++ b/src/cluster/store/store_writer.hpp
@@ -1,4 +1,4 @@
-// The thread that writes a store: all that wait are synced together; a database that failed is opened again.
+// The writer thread of a store: group commit, and reopening of a database that failed.
 #pragma once
 
 #include <chrono>
@@ -14,18 +14,22 @@
 
 namespace winchhall::cluster {
 
-// Runs an action on the event loop. Called from the store's thread, must not wait.
+// Runs an action on the event loop. Called from the writer thread; must not block.
 using PostToLoop = std::function<void(std::function<void()>)>;
 
-// Shared with its thread, which may outlive its owner on a disk that hangs.
+// Shared with its thread, which outlives the owner if the disk hangs during shutdown. `start`, `commit` and
+// `stop` are called from the event loop's thread.
 class StoreWriter : public std::enable_shared_from_this<StoreWriter> {
  public:
+  // `disk` must outlive the writer thread.
   StoreWriter(std::string path, Disk& disk, const StoreTuning& tuning, PostToLoop post_to_loop);
 
-  // Starts the thread, which alone uses the database from now on.
+  // Starts the thread, which is the only user of the database from then on.
   void start(std::unique_ptr<Database> database);
-  // Ends the thread, or leaves it behind if the disk hangs. Nothing is posted to the loop afterwards.
+  // Discards pending commits and waits for the thread, or detaches it after StoreTuning::shutdown_timeout.
+  // Nothing is posted to the event loop after this returns.
   void stop();
+  // Queues a batch; `done` is posted to the event loop with the outcome.
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done);
 
  private:
@@ -35,11 +39,12 @@
   };
 
   void run(std::unique_ptr<Database> database);
+  // Waits for commits and takes them all; empty: the writer is stopping.
   std::vector<PendingCommit> take_pending();
-  // After a failed write LevelDB takes no more. Null: the store ends.
+  // Replaces a database that failed and hence accepts no more writes. Null: the writer is stopping.
   std::unique_ptr<Database> reopen_until_stopped();
-  std::unique_ptr<Database> try_to_open();
-  void report(std::vector<PendingCommit> group, CommitOutcome outcome);
+  std::unique_ptr<Database> try_reopen();
+  void post_outcome(std::vector<PendingCommit> group, CommitOutcome outcome);
 
   const std::string path_;
   Disk& disk_;
--- a/src/cluster/store/synced_env.cpp
+++ b/src/cluster/store/synced_env.cpp
@@ -4,6 +4,7 @@
 #include <cstring>
 #include <filesystem>
 
+#include "cluster/store/database_files.hpp"
 #include "cluster/store/log_scan.hpp"
 
 namespace winchhall::cluster {
@@ -12,16 +13,14 @@
 
 std::string file_name(const std::string& path) { return std::filesystem::path(path).filename().string(); }
 
-std::string folder_of(const std::string& path) { return std::filesystem::path(path).parent_path().string(); }
-
-bool is_manifest(const std::string& path) { return file_name(path).starts_with("MANIFEST-"); }
-
-bool has_log_format(const std::string& path) { return is_manifest(path) || path.ends_with(".log"); }
+std::string directory_of(const std::string& path) {
+  return std::filesystem::path(path).parent_path().string();
+}
 
-// A file that was read beforehand.
-class BufferedFile : public leveldb::SequentialFile {
+// Serves reads from a file's content in memory.
+class InMemoryFile : public leveldb::SequentialFile {
  public:
-  explicit BufferedFile(std::string content) : content_(std::move(content)) {}
+  explicit InMemoryFile(std::string content) : content_(std::move(content)) {}
 
   leveldb::Status Read(std::size_t size, leveldb::Slice* result, char* scratch) override {
     const std::size_t count = std::min(size, content_.size() - offset_);
@@ -45,12 +44,12 @@
 leveldb::Status SyncedEnv::RenameFile(const std::string& from, const std::string& to) {
   const leveldb::Status renamed = leveldb::EnvWrapper::RenameFile(from, to);
   if (!renamed.ok()) return renamed;
-  if (disk_.sync_directory(folder_of(to))) return renamed;
+  if (disk_.sync_directory(directory_of(to))) return renamed;
   return leveldb::Status::IOError(to, "folder can't be synced");
 }
 
 leveldb::Status SyncedEnv::RemoveFile(const std::string& path) {
-  if (is_manifest(path) && is_current_manifest(path)) {
+  if (is_manifest_file(file_name(path)) && is_current_manifest(path)) {
     return leveldb::Status::IOError(path, "kept, CURRENT names it");
   }
   return leveldb::EnvWrapper::RemoveFile(path);
@@ -58,14 +57,15 @@
 
 bool SyncedEnv::is_current_manifest(const std::string& path) {
   std::string current;
-  const std::string current_path = folder_of(path) + "/CURRENT";
+  const std::string current_path = directory_of(path) + "/CURRENT";
   const leveldb::Status read = leveldb::ReadFileToString(target(), current_path, &current);
-  if (!read.ok()) return !read.IsNotFound();  // Unknown: rather keep a file too many.
+  if (!read.ok())
+    return !read.IsNotFound();  // Unreadable: an obsolete MANIFEST does no harm, a lost one does.
   return current == file_name(path) + "\n";
 }
 
 leveldb::Status SyncedEnv::NewSequentialFile(const std::string& path, leveldb::SequentialFile** file) {
-  if (!has_log_format(path)) return leveldb::EnvWrapper::NewSequentialFile(path, file);
+  if (!has_log_format(file_name(path))) return leveldb::EnvWrapper::NewSequentialFile(path, file);
   *file = nullptr;
   std::string content;
   const leveldb::Status read = leveldb::ReadFileToString(target(), path, &content);
@@ -73,7 +73,7 @@
   const LogScanResult scan = scan_log(content);
   if (scan.damaged) return leveldb::Status::Corruption(path, "damaged before its last record");
   content.resize(scan.valid_bytes);
-  *file = new BufferedFile(std::move(content));
+  *file = new InMemoryFile(std::move(content));
   return leveldb::Status::OK();
 }
 
--- a/src/cluster/store/synced_env.hpp
+++ b/src/cluster/store/synced_env.hpp
@@ -1,4 +1,4 @@
-// File operations of the store: LevelDB's own, made safe against losses of power (docs/store-safety.md).
+// LevelDB's file operations, made safe against power loss (docs/store-safety.md).
 #pragma once
 
 #include <leveldb/env.h>
@@ -11,17 +11,19 @@
 
 class SyncedEnv : public leveldb::EnvWrapper {
  public:
+  // `disk` must outlive the environment.
   explicit SyncedEnv(Disk& disk) : leveldb::EnvWrapper(&disk.files()), disk_(disk) {}
 
-  // LevelDB renames its CURRENT file and then removes what the older one referred to, with no sync of the
-  // folder between: after a loss of power the old name could be back while its target is gone. Here the
-  // rename is synced.
+  // Renames and syncs the directory. LevelDB renames a new CURRENT file into place and then deletes the files
+  // that the old one referred to without syncing the directory in between: after a power loss the old CURRENT
+  // could reappear while its MANIFEST is gone.
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
-  // Keeps the MANIFEST that CURRENT names: LevelDB removes it when the sync of the renamed CURRENT fails,
-  // although the new name may be in force.
+  // Refuses to delete the MANIFEST that CURRENT names. LevelDB deletes it when the sync of the renamed
+  // CURRENT fails, although the new name may be in effect.
   leveldb::Status RemoveFile(const std::string& path) override;
-  // Write-ahead logs and MANIFEST files end with their last whole record: LevelDB refuses to open a database
-  // whose MANIFEST has a torn end. Corruption: damage before the last record.
+  // Opens write-ahead logs and MANIFEST files truncated to their last complete record, since LevelDB refuses
+  // to open a database whose MANIFEST has a torn tail. Status Corruption: invalid data precedes a complete
+  // record.
   leveldb::Status NewSequentialFile(const std::string& path, leveldb::SequentialFile** file) override;
 
  private:
--- a/tests/cluster/store/damage_test.cpp
+++ b/tests/cluster/store/damage_test.cpp
@@ -1,4 +1,4 @@
-// Stores whose synced content was changed or lost: set aside, never passed off as whole.
+// Detection of damaged stores and their replacement by empty ones.
 #include <catch2/catch.hpp>
 
 #include "cluster/store/log_scan.hpp"
@@ -7,16 +7,16 @@
 namespace winchhall::cluster::sim {
 namespace {
 
-const std::string kFolder = "/data";
+const std::string kDirectory = "/data";
 
-// A disk with a store of many batches, some in tables and some in the log.
-DiskFiles filled() {
+// The files of a store with many entries, some in tables and some in the write-ahead log.
+DiskFiles files_of_filled_store() {
   SimulatedDisk disk;
   TestLoop loop;
   StoreTuning tuning = tuning_with_long_shutdown_timeout();
   tuning.write_buffer_bytes = 64 << 10;
   {
-    auto store = open_leveldb_store(kFolder, loop.poster(), disk, tuning);
+    auto store = open_leveldb_store(kDirectory, loop.poster(), disk, tuning);
     REQUIRE(store);
     for (std::size_t number = 0; number < 100; ++number) {
       commit(*store.value(), loop, {{"key" + std::to_string(number), std::string(1000, 'z')}});
@@ -25,65 +25,66 @@
   return disk.content();
 }
 
-std::string find_file(const DiskFiles& files, const std::string& part) {
+std::string find_file(const DiskFiles& files, const std::string& name_part) {
   for (const auto& [path, content] : files) {
-    if (path.find(part) != std::string::npos && content.size() > 100) return path;
+    if (path.find(name_part) != std::string::npos && content.size() > 100) return path;
   }
-  FAIL("no file " << part);
+  FAIL("no file " << name_part);
   return {};
 }
 
-void check_replaced(const DiskFiles& files) {
+// Opening the store replaces it by an empty one, which later opens know to be a replacement.
+void check_is_replaced(const DiskFiles& files) {
   SimulatedDisk disk(files);
   TestLoop loop;
   {
-    auto store = open_leveldb_store(kFolder, loop.poster(), disk, tuning_with_long_shutdown_timeout());
+    auto store = open_leveldb_store(kDirectory, loop.poster(), disk, tuning_with_long_shutdown_timeout());
     REQUIRE(store);
     CHECK(store.value()->replaces_damaged());
-    CHECK(content(*store.value()).empty());
+    CHECK(load_content(*store.value()).empty());
     CHECK(commit(*store.value(), loop, {{"identity", "new"}}) == CommitOutcome::durable);
   }
-  auto again = open_leveldb_store(kFolder, loop.poster(), disk, tuning_with_long_shutdown_timeout());
+  auto again = open_leveldb_store(kDirectory, loop.poster(), disk, tuning_with_long_shutdown_timeout());
   REQUIRE(again);
   CHECK(again.value()->replaces_damaged());
-  CHECK(content(*again.value()) == Content{{"identity", "new"}});
+  CHECK(load_content(*again.value()) == Content{{"identity", "new"}});
 }
 
-TEST_CASE("a store with a changed byte or a missing file is set aside whole") {
-  const DiskFiles whole = filled();
+TEST_CASE("a store with a changed byte or a missing file is replaced") {
+  const DiskFiles intact = files_of_filled_store();
   for (const std::string part : {".log", ".ldb", "MANIFEST"}) {
     CAPTURE(part);
-    const std::string path = find_file(whole, part);
-    DiskFiles changed = whole;
+    const std::string path = find_file(intact, part);
+    DiskFiles changed = intact;
     changed[path][changed[path].size() / 3] ^= 1;
-    check_replaced(changed);
-    DiskFiles missing = whole;
+    check_is_replaced(changed);
+    DiskFiles missing = intact;
     missing.erase(path);
-    if (part != ".log") check_replaced(missing);
+    if (part != ".log") check_is_replaced(missing);
   }
-  DiskFiles nameless = whole;
-  nameless.erase(kFolder + "/CURRENT");
-  check_replaced(nameless);
+  DiskFiles without_current = intact;
+  without_current.erase(kDirectory + "/CURRENT");
+  check_is_replaced(without_current);
 }
 
-TEST_CASE("a replacement that is cut off anywhere is ended later, and never shows a part of the old store") {
-  DiskFiles damaged = filled();
+TEST_CASE("a replacement interrupted by a power loss at any operation is completed at the next start") {
+  DiskFiles damaged = files_of_filled_store();
   std::string& table = damaged[find_file(damaged, ".ldb")];
   table[table.size() / 3] ^= 1;
   SimulatedDisk disk(damaged);
   TestLoop loop;
-  REQUIRE(open_leveldb_store(kFolder, loop.poster(), disk, tuning_with_long_shutdown_timeout()));
+  REQUIRE(open_leveldb_store(kDirectory, loop.poster(), disk, tuning_with_long_shutdown_timeout()));
   std::mt19937_64 random(5);
   DiskModel model(damaged);
   for (const DiskOperation& operation : disk.trace()) {
-    for (unsigned time = 0; time < 4; ++time) check_replaced(model.after_power_loss(random));
+    for (unsigned time = 0; time < 4; ++time) check_is_replaced(model.after_power_loss(random));
     model.apply(operation);
   }
-  check_replaced(model.files());
+  check_is_replaced(model.files());
 }
 
-TEST_CASE("a scan ends at the last whole record, and tells a torn end from damage") {
-  const DiskFiles files = filled();
+TEST_CASE("a log scan ends at the last complete record and distinguishes a torn tail from damage") {
+  const DiskFiles files = files_of_filled_store();
   const std::string log = files.at(find_file(files, ".log"));
   CHECK(scan_log(log).valid_bytes == log.size());
   CHECK_FALSE(scan_log(log).damaged);
@@ -103,7 +104,7 @@
   CHECK(scan_log(damaged).damaged);
 }
 
-TEST_CASE("random bytes are no log") {
+TEST_CASE("random bytes contain no valid log record") {
   std::mt19937_64 random(11);
   for (unsigned round = 0; round < 200; ++round) {
     std::string bytes(random() % 70000, '\0');
--- a/tests/cluster/store/refusal_test.cpp
+++ b/tests/cluster/store/refusal_test.cpp
@@ -1,5 +1,5 @@
-// Disks that refuse, are full or hang: nothing is reported durable that isn't, the caller never waits, and
-// the store goes on once the disk does.
+// I/O errors, full disks and hanging disks: only durable batches are reported as durable, the caller never
+// blocks, and the store recovers with the disk.
 #include <catch2/catch.hpp>
 #include <chrono>
 
@@ -8,7 +8,7 @@
 namespace winchhall::cluster::sim {
 namespace {
 
-const std::string kFolder = "/data";
+const std::string kDirectory = "/data";
 
 StoreTuning small_files() {
   StoreTuning tuning = tuning_with_long_shutdown_timeout();
@@ -17,9 +17,9 @@
   return tuning;
 }
 
-std::unique_ptr<LevelDbStore> opened(SimulatedDisk& disk, TestLoop& loop,
-                                     const StoreTuning& tuning = small_files()) {
-  auto store = open_leveldb_store(kFolder, loop.poster(), disk, tuning);
+std::unique_ptr<LevelDbStore> open_store(SimulatedDisk& disk, TestLoop& loop,
+                                         const StoreTuning& tuning = small_files()) {
+  auto store = open_leveldb_store(kDirectory, loop.poster(), disk, tuning);
   REQUIRE(store);
   return std::move(store.value());
 }
@@ -28,32 +28,32 @@
   return {{"key" + std::to_string(number % 50), std::to_string(number) + std::string(bytes, 'x')}};
 }
 
-// Commits until the store says durable; a batch that failed is committed again, as the journal does.
-void commit_surely(LevelDbStore& store, TestLoop& loop, const StoreBatch& batch) {
+// Retries until the batch is durable, as the journal does.
+void commit_with_retries(LevelDbStore& store, TestLoop& loop, const StoreBatch& batch) {
   while (commit(store, loop, batch) != CommitOutcome::durable) {
   }
 }
 
 Content reopened_content(SimulatedDisk& disk) {
   TestLoop loop;
-  const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
+  const std::unique_ptr<LevelDbStore> store = open_store(disk, loop);
   CHECK_FALSE(store->replaces_damaged());
-  return content(*store);
+  return load_content(*store);
 }
 
-TEST_CASE("a commit fails while the disk refuses, and the store takes batches again afterwards") {
+TEST_CASE("commits fail during I/O errors and succeed again afterwards") {
   SimulatedDisk disk;
   Content expected;
   {
     TestLoop loop;
-    const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
+    const std::unique_ptr<LevelDbStore> store = open_store(disk, loop);
     REQUIRE(commit(*store, loop, numbered(1)) == CommitOutcome::durable);
-    disk.refuse(true);
+    disk.fail_changes(true);
     CHECK(commit(*store, loop, numbered(2)) == CommitOutcome::failed);
     std::optional<CommitOutcome> later;
     store->commit(numbered(3), [&](CommitOutcome outcome) { later = outcome; });
-    CHECK(loop.idle());
-    disk.refuse(false);
+    CHECK(loop.is_idle());
+    disk.fail_changes(false);
     while (!later) loop.run_one();
     CHECK(*later == CommitOutcome::durable);
     REQUIRE(commit(*store, loop, numbered(2)) == CommitOutcome::durable);
@@ -62,49 +62,50 @@
   CHECK(reopened_content(disk) == expected);
 }
 
-// Also then a loss of power must not bring back less: what a refusal left half done is part of the state.
-TEST_CASE("refusals of any two operations lose nothing, with a loss of power at any time after it") {
+// What a failed operation left incomplete is part of the state that a later power loss meets.
+TEST_CASE("I/O errors at any two operations lose no durable batch, also with a later power loss") {
   constexpr std::size_t kBatches = 150;
   std::mt19937_64 random(3);
-  for (std::size_t refused = 0; refused < 420; ++refused) {
-    CAPTURE(refused);
+  for (std::size_t failing = 0; failing < 420; ++failing) {
+    CAPTURE(failing);
     SimulatedDisk disk;
     Content expected;
     std::vector<std::pair<std::size_t, Content>> durable{{0, {}}};
     {
       TestLoop loop;
-      const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
-      // The second meets the opening that follows the first.
-      disk.refuse_changes({refused, refused + 1 + random() % 25});
+      const std::unique_ptr<LevelDbStore> store = open_store(disk, loop);
+      // The second error hits the reopening after the first one.
+      disk.fail_changes_numbered({failing, failing + 1 + random() % 25});
       for (std::size_t number = 0; number < kBatches; ++number) {
-        commit_surely(*store, loop, numbered(number));
+        commit_with_retries(*store, loop, numbered(number));
         apply_batch(expected, numbered(number));
         durable.emplace_back(disk.operations(), expected);
       }
     }
-    disk.refuse_changes({});
+    disk.fail_changes_numbered({});
     CHECK(reopened_content(disk) == expected);
     const std::vector<DiskOperation> trace = disk.trace();
-    const std::size_t cut = random() % (trace.size() + 1);
+    const std::size_t power_loss_at = random() % (trace.size() + 1);
     DiskModel model;
-    for (std::size_t index = 0; index < cut; ++index) model.apply(trace[index]);
+    for (std::size_t index = 0; index < power_loss_at; ++index) model.apply(trace[index]);
     SimulatedDisk left(model.after_power_loss(random));
     const Content found = reopened_content(left);
-    std::size_t least = 0;
-    while (least + 1 < durable.size() && durable[least + 1].first <= cut) ++least;
+    std::size_t first_allowed = 0;
+    while (first_allowed + 1 < durable.size() && durable[first_allowed + 1].first <= power_loss_at)
+      ++first_allowed;
     const auto position = std::find_if(durable.begin(), durable.end(),
                                        [&](const auto& entry) { return entry.second == found; });
     REQUIRE(position != durable.end());
-    CHECK(static_cast<std::size_t>(position - durable.begin()) >= least);
+    CHECK(static_cast<std::size_t>(position - durable.begin()) >= first_allowed);
   }
 }
 
-TEST_CASE("a full disk takes no batch until there is room, and keeps what it has") {
+TEST_CASE("commits fail on a full disk, which keeps its content, and succeed once there is space") {
   SimulatedDisk disk;
   Content expected;
   {
     TestLoop loop;
-    const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
+    const std::unique_ptr<LevelDbStore> store = open_store(disk, loop);
     disk.set_capacity(300 << 10);
     std::size_t number = 0;
     while (commit(*store, loop, {{"key" + std::to_string(number), std::string(1000, 'y')}}) ==
@@ -113,56 +114,56 @@
       REQUIRE(++number < 1000);
     }
     disk.set_capacity(16 << 20);
-    commit_surely(*store, loop, {{"after", "room"}});
+    commit_with_retries(*store, loop, {{"after", "room"}});
     expected["after"] = "room";
-    // In doubt after its failure; written once more, as the journal does.
-    commit_surely(*store, loop, {{"key" + std::to_string(number), std::string(1000, 'y')}});
+    // Its outcome was unknown after the failure: retried, as the journal does.
+    commit_with_retries(*store, loop, {{"key" + std::to_string(number), std::string(1000, 'y')}});
     expected["key" + std::to_string(number)] = std::string(1000, 'y');
   }
   CHECK(reopened_content(disk) == expected);
 }
 
-TEST_CASE("a disk that hangs holds up neither the caller nor the end of the process") {
+TEST_CASE("a hanging disk blocks neither the caller nor the shutdown") {
   SimulatedDisk disk;
   TestLoop loop;
-  StoreTuning impatient = small_files();
-  impatient.shutdown_timeout = StoreTuning().shutdown_timeout;
+  StoreTuning with_short_timeout = small_files();
+  with_short_timeout.shutdown_timeout = StoreTuning().shutdown_timeout;
   {
-    const std::unique_ptr<LevelDbStore> store = opened(disk, loop, impatient);
+    const std::unique_ptr<LevelDbStore> store = open_store(disk, loop, with_short_timeout);
     disk.hang(true);
     store->commit(numbered(1), [](CommitOutcome) { FAIL("reported while the disk hangs"); });
     disk.wait_for_hanging_sync();
     for (std::size_t number = 2; number < 100; ++number)
       store->commit(numbered(number), [](CommitOutcome) {});
-    CHECK(loop.idle());
+    CHECK(loop.is_idle());
   }
-  CHECK(loop.idle());
+  CHECK(loop.is_idle());
   disk.hang(false);
-  // The thread that was left behind ends before the disk does.
+  // The detached thread must finish before the disk is destroyed.
   disk.wait_for_unlock();
-  CHECK(loop.idle());
+  CHECK(loop.is_idle());
   Content expected;
   apply_batch(expected, numbered(1));
   CHECK(reopened_content(disk) == expected);
 }
 
-TEST_CASE("what waits behind a sync that hangs is synced together, in order") {
+TEST_CASE("commits that wait for a hanging sync are written together, in order") {
   SimulatedDisk disk;
   TestLoop loop;
-  const std::unique_ptr<LevelDbStore> store = opened(disk, loop);
+  const std::unique_ptr<LevelDbStore> store = open_store(disk, loop);
   disk.hang(true);
-  std::vector<std::size_t> ended;
+  std::vector<std::size_t> completed;
   for (std::size_t number = 0; number < 500; ++number) {
-    store->commit(numbered(number, 100), [&ended, number](CommitOutcome outcome) {
+    store->commit(numbered(number, 100), [&completed, number](CommitOutcome outcome) {
       REQUIRE(outcome == CommitOutcome::durable);
-      ended.push_back(number);
+      completed.push_back(number);
     });
   }
   disk.wait_for_hanging_sync();
   const std::size_t before = disk.operations();
   disk.hang(false);
-  while (ended.size() < 500) loop.run_one();
-  CHECK(std::is_sorted(ended.begin(), ended.end()));
+  while (completed.size() < 500) loop.run_one();
+  CHECK(std::is_sorted(completed.begin(), completed.end()));
   CHECK(disk.operations() - before < 40);
 }
 
--- a/tests/cluster/store/store_fixture.hpp
+++ b/tests/cluster/store/store_fixture.hpp
@@ -1,4 +1,4 @@
-// Stores in tests: an event loop on the test's own thread, batches that can be told apart.
+// What tests of the store share: an event loop on the test's thread, and helpers to commit and to read.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
 
 namespace winchhall::cluster::sim {
 
-// A store whose end is waited for however busy the machine is: a thread left behind would outlive the
+// Makes a store wait for its writer thread however busy the machine is: a detached thread could outlive the
 // simulated disk.
 inline StoreTuning tuning_with_long_shutdown_timeout() {
   StoreTuning tuning;
@@ -24,48 +24,51 @@
   return tuning;
 }
 
+// Queues posted actions until the test runs them.
 class TestLoop {
  public:
   PostToLoop poster() {
     return [this](std::function<void()> action) {
       const std::lock_guard lock(mutex_);
       actions_.push(std::move(action));
-      wake_.notify_one();
+      action_queued_.notify_one();
     };
   }
+  // Blocks until an action is queued, and runs it.
   void run_one() {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [this] { return !actions_.empty(); });
+    action_queued_.wait(lock, [this] { return !actions_.empty(); });
     const std::function<void()> action = std::move(actions_.front());
     actions_.pop();
     lock.unlock();
     action();
   }
-  bool idle() {
+  bool is_idle() {
     const std::lock_guard lock(mutex_);
     return actions_.empty();
   }
 
  private:
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable action_queued_;
   std::queue<std::function<void()>> actions_;
 };
 
+// Keys and values that a store is expected to hold, or was found to hold.
 using Content = std::map<std::string, std::string>;
 
-inline Content content(LevelDbStore& store) {
+inline Content load_content(LevelDbStore& store) {
   Content found;
   store.load([&](std::string_view key, std::string_view value) { found.emplace(key, value); });
   return found;
 }
 
-// Commits a batch and waits for its end.
+// Commits a batch and waits for the outcome.
 inline CommitOutcome commit(LevelDbStore& store, TestLoop& loop, StoreBatch batch) {
-  std::optional<CommitOutcome> ended;
-  store.commit(std::move(batch), [&](CommitOutcome outcome) { ended = outcome; });
-  while (!ended) loop.run_one();
-  return *ended;
+  std::optional<CommitOutcome> outcome;
+  store.commit(std::move(batch), [&](CommitOutcome reported) { outcome = reported; });
+  while (!outcome) loop.run_one();
+  return *outcome;
 }
 
 inline void apply_batch(Content& content, const StoreBatch& batch) {
--- a/tests/cluster/store/tools_test.cpp
+++ b/tests/cluster/store/tools_test.cpp
@@ -1,4 +1,4 @@
-// The tools for stores of nodes that are not running: read, back up, restore for a new group.
+// Reading, backing up and restoring the store of a node that is not running.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -8,6 +8,7 @@
 #include "cluster/consensus/member_record.hpp"
 #include "cluster/store/backup_file.hpp"
 #include "cluster/store/offline_store.hpp"
+#include "cluster/store/restored_state.hpp"
 #include "cluster/store/state_summary.hpp"
 #include "tests/cluster/store/store_fixture.hpp"
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -15,13 +16,13 @@
 namespace winchhall::cluster::sim {
 namespace {
 
-class TemporaryFolder {
+class TemporaryDirectory {
  public:
-  TemporaryFolder() {
+  TemporaryDirectory() {
     std::string pattern = (std::filesystem::temp_directory_path() / "store-tools-XXXXXX").string();
     path_ = ::mkdtemp(pattern.data());
   }
-  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
   std::string path(const std::string& name) const { return path_ + "/" + name; }
 
  private:
@@ -30,7 +31,7 @@
 
 enum class Failure { none, store, damaged, format, input };
 
-// What kind of failure an action ends with.
+// The kind of error that a function returns.
 template <typename Function>
 Failure failure_of(Function function) {
   return leaf::try_handle_all(
@@ -50,9 +51,9 @@
   return content;
 }
 
-std::map<std::string, std::uintmax_t> sizes(const std::string& folder) {
+std::map<std::string, std::uintmax_t> sizes(const std::string& directory) {
   std::map<std::string, std::uintmax_t> found;
-  for (const auto& entry : std::filesystem::directory_iterator(folder)) {
+  for (const auto& entry : std::filesystem::directory_iterator(directory)) {
     found[entry.path().filename().string()] = entry.file_size();
   }
   return found;
@@ -66,9 +67,9 @@
   return entries;
 }
 
-// A group of three that leads a shard with a record and holds a register's value.
-struct LeadingGroup {
-  explicit LeadingGroup(std::uint64_t seed) : cluster(seed, 3) {
+// A control group of three nodes with a shard record and a register value; node 0 leads the shard.
+struct ControlGroupWithState {
+  explicit ControlGroupWithState(std::uint64_t seed) : cluster(seed, 3) {
     cluster.bootstrap();
     REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(20000)));
     ShardCallbacks callbacks;
@@ -87,16 +88,16 @@
     REQUIRE(cluster.simulation().run_until([&] { return chosen; }, Millis(20000)));
     cluster.simulation().run_for(Millis(2000));
   }
-  ~LeadingGroup() { shard.reset(); }
+  ~ControlGroupWithState() { shard.reset(); }
 
   ControlCluster<> cluster;
   std::uint64_t led_epoch = 0;
   std::unique_ptr<ReplicatedShard> shard;
 };
 
-TEST_CASE("a store is read offline without being changed, and comes back from a backup") {
-  const TemporaryFolder folder;
-  const std::string path = folder.path("data");
+TEST_CASE("an offline store is read without changes and can be restored from a backup") {
+  const TemporaryDirectory directory;
+  const std::string path = directory.path("data");
   Content expected;
   {
     TestLoop loop;
@@ -114,44 +115,44 @@
   REQUIRE(entries);
   CHECK(as_content(entries.value()) == expected);
   CHECK(sizes(path) == before);
-  const std::string file = folder.path("backup");
+  const std::string file = directory.path("backup");
   REQUIRE(write_backup(file, entries.value()));
   CHECK(failure_of([&] { return write_backup(file, {}); }) == Failure::store);  // never overwritten
   auto read = read_backup(file);
   REQUIRE(read);
   CHECK(as_content(read.value()) == expected);
-  REQUIRE(create_offline_store(folder.path("new"), read.value()));
-  CHECK(as_content(read_offline_store(folder.path("new")).value()) == expected);
-  CHECK(failure_of([&] { return create_offline_store(folder.path("new"), {}); }) ==
+  REQUIRE(create_offline_store(directory.path("new"), read.value()));
+  CHECK(as_content(read_offline_store(directory.path("new")).value()) == expected);
+  CHECK(failure_of([&] { return create_offline_store(directory.path("new"), {}); }) ==
         Failure::store);  // not empty
-  CHECK(failure_of([&] { return read_offline_store(folder.path("none")); }) != Failure::none);
+  CHECK(failure_of([&] { return read_offline_store(directory.path("none")); }) != Failure::none);
 }
 
-TEST_CASE("a backup that was cut off or changed anywhere, or is of an unknown version, is refused") {
-  const TemporaryFolder folder;
-  const std::string file = folder.path("backup");
+TEST_CASE("a truncated, changed or unsupported backup is rejected") {
+  const TemporaryDirectory directory;
+  const std::string file = directory.path("backup");
   REQUIRE(write_backup(file, {{"key", "value"}, {"other", ""}}));
   std::ifstream input(file, std::ios::binary);
-  const std::string whole((std::istreambuf_iterator<char>(input)), {});
+  const std::string complete((std::istreambuf_iterator<char>(input)), {});
   const auto failure_with = [&](const std::string& bytes) {
-    std::ofstream(folder.path("changed"), std::ios::binary | std::ios::trunc) << bytes;
-    return failure_of([&] { return read_backup(folder.path("changed")); });
+    std::ofstream(directory.path("changed"), std::ios::binary | std::ios::trunc) << bytes;
+    return failure_of([&] { return read_backup(directory.path("changed")); });
   };
-  CHECK(failure_with(whole) == Failure::none);
-  for (std::size_t index = 0; index < whole.size(); ++index) {
+  CHECK(failure_with(complete) == Failure::none);
+  for (std::size_t index = 0; index < complete.size(); ++index) {
     CAPTURE(index);
-    CHECK(failure_with(whole.substr(0, index)) == Failure::damaged);
-    std::string changed = whole;
+    CHECK(failure_with(complete.substr(0, index)) == Failure::damaged);
+    std::string changed = complete;
     changed[index] ^= 4;
     CHECK(failure_with(changed) != Failure::none);
   }
-  std::string newer = whole;
+  std::string newer = complete;
   newer[newer.find('\n') - 1] = '2';
   CHECK(failure_with(newer) == Failure::format);
 }
 
-TEST_CASE("the state of a real group is understood whole") {
-  LeadingGroup group(1);
+TEST_CASE("every entry of a real control group's state is recognized") {
+  ControlGroupWithState group(1);
   for (std::size_t index = 0; index < 3; ++index) {
     const StateSummary summary = summarize_state(entries_of(group.cluster.node(index).store()));
     CHECK(summary.unreadable.empty());
@@ -169,10 +170,10 @@
   CHECK(failure_of([&] { return make_restored_state({}, 1, "", ""); }) == Failure::input);
 }
 
-// A disk that holds given entries at the start.
-class PreparedStore : public DurableStore {
+// A store with given entries at the start.
+class PreloadedStore : public DurableStore {
  public:
-  PreparedStore(DurableStore& disk, const std::vector<StoreEntry>& entries)
+  PreloadedStore(DurableStore& disk, const std::vector<StoreEntry>& entries)
       : disk_(disk), entries_(entries) {}
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done) override {
     disk_.commit(std::move(batch), std::move(done));
@@ -186,11 +187,11 @@
   const std::vector<StoreEntry> entries_;
 };
 
-// One machine whose control group starts from given entries.
+// A simulated node whose control group starts from given entries.
 struct RestoredNode {
   RestoredNode(const std::vector<StoreEntry>& entries, std::size_t machine) : simulation(3) {
     simulation.add_node(machine_ip(machine) + ":7000", [this, entries, machine](SimNode& node) {
-      store = std::make_unique<PreparedStore>(node.store(), entries);
+      store = std::make_unique<PreloadedStore>(node.store(), entries);
       auto group_of_node = std::make_shared<ControlGroup>(node, *store, control_settings(machine, false));
       group = group_of_node.get();
       group->start();
@@ -202,44 +203,45 @@
     simulation.node(0).start();
   }
 
-  std::unique_ptr<PreparedStore> store;
+  std::unique_ptr<PreloadedStore> store;
   Simulation simulation;
   ControlGroup* group = nullptr;
 };
 
-TEST_CASE("a restored state leads a new group of one that the old group can't act on") {
-  LeadingGroup old(2);
+TEST_CASE("a restored state starts a new group of one member, fenced off from the old group") {
+  ControlGroupWithState old(2);
   const std::uint64_t old_id = old.cluster.group(1).member_id();
-  auto fenced = make_restored_state(entries_of(old.cluster.node(1).store()), 4711, "", "");
-  REQUIRE(fenced);
-  RestoredNode fresh(fenced.value(), 1);
-  REQUIRE(fresh.simulation.run_until([&] { return fresh.group->has_quorum_contact(); }, Millis(5000)));
-  CHECK(fresh.group->votes());
-  CHECK(fresh.group->member_id() == 4711);
-  CHECK(fresh.group->members().members_size() == 1);
-  CHECK(fresh.group->members().epoch() > old.cluster.group(1).members().epoch() + 1000);
-  CHECK(was_removed(fresh.group->members(), old_id));
+  auto restored = make_restored_state(entries_of(old.cluster.node(1).store()), 4711, "", "");
+  REQUIRE(restored);
+  RestoredNode restored_node(restored.value(), 1);
+  REQUIRE(restored_node.simulation.run_until([&] { return restored_node.group->has_quorum_contact(); },
+                                             Millis(5000)));
+  CHECK(restored_node.group->votes());
+  CHECK(restored_node.group->member_id() == 4711);
+  CHECK(restored_node.group->members().members_size() == 1);
+  CHECK(restored_node.group->members().epoch() > old.cluster.group(1).members().epoch() + 1000);
+  CHECK(was_removed(restored_node.group->members(), old_id));
   std::uint64_t epoch = 0;
-  std::vector<ShardEntry> held;
+  std::vector<ShardEntry> recovered;
   ShardCallbacks callbacks;
   callbacks.on_lead = [&](std::uint64_t led, std::vector<ShardEntry> found) {
     epoch = led;
-    held = std::move(found);
+    recovered = std::move(found);
   };
   callbacks.on_lost = [] {};
-  auto shard = fresh.group->open_shard("service", callbacks);
-  REQUIRE(fresh.simulation.run_until([&] { return shard->leads(); }, Millis(20000)));
+  auto shard = restored_node.group->open_shard("service", callbacks);
+  REQUIRE(restored_node.simulation.run_until([&] { return shard->leads(); }, Millis(20000)));
   CHECK(epoch > old.led_epoch + kRestoreFencingIncrement);
-  REQUIRE(held.size() == 1);
-  CHECK(held[0].key == "job/1");
-  CHECK(held[0].value == "record");
+  REQUIRE(recovered.size() == 1);
+  CHECK(recovered[0].key == "job/1");
+  CHECK(recovered[0].value == "record");
   std::optional<std::string> configuration;
-  fresh.group->registers().update(
+  restored_node.group->registers().update(
       "configuration", [](const std::string&) { return std::nullopt; }, Millis(5000),
       [&](const std::optional<RegisterValue>& value) {
         if (value) configuration = value->value;
       });
-  REQUIRE(fresh.simulation.run_until([&] { return configuration.has_value(); }, Millis(5000)));
+  REQUIRE(restored_node.simulation.run_until([&] { return configuration.has_value(); }, Millis(5000)));
   CHECK(*configuration == "routes");
   shard.reset();
 }
--- a/tests/cluster/support/sim_store_impl.hpp
+++ b/tests/cluster/support/sim_store_impl.hpp
@@ -1,4 +1,4 @@
-// The disk of a simulated machine. Included by sim_runtime.hpp only.
+// The store of a simulated node. Included by sim_runtime.hpp only.
 #pragma once
 
 namespace winchhall::cluster::sim {
@@ -6,12 +6,12 @@
 inline void SimStore::commit(StoreBatch batch, std::function<void(CommitOutcome)> done) {
   Simulation& simulation = node_.simulation_;
   const std::int64_t start_us = std::max(busy_until_us_, simulation.now_us());
-  // Batches that wait together are synced together; all of them where the disk hangs.
+  // Some pending batches share a sync (group commit); on a hanging disk all do.
   const bool hangs = simulation.now_us() < hangs_until_us_;
-  const bool joins = hangs || (busy_until_us_ > simulation.now_us() && simulation.chance(0.5));
-  busy_until_us_ =
-      start_us +
-      (joins ? 1 : simulation.random_between(simulation.terms().sync_min_us, simulation.terms().sync_max_us));
+  const bool shares_sync = hangs || (busy_until_us_ > simulation.now_us() && simulation.chance(0.5));
+  busy_until_us_ = start_us + (shares_sync ? 1
+                                           : simulation.random_between(simulation.terms().sync_min_us,
+                                                                       simulation.terms().sync_max_us));
   unsynced_.push_back(std::move(batch));
   node_.simulation_.at(
       busy_until_us_, [this, incarnation = node_.incarnation_, done = std::move(done)]() mutable {
--- a/tests/cluster/support/simulated_disk_impl.hpp
+++ b/tests/cluster/support/simulated_disk_impl.hpp
@@ -1,4 +1,4 @@
-// The LevelDB side of the simulated disk. Included by simulated_disk.hpp.
+// The simulated disk as an environment of LevelDB. Included by simulated_disk.hpp only.
 #pragma once
 
 #include <algorithm>
@@ -106,7 +106,7 @@
   SimulatedDisk& disk_;
 };
 
-// Buffers as LevelDB's own writer does: a flush is one write.
+// Buffers like LevelDB's own writer: each flush is one write.
 class SimulatedWriter : public leveldb::WritableFile {
  public:
   SimulatedWriter(std::function<leveldb::Status(DiskOperation)> change, std::string path, int file)
@@ -152,9 +152,9 @@
 inline SimulatedDisk::~SimulatedDisk() = default;
 inline leveldb::Env& SimulatedDisk::files() { return *files_; }
 
-inline bool SimulatedDisk::refuses() {
-  const std::size_t attempt = attempts_++;
-  return refusing_ || refused_attempts_.contains(attempt);
+inline bool SimulatedDisk::next_change_fails() {
+  const std::size_t number = changes_++;
+  return failing_ || failing_changes_.contains(number);
 }
 
 inline leveldb::Status SimulatedDisk::change(DiskOperation operation, int* created) {
@@ -165,13 +165,13 @@
     wake_.wait(lock, [this] { return !hanging_; });
     --hanging_syncs_;
   }
-  if (refuses()) return leveldb::Status::IOError(operation.path, "refused");
+  if (next_change_fails()) return leveldb::Status::IOError(operation.path, "simulated I/O error");
   leveldb::Status status;
   if (operation.kind == DiskOperationKind::write) {
-    const std::size_t room = capacity_ - std::min(capacity_, model_.bytes());
-    if (operation.data.size() > room) {
+    const std::size_t available = capacity_ - std::min(capacity_, model_.bytes());
+    if (operation.data.size() > available) {
       status = leveldb::Status::IOError(operation.path, "no space left");
-      operation.data.resize(room);
+      operation.data.resize(available);
     }
     written_bytes_ += operation.data.size();
   }
