--- a/src/cluster/agent/configuration_watch_server.cpp
+++ b/src/cluster/agent/configuration_watch_server.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "cluster/config/configuration_json.hpp"
+
 namespace winchhall::cluster {
 
 ConfigurationWatchServer::ConfigurationWatchServer(Runtime& runtime, const ClusterView& view)
--- a/src/cluster/cli/configuration_command.cpp
+++ b/src/cluster/cli/configuration_command.cpp
@@ -5,7 +5,7 @@
 
 #include "cluster/cli/control_responses.hpp"
 #include "cluster/cli/operator_commands.hpp"
-#include "cluster/config/configuration.hpp"
+#include "cluster/config/configuration_json.hpp"
 
 namespace winchhall::cluster {
 
--- a/src/cluster/config/configuration_document.cpp
+++ b/src/cluster/config/configuration_document.cpp
@@ -9,14 +9,14 @@
 
 constexpr const char* kRoutes = "routes";
 constexpr const char* kServices = "services";
-constexpr const char* kNullText = "null";  // a member without a value may become a list
+constexpr const char* kNullText = "null";  // a member that is null may become a list
 
 std::string name_of(const Json::Value& item) {
   if (!item.isObject() || !item["name"].isString()) return {};
   return item["name"].asString();
 }
 
-// Names of the items of a list in a patch's `upsert`.
+// The names of the items of one list in a patch's `upsert`.
 std::unordered_set<std::string> names_in(const Json::Value& upsert, const char* list) {
   std::unordered_set<std::string> names;
   if (!upsert.isObject()) return names;
@@ -24,13 +24,13 @@
   return names;
 }
 
-// What a patch deletes of a list and doesn't put in again, each name once.
+// The names that a patch deletes from a list and does not also upsert, without duplicates.
 std::vector<std::string> removed_names(const ConfigurationPatch& patch, const char* list) {
   std::vector<std::string> names;
   if (!patch.removed.isObject()) return names;
-  std::unordered_set<std::string> passed_over = names_in(patch.upsert, list);
+  std::unordered_set<std::string> excluded = names_in(patch.upsert, list);
   for (const Json::Value& name : patch.removed[list]) {
-    if (passed_over.insert(name.asString()).second) names.push_back(name.asString());
+    if (excluded.insert(name.asString()).second) names.push_back(name.asString());
   }
   return names;
 }
@@ -55,9 +55,9 @@
 }  // namespace
 
 void ConfigurationDocument::List::append(std::string name, std::string text) {
-  const std::uint64_t place = items.empty() ? 0 : items.rbegin()->first + 1;
-  by_name.try_emplace(name, place);
-  items.emplace(place, Item{std::move(name), std::move(text)});
+  const std::uint64_t position = items.empty() ? 0 : items.rbegin()->first + 1;
+  by_name.try_emplace(name, position);
+  items.emplace(position, Item{std::move(name), std::move(text)});
 }
 
 void ConfigurationDocument::List::put(const std::string& name, std::string text) {
@@ -98,7 +98,7 @@
   std::map<std::string, std::string> members = values_;
   for (const auto& [name, list] : lists_) {
     std::string& text = members[name] = "[";
-    for (const auto& [place, item] : list.items) {
+    for (const auto& [position, item] : list.items) {
       if (text.size() > 1) text += ',';
       text += item.text;
     }
@@ -144,23 +144,23 @@
                                                        const ConfigurationEdit& edit) const {
   for (std::size_t position = 0; position < edit.routes.size(); ++position) {
     const Route& route = edit.routes[position];
-    if (has_service(edit, route.backend)) continue;
+    if (has_service_after(edit, route.backend)) continue;
     return invalid_field(scope.item(static_cast<unsigned>(position)), "backend", route.backend,
                          "the name of one of the services");
   }
-  const std::optional<std::size_t> collision = editable_.first_conflict(edit);
-  if (!collision) return {};
-  return invalid_field(scope.item(static_cast<unsigned>(*collision)), "path_prefix",
-                       edit.routes[*collision].path_prefix, "a prefix that no other route of its host has");
+  const std::optional<std::size_t> conflict = editable_.first_conflict(edit);
+  if (!conflict) return {};
+  return invalid_field(scope.item(static_cast<unsigned>(*conflict)), "path_prefix",
+                       edit.routes[*conflict].path_prefix, "a prefix that no other route of its host has");
 }
 
-bool ConfigurationDocument::has_service(const ConfigurationEdit& edit, const std::string& name) const {
-  const bool comes = std::any_of(edit.services.begin(), edit.services.end(),
-                                 [&](const Service& service) { return service.name == name; });
-  return comes || (configuration().find_service(name) != nullptr && !contains(edit.removed_services, name));
+bool ConfigurationDocument::has_service_after(const ConfigurationEdit& edit, const std::string& name) const {
+  const bool upserted = std::any_of(edit.services.begin(), edit.services.end(),
+                                    [&](const Service& service) { return service.name == name; });
+  return upserted ||
+         (configuration().find_service(name) != nullptr && !contains(edit.removed_services, name));
 }
 
-// A service that goes must not be named by a route that stays as it is.
 leaf::result<void> ConfigurationDocument::check_removed_services(const FieldScope& scope,
                                                                  const ConfigurationPatch& patch,
                                                                  const ConfigurationEdit& edit) const {
--- a/src/cluster/config/configuration_document.hpp
+++ b/src/cluster/config/configuration_document.hpp
@@ -1,5 +1,6 @@
-// The operator's configuration: its text, with everything in it that this version of the program doesn't
-// know, and what it says. A patch is checked and applied at a cost that grows with the patch.
+// The operator's configuration as JSON text together with its validated values. The text keeps every field
+// that this version of the program does not know. Validating and applying a patch costs time proportional to
+// the patch.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +9,7 @@
 #include <string_view>
 #include <unordered_map>
 
+#include "cluster/config/configuration_json.hpp"
 #include "cluster/config/configuration_patch.hpp"
 #include "cluster/config/editable_configuration.hpp"
 
@@ -15,26 +17,27 @@
 
 class ConfigurationDocument {
  public:
-  // Reads and checks a whole configuration. Errors: InvalidInput.
+  // Parses and validates a complete configuration. Errors: InvalidInput.
   static leaf::result<ConfigurationDocument> read(std::string json, std::string_view source);
 
   const Configuration& configuration() const { return editable_.configuration(); }
-  // The text: as it was read, or with the patches since.
+  // The text as it was read, byte by byte, or compact JSON with the patches since.
   std::string json() const;
 
-  // What a patch changes. Errors: InvalidInput, where it can't be applied or makes an invalid configuration.
+  // Validates a patch against this document and returns its effect. Changes nothing.
+  // Errors: InvalidInput, where the patch can't be applied or its result is not a valid configuration.
   leaf::result<ConfigurationEdit> check(const ConfigurationPatch& patch, std::string_view source) const;
-  // Applies a patch; `edit` is what `check` made of it.
+  // Applies a patch. `edit` must be the result of `check` for it on this state of the document.
   void apply(const ConfigurationPatch& patch, ConfigurationEdit edit);
 
  private:
   struct Item {
-    std::string name;  // empty: it has none
+    std::string name;  // empty: the item has none
     std::string text;
   };
-  // Items in their order; a new one goes to the end.
+  // The items of a list in order; new ones are appended.
   struct List {
-    std::map<std::uint64_t, Item> items;
+    std::map<std::uint64_t, Item> items;  // by ascending position; positions of removed items stay unused
     std::unordered_map<std::string, std::uint64_t> by_name;
 
     void append(std::string name, std::string text);
@@ -43,15 +46,18 @@
   };
 
   void read_members(const Json::Value& root);
+  // Every member named in `lists` must be a list in this document, or missing.
   leaf::result<void> check_lists(const FieldScope& scope, const Json::Value& lists) const;
   leaf::result<void> check_routes(const FieldScope& scope, const ConfigurationEdit& edit) const;
+  // A removed service must not be the backend of a route that the edit leaves unchanged.
   leaf::result<void> check_removed_services(const FieldScope& scope, const ConfigurationPatch& patch,
                                             const ConfigurationEdit& edit) const;
-  bool has_service(const ConfigurationEdit& edit, const std::string& name) const;
+  // True if the service exists once the edit is applied.
+  bool has_service_after(const ConfigurationEdit& edit, const std::string& name) const;
 
-  std::string original_;                       // empty: patched since it was read
-  std::map<std::string, std::string> values_;  // members that are no lists, by name: their texts
-  std::map<std::string, List> lists_;
+  std::string original_;                       // the text that was read; empty once patched
+  std::map<std::string, std::string> values_;  // JSON texts of the members that are not lists, by name
+  std::map<std::string, List> lists_;          // the members that are lists, by name
   EditableConfiguration editable_;
 };
 
--- a/src/cluster/config/configuration_patch.hpp
+++ b/src/cluster/config/configuration_patch.hpp
@@ -1,4 +1,4 @@
-// A change of named items of a configuration.
+// A patch of a configuration: upserts and deletions of named items.
 #pragma once
 
 #include <json/value.h>
@@ -11,15 +11,15 @@
 
 namespace winchhall::cluster {
 
-// A patch whose own shape has been checked; what it makes of a configuration is checked when it is applied.
+// A patch of valid form. Whether it applies to a configuration is checked by ConfigurationDocument::check.
 struct ConfigurationPatch {
-  std::uint64_t version = 0;  // that it makes
-  Json::Value upsert;         // lists of items, by the name of the list; null: none
-  Json::Value removed;        // lists of names, by the name of the list; null: none
+  std::uint64_t version = 0;  // of the configuration after the patch
+  Json::Value upsert;         // object from list names to lists of items; null: none
+  Json::Value removed;        // object from list names to lists of item names; null: none
   Json::Value limits;         // null: unchanged
 };
 
-// Reads a patch. Errors: InvalidInput.
+// Parses a patch and validates its form. `source` names the message in errors. Errors: InvalidInput.
 leaf::result<ConfigurationPatch> parse_patch(std::string_view json, std::string_view source);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/config/editable_configuration.cpp
+++ b/src/cluster/config/editable_configuration.cpp
@@ -18,55 +18,57 @@
   return position == positions_.end() ? nullptr : &configuration_.routes[position->second];
 }
 
-// Routes that are replaced or removed give their places up first.
 std::optional<std::size_t> EditableConfiguration::first_conflict(const ConfigurationEdit& edit) const {
-  std::unordered_set<std::string> leaving(edit.removed_routes.begin(), edit.removed_routes.end());
-  RouteIndex coming;
-  std::vector<bool> collides(edit.routes.size(), false);
+  // The paths of replaced and removed routes become free, so that routes may exchange paths within one edit.
+  std::unordered_set<std::string> released(edit.removed_routes.begin(), edit.removed_routes.end());
+  RouteIndex added;
+  std::vector<bool> conflicts_within_edit(edit.routes.size(), false);
   for (std::size_t position = 0; position < edit.routes.size(); ++position) {
     const Route& route = edit.routes[position];
-    const bool named_once = leaving.insert(route.name).second;
-    collides[position] = !named_once || !coming.add(route.hostname, route.path_prefix, position);
+    const bool name_is_unique = released.insert(route.name).second;
+    conflicts_within_edit[position] =
+        !name_is_unique || !added.add(route.hostname, route.path_prefix, position);
   }
   for (std::size_t position = 0; position < edit.routes.size(); ++position) {
     const Route& route = edit.routes[position];
-    const auto holder = configuration_.route_index.position_of(route.hostname, route.path_prefix);
-    const bool held = holder && !leaving.contains(configuration_.routes[*holder].name);
-    if (held || collides[position]) return position;
+    const auto owner = configuration_.route_index.position_of(route.hostname, route.path_prefix);
+    const bool path_is_taken = owner && !released.contains(configuration_.routes[*owner].name);
+    if (path_is_taken || conflicts_within_edit[position]) return position;
   }
   return std::nullopt;
 }
 
 std::vector<RouteChange> EditableConfiguration::apply(ConfigurationEdit edit, std::uint64_t version) {
-  std::vector<RouteChange> changes;
-  const auto note_before = [&](const std::string& name) {
-    const Route* const held = find_route(name);
-    changes.push_back({held == nullptr ? std::nullopt : std::optional<Route>(*held), std::nullopt});
-    release_path(name);
-  };
-  for (const Route& route : edit.routes) {
-    note_before(route.name);
-    changes.back().after = route;
-  }
-  for (const std::string& name : edit.removed_routes) note_before(name);
+  std::vector<RouteChange> changes = route_changes(edit);
+  // All former paths are released before any new one is added, since routes may exchange paths.
+  for (const Route& route : edit.routes) release_path(route.name);
+  for (const std::string& name : edit.removed_routes) release_path(name);
   for (const std::string& name : edit.removed_routes) remove_route(name);
   for (Route& route : edit.routes) put_route(std::move(route));
-  std::erase_if(configuration_.services, [&](const Service& service) {
-    return std::find(edit.removed_services.begin(), edit.removed_services.end(), service.name) !=
-           edit.removed_services.end();
-  });
+  remove_services(edit.removed_services);
   for (Service& service : edit.services) put_service(std::move(service));
   if (edit.limits) configuration_.limits = *edit.limits;
   configuration_.version = version;
   return changes;
 }
 
+std::vector<RouteChange> EditableConfiguration::route_changes(const ConfigurationEdit& edit) const {
+  std::vector<RouteChange> changes;
+  const auto current = [this](const std::string& name) {
+    const Route* const route = find_route(name);
+    return route == nullptr ? std::nullopt : std::optional<Route>(*route);
+  };
+  for (const Route& route : edit.routes) changes.push_back({current(route.name), route});
+  for (const std::string& name : edit.removed_routes) changes.push_back({current(name), std::nullopt});
+  return changes;
+}
+
 void EditableConfiguration::release_path(const std::string& name) {
   const Route* const route = find_route(name);
   if (route != nullptr) configuration_.route_index.remove(route->hostname, route->path_prefix);
 }
 
-// The last route takes the free position.
+// Keeps `routes` contiguous in constant time: the last route moves to the vacated position.
 void EditableConfiguration::remove_route(const std::string& name) {
   const auto found = positions_.find(name);
   if (found == positions_.end()) return;
@@ -99,4 +101,10 @@
   }
 }
 
+void EditableConfiguration::remove_services(const std::vector<std::string>& names) {
+  std::erase_if(configuration_.services, [&](const Service& service) {
+    return std::find(names.begin(), names.end(), service.name) != names.end();
+  });
+}
+
 }  // namespace winchhall::cluster
--- a/src/cluster/config/editable_configuration.hpp
+++ b/src/cluster/config/editable_configuration.hpp
@@ -1,4 +1,4 @@
-// A configuration that is changed in place, item by item, at a cost that grows with the change.
+// A configuration that is edited in place, in time proportional to the edit.
 #pragma once
 
 #include <optional>
@@ -10,16 +10,17 @@
 
 namespace winchhall::cluster {
 
-// Items to be put in or replaced, by name, and names of items to be taken out. No name stands twice.
+// Items to insert or replace, identified by their names, and names of items to remove. Each name occurs once
+// at most.
 struct ConfigurationEdit {
   std::vector<Route> routes;
   std::vector<std::string> removed_routes;
   std::vector<Service> services;
   std::vector<std::string> removed_services;
-  std::optional<RequestLimits> limits;
+  std::optional<RequestLimits> limits;  // none: unchanged
 };
 
-// A route that was added (no `before`), changed, or removed (no `after`).
+// A route that was added (no `before`), changed, or removed (no `after`; neither, if it did not exist).
 struct RouteChange {
   std::optional<Route> before;
   std::optional<Route> after;
@@ -31,22 +32,24 @@
   explicit EditableConfiguration(Configuration configuration);
 
   const Configuration& configuration() const { return configuration_; }
-  // Null: no route has this name.
+  // Null if there is no route of this name.
   const Route* find_route(const std::string& name) const;
-  // Position in `edit.routes` of the first one that would share host and prefix, or its name, with another
-  // route; none: the edit can be carried out.
+  // Position in `edit.routes` of the first route that would have the same hostname and path prefix, or the
+  // same name, as another route; none if the edit can be applied.
   std::optional<std::size_t> first_conflict(const ConfigurationEdit& edit) const;
-  // Carries out an edit without collisions, which makes `version`. Routes keep no particular order.
+  // Applies an edit without conflicts and sets the version. Does not preserve the order of the routes.
   std::vector<RouteChange> apply(ConfigurationEdit edit, std::uint64_t version);
 
  private:
+  std::vector<RouteChange> route_changes(const ConfigurationEdit& edit) const;
   void release_path(const std::string& name);
   void remove_route(const std::string& name);
   void put_route(Route route);
   void put_service(Service service);
+  void remove_services(const std::vector<std::string>& names);
 
   Configuration configuration_;
-  std::unordered_map<std::string, std::size_t> positions_;  // of the routes, by name
+  std::unordered_map<std::string, std::size_t> positions_;  // in `routes`, by route name
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/config/json_fields.hpp
+++ b/src/cluster/config/json_fields.hpp
@@ -1,5 +1,5 @@
-// Reads JSON texts and their fields with checks of type and range. Every failure is an InvalidInput that
-// names the field, what was found and what is allowed.
+// Parsing of JSON objects and typed access to their fields. Every failure is an InvalidInput that names the
+// field, the value found and the values allowed. A field with an explicit null counts as missing.
 #pragma once
 
 #include <json/value.h>
@@ -13,52 +13,53 @@
 
 namespace winchhall::cluster {
 
-// Where a field stands: the message, and the path of the object that holds the field.
+// The location of an object or a list within a message, for error reports.
 struct FieldScope {
-  std::string source;
-  std::string path;  // empty: the top of the message
+  std::string source;  // name of the message
+  std::string path;    // e.g. "routes[3]"; empty: the top level
 
-  // Path of a field of this object.
+  // The path of a field of this object.
   std::string field(std::string_view name) const;
-  // Scope of an object or a list that is a field of this one.
+  // The scope of an object or a list that is a field of this object.
   FieldScope child(std::string_view name) const { return {source, field(name)}; }
-  // Scope of an item of this list.
+  // The scope of an item of this list.
   FieldScope item(unsigned position) const;
 };
 
-// What a whole number may be.
+// The values allowed for an integer field.
 struct IntegerRange {
-  std::uint64_t least = 0;
-  std::uint64_t most = 0;
-  std::optional<std::uint64_t>
-      default_value;  // taken where the field is missing; none: the field is required
+  std::uint64_t minimum = 0;
+  std::uint64_t maximum = 0;                   // inclusive
+  std::optional<std::uint64_t> default_value;  // if the field is missing; none: the field is required
 };
 
-// An error about a field; `value` is null where the field is missing.
+// Creates the InvalidInput for a field. An empty name stands for the scope itself, a null value for a missing
+// field.
 leaf::error_id invalid_field(const FieldScope& scope, std::string_view name, const Json::Value& value,
                              std::string allowed);
 
-// Reads a text that holds one JSON object and nothing else. Duplicate keys and broken UTF-8 are refused.
+// Parses a text that consists of exactly one JSON object. Duplicate keys and invalid UTF-8 are errors.
 leaf::result<Json::Value> parse_json_object(std::string_view text, std::string_view source);
-// Writes compact JSON; numbers keep their values.
+// Serializes compact JSON; parsing it again yields the same numbers.
 std::string write_json(const Json::Value& value);
 
+// Must be present and not empty.
 leaf::result<std::string> required_string(const FieldScope& scope, const Json::Value& object,
                                           const char* name);
-// Empty where the field is missing.
+// Empty if the field is missing.
 leaf::result<std::string> optional_string(const FieldScope& scope, const Json::Value& object,
                                           const char* name);
 leaf::result<std::uint64_t> integer_field(const FieldScope& scope, const Json::Value& object,
                                           const char* name, const IntegerRange& range);
-// `fallback` where the field is missing.
 leaf::result<bool> optional_bool(const FieldScope& scope, const Json::Value& object, const char* name,
                                  bool default_value);
-// A finite number from 0 to `most`; `fallback` where the field is missing.
+// A finite number from 0 to `maximum`.
 leaf::result<double> optional_number(const FieldScope& scope, const Json::Value& object, const char* name,
-                                     double most, double default_value);
-// A list (null where the field is missing and not required), and an object likewise.
+                                     double maximum, double default_value);
+// Null if the field is missing and not required. The result is valid as long as `object`.
 leaf::result<const Json::Value*> list_field(const FieldScope& scope, const Json::Value& object,
                                             const char* name, bool required);
+// Null if the field is missing. The result is valid as long as `object`.
 leaf::result<const Json::Value*> object_field(const FieldScope& scope, const Json::Value& object,
                                               const char* name);
 
--- a/src/cluster/config/route_index.cpp
+++ b/src/cluster/config/route_index.cpp
@@ -7,27 +7,26 @@
 namespace winchhall::cluster {
 namespace {
 
-char lower(char letter) {
-  if (letter >= 'A' && letter <= 'Z') return static_cast<char>(letter - 'A' + 'a');
-  return letter;
+char to_lower(char character) {
+  if (character >= 'A' && character <= 'Z') return static_cast<char>(character - 'A' + 'a');
+  return character;
 }
 
 }  // namespace
 
 std::size_t HostnameHash::operator()(std::string_view hostname) const {
   Digest digest;
-  for (const char letter : hostname) digest.add_char(lower(letter));
+  for (const char character : hostname) digest.add_char(to_lower(character));
   return static_cast<std::size_t>(digest.value());
 }
 
 bool HostnameEqual::operator()(std::string_view left, std::string_view right) const {
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
-                    [](char one, char other) { return lower(one) == lower(other); });
+                    [](char one, char other) { return to_lower(one) == to_lower(other); });
 }
 
-// Where a length stands, or belongs.
-std::vector<RouteIndex::PrefixLength>::iterator RouteIndex::position_of_length(HostRoutes& host,
-                                                                               std::size_t length) {
+std::vector<RouteIndex::PrefixLength>::iterator RouteIndex::find_length(HostRoutes& host,
+                                                                        std::size_t length) {
   return std::lower_bound(host.lengths.begin(), host.lengths.end(), length,
                           [](const PrefixLength& one, std::size_t other) { return one.length > other; });
 }
@@ -35,10 +34,10 @@
 bool RouteIndex::add(std::string_view hostname, std::string_view path_prefix, std::size_t position) {
   HostRoutes& host = hosts_[std::string(hostname)];
   if (!host.positions.emplace(path_prefix, position).second) return false;
-  auto place = position_of_length(host, path_prefix.size());
-  const bool known = place != host.lengths.end() && place->length == path_prefix.size();
-  if (!known) place = host.lengths.insert(place, {path_prefix.size(), 0});
-  ++place->count;
+  auto entry = find_length(host, path_prefix.size());
+  const bool known = entry != host.lengths.end() && entry->length == path_prefix.size();
+  if (!known) entry = host.lengths.insert(entry, {path_prefix.size(), 0});
+  ++entry->count;
   return true;
 }
 
@@ -49,8 +48,8 @@
   const auto route = positions.find(path_prefix);
   if (route == positions.end()) return;
   positions.erase(route);
-  const auto place = position_of_length(host->second, path_prefix.size());
-  if (--place->count == 0) host->second.lengths.erase(place);
+  const auto entry = find_length(host->second, path_prefix.size());
+  if (--entry->count == 0) host->second.lengths.erase(entry);
   if (positions.empty()) hosts_.erase(host);
 }
 
--- a/src/cluster/config/route_index.hpp
+++ b/src/cluster/config/route_index.hpp
@@ -1,5 +1,5 @@
-// Finds the route of a request among hundreds without scanning them: per hostname, one hash look-up for each
-// length that a path prefix has there.
+// Longest-prefix matching of request paths. A look-up costs one hash access for the hostname and one for each
+// distinct length among its path prefixes.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace winchhall::cluster {
 
-// Hash and equality of hostnames, blind to the case of ASCII letters; look-ups need no copy.
+// Hash and equality of hostnames, ignoring the case of ASCII letters. Transparent: look-ups copy no strings.
 struct HostnameHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view hostname) const;
@@ -22,18 +22,18 @@
   bool operator()(std::string_view left, std::string_view right) const;
 };
 
-// Positions of routes by hostname and path prefix.
+// Maps hostnames and path prefixes to positions in a list of routes that the caller keeps.
 class RouteIndex {
  public:
-  // Adds a route; false: hostname and prefix are taken.
+  // Returns false and changes nothing if another route has this hostname and prefix.
   bool add(std::string_view hostname, std::string_view path_prefix, std::size_t position);
-  // Takes a route out, which must be there.
+  // Does nothing if there is no such route.
   void remove(std::string_view hostname, std::string_view path_prefix);
-  // A route that is there has another position now.
+  // Changes the position of a route. Does nothing if there is no such route.
   void move(std::string_view hostname, std::string_view path_prefix, std::size_t position);
-  // Position of the route with exactly this prefix; none: there is none.
+  // The position of the route with exactly this prefix, if any.
   std::optional<std::size_t> position_of(std::string_view hostname, std::string_view path_prefix) const;
-  // Position of the route with the longest prefix with which `path` begins; none: no route fits.
+  // The position of the route with the longest prefix of `path`, if any matches.
   std::optional<std::size_t> find(std::string_view hostname, std::string_view path) const;
 
  private:
@@ -41,7 +41,7 @@
     using is_transparent = void;
     std::size_t operator()(std::string_view prefix) const { return std::hash<std::string_view>{}(prefix); }
   };
-  // How many prefixes of a host have a length.
+  // A length that occurs among a host's prefixes, and the number of prefixes that have it.
   struct PrefixLength {
     std::size_t length = 0;
     std::size_t count = 0;
@@ -51,7 +51,8 @@
     std::unordered_map<std::string, std::size_t, PrefixHash, std::equal_to<>> positions;
   };
 
-  static std::vector<PrefixLength>::iterator position_of_length(HostRoutes& host, std::size_t length);
+  // The entry for a length, or the position to insert it at.
+  static std::vector<PrefixLength>::iterator find_length(HostRoutes& host, std::size_t length);
 
   std::unordered_map<std::string, HostRoutes, HostnameHash, HostnameEqual> hosts_;
 };
--- a/src/cluster/config/utf8.cpp
+++ b/src/cluster/config/utf8.cpp
@@ -10,12 +10,11 @@
 constexpr std::uint32_t kFirstSurrogate = 0xD800;
 constexpr std::uint32_t kLastSurrogate = 0xDFFF;
 
-// How a sequence begins: its length (0: no sequence begins so), the bits of its first byte, its least code
-// point.
+// What the first byte of a sequence says.
 struct SequenceStart {
-  std::size_t length = 0;
-  std::uint32_t bits = 0;
-  std::uint32_t least = 0;
+  std::size_t length = 0;                 // in bytes; 0: not a valid first byte
+  std::uint32_t bits = 0;                 // its part of the code point
+  std::uint32_t smallest_code_point = 0;  // of this length; smaller ones have a shorter form
 };
 
 SequenceStart sequence_start(unsigned char first) {
@@ -26,8 +25,8 @@
   return {};
 }
 
-bool is_code_point(std::uint32_t value, std::uint32_t least) {
-  if (value < least || value > kLargestCodePoint) return false;
+bool is_valid_code_point(std::uint32_t value, std::uint32_t smallest) {
+  if (value < smallest || value > kLargestCodePoint) return false;
   return value < kFirstSurrogate || value > kLastSurrogate;
 }
 
@@ -44,7 +43,7 @@
       if ((next & 0xC0) != 0x80) return false;
       value = (value << 6U) | (next & 0x3FU);
     }
-    if (!is_code_point(value, start.least)) return false;
+    if (!is_valid_code_point(value, start.smallest_code_point)) return false;
     position += start.length;
   }
   return true;
--- a/src/cluster/config/utf8.hpp
+++ b/src/cluster/config/utf8.hpp
@@ -1,11 +1,12 @@
-// Checks texts from outside before they enter messages, which carry valid UTF-8 only.
+// Validation of strings from outside before they enter Protocol Buffers messages, whose strings must be
+// UTF-8.
 #pragma once
 
 #include <string_view>
 
 namespace winchhall::cluster {
 
-// True if `text` is well-formed UTF-8: shortest forms only, no surrogates, nothing above U+10FFFF.
+// True if `text` is well-formed UTF-8 (RFC 3629): shortest forms, no surrogates, nothing above U+10FFFF.
 bool is_valid_utf8(std::string_view text);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/delivery/configuration_replica.cpp
+++ b/src/cluster/delivery/configuration_replica.cpp
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "cluster/config/configuration_json.hpp"
 #include "cluster/delivery/configuration_items.hpp"
 
 namespace winchhall::cluster {
@@ -16,8 +17,9 @@
     case DifferenceCheck::applicable:
       break;
   }
-  const bool replaces = difference.base_version() == 0 && version() != 0;
-  if (!replaces) return apply_checked(difference);
+  const bool is_full_replacement = difference.base_version() == 0 && version() != 0;
+  if (!is_full_replacement) return apply_checked(difference);
+  // Only what differs is applied, so that items missing from the new configuration are removed.
   std::vector<wire::ConfigurationItem> items(difference.items().begin(), difference.items().end());
   return apply_checked(table_.difference_to_items(difference.version(), std::move(items)));
 }
@@ -50,7 +52,7 @@
   return edit;
 }
 
-// Items of a kind that this version of the program doesn't know are kept in the table alone.
+// Items of unknown kinds, from newer versions of the program, are kept in the item table only.
 leaf::result<void> ConfigurationReplica::read_item(const wire::ConfigurationItem& item,
                                                    ConfigurationEdit& edit) {
   switch (item.kind()) {
--- a/tests/cluster/config/configuration_document_test.cpp
+++ b/tests/cluster/config/configuration_document_test.cpp
@@ -1,5 +1,5 @@
-// Patches of a configuration's text, against a plain oracle: the text read, edited and checked whole each
-// time.
+// Patches of a configuration document, compared with a reference that parses, edits and validates the
+// complete text each time.
 #include <json/value.h>
 
 #include <catch2/catch.hpp>
@@ -14,20 +14,20 @@
 
 std::string name_of(const Json::Value& item) { return item["name"].asString(); }
 
-// The patched text as the page has it, or nothing where what it makes is invalid.
-std::string oracle(const std::string& base, const ConfigurationPatch& patch) {
+// The patched text; empty if it is not a valid configuration.
+std::string reference_result(const std::string& base, const ConfigurationPatch& patch) {
   const auto read = [](const std::string& text) { return parse_json_object(text, "test"); };
   Json::Value root = leaf::try_handle_all([&] { return read(base); }, [] { return Json::Value(); });
   root["version"] = Json::UInt64{patch.version};
   for (const std::string& list : patch.removed.getMemberNames()) {
-    Json::Value kept(Json::arrayValue);
+    Json::Value remaining(Json::arrayValue);
     for (const Json::Value& item : root[list]) {
       bool removed = false;
       for (const Json::Value& name : patch.removed[list])
         removed = removed || name.asString() == name_of(item);
-      if (!removed) kept.append(item);
+      if (!removed) remaining.append(item);
     }
-    root[list] = kept;
+    root[list] = remaining;
   }
   for (const std::string& list : patch.upsert.getMemberNames()) {
     for (const Json::Value& item : patch.upsert[list]) {
@@ -46,31 +46,31 @@
   return valid ? text : std::string();
 }
 
-// A drawn patch over few names, so that many are invalid: shared prefixes, services that go or never were.
-std::string drawn_patch(std::mt19937& random, std::uint64_t version) {
+// A random patch over few names, so that many are invalid: conflicting prefixes, removed or unknown services.
+std::string random_patch(std::mt19937& random, std::uint64_t version) {
   const auto number = [&](unsigned below) { return std::to_string(random() % below); };
   const auto comma = [](std::string& list) { list += list.empty() ? "" : ","; };
   std::string routes;
   std::string services;
-  std::string no_routes;
-  std::string no_services;
+  std::string removed_routes;
+  std::string removed_services;
   for (unsigned name = 0; name < 6; ++name) {
     const std::string route = "r-" + std::to_string(name);
-    const unsigned fate = random() % 6;
-    if (fate == 0) {
+    const unsigned action = random() % 6;
+    if (action == 0) {
       comma(routes);
       routes += route_json(route, "p" + number(7), random() % 4 == 0 ? "s-" + number(3) : "core");
     }
-    if (fate == 1) {
-      comma(no_routes);
-      no_routes += "\"" + route + "\"";
+    if (action == 1) {
+      comma(removed_routes);
+      removed_routes += "\"" + route + "\"";
     }
   }
   if (random() % 3 == 0) services = R"({"name":"s-)" + number(3) + R"(","note":{"x":[1,2.5]}})";
-  if (random() % 4 == 0) no_services = "\"s-" + number(3) + "\"";
+  if (random() % 4 == 0) removed_services = "\"s-" + number(3) + "\"";
   std::string patch = R"({"version":)" + std::to_string(version) + R"(,"upsert":{"routes":[)" + routes +
-                      R"(],"services":[)" + services + R"(]},"delete":{"routes":[)" + no_routes +
-                      R"(],"services":[)" + no_services + "]}";
+                      R"(],"services":[)" + services + R"(]},"delete":{"routes":[)" + removed_routes +
+                      R"(],"services":[)" + removed_services + "]}";
   if (random() % 5 == 0) patch += R"(,"limits":{"max_body_bytes":)" + number(3) + "}";
   return patch + "}";
 }
@@ -86,28 +86,28 @@
 
 }  // namespace
 
-TEST_CASE("drawn patches are taken and refused as the whole text would be, and make the same text") {
-  unsigned taken = 0;
-  unsigned refused = 0;
+TEST_CASE("random patches are accepted, rejected and applied as by the reference") {
+  unsigned accepted = 0;
+  unsigned rejected = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     std::mt19937 random(seed);
     ConfigurationDocument document = document_of(small_configuration(1));
     for (std::uint64_t version = 2; version <= 60; ++version) {
-      const std::string text = drawn_patch(random, version);
+      const std::string text = random_patch(random, version);
       const ConfigurationPatch patch = patch_of(text);
       REQUIRE(patch.version == version);
-      const std::string expected = oracle(document.json(), patch);
+      const std::string expected = reference_result(document.json(), patch);
       CAPTURE(seed, text, document.json());
-      const bool fits = leaf::try_handle_all(
+      const bool applied = leaf::try_handle_all(
           [&]() -> leaf::result<bool> {
             BOOST_LEAF_AUTO(edit, document.check(patch, "test"));
             document.apply(patch, std::move(edit));
             return true;
           },
           [] { return false; });
-      REQUIRE(fits == !expected.empty());
-      ++(fits ? taken : refused);
-      if (!fits) continue;
+      REQUIRE(applied == !expected.empty());
+      ++(applied ? accepted : rejected);
+      if (!applied) continue;
       REQUIRE(document.json() == expected);
       REQUIRE(document.configuration().version == version);
       REQUIRE(document.configuration().routes.size() == parsed(expected).routes.size());
@@ -119,11 +119,11 @@
       }
     }
   }
-  CHECK(taken > 500);
-  CHECK(refused > 500);
+  CHECK(accepted > 500);
+  CHECK(rejected > 500);
 }
 
-TEST_CASE("a text without patches stays as it was sent, to the letter") {
+TEST_CASE("a document without patches keeps its text byte by byte") {
   const std::string spaced = " " + small_configuration(3) + "\n";
   CHECK(document_of(spaced).json() == spaced);
 }
--- a/tests/cluster/config/configuration_values_test.cpp
+++ b/tests/cluster/config/configuration_values_test.cpp
@@ -1,4 +1,4 @@
-// Reading, checking and patching configurations; finding routes.
+// Parsing, validating and patching configurations; route look-ups.
 #include <json/value.h>
 
 #include <catch2/catch.hpp>
@@ -12,16 +12,16 @@
 
 namespace {
 
-std::string refused(const std::string& json) {
+std::string rejected_field_of(const std::string& json) {
   return refused_field([&] { return parse_configuration(json, "test"); });
 }
 
-std::string refused_route(const std::string& fields) {
-  return refused(
+std::string rejected_field_of_route(const std::string& fields) {
+  return rejected_field_of(
       configuration_json(1, R"({"name":"r-1","hostname":"a.example","path_prefix":"/p/",)" + fields + "}"));
 }
 
-std::string refused_patch(const std::string& patch) {
+std::string rejected_field_of_patch(const std::string& patch) {
   const Configuration base = parsed(small_configuration(1));
   return refused_field([&] { return apply_patch(base, patch); });
 }
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("a whole configuration is read") {
+TEST_CASE("a complete configuration is parsed") {
   const Configuration configuration = parsed(small_configuration(7));
   CHECK(configuration.version == 7);
   REQUIRE(configuration.routes.size() == 1);
@@ -53,36 +53,37 @@
   CHECK(configuration.json == small_configuration(7));
 }
 
-TEST_CASE("texts that are no whole configuration are refused") {
-  const std::string whole = small_configuration(7);
-  for (std::size_t length = 0; length < whole.size(); ++length)
-    CHECK(refused(whole.substr(0, length)) == "body");
-  CHECK(refused(whole + "x") == "body");
-  CHECK(refused("[]") == "body");
-  CHECK(refused("{\"version\":1,\"routes\":[],\"services\":[],\"x\":\"\xff\"}") == "body");
-  CHECK(refused(R"({"version":1,"version":2,"routes":[],"services":[]})") == "body");
-  CHECK(refused(std::string(5000, '[')) == "body");
-}
-
-TEST_CASE("versions, lists and limits are checked") {
-  CHECK(refused(R"({"routes":[],"services":[]})") == "version");
-  CHECK(refused(R"({"version":0,"routes":[],"services":[]})") == "version");
-  CHECK(refused(R"({"version":-3,"routes":[],"services":[]})") == "version");
-  CHECK(refused(R"({"version":1.5,"routes":[],"services":[]})") == "version");
-  CHECK(refused(R"({"version":"1","routes":[],"services":[]})") == "version");
-  CHECK(refused(R"({"version":1e30,"routes":[],"services":[]})") == "version");
-  CHECK(refused(R"({"version":1,"services":[]})") == "routes");
-  CHECK(refused(R"({"version":1,"routes":[]})") == "services");
-  CHECK(refused(R"({"version":1,"routes":{},"services":[]})") == "routes");
-  CHECK(refused(R"({"version":1,"routes":[],"services":[],"limits":[]})") == "limits");
-  CHECK(refused(R"({"version":1,"routes":[],"services":[],"limits":{"max_body_bytes":0}})") ==
+TEST_CASE("texts that are not a complete configuration are rejected") {
+  const std::string complete = small_configuration(7);
+  for (std::size_t length = 0; length < complete.size(); ++length) {
+    CHECK(rejected_field_of(complete.substr(0, length)) == "body");
+  }
+  CHECK(rejected_field_of(complete + "x") == "body");
+  CHECK(rejected_field_of("[]") == "body");
+  CHECK(rejected_field_of("{\"version\":1,\"routes\":[],\"services\":[],\"x\":\"\xff\"}") == "body");
+  CHECK(rejected_field_of(R"({"version":1,"version":2,"routes":[],"services":[]})") == "body");
+  CHECK(rejected_field_of(std::string(5000, '[')) == "body");
+}
+
+TEST_CASE("versions, lists and limits are validated") {
+  CHECK(rejected_field_of(R"({"routes":[],"services":[]})") == "version");
+  CHECK(rejected_field_of(R"({"version":0,"routes":[],"services":[]})") == "version");
+  CHECK(rejected_field_of(R"({"version":-3,"routes":[],"services":[]})") == "version");
+  CHECK(rejected_field_of(R"({"version":1.5,"routes":[],"services":[]})") == "version");
+  CHECK(rejected_field_of(R"({"version":"1","routes":[],"services":[]})") == "version");
+  CHECK(rejected_field_of(R"({"version":1e30,"routes":[],"services":[]})") == "version");
+  CHECK(rejected_field_of(R"({"version":1,"services":[]})") == "routes");
+  CHECK(rejected_field_of(R"({"version":1,"routes":[]})") == "services");
+  CHECK(rejected_field_of(R"({"version":1,"routes":{},"services":[]})") == "routes");
+  CHECK(rejected_field_of(R"({"version":1,"routes":[],"services":[],"limits":[]})") == "limits");
+  CHECK(rejected_field_of(R"({"version":1,"routes":[],"services":[],"limits":{"max_body_bytes":0}})") ==
         "limits.max_body_bytes");
-  CHECK(refused(R"({"version":1,"routes":[],"services":[]})").empty());
+  CHECK(rejected_field_of(R"({"version":1,"routes":[],"services":[]})").empty());
 }
 
-TEST_CASE("services are checked") {
+TEST_CASE("services are validated") {
   const auto with = [](const std::string& services) {
-    return refused(R"({"version":1,"routes":[],"services":[)" + services + "]}");
+    return rejected_field_of(R"({"version":1,"routes":[],"services":[)" + services + "]}");
   };
   CHECK(with("7") == "services[0]");
   CHECK(with("{}") == "services[0].name");
@@ -93,28 +94,28 @@
   CHECK(with(R"({"name":"a","timeout_ms":0})") == "services[0].timeout_ms");
 }
 
-TEST_CASE("routes are checked") {
-  CHECK(refused_route(R"("timeout_ms":1,"backend":"core")").empty());
-  CHECK(refused_route(R"("timeout_ms":0,"backend":"core")") == "routes[0].timeout_ms");
-  CHECK(refused_route(R"("backend":"core")") == "routes[0].timeout_ms");
-  CHECK(refused_route(R"("timeout_ms":-1,"backend":"core")") == "routes[0].timeout_ms");
-  CHECK(refused_route(R"("timeout_ms":99999999999,"backend":"core")") == "routes[0].timeout_ms");
-  CHECK(refused_route(R"("timeout_ms":true,"backend":"core")") == "routes[0].timeout_ms");
-  CHECK(refused_route(R"("timeout_ms":1,"backend":"none")") == "routes[0].backend");
-  CHECK(refused_route(R"("timeout_ms":1)") == "routes[0].backend");
-  CHECK(refused_route(R"("timeout_ms":1,"backend":"core","stretch":"2")") == "routes[0].stretch");
-  CHECK(refused_route(R"("timeout_ms":1,"backend":"core","priority":-1)") == "routes[0].priority");
-  CHECK(refused(configuration_json(
+TEST_CASE("routes are validated") {
+  CHECK(rejected_field_of_route(R"("timeout_ms":1,"backend":"core")").empty());
+  CHECK(rejected_field_of_route(R"("timeout_ms":0,"backend":"core")") == "routes[0].timeout_ms");
+  CHECK(rejected_field_of_route(R"("backend":"core")") == "routes[0].timeout_ms");
+  CHECK(rejected_field_of_route(R"("timeout_ms":-1,"backend":"core")") == "routes[0].timeout_ms");
+  CHECK(rejected_field_of_route(R"("timeout_ms":99999999999,"backend":"core")") == "routes[0].timeout_ms");
+  CHECK(rejected_field_of_route(R"("timeout_ms":true,"backend":"core")") == "routes[0].timeout_ms");
+  CHECK(rejected_field_of_route(R"("timeout_ms":1,"backend":"none")") == "routes[0].backend");
+  CHECK(rejected_field_of_route(R"("timeout_ms":1)") == "routes[0].backend");
+  CHECK(rejected_field_of_route(R"("timeout_ms":1,"backend":"core","stretch":"2")") == "routes[0].stretch");
+  CHECK(rejected_field_of_route(R"("timeout_ms":1,"backend":"core","priority":-1)") == "routes[0].priority");
+  CHECK(rejected_field_of(configuration_json(
             1, R"({"hostname":"a","path_prefix":"/","timeout_ms":1,"backend":"core"})")) == "routes[0].name");
-  CHECK(refused(configuration_json(1, R"({"name":"r","path_prefix":"/","timeout_ms":1,"backend":"core"})")) ==
-        "routes[0].hostname");
-  CHECK(refused(configuration_json(1, route_json("r-1", "one") + "," + route_json("r-1", "two"))) ==
+  CHECK(rejected_field_of(configuration_json(
+            1, R"({"name":"r","path_prefix":"/","timeout_ms":1,"backend":"core"})")) == "routes[0].hostname");
+  CHECK(rejected_field_of(configuration_json(1, route_json("r-1", "one") + "," + route_json("r-1", "two"))) ==
         "routes[1].name");
-  CHECK(refused(configuration_json(1, route_json("r-1", "one") + "," + route_json("r-2", "one"))) ==
+  CHECK(rejected_field_of(configuration_json(1, route_json("r-1", "one") + "," + route_json("r-2", "one"))) ==
         "routes[1].path_prefix");
 }
 
-TEST_CASE("the longest prefix wins; hostnames are blind to case") {
+TEST_CASE("the longest matching prefix is found, ignoring the case of hostnames") {
   std::string routes;
   for (int number = 0; number < 300; ++number) {
     routes += route_json("r-" + std::to_string(number), "q" + std::to_string(number)) + ",";
@@ -143,7 +144,7 @@
   CHECK(copy.find_route("a.example", "/one/x")->name == "r-1");
 }
 
-TEST_CASE("a patch adds, replaces and removes; everything else stays as it was sent") {
+TEST_CASE("a patch adds, replaces and removes items and preserves everything else") {
   const Configuration base =
       parsed(configuration_json(3, route_json("r-1", "one") + "," + route_json("r-2", "two")));
   const Configuration next = patched(
@@ -162,28 +163,28 @@
   CHECK(json["limits"] == json_of(base.json)["limits"]);
 }
 
-TEST_CASE("a patch may replace the limits") {
+TEST_CASE("a patch can replace the limits") {
   const Configuration base = parsed(small_configuration(1));
   const Configuration next = patched(base, R"({"version":2,"limits":{"max_body_bytes":1000}})");
   CHECK(next.limits.max_body_bytes == 1000);
   CHECK(next.routes.size() == 1);
 }
 
-TEST_CASE("patches are checked, and what they make") {
-  CHECK(refused_patch(R"({"version":2)") == "body");
-  CHECK(refused_patch(R"({"upsert":{}})") == "version");
-  CHECK(refused_patch(R"({"version":2,"upsert":[]})") == "upsert");
-  CHECK(refused_patch(R"({"version":2,"upsert":{"routes":{}}})") == "upsert.routes");
-  CHECK(refused_patch(R"({"version":2,"upsert":{"routes":[{}]}})") == "upsert.routes[0].name");
-  CHECK(refused_patch(R"({"version":2,"upsert":{"version":[]}})") == "upsert.version");
-  CHECK(refused_patch(R"({"version":2,"delete":{"routes":[7]}})") == "delete.routes[0]");
-  CHECK(refused_patch(R"({"version":2,"delete":{"services":["core"]}})") == "delete.services[0]");
-  CHECK(refused_patch(R"({"version":2,"upsert":{"routes":[)" + route_json("r-2", "one") + "]}}") ==
+TEST_CASE("patches and their results are validated") {
+  CHECK(rejected_field_of_patch(R"({"version":2)") == "body");
+  CHECK(rejected_field_of_patch(R"({"upsert":{}})") == "version");
+  CHECK(rejected_field_of_patch(R"({"version":2,"upsert":[]})") == "upsert");
+  CHECK(rejected_field_of_patch(R"({"version":2,"upsert":{"routes":{}}})") == "upsert.routes");
+  CHECK(rejected_field_of_patch(R"({"version":2,"upsert":{"routes":[{}]}})") == "upsert.routes[0].name");
+  CHECK(rejected_field_of_patch(R"({"version":2,"upsert":{"version":[]}})") == "upsert.version");
+  CHECK(rejected_field_of_patch(R"({"version":2,"delete":{"routes":[7]}})") == "delete.routes[0]");
+  CHECK(rejected_field_of_patch(R"({"version":2,"delete":{"services":["core"]}})") == "delete.services[0]");
+  CHECK(rejected_field_of_patch(R"({"version":2,"upsert":{"routes":[)" + route_json("r-2", "one") + "]}}") ==
         "upsert.routes[0].path_prefix");
-  CHECK(refused_patch(R"({"version":2})").empty());
+  CHECK(rejected_field_of_patch(R"({"version":2})").empty());
 }
 
-TEST_CASE("UTF-8 is checked as the standard has it") {
+TEST_CASE("UTF-8 is validated as in RFC 3629") {
   CHECK(is_valid_utf8(""));
   CHECK(
       is_valid_utf8("Giros Unidos del Pac\xc3\xad"
--- a/tests/cluster/delivery/difference_test.cpp
+++ b/tests/cluster/delivery/difference_test.cpp
@@ -1,6 +1,7 @@
 // Differences between versions of the configuration: how they are made, checked and applied.
 #include <catch2/catch.hpp>
 
+#include "cluster/config/configuration_json.hpp"
 #include "tests/cluster/delivery/delivery_fixture.hpp"
 
 using namespace winchhall::cluster;
--- a/tests/cluster/ingress/job_gateway_test.cpp
+++ b/tests/cluster/ingress/job_gateway_test.cpp
@@ -3,6 +3,7 @@
 
 #include <catch2/catch.hpp>
 
+#include "cluster/config/configuration_json.hpp"
 #include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
--- a/tests/cluster/support/configuration_fixture.hpp
+++ b/tests/cluster/support/configuration_fixture.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "cluster/config/configuration.hpp"
+#include "cluster/config/configuration_json.hpp"
 #include "cluster/control/configuration_service.hpp"
 
 namespace winchhall::cluster::configuration_test {
@@ -32,7 +32,7 @@
   return configuration_json(version, route_json("r-1", "one"));
 }
 
-// Field that a configuration is refused for; empty: it is taken.
+// The field that the InvalidInput names; empty if there is no error.
 inline std::string refused_field(const std::function<leaf::result<Configuration>()>& read) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
@@ -47,7 +47,7 @@
                               [] { return Configuration(); });
 }
 
-// Applies a patch to a configuration that has its text, and reads what it makes anew.
+// Applies a patch to a configuration that was parsed, and parses the resulting text.
 inline leaf::result<Configuration> apply_patch(const Configuration& base, std::string_view text) {
   BOOST_LEAF_AUTO(document, ConfigurationDocument::read(base.json, "test"));
   BOOST_LEAF_AUTO(patch, parse_patch(text, "test"));
