--- a/src/cluster/scheduler/backfill_reservations.cpp
+++ b/src/cluster/scheduler/backfill_reservations.cpp
@@ -1,137 +1,145 @@
-// Keeps leaves free for stages that need much room at once, and makes room for them where priority allows it.
 #include "cluster/scheduler/backfill_reservations.hpp"
 
 #include <algorithm>
+#include <chrono>
+#include <map>
+#include <string>
 
 #include "cluster/scheduler/eligibility.hpp"
-#include "cluster/scheduler/gang_placement.hpp"
 #include "cluster/scheduler/run_end_estimate.hpp"
-#include "cluster/scheduler/task_preemptor.hpp"
 
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr int kMostClaims = 2;           // stages in a round
-constexpr std::uint64_t kSmallPart = 4;  // a task of less than this part of a leaf finds room by itself
-constexpr Millis kPreemptAfter{300};
-constexpr Millis kPreemptUnsavedAfter{2000};
-constexpr Millis kPreemptPause{600};  // between two rounds of stops for one stage
-constexpr Millis kUnknownEnd{3600000};
+constexpr int kMaxReservingStages = 2;  // in a round
+// A task is large for a leaf if fewer than this many of it fit there.
+constexpr std::uint64_t kSmallTasksPerLeaf = 4;
+
+constexpr Millis kPreemptForReservationAfter{
+    300};  // of waiting, and if the reservation starts no earlier than that
+constexpr Millis kLoseWorkForReservationAfter{2000};
+constexpr Millis kPreemptionInterval{600};  // between two preemptions for one stage
+constexpr Millis kNeverAvailable{3600000};  // for a leaf whose runs all ended would still be too full
+
+// How many tasks a reservation must have room for.
+std::uint64_t slots_wanted(const StageInstance& stage) { return stage.spec->gang() ? stage.tasks.size() : 1; }
 
 }  // namespace
 
 void BackfillReservations::begin_round() {
-  claims_left_ = kMostClaims;
+  reservations_left_ = kMaxReservingStages;
   for (const auto& leaf : state_.leaves.all()) leaf->reserved_for = nullptr;
 }
 
 bool BackfillReservations::needs_reservation(const StageInstance& stage) const {
   if (stage.spec->gang()) return true;
-  Resources large{stage.demand.cpu * kSmallPart, stage.demand.mem_mb * kSmallPart,
-                  stage.demand.gpu * kSmallPart};
+  const Resources several{stage.demand.cpu * kSmallTasksPerLeaf, stage.demand.mem_mb * kSmallTasksPerLeaf,
+                          stage.demand.gpu * kSmallTasksPerLeaf};
   return std::any_of(state_.leaves.all().begin(), state_.leaves.all().end(), [&](const auto& leaf) {
-    return is_feasible(*leaf, stage) && !large.fits_in(leaf->capacity);
+    return is_feasible(*leaf, stage) && !several.fits_in(leaf->capacity);
   });
 }
 
-TimePoint BackfillReservations::free_at(const Leaf& leaf, const StageInstance& stage,
-                                        std::uint64_t places) const {
+TimePoint BackfillReservations::estimate_available_at(const Leaf& leaf, const StageInstance& stage,
+                                                      std::uint64_t slots) const {
   struct Release {
     TimePoint at;
     Resources amount;
   };
   std::vector<Release> releases;
-  for (const auto& [key, run] : leaf.runs) releases.push_back({expected_end(state_, run), run.demand});
+  for (const auto& [key, run] : leaf.runs) releases.push_back({estimate_run_end(state_, run), run.demand});
   std::sort(releases.begin(), releases.end(), [](const Release& a, const Release& b) { return a.at < b.at; });
-  Resources reserved = leaf.reserved;
+  Resources allocated = leaf.allocated;
   TimePoint at = state_.now;
+  const auto fits = [&] { return leaf.capacity.without(allocated).slots_for(stage.demand) >= slots; };
   for (const Release& release : releases) {
-    if (leaf.capacity.without(reserved).times(stage.demand) >= places) return at;
-    reserved = reserved.without(release.amount);
+    if (fits()) return at;
+    allocated = allocated.without(release.amount);
     at = std::max(at, release.at);
   }
-  return leaf.capacity.without(reserved).times(stage.demand) >= places ? at : state_.now + kUnknownEnd;
+  return fits() ? at : state_.now + kNeverAvailable;
 }
 
-std::vector<BackfillReservations::Prospect> BackfillReservations::prospects(
+std::vector<BackfillReservations::Candidate> BackfillReservations::find_candidates(
     const StageInstance& stage) const {
-  std::vector<Prospect> all;
+  std::vector<Candidate> candidates;
   for (const auto& leaf : state_.leaves.all()) {
     if (!is_feasible(*leaf, stage) || !is_reachable(state_, *leaf) || state_.is_ejected(*leaf)) continue;
     if (leaf->reserved_for != nullptr) continue;
-    std::uint64_t places =
+    const std::uint64_t slots =
         std::min<std::uint64_t>(slots_for(*leaf, stage, leaf->capacity), stage.waiting.size());
-    if (places == 0) continue;
-    std::uint64_t wanted = stage.spec->gang() ? places : 1;
-    all.push_back({leaf.get(), wanted, free_at(*leaf, stage, wanted)});
+    if (slots == 0) continue;
+    const std::uint64_t wanted = stage.spec->gang() ? slots : 1;
+    candidates.push_back({leaf.get(), wanted, estimate_available_at(*leaf, stage, wanted)});
   }
-  std::sort(all.begin(), all.end(),
-            [](const Prospect& a, const Prospect& b) { return a.free_at < b.free_at; });
-  return all;
+  std::sort(candidates.begin(), candidates.end(),
+            [](const Candidate& a, const Candidate& b) { return a.available_at < b.available_at; });
+  return candidates;
 }
 
-void BackfillReservations::claim(StageInstance& stage) {
-  if (claims_left_ == 0 || stage.waiting.empty()) return;
-  std::vector<Prospect> all = prospects(stage);
-  std::vector<Prospect> best;
-  bool one_rack = stage.spec->gang() && stage.spec->same_rack();
-  std::uint64_t wanted = stage.spec->gang() ? stage.tasks.size() : 1;
-  // Prospects come in order of time: the group that is complete first is the one that is free first.
-  std::map<std::string, std::vector<Prospect>> groups;
-  for (const Prospect& prospect : all) {
-    std::vector<Prospect>& group = groups[one_rack ? prospect.leaf->rack : std::string()];
-    group.push_back(prospect);
-    std::uint64_t places = 0;
-    for (const Prospect& member : group) places += member.places;
-    if (places < wanted) continue;
-    best = group;
-    break;
+std::vector<BackfillReservations::Candidate> BackfillReservations::choose_leaves(
+    const StageInstance& stage) const {
+  const bool one_rack = stage.spec->gang() && stage.spec->same_rack();
+  const std::uint64_t wanted = slots_wanted(stage);
+  // Candidates come in the order in which they become available, so the group that first has enough slots is
+  // the one that is available first.
+  std::map<std::string, std::vector<Candidate>> groups;  // by rack, or all in one
+  for (const Candidate& candidate : find_candidates(stage)) {
+    std::vector<Candidate>& group = groups[one_rack ? candidate.leaf->rack : std::string()];
+    group.push_back(candidate);
+    std::uint64_t slots = 0;
+    for (const Candidate& member : group) slots += member.slots;
+    if (slots >= wanted) return group;
   }
-  if (best.empty()) return;
-  --claims_left_;
-  for (const Prospect& prospect : best) {
-    prospect.leaf->reserved_for = &stage;
-    prospect.leaf->reserved_until = best.back().free_at;
+  return {};
+}
+
+void BackfillReservations::reserve_for(StageInstance& stage) {
+  if (reservations_left_ == 0 || stage.waiting.empty()) return;
+  const std::vector<Candidate> chosen = choose_leaves(stage);
+  if (chosen.empty()) return;
+  --reservations_left_;
+  for (const Candidate& candidate : chosen) {
+    candidate.leaf->reserved_for = &stage;
+    candidate.leaf->reserved_until = chosen.back().available_at;
   }
-  preempt_for(stage, best);
+  preempt_for(stage, chosen);
 }
 
-void BackfillReservations::preempt_for(StageInstance& stage, const std::vector<Prospect>& chosen) {
-  Millis waited = std::chrono::duration_cast<Millis>(state_.now - stage.waiting_since);
-  if (waited < kPreemptAfter || state_.now - stage.preempted_at < kPreemptPause) return;
-  if (chosen.back().free_at - state_.now < kPreemptAfter) return;
-  std::uint64_t wanted = stage.spec->gang() ? stage.tasks.size() : 1;
-  for (const Prospect& prospect : chosen) {
-    std::uint64_t places = std::min(prospect.places, wanted);
-    if (places == 0) break;
-    wanted -= places;
-    if (!stop_for_slots(stage, *prospect.leaf, places, waited >= kPreemptUnsavedAfter)) return;
+void BackfillReservations::preempt_for(StageInstance& stage, const std::vector<Candidate>& chosen) {
+  const Millis waited = std::chrono::duration_cast<Millis>(state_.now - stage.waiting_since);
+  if (waited < kPreemptForReservationAfter || state_.now - stage.preempted_at < kPreemptionInterval) return;
+  if (chosen.back().available_at - state_.now < kPreemptForReservationAfter) return;
+  const LostWork lost_work = waited >= kLoseWorkForReservationAfter ? LostWork::accept : LostWork::avoid;
+  std::uint64_t wanted = slots_wanted(stage);
+  for (const Candidate& candidate : chosen) {
+    const std::uint64_t slots = std::min(candidate.slots, wanted);
+    if (slots == 0) break;
+    wanted -= slots;
+    if (!stop_for_slots(stage, *candidate.leaf, slots, lost_work)) return;
     stage.preempted_at = state_.now;
   }
 }
 
-bool BackfillReservations::stop_for_slots(StageInstance& stage, Leaf& leaf, std::uint64_t places,
-                                          bool unsaved_too) {
-  Resources reserved = leaf.reserved;
+bool BackfillReservations::stop_for_slots(StageInstance& stage, Leaf& leaf, std::uint64_t slots,
+                                          LostWork lost_work) {
+  Resources allocated = leaf.allocated;  // without runs that are stopping
   std::vector<Run*> victims;
   for (auto& [key, run] : leaf.runs) {
-    if (run.stop_revision > 0) reserved = reserved.without(run.demand);
-    if (may_preempt(stage, run, unsaved_too)) victims.push_back(&run);
+    if (run.stop_revision > 0) allocated = allocated.without(run.demand);
+    if (may_preempt(stage, run, lost_work)) victims.push_back(&run);
   }
-  // Those with saved work first, then those that have done least.
-  std::sort(victims.begin(), victims.end(), [](const Run* a, const Run* b) {
-    bool a_saves = a->stage->spec->checkpoints();
-    bool b_saves = b->stage->spec->checkpoints();
-    return a_saves != b_saves ? a_saves : a->ordered_at > b->ordered_at;
-  });
+  std::sort(victims.begin(), victims.end(),
+            [](const Run* left, const Run* right) { return loses_less_work(*left, *right); });
+  const auto fits = [&] { return leaf.capacity.without(allocated).slots_for(stage.demand) >= slots; };
   std::vector<Run*> chosen;
   for (Run* victim : victims) {
-    if (leaf.capacity.without(reserved).times(stage.demand) >= places) break;
-    reserved = reserved.without(victim->demand);
+    if (fits()) break;
+    allocated = allocated.without(victim->demand);
     chosen.push_back(victim);
   }
-  if (leaf.capacity.without(reserved).times(stage.demand) < places) return false;
-  for (Run* victim : chosen) ledger_.stop(*victim);
+  if (!fits()) return false;
+  for (Run* victim : chosen) runs_.stop_run(*victim);
   return true;
 }
 
--- a/src/cluster/scheduler/eligibility.cpp
+++ b/src/cluster/scheduler/eligibility.cpp
@@ -1,4 +1,3 @@
-// Which leaf may take a task of a stage.
 #include "cluster/scheduler/eligibility.hpp"
 
 #include <algorithm>
@@ -6,17 +5,20 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr Millis kHeardWithin{2500};
-constexpr Millis kPlacedWithin{1500};     // age of the newest report
-constexpr Millis kGangPlacedWithin{700};  // the same, for members of a gang: they wait for one another
-constexpr std::uint32_t kHeartbeatPlacedWithinMs = 2000;
-constexpr std::uint32_t kHeartbeatGangPlacedWithinMs = 1000;
-constexpr double kClaimMargin = 1.2;  // of an estimate, for a task to end before a claim is used
+// Greatest age of a leaf's newest report, and of the heartbeat it stands for.
+constexpr Millis kReachableReportAge{2500};
+constexpr Millis kSchedulableReportAge{1500};
+constexpr Millis kGangSchedulableReportAge{700};
+constexpr std::uint32_t kSchedulableHeartbeatAgeMs = 2000;
+constexpr std::uint32_t kGangSchedulableHeartbeatAgeMs = 1000;
+
+// Multiple of its estimate that a task must have before a reservation starts.
+constexpr double kReservationMargin = 1.2;
 
 }  // namespace
 
 bool is_reachable(const SchedulerState& state, const Leaf& leaf) {
-  return leaf.reported && state.now - leaf.reported_at <= kHeardWithin &&
+  return leaf.reported && state.now - leaf.reported_at <= kReachableReportAge &&
          leaf.heartbeat_age_ms <= kFreshHeartbeatMs;
 }
 
@@ -24,26 +26,29 @@
   const std::string& label = stage.spec->requirements();
   if (!label.empty() && std::find(leaf.labels.begin(), leaf.labels.end(), label) == leaf.labels.end())
     return false;
-  return leaf.adopted && !leaf.draining && !leaf.left && stage.demand.fits_in(leaf.capacity);
+  return leaf.synchronized && !leaf.draining && !leaf.deregistered && stage.demand.fits_in(leaf.capacity);
 }
 
 bool is_schedulable(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage) {
-  bool gang = stage.spec->gang();
   if (!is_feasible(leaf, stage) || leaf.unknown_runs > 0) return false;
-  if (!leaf.recorded || !state.records.is_durable(leaf.record_change)) return false;
-  if (state.now - leaf.reported_at > (gang ? kGangPlacedWithin : kPlacedWithin)) return false;
-  if (leaf.heartbeat_age_ms > (gang ? kHeartbeatGangPlacedWithinMs : kHeartbeatPlacedWithinMs)) return false;
+  if (!leaf.has_record || !state.records.is_durable(leaf.record_batch)) return false;
+  const bool gang = stage.spec->gang();
+  const Millis max_report_age = gang ? kGangSchedulableReportAge : kSchedulableReportAge;
+  const std::uint32_t max_heartbeat_age_ms =
+      gang ? kGangSchedulableHeartbeatAgeMs : kSchedulableHeartbeatAgeMs;
+  if (state.now - leaf.reported_at > max_report_age) return false;
+  if (leaf.heartbeat_age_ms > max_heartbeat_age_ms) return false;
   return !state.is_ejected(leaf);
 }
 
-std::uint64_t slots_for(const Leaf& leaf, const StageInstance& stage, const Resources& room) {
-  std::uint64_t places = room.times(stage.demand);
-  if (leaf.health.suspect()) places = std::min<std::uint64_t>(places, 1);
-  std::uint32_t bound = stage.spec->anti_affinity();
-  if (bound == 0) return places;
-  auto there = stage.on_leaf.find(&leaf);
-  std::uint32_t taken = there == stage.on_leaf.end() ? 0 : there->second;
-  return std::min<std::uint64_t>(places, bound - std::min(bound, taken));
+std::uint64_t slots_for(const Leaf& leaf, const StageInstance& stage, const Resources& available) {
+  std::uint64_t slots = available.slots_for(stage.demand);
+  if (leaf.health.is_suspect()) slots = std::min<std::uint64_t>(slots, 1);
+  const std::uint32_t max_per_leaf = stage.spec->anti_affinity();
+  if (max_per_leaf == 0) return slots;
+  const auto found = stage.runs_by_leaf.find(&leaf);
+  const std::uint32_t runs = found == stage.runs_by_leaf.end() ? 0 : found->second;
+  return std::min<std::uint64_t>(slots, max_per_leaf - std::min(max_per_leaf, runs));
 }
 
 bool is_remote(const Leaf& leaf, const StageInstance& stage) {
@@ -51,28 +56,34 @@
   return !rack.empty() && leaf.rack != rack;
 }
 
-double remote_slowdown(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage) {
-  return is_remote(leaf, stage) ? state.terms.bounds.far_factor : 1;
+double estimate_ms_on(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage) {
+  return stage.estimate_ms * (is_remote(leaf, stage) ? state.terms.bounds.far_factor : 1);
+}
+
+double remote_penalty_ms(const SchedulerState& state, const StageInstance& stage) {
+  return stage.estimate_ms * (state.terms.bounds.far_factor - 1);
 }
 
 bool respects_reservation(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage) {
   if (leaf.reserved_for == nullptr || leaf.reserved_for == &stage) return true;
   if (stage.spec->long_running()) return false;
-  double ms = stage.hint * remote_slowdown(state, leaf, stage) * kClaimMargin;
+  const double ms = estimate_ms_on(state, leaf, stage) * kReservationMargin;
   return state.now + Millis(static_cast<std::int64_t>(ms)) <= leaf.reserved_until;
 }
 
+bool has_failed_on(const Leaf& leaf, const Task& task) {
+  return std::find(task.failed_leaves.begin(), task.failed_leaves.end(), leaf.id) != task.failed_leaves.end();
+}
+
 bool is_risky_last_attempt(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage,
                            const Task& task) {
   if (!state.ejection_enabled || stage.spec->long_running()) return false;
-  const std::uint32_t failures = failures_of(stage, task);
+  const std::uint32_t failures = count_failed_runs(stage, task);
   if (failures == 0 || failures + 1 < stage.job->max_retries()) return false;
-  const bool failed_here =
-      std::find(task.failed_leaves.begin(), task.failed_leaves.end(), leaf.id) != task.failed_leaves.end();
-  return failed_here || leaf.health.unsound();
+  return has_failed_on(leaf, task) || leaf.health.has_high_failure_rate();
 }
 
-bool may_start(const SchedulerState& state, const Job& job) {
+bool may_start_tasks(const SchedulerState& state, const Job& job) {
   return !job.restored || state.unsynchronized_leaves.empty();
 }
 
--- a/src/cluster/scheduler/eligibility.hpp
+++ b/src/cluster/scheduler/eligibility.hpp
@@ -1,40 +1,51 @@
-// Which leaf may take a task of a stage.
+// Predicates and estimates on which leaf may run a stage's tasks. They read the state only.
+//
+// Terms: a leaf is feasible for a stage if it could ever run one of its tasks; schedulable if it may be given
+// one now, capacity aside; slots are how many tasks its capacity has room for.
 #pragma once
 
 #include "cluster/scheduler/scheduler_state.hpp"
 
 namespace winchhall::cluster::scheduling {
 
-// A leaf whose last heartbeat is older than this may be gone: no hold is granted.
+// A leaf whose newest heartbeat is older than this may have ended: its execution lease isn't renewed.
 inline constexpr std::uint32_t kFreshHeartbeatMs = 3000;
 
-// True if the leaf is heard and heartbeats; a leaf that is not, and whose hold has run out, runs nothing.
+// True if reports of the leaf come in and it sends heartbeats. What ran on a leaf that isn't reachable has
+// ended once its execution lease has expired.
 bool is_reachable(const SchedulerState& state, const Leaf& leaf);
 
-// Whether tasks of the stage may run there at all, whatever room there is now.
 bool is_feasible(const Leaf& leaf, const StageInstance& stage);
 
-// Whether the leaf may be given a task of the stage now, room left aside.
+// Stricter for members of a gang, since one that doesn't start keeps all others waiting.
 bool is_schedulable(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
 
-// How many more tasks of the stage fit there, with `room` left.
-std::uint64_t slots_for(const Leaf& leaf, const StageInstance& stage, const Resources& room);
+// How many more tasks of the stage fit on the leaf if `available` of its capacity is free; heeds the stage's
+// anti-affinity, and gives a suspect leaf one task at a time.
+std::uint64_t slots_for(const Leaf& leaf, const StageInstance& stage, const Resources& available);
 
-// True if the stage names the rack of its data and the leaf is not in it.
+// True if the stage names the rack of its data and the leaf isn't in it.
 bool is_remote(const Leaf& leaf, const StageInstance& stage);
 
-// How many times as long as its estimate the task takes there, by where its data lies.
-double remote_slowdown(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
+// Expected duration in ms of one of the stage's tasks on this leaf, by where its data lies.
+double estimate_ms_on(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
 
-// True unless the leaf is kept free for another stage and this one would stand in its way.
+// Time in ms that a task of the stage loses by running away from its data.
+double remote_penalty_ms(const SchedulerState& state, const StageInstance& stage);
+
+// True unless the leaf is reserved for another stage and a task of this one might still run when that is to
+// start.
 bool respects_reservation(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage);
 
-// True if one more failure ends the task's job and the leaf is likely to bring it: it fails much of what it
-// starts, or this task failed there.
+// True if the task failed, was refused or stalled there.
+bool has_failed_on(const Leaf& leaf, const Task& task);
+
+// True if one more failure of this task ends its job and a run on this leaf is likely to fail: the leaf has a
+// high failure rate, or the task failed there.
 bool is_risky_last_attempt(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage,
                            const Task& task);
 
-// True if the job may be started: everything that it might be running elsewhere is known.
-bool may_start(const SchedulerState& state, const Job& job);
+// True if tasks of the job may start: all runs of it that an earlier leader may have ordered are known.
+bool may_start_tasks(const SchedulerState& state, const Job& job);
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/gang_placement.cpp
+++ b/src/cluster/scheduler/gang_placement.cpp
@@ -1,8 +1,9 @@
-// Places for all members of a gang at once.
 #include "cluster/scheduler/gang_placement.hpp"
 
 #include <algorithm>
 #include <map>
+#include <string>
+#include <utility>
 
 #include "cluster/scheduler/eligibility.hpp"
 #include "placement/least_cost.hpp"
@@ -10,50 +11,53 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// What a leaf could still take, and what it would have to do, while a plan is made.
-struct Offer {
+// Part of the time lost by being spread over racks that a gang waits for one rack.
+constexpr double kRackWaitFactor = 0.5;
+
+// A leaf with what it has left while a placement is made.
+struct PlannedLeaf {
   Leaf* leaf = nullptr;
-  std::uint64_t places = 0;
-  double cost = 0;
+  std::uint64_t slots = 0;
+  double load_ms = 0;  // with the members planned so far
 };
 
-// Gives each member to the leaf with the least cost; empty if they don't all fit. `total`: sum of those
-// costs.
-std::vector<Leaf*> spread(SchedulerState& state, const StageInstance& stage, const std::vector<Leaf*>& leaves,
-                          double hint, double& total) {
-  std::vector<Offer> offers;
-  std::uint64_t places = 0;
+// Gives each member to the leaf with the least load; empty if they don't all fit. Sets `total_ms` to the sum,
+// over all members, of the load of their leaf after each.
+std::vector<Leaf*> spread_members(SchedulerState& state, const StageInstance& stage,
+                                  const std::vector<Leaf*>& leaves, double estimate_ms, double& total_ms) {
+  std::vector<PlannedLeaf> planned;
+  std::uint64_t slots = 0;
   for (Leaf* leaf : leaves) {
-    offers.push_back({leaf, slots_for(*leaf, stage, leaf->free()), leaf->cost});
-    places += offers.back().places;
+    planned.push_back({leaf, slots_for(*leaf, stage, leaf->available()), leaf->load_ms});
+    slots += planned.back().slots;
   }
   std::vector<Leaf*> members;
-  if (places < stage.tasks.size()) return members;
+  total_ms = 0;
+  if (slots < stage.tasks.size()) return members;
   for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
-    placement::LeastCost<Offer*> choice;
-    for (Offer& offer : offers)
-      if (offer.places > 0)
-        choice.offer(&offer, offer.cost + hint, state.random, offer.leaf->health.suspect() ? 1 : 0);
-    Offer& best = *choice.best();
-    --best.places;
-    best.cost += hint;
-    total += best.cost;
+    placement::LeastCost<PlannedLeaf*> choice;
+    for (PlannedLeaf& entry : planned) {
+      if (entry.slots == 0) continue;
+      const int rank = entry.leaf->health.is_suspect() ? 1 : 0;
+      choice.offer(&entry, entry.load_ms + estimate_ms, state.random, rank);
+    }
+    PlannedLeaf& best = *choice.best();
+    --best.slots;
+    best.load_ms += estimate_ms;
+    total_ms += best.load_ms;
     members.push_back(best.leaf);
   }
   return members;
 }
 
-bool in_one_rack(const std::vector<Leaf*>& leaves) {
+bool are_in_one_rack(const std::vector<Leaf*>& leaves) {
   return std::all_of(leaves.begin(), leaves.end(),
                      [&](const Leaf* leaf) { return leaf->rack == leaves.front()->rack; });
 }
 
-// Rather than spread over racks, a gang waits this part of what it would lose by it.
-constexpr double kPatience = 0.5;
-
-}  // namespace
-
-std::vector<std::vector<Leaf*>> groups_for(const StageInstance& stage, const std::vector<Leaf*>& candidates) {
+// The groups of leaves that the members may be placed on: racks, or all leaves together.
+std::vector<std::vector<Leaf*>> placement_groups(const StageInstance& stage,
+                                                 const std::vector<Leaf*>& candidates) {
   if (!stage.spec->same_rack()) return {candidates};
   std::map<std::string, std::vector<Leaf*>> racks;
   for (Leaf* leaf : candidates) racks[leaf->rack].push_back(leaf);
@@ -63,31 +67,44 @@
   return groups;
 }
 
-GangPlacement place_gang_members(SchedulerState& state, const StageInstance& stage,
+// Places all members in the group with the least total load; empty if no group has room for all.
+GangPlacement place_in_one_group(SchedulerState& state, const StageInstance& stage,
                                  const std::vector<Leaf*>& candidates) {
   placement::LeastCost<std::size_t> choice;
-  std::vector<std::vector<Leaf*>> plans;
-  for (const std::vector<Leaf*>& group : groups_for(stage, candidates)) {
-    double hint = group.empty() ? stage.hint : stage.hint * remote_slowdown(state, *group.front(), stage);
-    double total = 0;
-    std::vector<Leaf*> members = spread(state, stage, group, hint, total);
+  std::vector<std::vector<Leaf*>> placements;
+  for (const std::vector<Leaf*>& group : placement_groups(stage, candidates)) {
+    const double estimate_ms =
+        group.empty() ? stage.estimate_ms : estimate_ms_on(state, *group.front(), stage);
+    double total_ms = 0;
+    std::vector<Leaf*> members = spread_members(state, stage, group, estimate_ms, total_ms);
     if (members.empty()) continue;
-    choice.offer(plans.size(), total, state.random);
-    plans.push_back(std::move(members));
-  }
-  if (!choice.empty()) {
-    const std::vector<Leaf*>& members = plans[choice.best()];
-    return {members, stage.hint * remote_slowdown(state, *members.front(), stage)};
+    choice.offer(placements.size(), total_ms, state.random);
+    placements.push_back(std::move(members));
   }
-  if (!stage.spec->same_rack()) return {};
-  double longer = stage.hint * (state.terms.bounds.far_factor - 1);
-  if (state.now < stage.waiting_since + Millis(static_cast<std::int64_t>(longer * kPatience))) return {};
-  double total = 0;
-  double hint = stage.hint * state.terms.bounds.far_factor;
-  std::vector<Leaf*> members = spread(state, stage, candidates, hint, total);
+  if (choice.empty()) return {};
+  const std::vector<Leaf*>& members = placements[choice.best()];
+  return {members, estimate_ms_on(state, *members.front(), stage)};
+}
+
+GangPlacement spread_over_racks(SchedulerState& state, const StageInstance& stage,
+                                const std::vector<Leaf*>& candidates) {
+  const double estimate_ms = stage.estimate_ms * state.terms.bounds.far_factor;
+  double total_ms = 0;
+  std::vector<Leaf*> members = spread_members(state, stage, candidates, estimate_ms, total_ms);
   if (members.empty()) return {};
-  const double cost = in_one_rack(members) ? stage.hint : hint;
-  return {std::move(members), cost};
+  const double cost_ms = are_in_one_rack(members) ? stage.estimate_ms : estimate_ms;
+  return {std::move(members), cost_ms};
+}
+
+}  // namespace
+
+GangPlacement place_gang_members(SchedulerState& state, const StageInstance& stage,
+                                 const std::vector<Leaf*>& candidates) {
+  GangPlacement placement = place_in_one_group(state, stage, candidates);
+  if (!placement.members.empty() || !stage.spec->same_rack()) return placement;
+  const double wait_ms = remote_penalty_ms(state, stage) * kRackWaitFactor;
+  if (state.now < stage.waiting_since + Millis(static_cast<std::int64_t>(wait_ms))) return {};
+  return spread_over_racks(state, stage, candidates);
 }
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/job_lifecycle.cpp
+++ b/src/cluster/scheduler/job_lifecycle.cpp
@@ -1,110 +1,124 @@
-// The course of jobs: taken in, opened repeat by repeat and stage by stage, ended, removed.
 #include "cluster/scheduler/job_lifecycle.hpp"
 
 #include <algorithm>
+#include <utility>
+#include <vector>
 
 #include "cluster/scheduler/job_validation.hpp"
 
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr std::uint32_t kMostLiveJobs = 20000;
-constexpr std::uint64_t kMostOpenTasks = 20000;  // of one job, unless one repeat alone has more
-constexpr Millis kLookAgain{20};                 // at a repeat whose time has not come after all
-constexpr Millis kHeldBack{500};                 // a repeat of a job that has too many tasks open
+constexpr std::uint32_t kMaxLiveJobs = 20000;
+constexpr std::uint64_t kMaxUnfinishedTasks = 20000;  // of one job, unless one repeat alone has more
+constexpr Millis kMinRepeatTimer{20};           // the wall clock may have been set back since a timer was set
+constexpr Millis kUnfinishedTasksBackoff{500};  // of a repeat, while its job has too many unfinished tasks
+
+// Why the job is invalid; none if it is valid.
+std::optional<std::string> find_violation(const std::string& id, const wire::JobSpec& spec) {
+  return leaf::try_handle_all(
+      [&]() -> leaf::result<std::optional<std::string>> {
+        BOOST_LEAF_CHECK(validate_job(id, spec));
+        return std::optional<std::string>();
+      },
+      [](const InvalidInput& error) { return std::optional<std::string>(error.message()); },
+      [] { return std::optional<std::string>(std::string()); });
+}
 
 }  // namespace
 
 SubmitResult JobLifecycle::submit(const std::string& id, const wire::JobSpec& spec,
                                   const wire::QueueTerms& terms) {
-  if (Job* known = state_.jobs.find(id)) return {wire::JOB_OK, known->durable ? 0 : known->last_change, {}};
-  std::string reason;
-  bool valid = leaf::try_handle_all(
-      [&]() -> leaf::result<bool> {
-        BOOST_LEAF_CHECK(validate_job(id, spec));
-        return true;
-      },
-      [&](const InvalidInput& error) {
-        reason = error.message();
-        return false;
-      },
-      [] { return false; });
-  if (!valid) return {wire::JOB_INVALID, 0, reason};
-  if (state_.jobs.live() >= kMostLiveJobs) return {wire::JOB_REJECTED, 0, "too many jobs"};
+  if (Job* known = state_.jobs.find(id))
+    return {wire::JOB_OK, known->durable ? 0 : known->last_change_batch, {}};
+  if (const auto violation = find_violation(id, spec)) return {wire::JOB_INVALID, 0, *violation};
+  if (state_.jobs.live() >= kMaxLiveJobs) return {wire::JOB_REJECTED, 0, "too many jobs"};
   ++state_.counters.jobs_accepted;
   Job& job = state_.jobs.add(id, spec, terms);
   job.accepted_at = state_.now;
-  job.accepted_wall_ms = state_.wall.at(state_.now);
-  job.last_change = state_.records.put(RecordWriteBuffer::job_key(id), encode_job(job));
-  state_.awaiting.push_back({job.last_change, id});
-  return {wire::JOB_OK, job.last_change, {}};
+  job.accepted_wall_ms = state_.wall.wall_ms_at(state_.now);
+  job.last_change_batch = state_.records.put(job_key(id), encode_job(job));
+  state_.awaiting_durability.push_back({job.last_change_batch, id});
+  return {wire::JOB_OK, job.last_change_batch, {}};
 }
 
 CancelResult JobLifecycle::cancel(const std::string& id) {
   Job* job = state_.jobs.find(id);
   if (job == nullptr) return {};
-  if (!job->final()) finish(*job, wire::JOB_CANCELED);
-  return {true, job->shown ? 0 : job->last_change};
+  if (!job->is_final()) finish(*job, wire::JOB_CANCELED);
+  return {true, job->final_state_durable ? 0 : job->last_change_batch};
 }
 
 void JobLifecycle::restore(const RestoredJob& restored) {
   const wire::JobRecord& record = restored.record;
   Job& job = state_.jobs.add(record.id(), record.spec(), record.terms());
   job.accepted_wall_ms = record.accepted_wall_ms();
-  job.accepted_at = std::min(state_.now, state_.wall.when(record.accepted_wall_ms()));
+  job.accepted_at = std::min(state_.now, state_.wall.steady_time_of(record.accepted_wall_ms()));
   job.durable = true;
   job.restored = true;
   if (restored.progress.state() >= wire::JOB_COMPLETED) {
-    job.state = restored.progress.state();
-    job.ended_wall_ms = restored.progress.ended_wall_ms();
-    job.shown = true;
-    state_.jobs.count_end(job);
-    TimePoint end = state_.wall.when(job.ended_wall_ms) + retention_after_end();
-    state_.removals.emplace(std::clamp(end, state_.now, state_.now + retention_after_end()), job.id);
-    return;
+    restore_ended(job, restored.progress);
+  } else {
+    restore_repeats(job, restored.progress);
   }
+}
+
+void JobLifecycle::restore_ended(Job& job, const wire::ProgressRecord& progress) {
+  job.state = progress.state();
+  job.ended_wall_ms = progress.ended_wall_ms();
+  job.final_state_durable = true;
+  state_.jobs.on_job_ended(job);
+  // The clocks of two leaders may differ: never keep the job for longer than the full retention time.
+  const TimePoint end = state_.wall.steady_time_of(job.ended_wall_ms) + retention_after_end();
+  state_.removals_due.emplace(std::clamp(end, state_.now, state_.now + retention_after_end()), job.id);
+}
+
+void JobLifecycle::restore_repeats(Job& job, const wire::ProgressRecord& progress) {
+  const std::uint32_t started_count = count_started_repeats(progress);
   for (std::uint32_t number = 0; number < job.repeat_count(); ++number) {
-    bool done = repeat_done_in(restored.progress, number);
-    bool begun = done || number < begun_in(restored.progress);
-    if (!begun && due_wall_ms(job, number) > state_.wall.at(state_.now)) break;
+    const bool done = is_repeat_done(progress, number);
+    const bool started = done || number < started_count;
+    if (!started && due_wall_ms(job, number) > state_.wall.wall_ms_at(state_.now)) break;
     job.next_repeat = number + 1;
     if (done) {
       job.repeats[number].done = true;
       ++job.repeats_done;
     } else {
-      open_repeat(job, number, &restored.progress);
+      start_repeat(job, number, &progress);
     }
-    if (job.final()) return;
+    if (job.is_final()) return;
   }
   if (job.repeats_done == job.repeat_count()) return finish(job, wire::JOB_COMPLETED);
-  open_due(job);
+  start_due_repeats(job);
 }
 
 Millis JobLifecycle::retention_after_end() const { return state_.terms.bounds.status * 3 / 2; }
 
-void JobLifecycle::mark_progress_changed(Job& job) { job.last_change = state_.records.mark_progress(job.id); }
+void JobLifecycle::mark_progress_changed(Job& job) {
+  job.last_change_batch = state_.records.mark_progress(job.id);
+}
 
 void JobLifecycle::on_changes_durable() {
-  while (!state_.awaiting.empty() && state_.records.is_durable(state_.awaiting.front().number)) {
-    Job* job = state_.jobs.find(state_.awaiting.front().job);
-    ChangeBatchNumber number = state_.awaiting.front().number;
-    state_.awaiting.pop_front();
+  std::deque<JobAwaitingDurability>& awaiting = state_.awaiting_durability;
+  while (!awaiting.empty() && state_.records.is_durable(awaiting.front().number)) {
+    const JobAwaitingDurability entry = std::move(awaiting.front());
+    awaiting.pop_front();
+    Job* job = state_.jobs.find(entry.job);
     if (job == nullptr) continue;
-    if (job->final()) {
-      const bool end_durable = state_.records.is_durable(std::max(number, job->last_change));
-      if (end_durable && !job->shown) note_shown(*job);
+    if (job->is_final()) {
+      const bool end_durable = state_.records.is_durable(std::max(entry.number, job->last_change_batch));
+      if (end_durable && !job->final_state_durable) on_final_state_durable(*job);
     } else if (!job->durable) {
       job->durable = true;
-      open_due(*job);
+      start_due_repeats(*job);
     }
   }
 }
 
-// The job's spec is dropped from its record only now: a leader that found the record without a spec and
-// without the end would take the job for one that had nothing to do.
-void JobLifecycle::note_shown(Job& job) {
-  job.shown = true;
-  state_.records.put(RecordWriteBuffer::job_key(job.id), encode_ended_job(job));
+// Only now may the spec be dropped from the job's record, see `encode_ended_job`.
+void JobLifecycle::on_final_state_durable(Job& job) {
+  job.final_state_durable = true;
+  state_.records.put(job_key(job.id), encode_ended_job(job));
 }
 
 std::int64_t JobLifecycle::due_wall_ms(const Job& job, std::uint32_t repeat) const {
@@ -112,37 +126,38 @@
   return static_cast<std::int64_t>(job.spec.start_at_ms() + repeat * job.spec.interval_ms());
 }
 
-void JobLifecycle::open_due(Job& job) {
+void JobLifecycle::start_due_repeats(Job& job) {
   bool timed = job.spec.repeat_count() > 0;
-  while (job.next_repeat < job.repeat_count() && !job.final()) {
+  while (job.next_repeat < job.repeat_count() && !job.is_final()) {
     std::uint32_t number = job.next_repeat;
     if (job.repeats.contains(number)) {
       ++job.next_repeat;
       continue;
     }
-    TimePoint due = timed ? state_.wall.when(due_wall_ms(job, number)) : job.accepted_at;
+    TimePoint due = timed ? state_.wall.steady_time_of(due_wall_ms(job, number)) : job.accepted_at;
     if (timed && due > state_.now) {
-      state_.repeats_due.emplace(std::max(due, state_.now + kLookAgain), job.id);
+      state_.repeats_due.emplace(std::max(due, state_.now + kMinRepeatTimer), job.id);
       return;
     }
-    if (job.open_tasks > kMostOpenTasks) {
-      state_.repeats_due.emplace(state_.now + kHeldBack, job.id);
+    if (job.unfinished_tasks > kMaxUnfinishedTasks) {
+      state_.repeats_due.emplace(state_.now + kUnfinishedTasksBackoff, job.id);
       return;
     }
     ++job.next_repeat;
-    open_repeat(job, number, nullptr);
+    start_repeat(job, number, nullptr);
   }
 }
 
-void JobLifecycle::open_early(Job& job, std::uint32_t repeat) {
-  if (job.final() || repeat >= job.repeat_count() || job.repeats.contains(repeat)) return;
-  open_repeat(job, repeat, nullptr);
+void JobLifecycle::start_repeat_early(Job& job, std::uint32_t repeat) {
+  if (job.is_final() || repeat >= job.repeat_count() || job.repeats.contains(repeat)) return;
+  start_repeat(job, repeat, nullptr);
 }
 
-void JobLifecycle::open_repeat(Job& job, std::uint32_t number, const wire::ProgressRecord* progress) {
+void JobLifecycle::start_repeat(Job& job, std::uint32_t number, const wire::ProgressRecord* progress) {
   TimePoint due = job.accepted_at;
-  if (job.spec.repeat_count() > 0) due = std::min(state_.now, state_.wall.when(due_wall_ms(job, number)));
-  Repeat& repeat = state_.jobs.open_repeat(job, number, due);
+  if (job.spec.repeat_count() > 0)
+    due = std::min(state_.now, state_.wall.steady_time_of(due_wall_ms(job, number)));
+  Repeat& repeat = state_.jobs.add_repeat(job, number, due);
   if (progress != nullptr) apply_progress(*progress, number, repeat);
   for (StageInstance& stage : repeat.stages) {
     stage.done_count = static_cast<std::uint32_t>(
@@ -150,106 +165,115 @@
     if (stage.done()) ++repeat.stages_done;
     if (stage.done_count > 0 && job.state == wire::JOB_QUEUED) job.state = wire::JOB_RUNNING;
   }
-  if (repeat.stages_done == repeat.stages.size()) return repeat_done(job, number, repeat);
-  open_stages(job, repeat);
+  if (repeat.stages_done == repeat.stages.size()) return on_repeat_done(job, number, repeat);
+  release_ready_stages(job, repeat);
 }
 
-void JobLifecycle::open_stages(Job& job, Repeat& repeat) {
+void JobLifecycle::release_ready_stages(Job& job, Repeat& repeat) {
   for (StageInstance& stage : repeat.stages) {
-    if (job.final()) return;
-    if (stage.open) continue;
+    if (job.is_final()) return;
+    if (stage.ready) continue;
     const auto& earlier = stage.spec->depends_on();
     bool ready = std::all_of(earlier.begin(), earlier.end(),
                              [&](std::uint32_t number) { return repeat.stages[number].done(); });
-    if (ready) open_stage(stage);
+    if (ready) release_stage(stage);
   }
 }
 
-void JobLifecycle::open_stage(StageInstance& stage) {
-  stage.open = true;
-  for (Task& task : stage.tasks) ledger_.offer(stage, task);
+void JobLifecycle::release_stage(StageInstance& stage) {
+  stage.ready = true;
+  for (Task& task : stage.tasks) runs_.enqueue_if_ready(stage, task);
 }
 
-void JobLifecycle::complete(StageInstance& stage, Task& task) {
-  if (task.done || stage.job->final()) return;
+void JobLifecycle::complete_task(StageInstance& stage, Task& task) {
+  if (task.done || stage.job->is_final()) return;
   if (stage.spec->gang()) {
-    for (Task& member : stage.tasks) complete_one(stage, member);
+    for (Task& member : stage.tasks) mark_task_done(stage, member);
   } else {
-    complete_one(stage, task);
+    mark_task_done(stage, task);
   }
   mark_progress_changed(*stage.job);
-  if (stage.done()) stage_done(stage);
+  if (stage.done()) on_stage_done(stage);
 }
 
-void JobLifecycle::complete_one(StageInstance& stage, Task& task) {
+void JobLifecycle::mark_task_done(StageInstance& stage, Task& task) {
   if (task.done) return;
   task.done = true;
-  task.saved = {};
+  task.checkpoint = {};
   ++stage.done_count;
-  ledger_.withdraw(stage, task);
-  if (stage.spec->gang()) return;  // the others end by themselves
-  for (Run* copy : std::vector<Run*>(task.runs)) ledger_.stop(*copy);
+  runs_.dequeue(stage, task);
+  if (stage.spec->gang()) return;  // the members of a done gang end by themselves
+  for (Run* run : std::vector<Run*>(task.runs)) runs_.stop_run(*run);
 }
 
-void JobLifecycle::stage_done(StageInstance& stage) {
+void JobLifecycle::on_stage_done(StageInstance& stage) {
   Job& job = *stage.job;
   Repeat& repeat = job.repeats.at(stage.repeat);
   ++repeat.stages_done;
-  if (repeat.stages_done == repeat.stages.size()) return repeat_done(job, stage.repeat, repeat);
-  open_stages(job, repeat);
+  if (repeat.stages_done == repeat.stages.size()) return on_repeat_done(job, stage.repeat, repeat);
+  release_ready_stages(job, repeat);
 }
 
-void JobLifecycle::repeat_done(Job& job, std::uint32_t number, Repeat& repeat) {
+void JobLifecycle::on_repeat_done(Job& job, std::uint32_t number, Repeat& repeat) {
   repeat.done = true;
   ++job.repeats_done;
-  for (const StageInstance& stage : repeat.stages) job.open_tasks -= stage.tasks.size();
+  for (const StageInstance& stage : repeat.stages) job.unfinished_tasks -= stage.tasks.size();
   state_.done_repeats.push_back({job.id, number, 0, 0});
   if (job.repeats_done == job.repeat_count()) finish(job, wire::JOB_COMPLETED);
 }
 
 void JobLifecycle::record_failure(StageInstance& stage, Task& task, RunNumber run) {
-  if (stage.job->final() || task.done || stage.spec->long_running()) return;
+  if (stage.job->is_final() || task.done || stage.spec->long_running()) return;
   if (std::find(task.failed_runs.begin(), task.failed_runs.end(), run) != task.failed_runs.end()) return;
   task.failed_runs.push_back(run);
   mark_progress_changed(*stage.job);
-  if (failures_of(stage, task) >= stage.job->max_retries()) finish(*stage.job, wire::JOB_FAILED);
+  if (count_failed_runs(stage, task) >= stage.job->max_retries()) finish(*stage.job, wire::JOB_FAILED);
 }
 
 void JobLifecycle::finish(Job& job, wire::JobState final_state) {
   job.state = final_state;
-  job.ended_wall_ms = state_.wall.at(state_.now);
-  state_.jobs.count_end(job);
+  job.ended_wall_ms = state_.wall.wall_ms_at(state_.now);
+  state_.jobs.on_job_ended(job);
   for (auto& [number, repeat] : job.repeats) {
     for (StageInstance& stage : repeat.stages) {
-      ledger_.withdraw(stage);
+      runs_.dequeue(stage);
       for (Task& task : stage.tasks) {
-        task.saved = {};
-        if (final_state == wire::JOB_COMPLETED && stage.spec->gang()) continue;  // they end by themselves
-        for (Run* run : std::vector<Run*>(task.runs)) ledger_.stop(*run);
+        task.checkpoint = {};
+        // The members of a done gang end by themselves.
+        if (final_state == wire::JOB_COMPLETED && stage.spec->gang()) continue;
+        for (Run* run : std::vector<Run*>(task.runs)) runs_.stop_run(*run);
       }
     }
   }
   mark_progress_changed(job);
-  state_.awaiting.push_back({job.last_change, job.id});
-  state_.removals.emplace(state_.now + retention_after_end(), job.id);
+  state_.awaiting_durability.push_back({job.last_change_batch, job.id});
+  state_.removals_due.emplace(state_.now + retention_after_end(), job.id);
 }
 
 void JobLifecycle::run_timers() {
-  while (!state_.retries.empty() && state_.retries.begin()->first <= state_.now) {
-    TaskRef place = state_.jobs.place_of(state_.retries.begin()->second);
-    state_.retries.erase(state_.retries.begin());
-    if (place.task != nullptr) ledger_.offer(*place.stage, *place.task);
+  enqueue_delayed_tasks();
+  start_timed_repeats();
+  drop_done_repeats();
+  remove_ended_jobs();
+}
+
+void JobLifecycle::enqueue_delayed_tasks() {
+  while (!state_.delayed_tasks.empty() && state_.delayed_tasks.begin()->first <= state_.now) {
+    const TaskRef ref = state_.jobs.find_task(state_.delayed_tasks.begin()->second);
+    state_.delayed_tasks.erase(state_.delayed_tasks.begin());
+    if (ref.task != nullptr) runs_.enqueue_if_ready(*ref.stage, *ref.task);
   }
+}
+
+void JobLifecycle::start_timed_repeats() {
   while (!state_.repeats_due.empty() && state_.repeats_due.begin()->first <= state_.now) {
     Job* job = state_.jobs.find(state_.repeats_due.begin()->second);
     state_.repeats_due.erase(state_.repeats_due.begin());
-    if (job != nullptr && job->durable) open_due(*job);
+    if (job != nullptr && job->durable) start_due_repeats(*job);
   }
-  clear_done_repeats();
-  remove_ended();
 }
 
-void JobLifecycle::clear_done_repeats() {
+void JobLifecycle::drop_done_repeats() {
   for (std::size_t left = state_.done_repeats.size(); left > 0; --left) {
     TaskName name = std::move(state_.done_repeats.front());
     state_.done_repeats.pop_front();
@@ -267,23 +291,23 @@
 void JobLifecycle::detach_runs(const Job& job) {
   for (const auto& leaf : state_.leaves.all())
     for (auto& [key, run] : leaf->runs)
-      if (run.job == &job) ledger_.detach_job(run);
+      if (run.job == &job) runs_.detach_job(run);
 }
 
-void JobLifecycle::remove_ended() {
-  while (!state_.removals.empty() && state_.removals.begin()->first <= state_.now) {
-    std::string id = state_.removals.begin()->second;
-    state_.removals.erase(state_.removals.begin());
+void JobLifecycle::remove_ended_jobs() {
+  while (!state_.removals_due.empty() && state_.removals_due.begin()->first <= state_.now) {
+    std::string id = state_.removals_due.begin()->second;
+    state_.removals_due.erase(state_.removals_due.begin());
     Job* job = state_.jobs.find(id);
     if (job == nullptr) continue;
-    if (!job->shown) {
-      state_.removals.emplace(state_.now + retention_after_end(), id);
+    if (!job->final_state_durable) {  // the write takes long: clients must see the end for its time
+      state_.removals_due.emplace(state_.now + retention_after_end(), id);
       continue;
     }
     if (job->live_runs > 0) detach_runs(*job);
     state_.records.unmark_progress(id);
-    state_.records.remove(RecordWriteBuffer::job_key(id));
-    state_.records.remove(RecordWriteBuffer::progress_key(id));
+    state_.records.remove(job_key(id));
+    state_.records.remove(progress_key(id));
     state_.jobs.erase(id);
   }
 }
--- a/src/cluster/scheduler/job_lifecycle.hpp
+++ b/src/cluster/scheduler/job_lifecycle.hpp
@@ -1,50 +1,72 @@
-// The course of jobs: taken in, opened repeat by repeat and stage by stage, ended, removed.
+// The lifecycle of jobs: submission, repeats by timetable, stages by dependency, end, removal.
 #pragma once
 
+#include <optional>
+#include <string>
+
 #include "cluster/scheduler/record_codec.hpp"
 #include "cluster/scheduler/run_table.hpp"
 
 namespace winchhall::cluster::scheduling {
 
+// Changes the states of jobs, repeats, stages and tasks, and writes their records. A job's state becomes
+// final exactly once. Its tasks start only once its record is durable, and its final state is shown only once
+// that is durable. It is removed, with its records, when its retention time is over.
 class JobLifecycle {
  public:
-  JobLifecycle(SchedulerState& state, RunTable& ledger) : state_(state), ledger_(ledger) {}
+  JobLifecycle(SchedulerState& state, RunTable& runs) : state_(state), runs_(runs) {}
 
+  // See Scheduler.
   SubmitResult submit(const std::string& id, const wire::JobSpec& spec, const wire::QueueTerms& terms);
   CancelResult cancel(const std::string& id);
+  // Adds a job from an earlier leader's records, with the repeats that have started or are due.
   void restore(const RestoredJob& restored);
-  // Makes jobs whose changes are durable go on.
+  // More batches are durable: starts jobs whose records are, and shows final states that are.
   void on_changes_durable();
-  // Does what has become due: repeats, tasks held back, removal of jobs that ended long ago.
+  // Does what has fallen due: tasks at the end of their backoff, repeats, removal of ended jobs.
   void run_timers();
 
-  // Opens a repeat that is known to have begun, although its time may not have come by this machine's clock.
-  void open_early(Job& job, std::uint32_t repeat);
-  // The task has ended `done`; of a gang, so have all.
-  void complete(StageInstance& stage, Task& task);
-  // The task has ended `failed` once more.
+  // Starts a repeat that a leaf reports a run or end of, and that has therefore begun under an earlier
+  // leader, although it may not be due by this machine's clock. No effect if the job has ended or has started
+  // it.
+  void start_repeat_early(Job& job, std::uint32_t repeat);
+  // A run of the task has ended END_DONE; of a gang, that completes all members. Stops other runs of the
+  // task.
+  void complete_task(StageInstance& stage, Task& task);
+  // A run of the task has ended END_FAILED; counts each run once. Ends the job if that was the last attempt.
   void record_failure(StageInstance& stage, Task& task, RunNumber run);
-  // The job's progress must become durable.
+  // Schedules the writing of the job's progress record.
   void mark_progress_changed(Job& job);
-  void note_shown(Job& job);
 
  private:
+  // When a repeat is due, in milliseconds since 1970.
   std::int64_t due_wall_ms(const Job& job, std::uint32_t repeat) const;
-  void open_due(Job& job);
-  void open_repeat(Job& job, std::uint32_t number, const wire::ProgressRecord* progress);
-  void open_stages(Job& job, Repeat& repeat);
-  void open_stage(StageInstance& stage);
-  void complete_one(StageInstance& stage, Task& task);
-  void stage_done(StageInstance& stage);
-  void repeat_done(Job& job, std::uint32_t number, Repeat& repeat);
+  void restore_ended(Job& job, const wire::ProgressRecord& progress);
+  void restore_repeats(Job& job, const wire::ProgressRecord& progress);
+  // Starts what is due by the timetable, and sets a timer for the next repeat.
+  void start_due_repeats(Job& job);
+  // `progress`: of an earlier leader; null: nothing is done yet.
+  void start_repeat(Job& job, std::uint32_t number, const wire::ProgressRecord* progress);
+  // Enqueues the tasks of stages whose dependencies are done.
+  void release_ready_stages(Job& job, Repeat& repeat);
+  void release_stage(StageInstance& stage);
+  void mark_task_done(StageInstance& stage, Task& task);
+  void on_stage_done(StageInstance& stage);
+  void on_repeat_done(Job& job, std::uint32_t number, Repeat& repeat);
+  // Ends the job: dequeues its tasks and stops its runs.
   void finish(Job& job, wire::JobState final_state);
-  void remove_ended();
+  void on_final_state_durable(Job& job);
+
+  void enqueue_delayed_tasks();
+  void start_timed_repeats();
+  // Drops the stages of done repeats that have no live runs any more.
+  void drop_done_repeats();
+  void remove_ended_jobs();
   void detach_runs(const Job& job);
-  void clear_done_repeats();
   Millis retention_after_end() const;
 
   SchedulerState& state_;
-  RunTable& ledger_;
+  RunTable& runs_;
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/job_table.cpp
+++ b/src/cluster/scheduler/job_table.cpp
@@ -1,4 +1,3 @@
-// All jobs of a service: by ID, by queue, and the estimates that their queues gave so far.
 #include "cluster/scheduler/job_table.hpp"
 
 #include <algorithm>
@@ -6,10 +5,10 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr double kFirstHint = 1;    // ms, until a queue has given one
-constexpr double kLateAtTimes = 3;  // a job is late up to this many times its objective
-constexpr double kLeastStretch = 1;
-constexpr double kSurelyNeeded = 0.5;  // part of an estimate that the work takes at least
+constexpr double kDefaultEstimateMs = 1;      // while no job of the queue has stated an estimate
+constexpr double kWorthlessAtObjectives = 3;  // a job is worthless beyond this multiple of its objective
+constexpr double kMinStretch = 1;
+constexpr double kMinEstimateFraction = 0.5;  // of an estimate that the work takes at least
 
 Millis to_millis(double ms) { return Millis(static_cast<std::int64_t>(ms)); }
 
@@ -26,11 +25,11 @@
   ++live_;
   for (const wire::Stage& stage : job->spec.stages()) {
     if (stage.estimated_ms() == 0) continue;
-    queue.hint_sum += stage.estimated_ms();
-    queue.hint_count += 1;
+    queue.estimate_sum_ms += stage.estimated_ms();
+    queue.estimate_count += 1;
   }
-  const std::vector<double> chains = critical_paths(*job);
-  if (!chains.empty()) job->critical_path_ms = *std::max_element(chains.begin(), chains.end());
+  const std::vector<double> paths = critical_paths_ms(*job);
+  if (!paths.empty()) job->critical_path_ms = *std::max_element(paths.begin(), paths.end());
   return *(jobs_[id] = std::move(job));
 }
 
@@ -41,20 +40,20 @@
 
 void JobTable::erase(const std::string& id) { jobs_.erase(id); }
 
-void JobTable::count_end(const Job& job) {
+void JobTable::on_job_ended(const Job& job) {
   --live_;
   --queues_[job.terms.queue()].pending;
 }
 
-TaskRef JobTable::place_of(const TaskName& name) const {
-  TaskRef place;
-  place.job = find(name.job);
-  if (place.job == nullptr) return place;
-  auto repeat = place.job->repeats.find(name.repeat);
-  if (repeat == place.job->repeats.end() || name.stage >= repeat->second.stages.size()) return place;
-  place.stage = &repeat->second.stages[name.stage];
-  if (name.index < place.stage->tasks.size()) place.task = &place.stage->tasks[name.index];
-  return place;
+TaskRef JobTable::find_task(const TaskName& name) const {
+  TaskRef ref;
+  ref.job = find(name.job);
+  if (ref.job == nullptr) return ref;
+  auto repeat = ref.job->repeats.find(name.repeat);
+  if (repeat == ref.job->repeats.end() || name.stage >= repeat->second.stages.size()) return ref;
+  ref.stage = &repeat->second.stages[name.stage];
+  if (name.index < ref.stage->tasks.size()) ref.task = &ref.stage->tasks[name.index];
+  return ref;
 }
 
 std::uint32_t JobTable::pending(const std::string& queue) const {
@@ -62,53 +61,53 @@
   return found == queues_.end() ? 0 : found->second.pending;
 }
 
-double JobTable::hint_of(const Job& job, const wire::Stage& stage) const {
+double JobTable::estimate_ms_for(const Job& job, const wire::Stage& stage) const {
   if (stage.estimated_ms() > 0) return stage.estimated_ms();
   auto queue = queues_.find(job.terms.queue());
-  if (queue == queues_.end() || queue->second.hint_count == 0) return kFirstHint;
-  return queue->second.hint_sum / queue->second.hint_count;
+  if (queue == queues_.end() || queue->second.estimate_count == 0) return kDefaultEstimateMs;
+  return queue->second.estimate_sum_ms / queue->second.estimate_count;
 }
 
-std::vector<double> JobTable::critical_paths(const Job& job) const {
-  std::vector<double> chains(static_cast<std::size_t>(job.spec.stages_size()), 0);
-  for (std::size_t i = chains.size(); i-- > 0;) {
+std::vector<double> JobTable::critical_paths_ms(const Job& job) const {
+  std::vector<double> paths(static_cast<std::size_t>(job.spec.stages_size()), 0);
+  for (std::size_t i = paths.size(); i-- > 0;) {
     const wire::Stage& stage = job.spec.stages(static_cast<int>(i));
-    chains[i] += hint_of(job, stage);
+    paths[i] += estimate_ms_for(job, stage);
     for (std::uint32_t earlier : stage.depends_on())
-      if (earlier < i) chains[earlier] = std::max(chains[earlier], chains[i]);
+      if (earlier < i) paths[earlier] = std::max(paths[earlier], paths[i]);
   }
-  return chains;
+  return paths;
 }
 
-Repeat& JobTable::open_repeat(Job& job, std::uint32_t number, TimePoint due) {
+Repeat& JobTable::add_repeat(Job& job, std::uint32_t number, TimePoint due) {
   Repeat& repeat = job.repeats[number];
   repeat.stages.resize(static_cast<std::size_t>(job.spec.stages_size()));
-  const std::vector<double> chains = critical_paths(job);
+  const std::vector<double> paths = critical_paths_ms(job);
   for (std::size_t i = 0; i < repeat.stages.size(); ++i) {
     StageInstance& stage = repeat.stages[i];
     stage.repeat = number;
     stage.number = static_cast<std::uint32_t>(i);
-    set_up_stage(job, stage, due, chains[i]);
-    job.open_tasks += stage.tasks.size();
+    initialize_stage(job, stage, due, paths[i]);
+    job.unfinished_tasks += stage.tasks.size();
   }
   return repeat;
 }
 
-void JobTable::set_up_stage(Job& job, StageInstance& stage, TimePoint due, double critical_path_ms) {
+void JobTable::initialize_stage(Job& job, StageInstance& stage, TimePoint due, double critical_path_ms) {
   stage.job = &job;
   stage.spec = &job.spec.stages(static_cast<int>(stage.number));
-  stage.demand = demand_of(*stage.spec);
-  stage.hint = hint_of(job, *stage.spec);
+  stage.demand = resource_demand(*stage.spec);
+  stage.estimate_ms = estimate_ms_for(job, *stage.spec);
   stage.tasks.resize(stage.spec->count());
   for (std::uint32_t i = 0; i < stage.tasks.size(); ++i) stage.tasks[i].index = i;
   double objective =
-      std::max(kLeastStretch, job.terms.stretch()) * job.critical_path_ms + job.terms.target_latency_ms();
+      std::max(kMinStretch, job.terms.stretch()) * job.critical_path_ms + job.terms.target_latency_ms();
   stage.key.priority = job.terms.priority();
-  stage.key.start_by = due + to_millis(objective - critical_path_ms);
-  stage.key.hint = stage.hint;
+  stage.key.latest_start = due + to_millis(objective - critical_path_ms);
+  stage.key.estimate_ms = stage.estimate_ms;
   stage.key.sequence = next_sequence_++;
-  stage.late_after = due + to_millis(objective - critical_path_ms * kSurelyNeeded);
-  stage.worthless_after = due + to_millis(objective * kLateAtTimes);
+  stage.late_after = due + to_millis(objective - critical_path_ms * kMinEstimateFraction);
+  stage.worthless_after = due + to_millis(objective * kWorthlessAtObjectives);
 }
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/job_validation.hpp
+++ b/src/cluster/scheduler/job_validation.hpp
@@ -1,4 +1,4 @@
-// Checks of what clients hand in.
+// Validates what clients submit.
 #pragma once
 
 #include <string>
@@ -8,7 +8,9 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Errors: InvalidInput.
+// Checks a job's ID and spec against the limits of size and number, and that stages depend on earlier stages
+// only, which rules out cycles. Fails with InvalidInput for the first violation, naming the field, its value
+// and what is allowed.
 leaf::result<void> validate_job(const std::string& id, const wire::JobSpec& spec);
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/leaf_health.hpp
+++ b/src/cluster/scheduler/leaf_health.hpp
@@ -1,4 +1,4 @@
-// Judges by a leaf's own record whether it fails what it starts.
+// Detects leaves that fail what is started on them.
 #pragma once
 
 #include <algorithm>
@@ -9,67 +9,77 @@
 
 namespace winchhall::cluster::scheduling {
 
-// A leaf on which several jobs in a row failed is set aside, then tried with one task at a time.
+// Outlier detection for one leaf, from the ends of its runs alone.
+//
+// Runs of several different jobs that fail in a row make the leaf suspect. A suspect leaf is ejected (nothing
+// is started there) for a time that doubles with every ejection, up to a bound; afterwards it is given one
+// trial run at a time, and the first that succeeds clears it. Failures of one job in a row count once, as
+// the job itself may be at fault. Apart from that an exponentially weighted failure rate is kept, by which
+// retries are steered elsewhere.
 class LeafHealth {
  public:
-  // A run of this job, ordered at `began`, failed there through its own fault or the leaf's, or was refused.
-  void failed(const std::string& job, TimePoint began, TimePoint now) {
-    trial_out_ = false;
-    failure_rate_ += kRateWeight * (1 - failure_rate_);
-    if (job == last_failed_job_ && !suspect()) return;
+  // A run of `job`, ordered at `started`, failed there or was refused by the leaf.
+  void on_failure(const std::string& job, TimePoint started, TimePoint now) {
+    trial_in_progress_ = false;
+    failure_rate_ += kNewestWeight * (1 - failure_rate_);
+    if (job == last_failed_job_ && !is_suspect()) return;
     last_failed_job_ = job;
-    if (failures_in_a_row_ == 0) row_began_ = began;
-    ++failures_in_a_row_;
-    if (failures_in_a_row_ == kFailures) suspect_since_ = now;
-    if (!suspect() || now < aside_until_) return;
-    aside_until_ = now + pause_;
-    pause_ = std::min(pause_ * 2, kLongestPause);
+    if (consecutive_failures_ == 0) first_failure_started_ = started;
+    ++consecutive_failures_;
+    if (consecutive_failures_ == kSuspectAfterFailures) suspect_since_ = now;
+    if (!is_suspect() || now < ejected_until_) return;
+    ejected_until_ = now + ejection_time_;
+    ejection_time_ = std::min(ejection_time_ * 2, kMaxEjectionTime);
   }
-  // A run stood still there: rarely the task's own fault.
-  void stalled(const std::string& job, TimePoint began, TimePoint now) {
-    failed(job, began, now);
-    failure_rate_ = std::max(failure_rate_, kUnsoundRate);
+  // A run stalled there. As that is rarely the task's own fault, the failure rate counts as high at once.
+  void on_stall(const std::string& job, TimePoint started, TimePoint now) {
+    on_failure(job, started, now);
+    failure_rate_ = std::max(failure_rate_, kHighFailureRate);
   }
-  // A run ordered at `began` ended well. One that began before those that failed says nothing of the leaf as
-  // it is now.
-  void succeeded(TimePoint began) {
-    failure_rate_ -= kRateWeight * failure_rate_;
-    if (failures_in_a_row_ > 0 && began < row_began_) return;
-    failures_in_a_row_ = 0;
+  // A run ordered at `started` succeeded. A run that is older than those that failed says nothing about the
+  // leaf's present condition.
+  void on_success(TimePoint started) {
+    failure_rate_ -= kNewestWeight * failure_rate_;
+    if (consecutive_failures_ > 0 && started < first_failure_started_) return;
+    consecutive_failures_ = 0;
     last_failed_job_.clear();
-    pause_ = kFirstPause;
-    trial_out_ = false;
+    ejection_time_ = kFirstEjectionTime;
+    trial_in_progress_ = false;
   }
-  // Any other end there.
-  void ended() { trial_out_ = false; }
-  void started() { trial_out_ = suspect(); }
+  // A run ended there in a way that says nothing about the leaf.
+  void on_other_end() { trial_in_progress_ = false; }
+  // A run was ordered there.
+  void on_start() { trial_in_progress_ = is_suspect(); }
 
-  bool suspect() const { return failures_in_a_row_ >= kFailures; }
-  // When the leaf became suspect; meaningless otherwise.
+  bool is_suspect() const { return consecutive_failures_ >= kSuspectAfterFailures; }
+  // When the leaf became suspect; meaningless unless it is.
   TimePoint suspect_since() const { return suspect_since_; }
-  // True if it fails more than tasks do by themselves: a task that failed there had better go elsewhere.
-  bool doubtful() const { return suspect() || failure_rate_ >= kDoubtfulRate; }
-  // True if a run there is likely to fail: not for a task that must not fail once more.
-  bool unsound() const { return suspect() || failure_rate_ >= kUnsoundRate; }
+  // True if more runs fail there than tasks do by themselves: a task that failed there is better retried
+  // elsewhere.
+  bool has_elevated_failure_rate() const { return is_suspect() || failure_rate_ >= kElevatedFailureRate; }
+  // True if a run there is likely to fail: not a leaf for a task's last attempt.
+  bool has_high_failure_rate() const { return is_suspect() || failure_rate_ >= kHighFailureRate; }
   // True if nothing should be started there now.
-  bool aside(TimePoint now) const { return suspect() && (now < aside_until_ || trial_out_); }
+  bool is_ejected(TimePoint now) const {
+    return is_suspect() && (now < ejected_until_ || trial_in_progress_);
+  }
 
  private:
-  static constexpr std::uint32_t kFailures = 3;
-  static constexpr Millis kFirstPause{2000};
-  static constexpr Millis kLongestPause{16000};
-  static constexpr double kRateWeight = 0.1;  // of the newest end
-  static constexpr double kDoubtfulRate = 0.15;
-  static constexpr double kUnsoundRate = 0.3;
+  static constexpr std::uint32_t kSuspectAfterFailures = 3;
+  static constexpr Millis kFirstEjectionTime{2000};
+  static constexpr Millis kMaxEjectionTime{16000};
+  static constexpr double kNewestWeight = 0.1;  // of the newest end in the failure rate
+  static constexpr double kElevatedFailureRate = 0.15;
+  static constexpr double kHighFailureRate = 0.3;
 
-  std::uint32_t failures_in_a_row_ = 0;
-  TimePoint row_began_;  // when the first run of the row was ordered
+  std::uint32_t consecutive_failures_ = 0;
+  TimePoint first_failure_started_;  // when the first of the consecutive failed runs was ordered
   TimePoint suspect_since_;
   std::string last_failed_job_;
-  TimePoint aside_until_;
-  Millis pause_ = kFirstPause;
-  bool trial_out_ = false;
-  double failure_rate_ = 0;  // of the newest ends, forgetting
+  TimePoint ejected_until_;
+  Millis ejection_time_ = kFirstEjectionTime;  // of the next ejection
+  bool trial_in_progress_ = false;
+  double failure_rate_ = 0;  // exponentially weighted, 0 to 1
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/leaf_registry.cpp
+++ b/src/cluster/scheduler/leaf_registry.cpp
@@ -1,29 +1,9 @@
-// All leaves of a service, and which life of a leaf each node has now.
 #include "cluster/scheduler/leaf_registry.hpp"
 
 #include <algorithm>
 
 namespace winchhall::cluster::scheduling {
 
-bool ReportDeduplicator::accept(std::uint64_t session, std::uint64_t number) {
-  if (session == current_.id) {
-    if (number <= current_.newest) return false;
-    current_.newest = number;
-    return true;
-  }
-  auto earlier =
-      std::find_if(retired_.begin(), retired_.end(), [&](const Session& s) { return s.id == session; });
-  if (earlier != retired_.end()) {
-    // More than its last reports coming late: it lives.
-    if (number <= earlier->newest + kMostOut) return false;
-    retired_.erase(earlier);
-  }
-  retired_.push_back(current_);
-  if (retired_.size() > kRetiredKept) retired_.pop_front();
-  current_ = {session, number};
-  return true;
-}
-
 Leaf& LeafRegistry::add(const std::string& id, const std::string& node) {
   leaves_.push_back(std::make_unique<Leaf>());
   Leaf& added = *leaves_.back();
--- a/src/cluster/scheduler/leaf_registry.hpp
+++ b/src/cluster/scheduler/leaf_registry.hpp
@@ -1,4 +1,4 @@
-// All leaves of a service, and which life of a leaf each node has now.
+// All leaves of a service, and which incarnation of a leaf each node has.
 #pragma once
 
 #include <deque>
@@ -8,48 +8,37 @@
 #include <vector>
 
 #include "cluster/scheduler/leaf_state.hpp"
+#include "cluster/scheduler/report_deduplicator.hpp"
 
 namespace winchhall::cluster::scheduling {
 
-// Which of a node's reports are new. Reports may come late, twice and out of order, also those of an earlier
-// process.
-class ReportDeduplicator {
- public:
-  // False: the report is older than one that was taken.
-  bool accept(std::uint64_t session, std::uint64_t number);
-
- private:
-  struct Session {
-    std::uint64_t id = 0;
-    std::uint64_t newest = 0;
-  };
-  static constexpr std::uint64_t kMostOut = 3;  // reports that one process may have under way
-  static constexpr std::size_t kRetiredKept = 8;
-
-  Session current_;
-  std::deque<Session> retired_;
-};
-
+// A node that a worker-agent has reported from. Nodes are never forgotten.
 struct Node {
-  ReportDeduplicator order;
-  std::string leaf_id;           // of the life that is there now; empty: none known
-  std::deque<std::string> over;  // ids of lives that are over, newest last
+  ReportDeduplicator deduplicator;
+  std::string current_leaf_id;                 // of the present incarnation; empty: none known
+  std::deque<std::string> ended_incarnations;  // IDs of the latest that have ended, newest last
 };
 
+// Owns the leaves and nodes. References to them stay valid until `erase`.
 class LeafRegistry {
  public:
   using Leaves = std::vector<std::unique_ptr<Leaf>>;
 
+  // `id` must not be registered.
   Leaf& add(const std::string& id, const std::string& node);
+  // Null if there is no such leaf.
   Leaf* find(const std::string& id) const;
+  // Destroys the leaf; its runs must have been removed.
   void erase(const std::string& id);
+  // Creates the node if it isn't known.
   Node& node(const std::string& name) { return nodes_[name]; }
+  // In the order of registration.
   const Leaves& all() const { return leaves_; }
 
  private:
   Leaves leaves_;
   std::unordered_map<std::string, Leaf*> by_id_;
-  std::unordered_map<std::string, Node> nodes_;
+  std::unordered_map<std::string, Node> nodes_;  // by name
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/leaf_state.hpp
+++ b/src/cluster/scheduler/leaf_state.hpp
@@ -1,127 +1,89 @@
-// A leaf as one scheduler knows it: what it has, what may exist on it, what it was told.
+// What the leader of a service knows of one leaf: its capacity, what may run there, which orders it has.
 #pragma once
 
 #include <cstdint>
 #include <deque>
 #include <string>
-#include <string_view>
-#include <unordered_map>
 #include <vector>
 
-#include "cluster/scheduler/job.hpp"
 #include "cluster/scheduler/leaf_health.hpp"
-#include "cluster/scheduler/priority_usage.hpp"
+#include "cluster/scheduler/run.hpp"
 
 namespace winchhall::cluster::scheduling {
 
-using Revision = std::uint64_t;
-
-// A run that may exist on a leaf, from its order until its end is listed or it is certainly not there.
-struct Run {
-  std::string name;
-  RunNumber number = 0;
-  Leaf* leaf = nullptr;
-  Job* job = nullptr;              // none: unknown
-  StageInstance* stage = nullptr;  // none: unknown, or no longer kept
-  Task* task = nullptr;            // none: the task no longer counts on this run
-  Resources demand;
-  bool demand_known = true;
-  std::uint32_t priority = 0;  // of its job's queue; meaningless while the demand is unknown
-  double cost = 0;
-  Revision start_revision = 0;  // 0: found on the leaf
-  Revision stop_revision = 0;   // 0: no stop ordered
-  bool told = false;            // the start was handed out, or it was found on the leaf
-  bool listed = false;          // the leaf has listed it as running
-  std::uint64_t generation = 0;
-  TimePoint ordered_at;
-  TimePoint listed_at;
-  TimePoint moved_at;  // when `percent` last changed
-  std::uint32_t percent = 0;
-};
-
-struct RunKeyView {
-  std::string_view task;
-  RunNumber run = 0;
-};
-struct RunKey {
-  std::string task;
-  RunNumber run = 0;
-  operator RunKeyView() const { return {task, run}; }
-};
-struct RunKeyHash {
-  using is_transparent = void;
-  std::size_t operator()(RunKeyView key) const {
-    return std::hash<std::string_view>()(key.task) ^ (key.run * 0x9e3779b9u);
-  }
-};
-struct RunKeyEqual {
-  using is_transparent = void;
-  bool operator()(RunKeyView a, RunKeyView b) const { return a.run == b.run && a.task == b.task; }
-};
-using RunMap = std::unordered_map<RunKey, Run, RunKeyHash, RunKeyEqual>;
-
-// The newest lists that a leaf's worker-agent reported.
+// The newest lists of running and finished tasks that a worker-agent sent of its leaf. Reports whose lists
+// haven't changed refer to them instead of repeating them.
 struct ReportedTaskLists {
-  bool known = false;
-  std::uint64_t session = 0;
-  std::uint64_t report_number = 0;
+  bool available = false;
+  std::uint64_t session = 0;        // of the report that contained them
+  std::uint64_t report_number = 0;  // of that report
   std::vector<wire::RunningTask> running;
   std::vector<wire::FinishedTask> finished;
 };
 
-// An end whose effects are not known to be durable.
+// A reported end that the leaf must go on listing, because its effects may not be durable yet.
 struct UnacknowledgedEnd {
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // of the end on its leaf
   ChangeBatchNumber durable_after = 0;
 };
 
+// One incarnation of a leaf: a leaf process that starts anew has a new ID and a new Leaf.
+//
+// Orders to the leaf are numbered by revision. Invariant:
+// `issued_revision` >= `delivered_revision` >= `received_revision` >= `applied_revision`. The last three fall
+// when a new process of the worker-agent reports, as it has lost its orders; the last two are 0 while the
+// process has not adopted this leader's epoch.
 struct Leaf {
   std::string id;
-  std::string node;
+  std::string node;  // name of the node that it runs on
   Resources capacity;
-  Resources reserved;
-  PriorityUsage use;  // of `reserved`, what is known by priority
+  Resources allocated;  // sum of the known demands of `runs`
   std::vector<std::string> labels;
-  std::string rack;
+  std::string rack;  // the last label; empty: none
   bool draining = false;
-  bool left = false;
-  TimePoint left_at;
-  std::uint32_t remaining_ms = 0;  // as of `reported_at`
+  bool deregistered = false;
+  TimePoint deregistered_at;
+  std::uint32_t drain_remaining_ms = 0;  // until it leaves, as of `reported_at`
 
-  bool reported = false;
+  bool reported = false;  // a report was handled under this leader
   TimePoint reported_at;
   std::uint32_t heartbeat_age_ms = 0;  // as of `reported_at`
-  std::uint64_t session = 0;
-  std::uint64_t report_number = 0;
-  Revision received = 0;  // of this epoch
-  Revision settled = 0;
-  ReportedTaskLists lists;
-  bool adopted = false;   // its lists were taken in under this epoch
-  bool restored = false;  // may run what an earlier leader ordered
+  std::uint64_t session = 0;           // of the newest report's worker-agent process
+  std::uint64_t report_number = 0;     // of the newest report
+  ReportedTaskLists task_lists;
+  bool synchronized = false;  // its lists were reconciled under this epoch: what runs there is known
+
+  Revision issued_revision = 0;                 // the newest order
+  Revision delivered_revision = 0;              // contained in an answer to the worker-agent
+  Revision received_revision = 0;               // confirmed by the worker-agent
+  Revision applied_revision = 0;                // reflected in the leaf's lists
+  std::deque<wire::StartOrder> pending_starts;  // not applied, by revision
+  std::deque<wire::StopOrder> pending_stops;    // not applied, by revision
+  bool lists_wanted = false;                    // the next answer asks the worker-agent for the lists
+  bool epoch_delivered = false;                 // this session has had an answer of this leader
 
-  Revision revision = 0;
-  Revision told = 0;
-  std::deque<wire::StartOrder> starts;  // not settled, by revision
-  std::deque<wire::StopOrder> stops;
-  std::uint64_t processed_ends = 0;
-  std::uint64_t last_seen = 0;
-  std::uint64_t delivered_last_seen = 0;
-  std::deque<UnacknowledgedEnd> unacknowledged_ends;
-  TimePoint lease_expires_at;  // nothing runs on after this unless a hold is granted
-  bool lists_wanted = false;
-  bool epoch_delivered = false;  // its worker-agent's process had an answer
+  std::uint64_t processed_ends = 0;              // highest number of an end whose effects were applied
+  std::uint64_t acknowledged_end = 0;            // highest whose effects are durable: the leaf may drop it
+  std::uint64_t delivered_acknowledged_end = 0;  // as in the newest answer
+  std::deque<UnacknowledgedEnd> unacknowledged_ends;  // processed, in order
 
-  bool recorded = false;  // its record is written
-  ChangeBatchNumber record_change = 0;
-  RunMap runs;
-  std::uint32_t unknown_runs = 0;  // whose demand is unknown
-  std::uint64_t generation = 0;
-  double cost = 0;
+  // End of the execution lease: what runs on the leaf has ended by itself by then, unless the lease was
+  // renewed by an answer that this leader knows of.
+  TimePoint lease_expires_at;
+
+  bool has_record = false;             // its record is written or being written
+  ChangeBatchNumber record_batch = 0;  // that contains its record
+
+  RunMap runs;                          // that may exist there
+  std::uint32_t unknown_runs = 0;       // of `runs`, those whose demand is unknown
+  std::uint64_t report_generation = 0;  // rises with each reconciliation
+  double load_ms = 0;                   // sum of the estimated durations of `runs`
   LeafHealth health;
-  const StageInstance* reserved_for = nullptr;  // leaf is kept free for this stage
+
+  const StageInstance* reserved_for = nullptr;  // is kept free for this stage until `reserved_until`
   TimePoint reserved_until;
 
-  Resources free() const { return capacity.without(reserved); }
+  Resources available() const { return capacity.without(allocated); }
 };
 
 }  // namespace winchhall::cluster::scheduling
--- /dev/null
+++ b/src/cluster/scheduler/order_responder.hpp
@@ -0,0 +1,29 @@
+// Makes the answers to worker-agents' reports.
+#pragma once
+
+#include <string>
+
+#include "cluster/scheduler/scheduler_state.hpp"
+
+namespace winchhall::cluster::scheduling {
+
+// Delivers orders, grants execution leases and acknowledges ends. Every order is repeated in each answer
+// until the worker-agent confirms that it has received it.
+class OrderResponder {
+ public:
+  explicit OrderResponder(SchedulerState& state) : state_(state) {}
+
+  // See Scheduler::orders.
+  wire::WorkerOrders make_orders(const std::string& leaf_id);
+  // See Scheduler::has_undelivered_orders.
+  bool has_undelivered_orders(const std::string& leaf_id) const;
+
+ private:
+  // The lease isn't renewed for a leaf whose heartbeats have stopped.
+  void grant_lease(Leaf& leaf, wire::WorkerOrders& orders) const;
+  void add_orders(Leaf& leaf, wire::WorkerOrders& orders) const;
+
+  SchedulerState& state_;
+};
+
+}  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/record_codec.cpp
+++ b/src/cluster/scheduler/record_codec.cpp
@@ -1,16 +1,15 @@
-// Durable form of jobs and their progress.
 #include "cluster/scheduler/record_codec.hpp"
 
 #include <algorithm>
-#include <string_view>
 #include <unordered_map>
+#include <utility>
+
+#include "cluster/scheduler/record_keys.hpp"
 
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr std::string_view kJobPrefix = "job/";
-constexpr std::string_view kProgressPrefix = "progress/";
-constexpr std::string_view kWorkerPrefix = "worker/";
+using ProgressById = std::unordered_map<std::string, wire::ProgressRecord>;
 
 wire::TaskProgress* add_entry(wire::ProgressRecord& record, std::uint32_t repeat, std::uint32_t stage,
                               std::uint32_t index) {
@@ -31,22 +30,22 @@
     entry->set_failures(1);
     entry->set_last_run(run);
   }
-  if (task.saved.text.empty()) return;
+  if (task.checkpoint.text.empty()) return;
   wire::TaskProgress* entry = add_entry(record, stage.repeat, stage.number, task.index);
-  entry->set_saved(task.saved.text);
-  entry->set_last_run(task.saved.run);
+  entry->set_saved(task.checkpoint.text);
+  entry->set_last_run(task.checkpoint.run);
 }
 
 void add_stage(wire::ProgressRecord& record, const StageInstance& stage) {
   if (stage.done()) {
-    add_entry(record, stage.repeat, stage.number, kEvery)->set_done(true);
+    add_entry(record, stage.repeat, stage.number, kAll)->set_done(true);
     return;
   }
   for (const Task& task : stage.tasks) add_task(record, stage, task);
 }
 
-// Repeats at the front that are all done.
-std::uint32_t done_prefix(const Job& job) {
+// Number of repeats, from the first, that are done without a gap.
+std::uint32_t count_leading_done_repeats(const Job& job) {
   std::uint32_t count = 0;
   for (const auto& [number, repeat] : job.repeats) {
     if (number != count || !repeat.done) break;
@@ -55,12 +54,8 @@
   return count;
 }
 
-bool starts_with(std::string_view text, std::string_view prefix) {
-  return text.substr(0, prefix.size()) == prefix;
-}
-
 void apply_entry(const wire::TaskProgress& entry, StageInstance& stage) {
-  if (entry.index() == kEvery) {
+  if (entry.index() == kAll) {
     for (Task& task : stage.tasks) task.done = entry.done();
     return;
   }
@@ -69,40 +64,57 @@
   task.done = task.done || entry.done();
   task.last_run = std::max(task.last_run, entry.last_run());
   if (entry.failures() > 0) task.failed_runs.push_back(entry.last_run());
-  if (!entry.saved().empty()) task.saved = {entry.saved(), entry.last_run()};
+  if (!entry.saved().empty()) task.checkpoint = {entry.saved(), entry.last_run()};
 }
 
-}  // namespace
-
-std::string encode_job(const Job& job) {
+wire::JobRecord make_record_without_spec(const Job& job) {
   wire::JobRecord record;
   record.set_id(job.id);
-  *record.mutable_spec() = job.spec;
   *record.mutable_terms() = job.terms;
   record.set_accepted_wall_ms(job.accepted_wall_ms);
-  return record.SerializeAsString();
+  return record;
 }
 
-std::string encode_ended_job(const Job& job) {
-  wire::JobRecord record;
-  record.set_id(job.id);
-  *record.mutable_terms() = job.terms;
-  record.set_accepted_wall_ms(job.accepted_wall_ms);
+// Decodes one record into `state`, or into `progress` to be matched with its job.
+void decode_record(const ShardEntry& entry, RestoredState& state, ProgressById& progress) {
+  if (entry.key.starts_with(kJobKeyPrefix)) {
+    RestoredJob job;
+    if (job.record.ParseFromString(entry.value) && !job.record.id().empty())
+      state.jobs.push_back(std::move(job));
+  } else if (entry.key.starts_with(kProgressKeyPrefix)) {
+    wire::ProgressRecord record;
+    if (record.ParseFromString(entry.value))
+      progress[entry.key.substr(kProgressKeyPrefix.size())] = std::move(record);
+  } else if (entry.key.starts_with(kWorkerKeyPrefix)) {
+    wire::WorkerRecord record;
+    if (!record.ParseFromString(entry.value)) record.Clear();
+    record.set_leaf_id(entry.key.substr(kWorkerKeyPrefix.size()));
+    state.workers.push_back(std::move(record));
+  }
+}
+
+}  // namespace
+
+std::string encode_job(const Job& job) {
+  wire::JobRecord record = make_record_without_spec(job);
+  *record.mutable_spec() = job.spec;
   return record.SerializeAsString();
 }
 
+std::string encode_ended_job(const Job& job) { return make_record_without_spec(job).SerializeAsString(); }
+
 std::string encode_progress(const Job& job) {
   wire::ProgressRecord record;
   record.set_id(job.id);
   record.set_state(job.state);
   record.set_ended_wall_ms(job.ended_wall_ms);
-  if (job.final()) return record.SerializeAsString();
-  std::uint32_t prefix = done_prefix(job);
-  if (prefix > 0) add_entry(record, prefix - 1, kEvery, kEvery)->set_done(true);
+  if (job.is_final()) return record.SerializeAsString();
+  const std::uint32_t leading_done = count_leading_done_repeats(job);
+  if (leading_done > 0) add_entry(record, leading_done - 1, kAll, kAll)->set_done(true);
   for (const auto& [number, repeat] : job.repeats) {
-    if (number < prefix) continue;
+    if (number < leading_done) continue;
     if (repeat.done) {
-      add_entry(record, number, kEvery, 0)->set_done(true);
+      add_entry(record, number, kAll, 0)->set_done(true);
       continue;
     }
     for (const StageInstance& stage : repeat.stages) add_stage(record, stage);
@@ -119,51 +131,36 @@
 
 RestoredState decode_records(const std::vector<ShardEntry>& entries) {
   RestoredState state;
-  std::unordered_map<std::string, wire::ProgressRecord> progress;
-  for (const ShardEntry& entry : entries) {
-    if (starts_with(entry.key, kJobPrefix)) {
-      RestoredJob job;
-      if (job.record.ParseFromString(entry.value) && !job.record.id().empty())
-        state.jobs.push_back(std::move(job));
-    } else if (starts_with(entry.key, kProgressPrefix)) {
-      wire::ProgressRecord record;
-      if (record.ParseFromString(entry.value))
-        progress[entry.key.substr(kProgressPrefix.size())] = std::move(record);
-    } else if (starts_with(entry.key, kWorkerPrefix)) {
-      wire::WorkerRecord record;
-      if (!record.ParseFromString(entry.value)) record.Clear();
-      record.set_leaf_id(entry.key.substr(kWorkerPrefix.size()));
-      state.workers.push_back(std::move(record));
-    }
-  }
+  ProgressById progress;
+  for (const ShardEntry& entry : entries) decode_record(entry, state, progress);
   for (RestoredJob& job : state.jobs) {
     auto found = progress.find(job.record.id());
     if (found == progress.end()) continue;
     job.progress = std::move(found->second);
     progress.erase(found);
   }
-  for (const auto& [id, record] : progress) state.stray_keys.push_back(std::string(kProgressPrefix) + id);
+  for (const auto& [id, record] : progress) state.stray_keys.push_back(progress_key(id));
   return state;
 }
 
-bool repeat_done_in(const wire::ProgressRecord& progress, std::uint32_t repeat) {
+bool is_repeat_done(const wire::ProgressRecord& progress, std::uint32_t repeat) {
   for (const wire::TaskProgress& entry : progress.tasks()) {
-    if (entry.stage() != kEvery || !entry.done()) continue;
-    if (entry.index() == kEvery ? repeat <= entry.repeat() : repeat == entry.repeat()) return true;
+    if (entry.stage() != kAll || !entry.done()) continue;
+    if (entry.index() == kAll ? repeat <= entry.repeat() : repeat == entry.repeat()) return true;
   }
   return false;
 }
 
-std::uint32_t begun_in(const wire::ProgressRecord& progress) {
-  std::uint32_t begun = 0;
-  for (const wire::TaskProgress& entry : progress.tasks()) begun = std::max(begun, entry.repeat() + 1);
-  return begun;
+std::uint32_t count_started_repeats(const wire::ProgressRecord& progress) {
+  std::uint32_t count = 0;
+  for (const wire::TaskProgress& entry : progress.tasks()) count = std::max(count, entry.repeat() + 1);
+  return count;
 }
 
-void apply_progress(const wire::ProgressRecord& progress, std::uint32_t repeat, Repeat& opened) {
+void apply_progress(const wire::ProgressRecord& progress, std::uint32_t repeat, Repeat& repeat_state) {
   for (const wire::TaskProgress& entry : progress.tasks())
-    if (entry.repeat() == repeat && entry.stage() < opened.stages.size())
-      apply_entry(entry, opened.stages[entry.stage()]);
+    if (entry.repeat() == repeat && entry.stage() < repeat_state.stages.size())
+      apply_entry(entry, repeat_state.stages[entry.stage()]);
 }
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/record_write_buffer.cpp
+++ b/src/cluster/scheduler/record_write_buffer.cpp
@@ -1,7 +1,6 @@
-// Changes of records on their way to the disk, and which of them are there.
 #include "cluster/scheduler/record_write_buffer.hpp"
 
-#include <algorithm>
+#include <utility>
 
 namespace winchhall::cluster::scheduling {
 
@@ -22,7 +21,7 @@
 
 void RecordWriteBuffer::unmark_progress(const std::string& job_id) { marked_.erase(job_id); }
 
-Scheduler::ChangeBatch RecordWriteBuffer::take_puts() {
+Scheduler::ChangeBatch RecordWriteBuffer::take_batch() {
   Scheduler::ChangeBatch taken;
   if (changes_.empty()) return taken;
   taken.number = next_++;
--- a/src/cluster/scheduler/resources.hpp
+++ b/src/cluster/scheduler/resources.hpp
@@ -1,4 +1,4 @@
-// Amounts of what a leaf has and a task needs.
+// Resource amounts: what a leaf offers and what a task demands.
 #pragma once
 
 #include <algorithm>
@@ -7,16 +7,17 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Thousandths of a core, megabytes and devices.
+// Amounts of the three resources that the scheduler accounts for.
 struct Resources {
-  std::uint64_t cpu = 0;
-  std::uint64_t mem_mb = 0;
-  std::uint64_t gpu = 0;
+  std::uint64_t cpu = 0;     // thousandths of a core
+  std::uint64_t mem_mb = 0;  // megabytes
+  std::uint64_t gpu = 0;     // devices
 
-  bool fits_in(const Resources& room) const {
-    return cpu <= room.cpu && mem_mb <= room.mem_mb && gpu <= room.gpu;
+  // True if these amounts, taken as a demand, are all covered by `available`.
+  bool fits_in(const Resources& available) const {
+    return cpu <= available.cpu && mem_mb <= available.mem_mb && gpu <= available.gpu;
   }
-  // What is left after `taken`; never below nought.
+  // The difference of each resource, clamped at zero.
   Resources without(const Resources& taken) const {
     return {cpu - std::min(cpu, taken.cpu), mem_mb - std::min(mem_mb, taken.mem_mb),
             gpu - std::min(gpu, taken.gpu)};
@@ -27,13 +28,13 @@
     gpu += other.gpu;
     return *this;
   }
-  // How many tasks that each need `demand` fit in.
-  std::uint64_t times(const Resources& demand) const {
-    std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
-    if (demand.cpu > 0) most = std::min(most, cpu / demand.cpu);
-    if (demand.mem_mb > 0) most = std::min(most, mem_mb / demand.mem_mb);
-    if (demand.gpu > 0) most = std::min(most, gpu / demand.gpu);
-    return most;
+  // Number of tasks of this demand that fit side by side; a demand of nothing fits 2^32 - 1 times.
+  std::uint64_t slots_for(const Resources& demand) const {
+    std::uint64_t slots = std::numeric_limits<std::uint32_t>::max();
+    if (demand.cpu > 0) slots = std::min(slots, cpu / demand.cpu);
+    if (demand.mem_mb > 0) slots = std::min(slots, mem_mb / demand.mem_mb);
+    if (demand.gpu > 0) slots = std::min(slots, gpu / demand.gpu);
+    return slots;
   }
   bool operator==(const Resources&) const = default;
 };
--- a/src/cluster/scheduler/run_end_estimate.cpp
+++ b/src/cluster/scheduler/run_end_estimate.cpp
@@ -1,26 +1,26 @@
-// Estimates of how long runs still take.
 #include "cluster/scheduler/run_end_estimate.hpp"
 
 #include <algorithm>
+#include <chrono>
 
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr Millis kLasting{3600000};
-constexpr double kLeastLeftMs = 100;
-constexpr std::uint32_t kToldEnough = 5;  // percent, from which the pace is known
+constexpr Millis kLongRunningRest{3600000};
+constexpr double kMinRestMs = 100;
+constexpr std::uint32_t kMinPercent = 5;  // lower progress tells nothing about the rest
 
 }  // namespace
 
-TimePoint expected_end(const SchedulerState& state, const Run& run) {
+TimePoint estimate_run_end(const SchedulerState& state, const Run& run) {
   if (run.stop_revision > 0) return state.now + state.terms.bounds.stop;
-  if (run.stage == nullptr || run.stage->spec->long_running()) return state.now + kLasting;
-  TimePoint began = run.listed ? run.listed_at : run.ordered_at;
-  double gone = std::chrono::duration<double, std::milli>(state.now - began).count();
-  double left = run.cost - gone;
-  if (run.listed && run.percent >= kToldEnough && run.percent <= 100)
-    left = run.cost * (100 - run.percent) / 100;
-  return state.now + Millis(static_cast<std::int64_t>(std::max(left, kLeastLeftMs)));
+  if (run.stage == nullptr || run.stage->spec->long_running()) return state.now + kLongRunningRest;
+  const TimePoint started = run.reported ? run.first_reported_at : run.ordered_at;
+  const double elapsed_ms = std::chrono::duration<double, std::milli>(state.now - started).count();
+  double rest_ms = run.cost_ms - elapsed_ms;
+  if (run.reported && run.percent >= kMinPercent && run.percent <= 100)
+    rest_ms = run.cost_ms * (100 - run.percent) / 100;
+  return state.now + Millis(static_cast<std::int64_t>(std::max(rest_ms, kMinRestMs)));
 }
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/run_end_handler.cpp
+++ b/src/cluster/scheduler/run_end_handler.cpp
@@ -1,17 +1,21 @@
-// What the end of a run means for its task, and what is known to be over without an end having been listed.
 #include "cluster/scheduler/run_end_handler.hpp"
 
 #include <algorithm>
+#include <vector>
 
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr Millis kShortRun{10000};  // a long-running task that ends earlier is held back
-constexpr Millis kFirstHoldBack{100};
-constexpr std::uint32_t kMostDoublings = 6;
-constexpr Millis kAfterRefusal{200};
+// Restart backoff of long-running tasks that end early again and again.
+constexpr Millis kShortRun{10000};
+constexpr Millis kFirstBackoff{100};
+constexpr std::uint32_t kMaxBackoffDoublings = 6;
 
-std::vector<RunKey> keys_of(const Leaf& leaf) {
+constexpr Millis kRefusalBackoff{200};
+constexpr std::size_t kMaxEndedIncarnations = 8;  // remembered per node
+
+// Copies, because handling one run may remove others of the same leaf.
+std::vector<RunKey> keys_of_runs(const Leaf& leaf) {
   std::vector<RunKey> keys;
   for (const auto& [key, run] : leaf.runs) keys.push_back(key);
   return keys;
@@ -19,69 +23,68 @@
 
 }  // namespace
 
-ChangeBatchNumber RunEndHandler::listed(Leaf& leaf, const wire::FinishedTask& entry) {
+ChangeBatchNumber RunEndHandler::on_end_reported(Leaf& leaf, const wire::FinishedTask& entry) {
   ++state_.counters.ends.at(wire::EndKind_IsValid(entry.how()) ? entry.how() : wire::END_UNKNOWN);
-  TimePoint began = state_.now;
+  TimePoint started = state_.now;
   auto found = leaf.runs.find(RunKeyView{entry.task(), entry.run()});
   if (found != leaf.runs.end()) {
-    began = found->second.ordered_at;
-    ledger_.remove(found->second);
+    started = found->second.ordered_at;
+    runs_.remove(found->second);
   }
   auto name = parse_task_name(entry.task());
   if (!name) return 0;
-  TaskRef place = state_.jobs.place_of(*name);
-  if (place.job != nullptr && place.task == nullptr && !place.job->final()) {
-    jobs_.open_early(*place.job, name->repeat);
-    place = state_.jobs.place_of(*name);
+  TaskRef ref = state_.jobs.find_task(*name);
+  if (ref.job != nullptr && ref.task == nullptr && !ref.job->is_final()) {
+    jobs_.start_repeat_early(*ref.job, name->repeat);
+    ref = state_.jobs.find_task(*name);
   }
-  if (place.job == nullptr) return 0;
-  if (place.task != nullptr) {
-    update_leaf_health(leaf, place, entry.how(), began);
-    if (!place.job->final()) apply(place, entry, began);
+  if (ref.job == nullptr) return 0;
+  if (ref.task != nullptr) {
+    update_leaf_health(leaf, ref, entry.how(), started);
+    if (!ref.job->is_final()) apply_end(ref, entry, started);
   }
-  return place.job->last_change;
+  return ref.job->last_change_batch;
 }
 
-void RunEndHandler::apply(const TaskRef& place, const wire::FinishedTask& entry, TimePoint began) {
-  StageInstance& stage = *place.stage;
-  Task& task = *place.task;
+void RunEndHandler::apply_end(const TaskRef& ref, const wire::FinishedTask& entry, TimePoint started) {
+  StageInstance& stage = *ref.stage;
+  Task& task = *ref.task;
   task.last_run = std::max(task.last_run, entry.run());
-  save(place, entry.saved(), entry.run());
-  bool lasts = stage.spec->long_running();
-  if (entry.how() == wire::END_DONE && !lasts) return jobs_.complete(stage, task);
+  update_checkpoint(ref, entry.saved(), entry.run());
+  const bool long_running = stage.spec->long_running();
+  if (entry.how() == wire::END_DONE && !long_running) return jobs_.complete_task(stage, task);
   if (entry.how() == wire::END_FAILED) jobs_.record_failure(stage, task, entry.run());
-  if (place.job->final()) return;
-  if (lasts && (entry.how() == wire::END_DONE || entry.how() == wire::END_FAILED)) hold_back(task, began);
-  if (entry.how() == wire::END_REFUSED) task.earliest_start = state_.now + kAfterRefusal;
+  if (ref.job->is_final()) return;
+  if (long_running && (entry.how() == wire::END_DONE || entry.how() == wire::END_FAILED))
+    apply_restart_backoff(task, started);
+  if (entry.how() == wire::END_REFUSED) task.earliest_start = state_.now + kRefusalBackoff;
   if (stage.spec->gang()) stop_gang_run(stage, entry.run());
-  ledger_.offer(stage, task);
+  runs_.enqueue_if_ready(stage, task);
 }
 
-void RunEndHandler::save(const TaskRef& place, const std::string& saved, RunNumber run) {
-  if (saved.empty() || place.task->done || !place.stage->spec->checkpoints() || run < place.task->saved.run)
-    return;
-  place.task->saved = {saved, run};
-  jobs_.mark_progress_changed(*place.job);
+void RunEndHandler::update_checkpoint(const TaskRef& ref, const std::string& text, RunNumber run) {
+  Task& task = *ref.task;
+  if (text.empty() || task.done || !ref.stage->spec->checkpoints() || run < task.checkpoint.run) return;
+  task.checkpoint = {text, run};
+  jobs_.mark_progress_changed(*ref.job);
 }
 
-void RunEndHandler::hold_back(Task& task, TimePoint began) {
-  task.consecutive_short_runs = state_.now - began < kShortRun ? task.consecutive_short_runs + 1 : 0;
+void RunEndHandler::apply_restart_backoff(Task& task, TimePoint started) {
+  task.consecutive_short_runs = state_.now - started < kShortRun ? task.consecutive_short_runs + 1 : 0;
   if (task.consecutive_short_runs < 2) return;
-  task.earliest_start =
-      state_.now + kFirstHoldBack * (1 << std::min(task.consecutive_short_runs - 2, kMostDoublings));
+  const std::uint32_t doublings = std::min(task.consecutive_short_runs - 2, kMaxBackoffDoublings);
+  task.earliest_start = state_.now + kFirstBackoff * (1 << doublings);
 }
 
-void RunEndHandler::update_leaf_health(Leaf& leaf, const TaskRef& place, wire::EndKind how, TimePoint began) {
-  bool blamed = how == wire::END_FAILED || how == wire::END_REFUSED;
+void RunEndHandler::update_leaf_health(Leaf& leaf, const TaskRef& ref, wire::EndKind how, TimePoint started) {
   if (how == wire::END_DONE) {
-    leaf.health.succeeded(began);
-  } else if (blamed) {
-    leaf.health.failed(place.job->id, began, state_.now);
-    if (std::find(place.task->failed_leaves.begin(), place.task->failed_leaves.end(), leaf.id) ==
-        place.task->failed_leaves.end())
-      place.task->failed_leaves.push_back(leaf.id);
+    leaf.health.on_success(started);
+  } else if (how == wire::END_FAILED || how == wire::END_REFUSED) {
+    leaf.health.on_failure(ref.job->id, started, state_.now);
+    std::vector<std::string>& failed = ref.task->failed_leaves;
+    if (std::find(failed.begin(), failed.end(), leaf.id) == failed.end()) failed.push_back(leaf.id);
   } else {
-    leaf.health.ended();
+    leaf.health.on_other_end();
   }
 }
 
@@ -89,78 +92,84 @@
   StageInstance* stage = run.stage;
   Task* task = run.task;
   RunNumber number = run.number;
-  ledger_.remove(run);
+  runs_.remove(run);
   if (task == nullptr) return;
   if (stage->spec->gang() && !task->done) stop_gang_run(*stage, number);
-  ledger_.offer(*stage, *task);
+  runs_.enqueue_if_ready(*stage, *task);
 }
 
 void RunEndHandler::stop_gang_run(StageInstance& stage, RunNumber number) {
   for (Task& member : stage.tasks)
     for (Run* run : std::vector<Run*>(member.runs))
-      if (run->number == number) ledger_.stop(*run);
+      if (run->number == number) runs_.stop_run(*run);
 }
 
 void RunEndHandler::stop_partial_gangs() {
   for (const auto& [id, job] : state_.jobs.all()) {
-    if (job->final() || !job->restored) continue;
-    for (auto& [number, repeat] : job->repeats) {
-      for (StageInstance& stage : repeat.stages) {
-        if (!stage.spec->gang() || stage.done()) continue;
-        RunNumber run = 0;
-        for (const Task& member : stage.tasks)
-          if (!member.runs.empty()) run = member.runs.front()->number;
-        bool whole = std::all_of(stage.tasks.begin(), stage.tasks.end(),
-                                 [](const Task& member) { return !member.runs.empty(); });
-        if (run > 0 && !whole) stop_gang_run(stage, run);
-      }
+    if (job->is_final() || !job->restored) continue;
+    for (auto& [number, repeat] : job->repeats)
+      for (StageInstance& stage : repeat.stages)
+        if (stage.spec->gang() && !stage.done()) stop_if_partial(stage);
+  }
+}
+
+void RunEndHandler::stop_if_partial(StageInstance& stage) {
+  RunNumber number = 0;
+  bool complete = true;
+  for (const Task& member : stage.tasks) {
+    if (member.runs.empty()) {
+      complete = false;
+    } else {
+      number = member.runs.front()->number;
     }
   }
+  if (number > 0 && !complete) stop_gang_run(stage, number);
+}
+
+void RunEndHandler::write_checkpoint(const Run& run) {
+  if (run.task == nullptr || run.task->checkpoint.text.empty() || run.job->is_final()) return;
+  jobs_.mark_progress_changed(*run.job);
 }
 
 void RunEndHandler::on_lease_expired(Leaf& leaf) {
-  for (const RunKey& key : keys_of(leaf)) {
+  for (const RunKey& key : keys_of_runs(leaf)) {
     auto found = leaf.runs.find(RunKeyView(key));
     if (found == leaf.runs.end()) continue;
     Run& run = found->second;
     StageInstance* stage = run.stage;
     Task* task = run.task;
-    if (task != nullptr && !task->saved.text.empty() && !run.job->final())
-      jobs_.mark_progress_changed(*run.job);
-    ledger_.detach(run);
-    ledger_.stop(run);
+    write_checkpoint(run);
+    runs_.detach_task(run);
+    runs_.stop_run(run);
     if (task == nullptr) continue;
     if (stage->spec->gang() && !task->done) stop_gang_run(*stage, key.run);
-    ledger_.offer(*stage, *task);
+    runs_.enqueue_if_ready(*stage, *task);
   }
-  forget_record(leaf);
+  remove_leaf_record(leaf);
 }
 
 void RunEndHandler::on_incarnation_ended(Leaf& leaf) {
-  for (const RunKey& key : keys_of(leaf)) {
+  for (const RunKey& key : keys_of_runs(leaf)) {
     auto found = leaf.runs.find(RunKeyView(key));
     if (found == leaf.runs.end()) continue;
-    Run& run = found->second;
-    if (run.task != nullptr && !run.task->saved.text.empty() && !run.job->final())
-      jobs_.mark_progress_changed(*run.job);
-    on_run_lost(run);
+    write_checkpoint(found->second);
+    on_run_lost(found->second);
   }
-  forget_record(leaf);
+  remove_leaf_record(leaf);
   Node& node = state_.leaves.node(leaf.node);
-  constexpr std::size_t kLivesKept = 8;
-  node.over.push_back(leaf.id);
-  if (node.over.size() > kLivesKept) node.over.pop_front();
-  if (node.leaf_id == leaf.id) node.leaf_id.clear();
+  node.ended_incarnations.push_back(leaf.id);
+  if (node.ended_incarnations.size() > kMaxEndedIncarnations) node.ended_incarnations.pop_front();
+  if (node.current_leaf_id == leaf.id) node.current_leaf_id.clear();
   state_.leaves.erase(leaf.id);
-  state_.changed = true;
+  state_.replan_needed = true;
 }
 
-void RunEndHandler::forget_record(Leaf& leaf) {
-  if (leaf.recorded) state_.records.remove(RecordWriteBuffer::worker_key(leaf.id));
-  leaf.recorded = false;
+void RunEndHandler::remove_leaf_record(Leaf& leaf) {
+  if (leaf.has_record) state_.records.remove(worker_key(leaf.id));
+  leaf.has_record = false;
   if (state_.unsynchronized_leaves.erase(leaf.id) > 0 && state_.unsynchronized_leaves.empty())
     stop_partial_gangs();
-  state_.changed = true;
+  state_.replan_needed = true;
 }
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/run_monitor.hpp
+++ b/src/cluster/scheduler/run_monitor.hpp
@@ -1,33 +1,42 @@
-// Looks after what runs: tasks that stand still, tasks that take too long, leaves that leave or fall silent.
+// Watches leaves and running tasks, and stops or gives up runs that don't do well.
 #pragma once
 
 #include "cluster/scheduler/run_end_handler.hpp"
 
 namespace winchhall::cluster::scheduling {
 
+// Detects leaves whose execution lease has expired or that have left, and runs that stall, that won't end
+// before their draining leaf leaves, or that risk their task's last attempt on a leaf that has become
+// suspect.
 class RunMonitor {
  public:
-  RunMonitor(SchedulerState& state, RunTable& ledger, RunEndHandler& ends)
-      : state_(state), ledger_(ledger), ends_(ends) {}
+  RunMonitor(SchedulerState& state, RunTable& runs, RunEndHandler& ends)
+      : state_(state), runs_(runs), ends_(ends) {}
 
-  // To be called with every plan; does its work at its own pace.
-  void look();
+  // Checks all leaves and runs; also updates `SchedulerState::ejection_enabled`. To be called at a fixed
+  // interval.
+  void check();
 
  private:
-  void look_at_leaves();
-  void look_at_runs(Leaf& leaf);
+  // When many leaves look as if they failed what they run, the cause is likely elsewhere: then none is
+  // ejected.
+  void update_ejection_enabled();
+  void check_leaf(Leaf& leaf);
+  void check_runs(Leaf& leaf);
+  // True if the run has made no progress for long.
   bool is_stalled(const Run& run) const;
-  // True if the leaf has turned out to fail what it starts and the task's job would end by one more failure.
-  bool must_be_spared(const Leaf& leaf, const Run& run) const;
-  bool must_move(const Leaf& leaf, const Run& run) const;
-  void copy_slow_runs();
-  void copy_slow(StageInstance& stage);
+  // True if the draining leaf will leave before the run ends, and the run is better moved now: it is
+  // long-running, or checkpoints and loses little.
+  bool must_evacuate(const Leaf& leaf, const Run& run) const;
+  // True if the leaf has become suspect since the run was ordered, and one more failure ends the task's job.
+  bool must_protect_last_attempt(const Leaf& leaf, const Run& run) const;
 
   SchedulerState& state_;
-  RunTable& ledger_;
+  RunTable& runs_;
   RunEndHandler& ends_;
-  TimePoint next_look_;
-  bool percent_told_ = false;  // some run has told a percentage between 0 and 100
+  // Some run has reported a percentage between 0 and 100: leaves do report progress. Otherwise a percentage
+  // that doesn't change says nothing.
+  bool progress_seen_ = false;
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/run_table.hpp
+++ b/src/cluster/scheduler/run_table.hpp
@@ -1,40 +1,55 @@
-// Book of the runs that may exist: what they hold on their leaves, and which tasks may be placed again.
+// The runs that may exist on leaves: their accounting, their orders, and which tasks wait for a run.
 #pragma once
 
 #include "cluster/scheduler/scheduler_state.hpp"
 
 namespace winchhall::cluster::scheduling {
 
+// The only component that adds or removes runs. For every run it keeps in step: the leaf's allocated
+// resources and load, the counts of live runs of stage, repeat and job, the task's `runs`, the orders to the
+// leaf that are not applied yet, and the queue.
+//
+// Invariants: a run occupies its resources on its leaf until `remove`, however it has ended for its task; a
+// task that has a run attached isn't in the queue; a task has at most one run attached, or two if it is
+// speculative; all runs attached to a gang's members have the same number.
 class RunTable {
  public:
   explicit RunTable(SchedulerState& state) : state_(state) {}
 
-  // Orders a run of a waiting task. `cost`: estimated ms there.
-  Run& start(StageInstance& stage, Task& task, Leaf& leaf, RunNumber number, double cost);
-  // Enters a run that the leaf lists and this leader did not order. It counts for the task where that may be.
-  Run& adopt(Leaf& leaf, const wire::RunningTask& entry, const TaskRef& place);
-  // Orders the stop of a run. A start that was never handed out is taken back at once: `run` is gone then.
-  void stop(Run& run);
-  // The run is over: frees what it held. `run` is gone then.
+  // Orders a run of a task on a leaf. `number`: from `next_run_number`, for a gang the same for all members.
+  // `cost_ms`: estimated duration on that leaf. The result stays valid until `remove`.
+  Run& start_run(StageInstance& stage, Task& task, Leaf& leaf, RunNumber number, double cost_ms);
+  // Inserts a run that the leaf reports and that this leader did not order. It is attached to its task if
+  // that may have it, and ordered to stop if not.
+  Run& adopt_reported_run(Leaf& leaf, const wire::RunningTask& entry, const TaskRef& ref);
+  // Orders a run to stop; no effect if that is ordered already. A start order that was never delivered is
+  // withdrawn instead: then `run` is destroyed and its task may be enqueued again.
+  void stop_run(Run& run);
+  // The run has ended or is certainly not on its leaf: releases its resources, detaches it and destroys it.
   void remove(Run& run);
-  // The task no longer counts on the run, which still holds its room.
-  void detach(Run& run);
-  // Forgets which job a run belongs to; it still holds its room.
+  // The task no longer counts on the run, which goes on occupying its resources.
+  void detach_task(Run& run);
+  // Detaches a run from its task, stage and job, of which one is about to be erased; it goes on occupying its
+  // resources.
   void detach_job(Run& run);
-  // Lets a task be placed if it may be now; does nothing otherwise.
-  void offer(StageInstance& stage, Task& task);
-  // Takes a task or all of a stage off the queue.
-  void withdraw(StageInstance& stage, Task& task);
-  void withdraw(StageInstance& stage);
-  // Number of the next run of a task, or of all of a gang.
+
+  // Enqueues a task if it may be placed now, or at the end of its backoff if that alone keeps it; no effect
+  // if it isn't ready, is done, has a run, has no attempt left, or its job has ended or isn't durable.
+  void enqueue_if_ready(StageInstance& stage, Task& task);
+  // Takes a task off the queue. Of a gang, takes the stage off: members are placed together or not at all.
+  void dequeue(StageInstance& stage, Task& task);
+  // Takes all tasks of a stage off the queue.
+  void dequeue(StageInstance& stage);
+
+  // The number for the next run of a task, or of a gang; above all numbers given to it before.
   RunNumber next_run_number(const StageInstance& stage, const Task& task) const;
 
  private:
   Run& insert(Leaf& leaf, const std::string& name, RunNumber number);
-  void reserve(Run& run);
+  void allocate(Run& run);
   void release(const Run& run);
-  void attach(Run& run, const TaskRef& place);
-  bool may_attach(const Run& run, const TaskRef& place) const;
+  void attach_task(Run& run, const TaskRef& ref);
+  bool may_attach(const Run& run, const TaskRef& ref) const;
 
   SchedulerState& state_;
 };
--- a/src/cluster/scheduler/scheduler_inspection.cpp
+++ b/src/cluster/scheduler/scheduler_inspection.cpp
@@ -5,11 +5,11 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-JobView view_of(const Job& job) {
+JobView make_view(const Job& job) {
   JobView view;
   view.id = job.id;
   view.queue = job.terms.queue();
-  view.state = shown_state(job);
+  view.state = visible_state(job);
   view.priority = job.terms.priority();
   view.accepted_wall_ms = job.accepted_wall_ms;
   view.repeats = job.repeat_count();
@@ -18,7 +18,7 @@
   return view;
 }
 
-StageView view_of(const StageInstance& stage) {
+StageView make_view(const StageInstance& stage) {
   StageView view;
   view.repeat = stage.repeat;
   view.number = stage.number;
@@ -29,7 +29,7 @@
   return view;
 }
 
-RunView view_of(const Run& run) {
+RunView make_view(const Run& run) {
   RunView view;
   view.task = run.name;
   view.run = run.number;
@@ -39,15 +39,17 @@
   return view;
 }
 
-ResourcesView view_of(const Resources& amounts) { return {amounts.cpu, amounts.mem_mb, amounts.gpu}; }
+ResourcesView make_view(const Resources& resources) {
+  return {resources.cpu, resources.mem_mb, resources.gpu};
+}
 
-LeafView view_of(const Leaf& leaf, TimePoint now) {
+LeafView make_view(const Leaf& leaf, TimePoint now) {
   LeafView view;
   view.id = leaf.id;
   view.node = leaf.node;
   view.labels = leaf.labels;
-  view.capacity = view_of(leaf.capacity);
-  view.reserved = view_of(leaf.reserved);
+  view.capacity = make_view(leaf.capacity);
+  view.reserved = make_view(leaf.allocated);
   view.runs = leaf.runs.size();
   view.draining = leaf.draining;
   view.reported = leaf.reported;
@@ -58,11 +60,11 @@
   return view;
 }
 
-std::vector<RunView> runs_of(const SchedulerState& state, const Job& job) {
+std::vector<RunView> list_runs(const SchedulerState& state, const Job& job) {
   std::vector<RunView> runs;
   for (const auto& leaf : state.leaves.all()) {
     for (const auto& [key, run] : leaf->runs) {
-      if (run.job == &job) runs.push_back(view_of(run));
+      if (run.job == &job) runs.push_back(make_view(run));
     }
   }
   std::sort(runs.begin(), runs.end(),
@@ -72,8 +74,8 @@
 
 }  // namespace
 
-wire::JobState shown_state(const Job& job) {
-  return job.final() && !job.shown ? wire::JOB_RUNNING : job.state;
+wire::JobState visible_state(const Job& job) {
+  return job.is_final() && !job.final_state_durable ? wire::JOB_RUNNING : job.state;
 }
 
 SchedulerStats collect_stats(const SchedulerState& state) {
@@ -94,7 +96,7 @@
   JobList list;
   list.total = newest_first.size();
   newest_first.resize(std::min(limit, newest_first.size()));
-  for (const Job* job : newest_first) list.jobs.push_back(view_of(*job));
+  for (const Job* job : newest_first) list.jobs.push_back(make_view(*job));
   return list;
 }
 
@@ -102,17 +104,17 @@
   const Job* job = state.jobs.find(id);
   if (job == nullptr) return std::nullopt;
   JobDetail detail;
-  detail.job = view_of(*job);
+  detail.job = make_view(*job);
   for (const auto& [number, repeat] : job->repeats) {
-    for (const StageInstance& stage : repeat.stages) detail.stages.push_back(view_of(stage));
+    for (const StageInstance& stage : repeat.stages) detail.stages.push_back(make_view(stage));
   }
-  detail.runs = runs_of(state, *job);
+  detail.runs = list_runs(state, *job);
   return detail;
 }
 
 std::vector<LeafView> list_leaves(const SchedulerState& state, TimePoint now) {
   std::vector<LeafView> leaves;
-  for (const auto& leaf : state.leaves.all()) leaves.push_back(view_of(*leaf, now));
+  for (const auto& leaf : state.leaves.all()) leaves.push_back(make_view(*leaf, now));
   std::sort(leaves.begin(), leaves.end(),
             [](const LeafView& left, const LeafView& right) { return left.id < right.id; });
   return leaves;
--- a/src/cluster/scheduler/stage_queue.hpp
+++ b/src/cluster/scheduler/stage_queue.hpp
@@ -1,4 +1,4 @@
-// Stages with tasks to be placed, in the order in which they are offered room.
+// The queue of stages that have tasks to be placed.
 #pragma once
 
 #include <algorithm>
@@ -8,33 +8,38 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Order: priority, then what can still be earned, then the earliest time to start by, then the largest hint.
+// Orders stages by their QueueKey. Keeps `StageInstance::queued`; a queued stage's key is changed only by
+// `update_deadline_status`. Stages are not owned and must be removed before they are destroyed.
 class StageQueue {
  public:
   using Stages = std::map<QueueKey, StageInstance*>;
 
+  // No effect if the stage is queued.
   void add(StageInstance& stage) {
     if (stage.queued) return;
     stages_.emplace(stage.key, &stage);
     stage.queued = true;
   }
+  // No effect if the stage isn't queued.
   void remove(StageInstance& stage) {
     if (!stage.queued) return;
     stages_.erase(stage.key);
     stage.queued = false;
   }
-  // Puts a stage behind all of its priority that can earn more, once it is too late for it.
+  // Moves a stage that has become late or worthless behind those of its priority that are not. A status never
+  // improves.
   void update_deadline_status(StageInstance& stage, TimePoint now) {
-    DeadlineStatus outlook = stage.key.outlook;
-    if (now > stage.late_after) outlook = std::max(outlook, DeadlineStatus::late);
-    if (now > stage.worthless_after) outlook = DeadlineStatus::none;
-    if (outlook == stage.key.outlook) return;
+    DeadlineStatus status = stage.key.deadline_status;
+    if (now > stage.late_after) status = std::max(status, DeadlineStatus::late);
+    if (now > stage.worthless_after) status = DeadlineStatus::worthless;
+    if (status == stage.key.deadline_status) return;
     bool was_queued = stage.queued;
     remove(stage);
-    stage.key.outlook = outlook;
+    stage.key.deadline_status = status;
     if (was_queued) add(stage);
   }
   bool empty() const { return stages_.empty(); }
+  // In the order of placement.
   const Stages& stages() const { return stages_; }
 
  private:
--- a/src/cluster/scheduler/task_name.cpp
+++ b/src/cluster/scheduler/task_name.cpp
@@ -1,4 +1,3 @@
-// Names of tasks as leaves know them: ID.K.STEP.INDEX.
 #include "cluster/scheduler/task_name.hpp"
 
 #include <charconv>
@@ -7,10 +6,11 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr std::size_t kShown = 64;  // characters of a bad name in an error
+constexpr std::size_t kMaxQuotedCharacters = 64;  // of an invalid name, in the error
 
-// Takes the number behind the last dot off the text.
-std::optional<std::uint32_t> take_last_number(std::string_view& text) {
+// Removes the last dot and the number behind it from `text` and returns the number; none if there is no such
+// suffix, in which case `text` is unchanged.
+std::optional<std::uint32_t> remove_last_number(std::string_view& text) {
   std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos) return std::nullopt;
   std::string_view digits = text.substr(dot + 1);
@@ -34,12 +34,12 @@
 
 leaf::result<TaskName> parse_task_name(std::string_view text) {
   std::string_view rest = text;
-  auto index = take_last_number(rest);
-  auto stage = index ? take_last_number(rest) : std::nullopt;
-  auto repeat = stage ? take_last_number(rest) : std::nullopt;
+  auto index = remove_last_number(rest);
+  auto stage = index ? remove_last_number(rest) : std::nullopt;
+  auto repeat = stage ? remove_last_number(rest) : std::nullopt;
   if (!repeat || rest.empty())
-    return leaf::new_error(
-        InvalidInput{"heartbeat", "task", std::string(text.substr(0, kShown)), "ID.K.STEP.INDEX"});
+    return leaf::new_error(InvalidInput{
+        "heartbeat", "task", std::string(text.substr(0, kMaxQuotedCharacters)), "ID.K.STEP.INDEX"});
   return TaskName{std::string(rest), *repeat, *stage, *index};
 }
 
--- a/src/cluster/scheduler/task_name.hpp
+++ b/src/cluster/scheduler/task_name.hpp
@@ -1,4 +1,4 @@
-// Names of tasks as leaves know them: ID.K.STEP.INDEX.
+// Names that identify tasks on the wire: "ID.K.STEP.INDEX".
 #pragma once
 
 #include <cstdint>
@@ -9,18 +9,20 @@
 
 namespace winchhall::cluster::scheduling {
 
+// The parts of a task's name, in the order in which they are written.
 struct TaskName {
-  std::string job;
-  std::uint32_t repeat = 0;  // 0 for jobs without times
+  std::string job;           // job ID; may contain dots
+  std::uint32_t repeat = 0;  // 0 for jobs without a timetable
   std::uint32_t stage = 0;
-  std::uint32_t index = 0;
+  std::uint32_t index = 0;  // within the stage
 
   bool operator==(const TaskName&) const = default;
 };
 
 std::string format_task_name(const TaskName& name);
 
-// Errors: InvalidInput.
+// Inverse of `format_task_name`. Fails with InvalidInput if the text is not of that form or a number exceeds
+// 32 bits.
 leaf::result<TaskName> parse_task_name(std::string_view text);
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/task_placer.cpp
+++ b/src/cluster/scheduler/task_placer.cpp
@@ -1,4 +1,3 @@
-// Gives waiting tasks to leaves: by queue order, each to the eligible leaf with the least summed hinted cost.
 #include "cluster/scheduler/task_placer.hpp"
 
 #include <algorithm>
@@ -10,56 +9,54 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr std::size_t kMostLooks = 2000;  // waiting stages looked at in one round
-
-// Part of the time lost by running away from the data that a task waits for room near them.
-constexpr double kNearPatience = 0.5;
+constexpr std::size_t kMaxStagesPerRound = 2000;
+constexpr double kLocalityWaitFactor = 0.5;  // part of the time lost by running away from the data
+constexpr Millis kLastAttemptWait{2000};     // for a leaf where a last attempt isn't risky
 
 // True if the task failed there and that may be the leaf's fault.
 bool is_deprioritized_for(const Leaf& leaf, const Task& task) {
-  if (!leaf.health.doubtful()) return false;
-  return std::find(task.failed_leaves.begin(), task.failed_leaves.end(), leaf.id) != task.failed_leaves.end();
+  return leaf.health.has_elevated_failure_rate() && has_failed_on(leaf, task);
 }
 
-// Leaves away from the data go after those near them, leaves on which the task failed before go last.
+// Leaves of a lower rank are used first, whatever their load.
 int rank_of(const Leaf& leaf, const StageInstance& stage, const Task& task) {
-  constexpr int kFailedHere = 4;
+  constexpr int kDeprioritized = 4;
   constexpr int kSuspect = 2;
-  constexpr int kAway = 1;
-  int rank = is_deprioritized_for(leaf, task) ? kFailedHere : 0;
-  if (leaf.health.suspect()) rank += kSuspect;
-  if (is_remote(leaf, stage)) rank += kAway;
+  constexpr int kRemote = 1;
+  int rank = is_deprioritized_for(leaf, task) ? kDeprioritized : 0;
+  if (leaf.health.is_suspect()) rank += kSuspect;
+  if (is_remote(leaf, stage)) rank += kRemote;
   return rank;
 }
 
+// True if any run of the task may exist on the leaf, also one that no longer counts for it: a leaf executes
+// at most one run of a task at a time.
 bool has_run_of(const Leaf& leaf, const StageInstance& stage, const Task& task) {
-  if (!stage.on_leaf.contains(&leaf)) return false;
-  std::string name = format_task_name(stage.name_of(task.index));
+  if (!stage.runs_by_leaf.contains(&leaf)) return false;
+  const std::string name = format_task_name(stage.task_name(task.index));
   return std::any_of(leaf.runs.begin(), leaf.runs.end(),
                      [&](const auto& entry) { return entry.first.task == name; });
 }
 
-// A task that must not fail again waits so long for a leaf that is not likely to fail it.
-constexpr Millis kLastTryPatience{2000};
-
 }  // namespace
 
-void TaskPlacer::place_all() {
-  exhausted_.clear();
-  claims_.begin_round();
-  preemption_.begin_round();
+void TaskPlacer::place_waiting_tasks() {
+  unsatisfied_.clear();
+  reservations_.begin_round();
+  preemptor_.begin_round();
+  // A copy, because placing a stage changes the queue.
   std::vector<StageInstance*> stages;
-  stages.reserve(std::min(kMostLooks, state_.queue.stages().size()));
+  stages.reserve(std::min(kMaxStagesPerRound, state_.queue.stages().size()));
   for (const auto& [key, stage] : state_.queue.stages()) {
-    if (stages.size() == kMostLooks) break;
+    if (stages.size() == kMaxStagesPerRound) break;
     stages.push_back(stage);
   }
   for (StageInstance* stage : stages) {
-    if (!stage->queued || !may_start(state_, *stage->job)) continue;
+    if (!stage->queued || !may_start_tasks(state_, *stage->job)) continue;
     state_.queue.update_deadline_status(*stage, state_.now);
-    if (is_exhausted(*stage)) {
+    if (is_known_not_to_fit(*stage)) {
       find_candidates(*stage);
-      preempt_for(*stage);
+      free_capacity_for(*stage);
     } else {
       place_stage(*stage);
     }
@@ -78,50 +75,50 @@
     if (stage.spec->gang()) {
       if (place_gang(stage)) return;
     } else {
-      place_singles(stage);
+      place_tasks(stage);
     }
   }
-  if (stage.queued) note_blocked(stage);
+  if (stage.queued) handle_unplaced(stage);
 }
 
-void TaskPlacer::place_singles(StageInstance& stage) {
+void TaskPlacer::place_tasks(StageInstance& stage) {
   for (std::uint32_t index : std::vector<std::uint32_t>(stage.waiting.begin(), stage.waiting.end())) {
     Task& task = stage.tasks[index];
-    Leaf* leaf = choose(stage, task);
+    Leaf* leaf = choose_leaf(stage, task);
     if (leaf == nullptr) return;
     if (is_remote(*leaf, stage) && waits_for_local_capacity(stage, task)) return;
-    double cost = stage.hint * remote_slowdown(state_, *leaf, stage);
-    ledger_.start(stage, task, *leaf, ledger_.next_run_number(stage, task), cost);
+    const double cost_ms = estimate_ms_on(state_, *leaf, stage);
+    runs_.start_run(stage, task, *leaf, runs_.next_run_number(stage, task), cost_ms);
   }
 }
 
-Leaf* TaskPlacer::choose(const StageInstance& stage, const Task& task) {
+Leaf* TaskPlacer::choose_leaf(const StageInstance& stage, const Task& task) {
   placement::LeastCost<Leaf*> choice;
   for (Leaf* leaf : candidates_) {
-    if (state_.is_ejected(*leaf) || slots_for(*leaf, stage, leaf->free()) == 0) continue;
+    // Ejection may have begun with a run that was ordered earlier in this round.
+    if (state_.is_ejected(*leaf) || slots_for(*leaf, stage, leaf->available()) == 0) continue;
     if (!respects_reservation(state_, *leaf, stage) || has_run_of(*leaf, stage, task)) continue;
     if (avoids_risky_last_attempt(*leaf, stage, task)) continue;
-    double cost = leaf->cost + stage.hint * remote_slowdown(state_, *leaf, stage);
-    choice.offer(leaf, cost, state_.random, rank_of(*leaf, stage, task));
+    const double cost_ms = leaf->load_ms + estimate_ms_on(state_, *leaf, stage);
+    choice.offer(leaf, cost_ms, state_.random, rank_of(*leaf, stage, task));
   }
   return choice.empty() ? nullptr : choice.best();
 }
 
 bool TaskPlacer::avoids_risky_last_attempt(const Leaf& leaf, const StageInstance& stage,
                                            const Task& task) const {
-  if (state_.now - task.enqueued_at >= kLastTryPatience || !is_risky_last_attempt(state_, leaf, stage, task))
-    return false;
-  const auto& all = state_.leaves.all();
-  return std::any_of(all.begin(), all.end(), [&](const auto& other) {
+  if (state_.now - task.enqueued_at >= kLastAttemptWait) return false;
+  if (!is_risky_last_attempt(state_, leaf, stage, task)) return false;
+  const auto& leaves = state_.leaves.all();
+  return std::any_of(leaves.begin(), leaves.end(), [&](const auto& other) {
     return is_feasible(*other, stage) && is_reachable(state_, *other) && !state_.is_ejected(*other) &&
            !is_risky_last_attempt(state_, *other, stage, task);
   });
 }
 
 bool TaskPlacer::waits_for_local_capacity(const StageInstance& stage, const Task& task) const {
-  const double lost_ms = stage.hint * (state_.terms.bounds.far_factor - 1);
-  const Millis patience(static_cast<std::int64_t>(lost_ms * kNearPatience));
-  if (state_.now >= stage.waiting_since + patience) return false;
+  const double wait_ms = remote_penalty_ms(state_, stage) * kLocalityWaitFactor;
+  if (state_.now >= stage.waiting_since + Millis(static_cast<std::int64_t>(wait_ms))) return false;
   return std::any_of(candidates_.begin(), candidates_.end(), [&](const Leaf* leaf) {
     return !is_remote(*leaf, stage) && !state_.is_ejected(*leaf) && !is_deprioritized_for(*leaf, task) &&
            !avoids_risky_last_attempt(*leaf, stage, task);
@@ -129,38 +126,40 @@
 }
 
 bool TaskPlacer::place_gang(StageInstance& stage) {
-  std::vector<Leaf*> open;
-  for (Leaf* leaf : candidates_)
-    if (respects_reservation(state_, *leaf, stage) &&
-        !avoids_risky_last_attempt(*leaf, stage, stage.tasks.front()))
-      open.push_back(leaf);
-  GangPlacement plan = place_gang_members(state_, stage, open);
-  if (plan.members.empty()) return false;
-  RunNumber run = ledger_.next_run_number(stage, stage.tasks.front());
-  for (std::size_t i = 0; i < plan.members.size(); ++i)
-    ledger_.start(stage, stage.tasks[i], *plan.members[i], run, plan.cost);
+  std::vector<Leaf*> usable;
+  for (Leaf* leaf : candidates_) {
+    if (!respects_reservation(state_, *leaf, stage)) continue;
+    if (!avoids_risky_last_attempt(*leaf, stage, stage.tasks.front())) usable.push_back(leaf);
+  }
+  const GangPlacement placement = place_gang_members(state_, stage, usable);
+  if (placement.members.empty()) return false;
+  const RunNumber number = runs_.next_run_number(stage, stage.tasks.front());
+  for (std::size_t i = 0; i < placement.members.size(); ++i)
+    runs_.start_run(stage, stage.tasks[i], *placement.members[i], number, placement.cost_ms);
   return true;
 }
 
-bool TaskPlacer::is_exhausted(const StageInstance& stage) const {
+bool TaskPlacer::is_known_not_to_fit(const StageInstance& stage) const {
   const std::string& label = stage.spec->requirements();
-  return std::any_of(exhausted_.begin(), exhausted_.end(), [&](const Exhausted& shape) {
-    return (shape.label.empty() || shape.label == label) && shape.demand.fits_in(stage.demand);
+  return std::any_of(unsatisfied_.begin(), unsatisfied_.end(), [&](const UnsatisfiedDemand& entry) {
+    return (entry.label.empty() || entry.label == label) && entry.demand.fits_in(stage.demand);
   });
 }
 
-void TaskPlacer::note_blocked(StageInstance& stage) {
-  bool room = std::any_of(candidates_.begin(), candidates_.end(),
-                          [&](const Leaf* leaf) { return stage.demand.fits_in(leaf->free()); });
-  if (!room && !stage.spec->gang()) exhausted_.push_back({stage.spec->requirements(), stage.demand});
-  preempt_for(stage);
+void TaskPlacer::handle_unplaced(StageInstance& stage) {
+  const bool has_capacity = std::any_of(candidates_.begin(), candidates_.end(), [&](const Leaf* leaf) {
+    return stage.demand.fits_in(leaf->available());
+  });
+  if (!has_capacity && !stage.spec->gang())
+    unsatisfied_.push_back({stage.spec->requirements(), stage.demand});
+  free_capacity_for(stage);
 }
 
-void TaskPlacer::preempt_for(StageInstance& stage) {
-  if (claims_.needs_reservation(stage)) {
-    claims_.claim(stage);
+void TaskPlacer::free_capacity_for(StageInstance& stage) {
+  if (reservations_.needs_reservation(stage)) {
+    reservations_.reserve_for(stage);
   } else {
-    preemption_.preempt_for(stage, candidates_);
+    preemptor_.preempt_for(stage, candidates_);
   }
 }
 
--- a/src/cluster/scheduler/task_preemptor.cpp
+++ b/src/cluster/scheduler/task_preemptor.cpp
@@ -1,4 +1,3 @@
-// Stops work of less priority where small tasks wait and too little room will come free by itself.
 #include "cluster/scheduler/task_preemptor.hpp"
 
 #include <algorithm>
@@ -9,82 +8,85 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr Millis kAfter{60};          // waiting for less, a stage lets others run on
-constexpr Millis kUnsavedAfter{500};  // waiting for longer, work that is not saved may be lost
+// How long a stage waits before others are preempted for it.
+constexpr Millis kPreemptAfter{60};
+constexpr Millis kLoseWorkAfter{500};
 
-// Least priority first, then work that is saved, then work that has done least. Tasks that last lose no work,
-// but their job does without them while they wait.
-bool is_better_victim(const Run* left, const Run* right) {
+bool is_preempted_before(const Run* left, const Run* right) {
   const std::uint32_t left_priority = left->job->terms.priority();
   const std::uint32_t right_priority = right->job->terms.priority();
   if (left_priority != right_priority) return left_priority > right_priority;
-  const bool left_saves = left->stage->spec->checkpoints();
-  const bool right_saves = right->stage->spec->checkpoints();
-  if (left_saves != right_saves) return left_saves;
-  return left->ordered_at > right->ordered_at;
+  return loses_less_work(*left, *right);
 }
 
 }  // namespace
 
-bool may_preempt(const StageInstance& stage, const Run& run, bool unsaved_too) {
+bool may_preempt(const StageInstance& stage, const Run& run, LostWork lost_work) {
   if (run.task == nullptr || run.stop_revision > 0) return false;
   if (run.job->terms.priority() <= stage.job->terms.priority()) return false;
   const wire::Stage& spec = *run.stage->spec;
   if (spec.gang()) return false;
-  return unsaved_too || (spec.checkpoints() && !spec.long_running());
+  return lost_work == LostWork::accept || (spec.checkpoints() && !spec.long_running());
 }
 
-TaskPreemptor::Prospect TaskPreemptor::prospect_of(const StageInstance& stage, Leaf& leaf) const {
+bool loses_less_work(const Run& left, const Run& right) {
+  const bool left_checkpoints = left.stage->spec->checkpoints();
+  const bool right_checkpoints = right.stage->spec->checkpoints();
+  return left_checkpoints != right_checkpoints ? left_checkpoints : left.ordered_at > right.ordered_at;
+}
+
+TaskPreemptor::FutureCapacity TaskPreemptor::future_capacity(const StageInstance& stage, Leaf& leaf) const {
   const TimePoint soon = state_.now + state_.terms.bounds.stop;
-  Resources reserved = leaf.reserved;
+  Resources allocated = leaf.allocated;
   for (const auto& [key, run] : leaf.runs)
-    if (expected_end(state_, run) <= soon) reserved = reserved.without(run.demand);
-  Resources room = leaf.capacity.without(reserved);
+    if (estimate_run_end(state_, run) <= soon) allocated = allocated.without(run.demand);
+  Resources available = leaf.capacity.without(allocated);
   const auto promised = promised_.find(&leaf);
-  if (promised != promised_.end()) room = room.without(promised->second);
-  return {&leaf, room, slots_for(leaf, stage, room)};
+  if (promised != promised_.end()) available = available.without(promised->second);
+  return {&leaf, available, slots_for(leaf, stage, available)};
 }
 
-std::vector<Run*> TaskPreemptor::victims_for(const StageInstance& stage,
-                                             const std::vector<Prospect>& prospects) const {
-  const bool unsaved_too = state_.now - stage.waiting_since >= kUnsavedAfter;
+std::vector<Run*> TaskPreemptor::find_victims(const StageInstance& stage,
+                                              const std::vector<FutureCapacity>& capacities) const {
+  const bool lose_work = state_.now - stage.waiting_since >= kLoseWorkAfter;
+  const LostWork lost_work = lose_work ? LostWork::accept : LostWork::avoid;
   const TimePoint soon = state_.now + state_.terms.bounds.stop;
   std::vector<Run*> victims;
-  for (const Prospect& prospect : prospects)
-    for (auto& [key, run] : prospect.leaf->runs)
-      if (may_preempt(stage, run, unsaved_too) && expected_end(state_, run) > soon) victims.push_back(&run);
-  std::sort(victims.begin(), victims.end(), is_better_victim);
+  for (const FutureCapacity& capacity : capacities)
+    for (auto& [key, run] : capacity.leaf->runs)
+      if (may_preempt(stage, run, lost_work) && estimate_run_end(state_, run) > soon) victims.push_back(&run);
+  std::sort(victims.begin(), victims.end(), is_preempted_before);
   return victims;
 }
 
-void TaskPreemptor::stop_until_covered(const StageInstance& stage, std::vector<Prospect>& prospects,
-                                       std::uint64_t wanted) {
-  std::uint64_t places = 0;
-  for (const Prospect& prospect : prospects) places += prospect.places;
-  for (Run* victim : victims_for(stage, prospects)) {
-    if (places >= wanted) return;
-    const auto found = std::find_if(prospects.begin(), prospects.end(),
-                                    [&](const Prospect& entry) { return entry.leaf == victim->leaf; });
-    found->room += victim->demand;
-    places -= found->places;
-    found->places = slots_for(*found->leaf, stage, found->room);
-    places += found->places;
-    ledger_.stop(*victim);
+void TaskPreemptor::stop_until_covered(const StageInstance& stage, std::vector<FutureCapacity>& capacities,
+                                       std::uint64_t wanted_slots) {
+  std::uint64_t slots = 0;
+  for (const FutureCapacity& capacity : capacities) slots += capacity.slots;
+  for (Run* victim : find_victims(stage, capacities)) {
+    if (slots >= wanted_slots) return;
+    const auto found = std::find_if(capacities.begin(), capacities.end(),
+                                    [&](const FutureCapacity& entry) { return entry.leaf == victim->leaf; });
+    found->available += victim->demand;
+    slots -= found->slots;
+    found->slots = slots_for(*found->leaf, stage, found->available);
+    slots += found->slots;
+    runs_.stop_run(*victim);
   }
 }
 
 void TaskPreemptor::preempt_for(const StageInstance& stage, const std::vector<Leaf*>& candidates) {
-  if (state_.now - stage.waiting_since < kAfter) return;
-  if (!state_.use.has_below(stage.job->terms.priority())) return;
-  std::vector<Prospect> prospects;
-  prospects.reserve(candidates.size());
-  for (Leaf* leaf : candidates) prospects.push_back(prospect_of(stage, *leaf));
-  std::uint64_t wanted = stage.waiting.size();
-  stop_until_covered(stage, prospects, wanted);
-  for (const Prospect& prospect : prospects) {
-    const std::uint64_t taken = std::min(wanted, prospect.places);
-    wanted -= taken;
-    Resources& promised = promised_[prospect.leaf];
+  if (state_.now - stage.waiting_since < kPreemptAfter) return;
+  if (!state_.run_counts.has_lower_priority_than(stage.job->terms.priority())) return;
+  std::vector<FutureCapacity> capacities;
+  capacities.reserve(candidates.size());
+  for (Leaf* leaf : candidates) capacities.push_back(future_capacity(stage, *leaf));
+  std::uint64_t wanted_slots = stage.waiting.size();
+  stop_until_covered(stage, capacities, wanted_slots);
+  for (const FutureCapacity& capacity : capacities) {
+    const std::uint64_t taken = std::min(wanted_slots, capacity.slots);
+    wanted_slots -= taken;
+    Resources& promised = promised_[capacity.leaf];
     for (std::uint64_t i = 0; i < taken; ++i) promised += stage.demand;
   }
 }
--- a/src/cluster/scheduler/task_preemptor.hpp
+++ b/src/cluster/scheduler/task_preemptor.hpp
@@ -1,6 +1,7 @@
-// Stops work of less priority where small tasks wait and too little room will come free by itself.
+// Preempts runs of lower priority for small tasks that wait.
 #pragma once
 
+#include <cstdint>
 #include <unordered_map>
 #include <vector>
 
@@ -8,33 +9,48 @@
 
 namespace winchhall::cluster::scheduling {
 
-// True if a stage may have this run stopped to take its room. `unsaved_too`: even where its work is lost.
-bool may_preempt(const StageInstance& stage, const Run& run, bool unsaved_too);
+// Whether preemption may lose work: a run that doesn't checkpoint starts over, and the job of a long-running
+// task is without it until it is placed again.
+enum class LostWork : std::uint8_t { avoid, accept };
 
+// True if the run may be stopped in favour of the stage: it is of strictly lower priority, not a member of a
+// gang, and loses no work where that is to be avoided.
+bool may_preempt(const StageInstance& stage, const Run& run, LostWork lost_work);
+
+// Order of preemption within one priority: runs that checkpoint first, then those ordered latest, which have
+// done least.
+bool loses_less_work(const Run& left, const Run& right);
+
+// Frees capacity for stages whose tasks are placed one by one and each fit in a small part of a leaf; stages
+// that need more use BackfillReservations. Stops only as many runs as tasks wait beyond the slots that come
+// free by themselves within the time that a stop takes.
 class TaskPreemptor {
  public:
-  TaskPreemptor(SchedulerState& state, RunTable& ledger) : state_(state), ledger_(ledger) {}
+  TaskPreemptor(SchedulerState& state, RunTable& runs) : state_(state), runs_(runs) {}
 
-  // Forgets what earlier stages were promised: each planning round counts anew.
+  // Begins a planning round: no stage counts on capacity yet.
   void begin_round() { promised_.clear(); }
-  // Makes room for the waiting tasks of a stage whose tasks are placed one by one. `candidates`: leaves that
-  // may take them once they have room.
+  // Stops runs for the stage's waiting tasks. `candidates`: its schedulable leaves. No effect before the
+  // stage has waited for a moment.
   void preempt_for(const StageInstance& stage, const std::vector<Leaf*>& candidates);
 
  private:
-  // A leaf with the room it will have within the time that a stop takes.
-  struct Prospect {
+  // A leaf with the capacity that it will have within the time that a stop takes.
+  struct FutureCapacity {
     Leaf* leaf = nullptr;
-    Resources room;
-    std::uint64_t places = 0;
+    Resources available;
+    std::uint64_t slots = 0;  // of the stage in hand
   };
-  Prospect prospect_of(const StageInstance& stage, Leaf& leaf) const;
-  std::vector<Run*> victims_for(const StageInstance& stage, const std::vector<Prospect>& prospects) const;
-  void stop_until_covered(const StageInstance& stage, std::vector<Prospect>& prospects, std::uint64_t wanted);
+  FutureCapacity future_capacity(const StageInstance& stage, Leaf& leaf) const;
+  std::vector<Run*> find_victims(const StageInstance& stage,
+                                 const std::vector<FutureCapacity>& capacities) const;
+  void stop_until_covered(const StageInstance& stage, std::vector<FutureCapacity>& capacities,
+                          std::uint64_t wanted_slots);
 
   SchedulerState& state_;
-  RunTable& ledger_;
-  std::unordered_map<const Leaf*, Resources> promised_;  // room to come that stages of this round count on
+  RunTable& runs_;
+  // Future capacity that earlier stages of this round count on.
+  std::unordered_map<const Leaf*, Resources> promised_;
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/tests/cluster/scheduler/inspection_test.cpp
+++ b/tests/cluster/scheduler/inspection_test.cpp
@@ -1,4 +1,4 @@
-// What operators see of a scheduler.
+// Operators' views of a scheduler.
 #include <catch2/catch.hpp>
 
 #include "cluster/scheduler/scheduler.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::int64_t kWall = 1'700'000'000'000;
+constexpr std::int64_t kWallClockStartMs = 1'700'000'000'000;
 const std::string kJob = "00000000000000a1";
 
 struct SchedulerFixture {
@@ -19,7 +19,7 @@
     SchedulerTerms terms;
     terms.service = "core";
     scheduler = make_scheduler(terms, 2, 1);
-    scheduler->restore({}, now, kWall);
+    scheduler->restore({}, now, kWallClockStartMs);
   }
 
   void submit(const std::string& id) {
@@ -34,10 +34,10 @@
     terms.set_queue("extract");
     terms.set_priority(2);
     terms.set_max_retries(2);
-    REQUIRE(scheduler->submit(id, spec, terms, now, kWall).outcome == wire::JOB_OK);
+    REQUIRE(scheduler->submit(id, spec, terms, now, kWallClockStartMs).outcome == wire::JOB_OK);
   }
 
-  // A report of a leaf with room for two tasks, and the plan that follows.
+  // Reports a leaf with capacity for two tasks, and plans.
   void report() {
     wire::WorkerReport report;
     report.set_node_name("side-1");
@@ -51,13 +51,13 @@
     leaf.set_service("core");
     leaf.set_cpu(2000);
     leaf.set_mem_mb(4000);
-    scheduler->report(report, now, kWall);
+    scheduler->report(report, now, kWallClockStartMs);
     step();
   }
 
   void step() {
     for (int round = 0; round < 3; ++round) {
-      scheduler->plan(now, kWall);
+      scheduler->plan(now, kWallClockStartMs);
       const Scheduler::ChangeBatch changes = scheduler->take_changes();
       if (changes.number > 0) scheduler->on_changes_durable(changes.number);
       now += Millis(200);
@@ -82,7 +82,8 @@
   CHECK(scheduler->stats().counters.jobs_accepted == 2);
 }
 
-TEST_CASE_METHOD(SchedulerFixture, "a job is shown with its stages and runs, a leaf with what it holds") {
+TEST_CASE_METHOD(SchedulerFixture,
+                 "a job is shown with its stages and runs, a leaf with its allocated resources") {
   submit(kJob);
   report();
   report();
@@ -114,7 +115,7 @@
   CHECK_FALSE(scheduler->job(kJob));
   submit(kJob);
   step();
-  scheduler->cancel(kJob, now, kWall);
+  scheduler->cancel(kJob, now, kWallClockStartMs);
   CHECK(scheduler->job(kJob)->job.state == wire::JOB_RUNNING);
   step();
   CHECK(scheduler->job(kJob)->job.state == wire::JOB_CANCELED);
--- a/tests/cluster/scheduler/rules_test.cpp
+++ b/tests/cluster/scheduler/rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules for jobs, under random work and troubles by seed.
+// Randomized simulations: the rules for jobs hold under random workloads and injected faults.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/scheduler/scheduler_sim_impl.hpp"
@@ -6,7 +6,7 @@
 namespace winchhall::cluster::test {
 namespace {
 
-wire::Stage random_stage(SchedulerSim& sim, int number) {
+wire::Stage random_stage(ServiceSimulation& sim, int number) {
   wire::Stage stage;
   stage.set_count(static_cast<std::uint32_t>(sim.between(1, 8)));
   stage.set_cpu(static_cast<std::uint32_t>(sim.between(1, 20) * 100));
@@ -29,8 +29,8 @@
   return stage;
 }
 
-SimJob random_job(SchedulerSim& sim, int number) {
-  SimJob job;
+SimulatedJob random_job(ServiceSimulation& sim, int number) {
+  SimulatedJob job;
   job.id = "job" + std::to_string(number);
   job.spec.set_spec("work of " + job.id);
   int stages = static_cast<int>(sim.between(1, 3));
@@ -54,23 +54,23 @@
   return job;
 }
 
-bool lasts(const SimJob& job) { return job.spec.stages(0).long_running(); }
+bool lasts(const SimulatedJob& job) { return job.spec.stages(0).long_running(); }
 
-void play(std::uint64_t seed, SimTroubles troubles, int jobs,
-          const std::function<void(SimLeaf&)>& harm = {}) {
+void play(std::uint64_t seed, FaultRates faults, int jobs,
+          const std::function<void(SimulatedLeaf&)>& harm = {}) {
   constexpr Ms kTraffic = 20000;
   constexpr Ms kLimit = 240000;
-  SchedulerSim sim(seed, 6, troubles);
+  ServiceSimulation sim(seed, 6, faults);
   sim.checker().bounds.status = Millis(400000);
-  sim.busy_until = kTraffic + 5000;
+  sim.faults_until = kTraffic + 5000;
   if (harm) {
-    sim.checker().calm = false;
+    sim.checker().fault_free = false;
     harm(*sim.leaves().front());
   }
   for (int i = 0; i < jobs; ++i) {
     Ms at = sim.between(0, kTraffic);
     sim.at(at, [&sim, i] {
-      SimJob job = random_job(sim, i);
+      SimulatedJob job = random_job(sim, i);
       std::string id = job.id;
       bool cancel = lasts(job) || sim.chance() < 0.1;
       Ms later = lasts(job) ? kTraffic + 20000 : sim.now() + sim.between(0, 5000);
@@ -79,58 +79,59 @@
     });
   }
   sim.run_until(kTraffic + 5000);
-  sim.end_troubles();
+  sim.stop_faults();
   while (sim.now() < kLimit && !(sim.all_ended() && sim.now() > kTraffic + 30000) &&
-         sim.checker().log.broken.empty())
+         sim.checker().log.violations.empty())
     sim.run_until(sim.now() + 1000);
-  sim.checker().check_at_the_end();
+  sim.checker().check_after_run();
   INFO("seed " << seed);
-  for (const std::string& broken : sim.checker().log.broken) FAIL_CHECK(broken);
+  for (const std::string& violations : sim.checker().log.violations) FAIL_CHECK(violations);
   std::string open;
   for (const auto& [id, job] : sim.checker().jobs)
-    if (job.shown_at < 0) open += " " + id;
+    if (job.final_at < 0) open += " " + id;
   INFO("not ended:" << open << "; " << (sim.leader() != nullptr ? sim.leader()->summary() : "no leader"));
   CHECK(sim.all_ended());
 }
 
-TEST_CASE("the rules hold on calm days") {
+TEST_CASE("the rules hold without faults") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) play(seed, {}, 40);
 }
 
-TEST_CASE("the rules hold when messages are lost, late or doubled") {
-  for (std::uint64_t seed = 1000; seed < 1060; ++seed) play(seed, {.loss = 0.1, .late = 0.05}, 40);
+TEST_CASE("the rules hold when messages are lost, delayed or duplicated") {
+  for (std::uint64_t seed = 1000; seed < 1060; ++seed) play(seed, {.loss = 0.1, .delay = 0.05}, 40);
 }
 
-TEST_CASE("the rules hold when leaves crash and leave") {
+TEST_CASE("the rules hold when leaves crash and drain") {
   for (std::uint64_t seed = 2000; seed < 2060; ++seed) play(seed, {.leaf_crashes = 0.3, .drains = 0.3}, 40);
 }
 
-TEST_CASE("the rules hold when worker-agents restart and are cut off") {
-  for (std::uint64_t seed = 3000; seed < 3060; ++seed) play(seed, {.worker_restarts = 0.5, .cuts = 0.3}, 40);
+TEST_CASE("the rules hold when worker-agents restart and are partitioned") {
+  for (std::uint64_t seed = 3000; seed < 3060; ++seed)
+    play(seed, {.worker_restarts = 0.5, .partitions = 0.3}, 40);
 }
 
-TEST_CASE("the rules hold when leaders follow one another") {
+TEST_CASE("the rules hold when leaders change") {
   for (std::uint64_t seed = 4000; seed < 4060; ++seed) play(seed, {.leader_changes = 0.4}, 40);
 }
 
-TEST_CASE("all jobs end although one leaf fails all that it starts") {
+TEST_CASE("all jobs end although one leaf fails every run") {
   for (std::uint64_t seed = 6000; seed < 6030; ++seed)
-    play(seed, {}, 40, [](SimLeaf& leaf) { leaf.fails_all = true; });
+    play(seed, {}, 40, [](SimulatedLeaf& leaf) { leaf.fails_everything = true; });
 }
 
-TEST_CASE("all jobs end although tasks on one leaf stand still") {
+TEST_CASE("all jobs end although tasks on one leaf stall") {
   for (std::uint64_t seed = 7000; seed < 7030; ++seed)
-    play(seed, {}, 40, [](SimLeaf& leaf) { leaf.still = true; });
+    play(seed, {}, 40, [](SimulatedLeaf& leaf) { leaf.stalls = true; });
 }
 
-TEST_CASE("the rules hold when everything goes wrong at once") {
+TEST_CASE("the rules hold when all faults are injected at once") {
   for (std::uint64_t seed = 5000; seed < 5100; ++seed)
     play(seed,
          {.loss = 0.05,
-          .late = 0.05,
+          .delay = 0.05,
           .leaf_crashes = 0.2,
           .worker_restarts = 0.2,
-          .cuts = 0.2,
+          .partitions = 0.2,
           .leader_changes = 0.2,
           .drains = 0.1},
          40);
--- a/tests/cluster/scheduler/scheduler_script.hpp
+++ b/tests/cluster/scheduler/scheduler_script.hpp
@@ -1,4 +1,4 @@
-// A scheduler step by step against scripted worker-agents, on a virtual clock.
+// Test harness that drives one scheduler step by step on a virtual clock.
 #pragma once
 
 #include <map>
@@ -10,41 +10,42 @@
 
 namespace winchhall::cluster::test {
 
-inline constexpr std::int64_t kWall = 1700000000000;
+inline constexpr std::int64_t kWallClockStartMs = 1700000000000;
 
-// One scheduler, one virtual clock, worker-agents that say what the test makes them say.
-struct Script {
+// One scheduler with its durable records; the test plays the worker-agents.
+struct SchedulerHarness {
   std::int64_t now_ms = 1000;
   std::unique_ptr<Scheduler> scheduler;
   std::uint64_t epoch = 1;
-  std::map<std::string, std::string> disk;
+  std::map<std::string, std::string> records;
   std::map<std::string, std::uint64_t> report_numbers;
 
-  explicit Script(std::uint64_t lease_epoch = 1, std::vector<ShardEntry> entries = {}) : epoch(lease_epoch) {
+  explicit SchedulerHarness(std::uint64_t lease_epoch = 1, std::vector<ShardEntry> entries = {})
+      : epoch(lease_epoch) {
     SchedulerTerms terms;
     terms.service = "s";
     scheduler = make_scheduler(terms, epoch, 5);
     scheduler->restore(entries, time(), wall());
   }
   TimePoint time() const { return TimePoint(Millis(now_ms)); }
-  std::int64_t wall() const { return kWall + now_ms; }
+  std::int64_t wall() const { return kWallClockStartMs + now_ms; }
   std::vector<ShardEntry> entries() const {
     std::vector<ShardEntry> all;
-    for (const auto& [key, value] : disk) all.push_back({key, value});
+    for (const auto& [key, value] : records) all.push_back({key, value});
     return all;
   }
 
-  // Lets all changes become durable, then plans.
-  void settle() {
+  // Makes all changes durable, with what follows from them, and plans.
+  void make_durable_and_plan() {
     for (int i = 0; i < 3; ++i) {
       scheduler->plan(time(), wall());
       Scheduler::ChangeBatch changes = scheduler->take_changes();
       if (changes.number == 0) continue;
       for (ShardChange& change : changes.changes) {
         if (change.value) {
-          disk[change.key] = *change.value;
+          records[change.key] = *change.value;
         } else {
-          disk.erase(change.key);
+          records.erase(change.key);
         }
       }
       scheduler->on_changes_durable(changes.number);
@@ -52,7 +53,8 @@
     scheduler->plan(time(), wall());
   }
 
-  wire::WorkerReport report_of(const std::string& leaf) {
+  // The next report of a leaf of 8 cores and 8000 MB with empty lists.
+  wire::WorkerReport make_report(const std::string& leaf) {
     wire::WorkerReport report;
     report.set_node_name("node-" + leaf);
     report.set_session(77);
@@ -67,9 +69,10 @@
     report.set_lists_included(true);
     return report;
   }
-  void tell(const wire::WorkerReport& report) {
+  // The scheduler receives the report; its changes become durable.
+  void deliver(const wire::WorkerReport& report) {
     scheduler->report(report, time(), wall());
-    settle();
+    make_durable_and_plan();
   }
   wire::WorkerOrders orders(const std::string& leaf) { return scheduler->orders(leaf, time()); }
 
@@ -85,7 +88,8 @@
   }
 };
 
-inline wire::JobSpec one_stage(std::uint32_t count) {
+// A job of one stage whose tasks take one core for 500 ms each.
+inline wire::JobSpec single_stage_job(std::uint32_t count) {
   wire::JobSpec spec;
   spec.set_spec("what");
   wire::Stage* stage = spec.add_stages();
--- a/tests/cluster/scheduler/scheduler_sim.hpp
+++ b/tests/cluster/scheduler/scheduler_sim.hpp
@@ -1,5 +1,5 @@
-// A simulated service: leaves with their worker-agents, leaders that follow one another, clients and
-// troubles, all on one virtual clock. Seeds make schedules repeat.
+// Simulation of one service on a virtual clock: leaves with their worker-agents, successive leaders, clients,
+// and injected faults. The same seed gives the same course of events.
 #pragma once
 
 #include <functional>
@@ -14,39 +14,46 @@
 
 namespace winchhall::cluster::test {
 
-struct SimTroubles {
-  double loss = 0;          // part of the messages that are lost
-  double late = 0;          // part that comes up to two seconds late
-  double leaf_crashes = 0;  // a second, of all leaves together
+// Injected faults: shares of messages, and events per second over all nodes.
+struct FaultRates {
+  double loss = 0;   // share of messages that are lost
+  double delay = 0;  // share of messages that arrive up to two seconds late
+  double leaf_crashes = 0;
   double worker_restarts = 0;
-  double cuts = 0;
+  double partitions = 0;  // of a worker-agent from the leader
   double leader_changes = 0;
   double drains = 0;
   bool any() const {
-    return loss + late + leaf_crashes + worker_restarts + cuts + leader_changes + drains > 0;
+    return loss + delay + leaf_crashes + worker_restarts + partitions + leader_changes + drains > 0;
   }
 };
 
-class SchedulerSim {
+// Drives a real Scheduler. The leader's changes become durable some ms after they are taken; when a leader is
+// lost, those that weren't durable survive up to some random batch.
+class ServiceSimulation {
  public:
-  SchedulerSim(std::uint64_t seed, std::size_t leaves, SimTroubles troubles);
+  ServiceSimulation(std::uint64_t seed, std::size_t leaves, FaultRates faults);
 
-  SimChecker& checker() { return checker_; }
+  RuleChecker& checker() { return checker_; }
   std::mt19937_64& random() { return random_; }
   double chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
   Ms between(Ms least, Ms most) { return std::uniform_int_distribution<Ms>(least, most)(random_); }
   Ms now() const { return now_; }
 
   void at(Ms time, std::function<void()> action) { events_.push({time, next_event_++, std::move(action)}); }
-  // Hands in a job, again and again until it is accepted.
-  void submit(SimJob job);
+  // Submits a job, and retries until it is accepted.
+  void submit(SimulatedJob job);
+  // Cancels a job, and retries until that is confirmed.
   void cancel(const std::string& id);
+  // Stops early if a rule is violated.
   void run_until(Ms time);
-  void end_troubles() { troubles_ = {}; }
+  void stop_faults() { faults_ = {}; }
+  // True if clients have seen a final state of every job.
   bool all_ended() const;
-  std::vector<std::unique_ptr<SimLeaf>>& leaves() { return leaves_; }
+  std::vector<std::unique_ptr<SimulatedLeaf>>& leaves() { return leaves_; }
+  // Null while there is none.
   Scheduler* leader() { return leader_.get(); }
-  Ms busy_until = 0;  // troubles happen before this only
+  Ms faults_until = 0;  // no faults are injected from then on
 
  private:
   struct Event {
@@ -56,45 +63,46 @@
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   struct Node {
-    SimWorker worker;
-    SimLeaf* leaf = nullptr;
+    SimulatedWorkerAgent worker;
+    SimulatedLeaf* leaf = nullptr;
     Ms next_heartbeat = 0;
-    Ms cut_until = -1;
-    Ms answer_by = -1;  // the leader owes an answer
-    Ms back_at = -1;    // a new leaf starts
+    Ms partitioned_until = -1;
+    Ms answer_by = -1;   // when a pending report is answered at the latest; -1: none is pending
+    Ms restart_at = -1;  // when the next leaf process starts, while there is none
   };
   TimePoint time() const { return TimePoint(Millis(now_ + 1000000)); }
 
   void step();
-  void lead();
-  void lose_leader();
-  void flush();
-  void new_leaf(Node& node);
-  void kill_leaf(Node& node);
-  void step_leaf(SimLeaf& leaf);
-  void step_gang(SimLeaf& leaf, const std::string& task);
+  void start_leader();
+  void stop_leader();
+  void write_changes();
+  void start_leaf(Node& node);
+  void stop_leaf(Node& node);
+  void step_leaf(SimulatedLeaf& leaf);
+  void step_gang(SimulatedLeaf& leaf, const std::string& task);
   void heartbeat(Node& node);
-  void carry_out(Node& node, const std::string& leaf_id, const wire::WorkerOrders& delivered, Ms hold_until);
-  void begin(SimLeaf& leaf, const wire::StartOrder& order);
+  void apply_orders(Node& node, const std::string& leaf_id, const wire::WorkerOrders& delivered,
+                    Ms hold_until);
+  void start_run(SimulatedLeaf& leaf, const wire::StartOrder& order);
   void report(Node& node);
-  void answer(Node& node);
-  void make_trouble();
-  void show_states();
-  bool lost() { return chance() < troubles_.loss; }
-  Ms delay() { return chance() < troubles_.late ? between(100, 2000) : between(1, 4); }
+  void deliver_answer(Node& node);
+  void inject_faults();
+  void check_visible_states();
+  bool loses_message() { return chance() < faults_.loss; }
+  Ms message_delay() { return chance() < faults_.delay ? between(100, 2000) : between(1, 4); }
 
   std::mt19937_64 random_;
-  SimTroubles troubles_;
-  SimChecker checker_;
+  FaultRates faults_;
+  RuleChecker checker_;
   Ms now_ = 0;
   std::priority_queue<Event> events_;
   std::uint64_t next_event_ = 0;
-  std::vector<std::unique_ptr<SimLeaf>> leaves_;
+  std::vector<std::unique_ptr<SimulatedLeaf>> leaves_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::uint64_t next_leaf_ = 1;
   std::uint64_t epoch_ = 0;
   std::unique_ptr<Scheduler> leader_;
-  std::map<std::string, std::string> disk_;
+  std::map<std::string, std::string> records_;
   struct Write {
     std::uint64_t epoch = 0;
     Scheduler::ChangeBatch changes;
--- a/tests/cluster/scheduler/scheduler_sim_worker.hpp
+++ b/tests/cluster/scheduler/scheduler_sim_worker.hpp
@@ -1,5 +1,5 @@
-// A simulated worker-agent: keeps orders until the leaf's lists show them, reports, takes the leader's
-// answers.
+// A simulated worker-agent: keeps orders until its leaf's lists reflect them, sends reports, applies the
+// leader's answers.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace winchhall::cluster::test {
 
-struct SimWorker {
+struct SimulatedWorkerAgent {
   std::string node;
   std::uint64_t session = 1;
   std::uint64_t report_number = 0;
-  std::uint64_t epoch = 0;      // adopted
-  bool lists_of_epoch = false;  // a heartbeat came since
+  std::uint64_t epoch = 0;          // of the newest leader that answered
+  bool heartbeat_in_epoch = false;  // a heartbeat came after its first answer
   std::uint64_t received = 0;
   std::uint64_t settled = 0;
-  std::map<std::uint64_t, wire::StartOrder> starts;  // not resolved
+  std::map<std::uint64_t, wire::StartOrder> starts;  // not reflected in the lists, by revision
   std::map<std::uint64_t, wire::StopOrder> stops;
   std::uint64_t last_seen = 0;
   Ms grant_until = -1;
@@ -33,25 +33,25 @@
   std::uint64_t lists_number = 0;    // of the report that last included the lists
   std::uint64_t lists_answered = 0;  // the newest such report that was answered
   bool lists_changed = true;
-  bool news = false;
+  bool has_changes = false;
   Ms next_report = 0;
 
   void restart(std::uint64_t new_session) {
     std::string name = node;
-    *this = SimWorker();
+    *this = SimulatedWorkerAgent();
     node = name;
     session = new_session;
   }
 
-  void take_leaf(const std::string& id) {
+  void observe_leaf(const std::string& id) {
     if (id == leaf_id) return;
     previous_leaf_id = leaf_id;
     leaf_id = id;
     left = false;
-    forget_orders();
+    discard_orders();
   }
 
-  void forget_orders() {
+  void discard_orders() {
     starts.clear();
     stops.clear();
     received = 0;
@@ -69,8 +69,8 @@
                        [&](const auto& entry) { return entry.task() == task && entry.run() == run; });
   }
 
-  // A heartbeat has come and the lists are those of the leaf now.
-  void resolve() {
+  // Drops the orders that the lists of the leaf's newest heartbeat reflect.
+  void resolve_orders() {
     std::erase_if(starts,
                   [&](const auto& entry) { return is_listed(entry.second.task(), entry.second.run()); });
     std::erase_if(stops,
@@ -78,15 +78,15 @@
     settled = received;
     if (!starts.empty()) settled = std::min(settled, starts.begin()->first - 1);
     if (!stops.empty()) settled = std::min(settled, stops.begin()->first - 1);
-    lists_of_epoch = true;
+    heartbeat_in_epoch = true;
   }
 
-  void take_orders(const wire::WorkerOrders& orders, Ms now) {
+  void apply_answer(const wire::WorkerOrders& orders, Ms now) {
     if (orders.epoch() == 0 || orders.epoch() < epoch) return;
     if (orders.epoch() > epoch) {
-      forget_orders();
+      discard_orders();
       epoch = orders.epoch();
-      lists_of_epoch = false;
+      heartbeat_in_epoch = false;
       lists_answered = 0;
       next_report = now;
     }
@@ -118,9 +118,9 @@
     *report.mutable_leaf() = description;
     report.mutable_leaf()->set_leaf_id(leaf_id);
     report.set_heartbeat_age_ms(static_cast<std::uint32_t>(std::min<Ms>(now - heartbeat_at, 1000000)));
-    report.set_epoch(lists_of_epoch ? epoch : 0);
-    report.set_orders_received(lists_of_epoch ? received : 0);
-    report.set_orders_settled(lists_of_epoch ? settled : 0);
+    report.set_epoch(heartbeat_in_epoch ? epoch : 0);
+    report.set_orders_received(heartbeat_in_epoch ? received : 0);
+    report.set_orders_settled(heartbeat_in_epoch ? settled : 0);
     bool included = lists_changed || lists_answered != lists_number || lists_number == 0;
     report.set_lists_included(included);
     report.set_lists_as_of(lists_number);
@@ -133,7 +133,7 @@
     lists_changed = false;
     report.set_previous_leaf_id(previous_leaf_id);
     report.set_left(left);
-    news = false;
+    has_changes = false;
     next_report = now + 400;
     return report;
   }
--- a/tests/cluster/scheduler/units_test.cpp
+++ b/tests/cluster/scheduler/units_test.cpp
@@ -15,7 +15,7 @@
 
 TimePoint at(std::int64_t ms) { return TimePoint(Millis(ms)); }
 
-TEST_CASE("task names are read as they are written") {
+TEST_CASE("task names are parsed as they are formatted") {
   TaskName name{"5c0e7a21d94b36f8", 3, 1, 17};
   CHECK(format_task_name(name) == "5c0e7a21d94b36f8.3.1.17");
   CHECK(parse_task_name("5c0e7a21d94b36f8.3.1.17").value() == name);
@@ -24,7 +24,7 @@
     CHECK_FALSE(parse_task_name(bad));
 }
 
-TEST_CASE("the least cost is kept and ties are broken evenly") {
+TEST_CASE("the candidate with the least cost is kept and ties are broken evenly") {
   std::mt19937_64 random(7);
   std::map<int, int> kept;
   for (int i = 0; i < 3000; ++i) {
@@ -41,21 +41,21 @@
   for (int candidate : {2, 3, 4}) CHECK(kept[candidate] > 850);
 }
 
-TEST_CASE("the time of day follows jumps only once they have lasted") {
+TEST_CASE("the wall clock follows jumps only once they have lasted") {
   WallClock clock;
   clock.observe(at(1000), 50000);
-  CHECK(clock.at(at(2000)) == 51000);
+  CHECK(clock.wall_ms_at(at(2000)) == 51000);
   clock.observe(at(2000), 51100);
-  CHECK(clock.at(at(2000)) == 51100);
+  CHECK(clock.wall_ms_at(at(2000)) == 51100);
   clock.observe(at(3000), 57100);
   clock.observe(at(17000), 71100);
-  CHECK(clock.at(at(17000)) == 66100);
+  CHECK(clock.wall_ms_at(at(17000)) == 66100);
   clock.observe(at(18100), 72200);
-  CHECK(clock.at(at(18100)) == 72200);
-  CHECK(clock.when(72300) == at(18200));
+  CHECK(clock.wall_ms_at(at(18100)) == 72200);
+  CHECK(clock.steady_time_of(72300) == at(18200));
 }
 
-TEST_CASE("reports that are older than one that was taken are dropped") {
+TEST_CASE("reports older than an accepted one are dropped") {
   ReportDeduplicator order;
   CHECK(order.accept(11, 1));
   CHECK_FALSE(order.accept(11, 1));
@@ -68,7 +68,7 @@
   CHECK(order.accept(12, 5));
 }
 
-TEST_CASE("jobs that can't be are refused with a reason") {
+TEST_CASE("invalid jobs are rejected") {
   wire::JobSpec good;
   good.add_stages()->set_count(2);
   good.add_stages()->set_count(1);
@@ -90,14 +90,14 @@
   CHECK_FALSE(validate_job("a", spec));
 }
 
-TEST_CASE("progress comes back from its record as it was") {
+TEST_CASE("progress is restored from its record") {
   wire::JobSpec spec;
   spec.set_repeat_count(4);
   spec.add_stages()->set_count(3);
   spec.add_stages()->set_count(2);
   JobTable jobs;
   Job& job = jobs.add("a", spec, {});
-  for (std::uint32_t repeat = 0; repeat < 4; ++repeat) jobs.open_repeat(job, repeat, at(0));
+  for (std::uint32_t repeat = 0; repeat < 4; ++repeat) jobs.add_repeat(job, repeat, at(0));
   job.repeats[0].done = true;
   job.repeats[1].done = true;
   job.repeats[3].done = true;
@@ -106,7 +106,7 @@
   first.done_count = 3;
   Task& task = job.repeats[2].stages[1].tasks[1];
   task.failed_runs = {4, 9};
-  task.saved = {"text", 9};
+  task.checkpoint = {"text", 9};
 
   std::vector<ShardEntry> entries{{"job/a", encode_job(job)},
                                   {"progress/a", encode_progress(job)},
@@ -119,42 +119,42 @@
   REQUIRE(state.workers.size() == 1);
   CHECK(state.workers[0].node_name() == "node");
   const wire::ProgressRecord& progress = state.jobs[0].progress;
-  CHECK(begun_in(progress) == 4);
-  CHECK(repeat_done_in(progress, 0));
-  CHECK(repeat_done_in(progress, 1));
-  CHECK_FALSE(repeat_done_in(progress, 2));
-  CHECK(repeat_done_in(progress, 3));
+  CHECK(count_started_repeats(progress) == 4);
+  CHECK(is_repeat_done(progress, 0));
+  CHECK(is_repeat_done(progress, 1));
+  CHECK_FALSE(is_repeat_done(progress, 2));
+  CHECK(is_repeat_done(progress, 3));
 
   JobTable restored;
   Job& again = restored.add("a", spec, {});
-  Repeat& opened = restored.open_repeat(again, 2, at(0));
+  Repeat& opened = restored.add_repeat(again, 2, at(0));
   apply_progress(progress, 2, opened);
   for (const Task& done : opened.stages[0].tasks) CHECK(done.done);
   CHECK_FALSE(opened.stages[1].tasks[0].done);
   const Task& failed = opened.stages[1].tasks[1];
   CHECK(failed.failed_runs == std::vector<RunNumber>{4, 9});
-  CHECK(failed.saved.text == "text");
-  CHECK(failed.saved.run == 9);
+  CHECK(failed.checkpoint.text == "text");
+  CHECK(failed.checkpoint.run == 9);
   CHECK(failed.last_run == 9);
 }
 
-TEST_CASE("a leaf that fails what several jobs start there is set aside and tried again") {
+TEST_CASE("a leaf that fails runs of several jobs is ejected, then tried with one run") {
   LeafHealth health;
-  health.failed("a", at(0), at(0));
-  health.failed("a", at(0), at(0));
-  health.failed("b", at(0), at(0));
-  CHECK_FALSE(health.aside(at(0)));
-  health.failed("c", at(0), at(0));
-  CHECK(health.aside(at(1000)));
-  CHECK_FALSE(health.aside(at(2500)));
-  health.started();
-  CHECK(health.aside(at(2500)));
-  health.failed("d", at(2500), at(2600));
-  CHECK(health.aside(at(6000)));
-  CHECK_FALSE(health.aside(at(7000)));
-  health.started();
-  health.succeeded(at(7000));
-  CHECK_FALSE(health.suspect());
+  health.on_failure("a", at(0), at(0));
+  health.on_failure("a", at(0), at(0));
+  health.on_failure("b", at(0), at(0));
+  CHECK_FALSE(health.is_ejected(at(0)));
+  health.on_failure("c", at(0), at(0));
+  CHECK(health.is_ejected(at(1000)));
+  CHECK_FALSE(health.is_ejected(at(2500)));
+  health.on_start();
+  CHECK(health.is_ejected(at(2500)));
+  health.on_failure("d", at(2500), at(2600));
+  CHECK(health.is_ejected(at(6000)));
+  CHECK_FALSE(health.is_ejected(at(7000)));
+  health.on_start();
+  health.on_success(at(7000));
+  CHECK_FALSE(health.is_suspect());
 }
 
 }  // namespace
