--- a/src/cluster/scheduler/backfill_reservations.cpp
+++ b/src/cluster/scheduler/backfill_reservations.cpp
@@ -15,14 +15,16 @@
 // A task is large for a leaf if fewer than this many of it fit there.
 constexpr std::uint64_t kSmallTasksPerLeaf = 4;
 
-constexpr Millis kPreemptForReservationAfter{
-    300};  // of waiting, and if the reservation starts no earlier than that
+// Runs are stopped for a stage that has waited for this time and whose reservation starts even later.
+constexpr Millis kPreemptForReservationAfter{300};
 constexpr Millis kLoseWorkForReservationAfter{2000};
 constexpr Millis kPreemptionInterval{600};  // between two preemptions for one stage
 constexpr Millis kNeverAvailable{3600000};  // for a leaf whose runs all ended would still be too full
 
 // How many tasks a reservation must have room for.
-std::uint64_t slots_wanted(const StageInstance& stage) { return stage.spec->gang() ? stage.tasks.size() : 1; }
+std::uint64_t slots_required(const StageInstance& stage) {
+  return stage.spec->gang() ? stage.tasks.size() : 1;
+}
 
 }  // namespace
 
@@ -69,8 +71,8 @@
     const std::uint64_t slots =
         std::min<std::uint64_t>(slots_for(*leaf, stage, leaf->capacity), stage.waiting.size());
     if (slots == 0) continue;
-    const std::uint64_t wanted = stage.spec->gang() ? slots : 1;
-    candidates.push_back({leaf.get(), wanted, estimate_available_at(*leaf, stage, wanted)});
+    const std::uint64_t required = stage.spec->gang() ? slots : 1;
+    candidates.push_back({leaf.get(), required, estimate_available_at(*leaf, stage, required)});
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& a, const Candidate& b) { return a.available_at < b.available_at; });
@@ -80,7 +82,7 @@
 std::vector<BackfillReservations::Candidate> BackfillReservations::choose_leaves(
     const StageInstance& stage) const {
   const bool one_rack = stage.spec->gang() && stage.spec->same_rack();
-  const std::uint64_t wanted = slots_wanted(stage);
+  const std::uint64_t required = slots_required(stage);
   // Candidates come in the order in which they become available, so the group that first has enough slots is
   // the one that is available first.
   std::map<std::string, std::vector<Candidate>> groups;  // by rack, or all in one
@@ -89,7 +91,7 @@
     group.push_back(candidate);
     std::uint64_t slots = 0;
     for (const Candidate& member : group) slots += member.slots;
-    if (slots >= wanted) return group;
+    if (slots >= required) return group;
   }
   return {};
 }
@@ -111,11 +113,11 @@
   if (waited < kPreemptForReservationAfter || state_.now - stage.preempted_at < kPreemptionInterval) return;
   if (chosen.back().available_at - state_.now < kPreemptForReservationAfter) return;
   const LostWork lost_work = waited >= kLoseWorkForReservationAfter ? LostWork::accept : LostWork::avoid;
-  std::uint64_t wanted = slots_wanted(stage);
+  std::uint64_t required = slots_required(stage);
   for (const Candidate& candidate : chosen) {
-    const std::uint64_t slots = std::min(candidate.slots, wanted);
+    const std::uint64_t slots = std::min(candidate.slots, required);
     if (slots == 0) break;
-    wanted -= slots;
+    required -= slots;
     if (!stop_for_slots(stage, *candidate.leaf, slots, lost_work)) return;
     stage.preempted_at = state_.now;
   }
--- a/src/cluster/scheduler/backfill_reservations.hpp
+++ b/src/cluster/scheduler/backfill_reservations.hpp
@@ -32,7 +32,7 @@
   // A leaf that could run some of the stage's tasks.
   struct Candidate {
     Leaf* leaf = nullptr;
-    std::uint64_t slots = 0;  // wanted there: for a gang all that fit in the whole leaf, else one
+    std::uint64_t slots = 0;  // required there: for a gang all that fit in the whole leaf, else one
     TimePoint available_at;   // when these are expected to be free
   };
   // Earliest available first.
--- a/src/cluster/scheduler/eligibility.cpp
+++ b/src/cluster/scheduler/eligibility.cpp
@@ -19,7 +19,7 @@
 
 bool is_reachable(const SchedulerState& state, const Leaf& leaf) {
   return leaf.reported && state.now - leaf.reported_at <= kReachableReportAge &&
-         leaf.heartbeat_age_ms <= kFreshHeartbeatMs;
+         leaf.heartbeat_age_ms <= kMaxLeaseHeartbeatAgeMs;
 }
 
 bool is_feasible(const Leaf& leaf, const StageInstance& stage) {
--- a/src/cluster/scheduler/eligibility.hpp
+++ b/src/cluster/scheduler/eligibility.hpp
@@ -9,7 +9,7 @@
 namespace winchhall::cluster::scheduling {
 
 // A leaf whose newest heartbeat is older than this may have ended: its execution lease isn't renewed.
-inline constexpr std::uint32_t kFreshHeartbeatMs = 3000;
+inline constexpr std::uint32_t kMaxLeaseHeartbeatAgeMs = 3000;
 
 // True if reports of the leaf come in and it sends heartbeats. What ran on a leaf that isn't reachable has
 // ended once its execution lease has expired.
--- a/src/cluster/scheduler/leaf_state.hpp
+++ b/src/cluster/scheduler/leaf_state.hpp
@@ -59,7 +59,7 @@
   Revision applied_revision = 0;                // reflected in the leaf's lists
   std::deque<wire::StartOrder> pending_starts;  // not applied, by revision
   std::deque<wire::StopOrder> pending_stops;    // not applied, by revision
-  bool lists_wanted = false;                    // the next answer asks the worker-agent for the lists
+  bool lists_requested = false;                 // the next answer asks the worker-agent for the lists
   bool epoch_delivered = false;                 // this session has had an answer of this leader
 
   std::uint64_t processed_ends = 0;              // highest number of an end whose effects were applied
@@ -67,8 +67,8 @@
   std::uint64_t delivered_acknowledged_end = 0;  // as in the newest answer
   std::deque<UnacknowledgedEnd> unacknowledged_ends;  // processed, in order
 
-  // End of the execution lease: what runs on the leaf has ended by itself by then, unless the lease was
-  // renewed by an answer that this leader knows of.
+  // End of the newest execution lease that this leader, or the one before, may have granted. Without another,
+  // everything on the leaf has ended by then, whatever the drift of its clock.
   TimePoint lease_expires_at;
 
   bool has_record = false;             // its record is written or being written
--- a/src/cluster/scheduler/order_responder.cpp
+++ b/src/cluster/scheduler/order_responder.cpp
@@ -29,19 +29,19 @@
   }
   orders.set_revision(leaf->issued_revision);
   orders.set_report_number(leaf->report_number);
-  orders.set_lists_wanted(leaf->lists_wanted);
+  orders.set_lists_wanted(leaf->lists_requested);
   orders.set_last_seen(leaf->acknowledged_end);
   grant_lease(*leaf, orders);
   add_orders(*leaf, orders);
   leaf->delivered_revision = leaf->issued_revision;
   leaf->delivered_acknowledged_end = leaf->acknowledged_end;
-  leaf->lists_wanted = false;
+  leaf->lists_requested = false;
   leaf->epoch_delivered = true;
   return orders;
 }
 
 void OrderResponder::grant_lease(Leaf& leaf, wire::WorkerOrders& orders) const {
-  if (!leaf.reported || leaf.heartbeat_age_ms > kFreshHeartbeatMs) return;
+  if (!leaf.reported || leaf.heartbeat_age_ms > kMaxLeaseHeartbeatAgeMs) return;
   orders.set_grant_ms(static_cast<std::uint32_t>(state_.lease_duration().count()));
   leaf.lease_expires_at = std::max(leaf.lease_expires_at, state_.now + state_.max_lease_duration());
 }
@@ -61,7 +61,7 @@
   if (leaf == nullptr) return true;
   return has_order_above(leaf->pending_starts, leaf->delivered_revision) ||
          has_order_above(leaf->pending_stops, leaf->delivered_revision) ||
-         leaf->acknowledged_end > leaf->delivered_acknowledged_end || leaf->lists_wanted ||
+         leaf->acknowledged_end > leaf->delivered_acknowledged_end || leaf->lists_requested ||
          !leaf->epoch_delivered;
 }
 
--- a/src/cluster/scheduler/task_preemptor.cpp
+++ b/src/cluster/scheduler/task_preemptor.cpp
@@ -60,11 +60,11 @@
 }
 
 void TaskPreemptor::stop_until_covered(const StageInstance& stage, std::vector<FutureCapacity>& capacities,
-                                       std::uint64_t wanted_slots) {
+                                       std::uint64_t required_slots) {
   std::uint64_t slots = 0;
   for (const FutureCapacity& capacity : capacities) slots += capacity.slots;
   for (Run* victim : find_victims(stage, capacities)) {
-    if (slots >= wanted_slots) return;
+    if (slots >= required_slots) return;
     const auto found = std::find_if(capacities.begin(), capacities.end(),
                                     [&](const FutureCapacity& entry) { return entry.leaf == victim->leaf; });
     found->available += victim->demand;
@@ -81,11 +81,11 @@
   std::vector<FutureCapacity> capacities;
   capacities.reserve(candidates.size());
   for (Leaf* leaf : candidates) capacities.push_back(future_capacity(stage, *leaf));
-  std::uint64_t wanted_slots = stage.waiting.size();
-  stop_until_covered(stage, capacities, wanted_slots);
+  std::uint64_t required_slots = stage.waiting.size();
+  stop_until_covered(stage, capacities, required_slots);
   for (const FutureCapacity& capacity : capacities) {
-    const std::uint64_t taken = std::min(wanted_slots, capacity.slots);
-    wanted_slots -= taken;
+    const std::uint64_t taken = std::min(required_slots, capacity.slots);
+    required_slots -= taken;
     Resources& promised = promised_[capacity.leaf];
     for (std::uint64_t i = 0; i < taken; ++i) promised += stage.demand;
   }
--- a/src/cluster/scheduler/task_preemptor.hpp
+++ b/src/cluster/scheduler/task_preemptor.hpp
@@ -45,7 +45,7 @@
   std::vector<Run*> find_victims(const StageInstance& stage,
                                  const std::vector<FutureCapacity>& capacities) const;
   void stop_until_covered(const StageInstance& stage, std::vector<FutureCapacity>& capacities,
-                          std::uint64_t wanted_slots);
+                          std::uint64_t required_slots);
 
   SchedulerState& state_;
   RunTable& runs_;
--- a/src/cluster/scheduler/worker_report_handler.cpp
+++ b/src/cluster/scheduler/worker_report_handler.cpp
@@ -27,10 +27,10 @@
   if (leaf == nullptr) return;
   update_leaf(*leaf, report);
   const bool has_lists = store_task_lists(*leaf, report);
-  leaf->lists_wanted = !has_lists;
+  leaf->lists_requested = !has_lists;
   if (has_lists && report.epoch() == state_.epoch) reconcile(*leaf);
   if (!leaf->has_record && !leaf->draining && !leaf->deregistered &&
-      leaf->heartbeat_age_ms <= kFreshHeartbeatMs)
+      leaf->heartbeat_age_ms <= kMaxLeaseHeartbeatAgeMs)
     write_leaf_record(*leaf);
 }
 
--- a/src/placement/least_cost.hpp
+++ b/src/placement/least_cost.hpp
@@ -1,4 +1,4 @@
-// The choice among servers: least cost of what is there plus the new piece of work, ties broken at random.
+// Choice of the candidate with the least cost, with random choice among equals.
 #pragma once
 
 #include <random>
@@ -6,12 +6,16 @@
 
 namespace winchhall::placement {
 
-// Keeps the best of the candidates that it is offered, one after the other. A lower rank goes before any
-// cost; of equal candidates each is as likely to be kept as the others (reservoir sampling).
+// Keeps the best of the candidates that are offered one after the other: the lowest rank, and among those the
+// least cost. Of equal candidates each is equally likely to be kept, however many there are (reservoir
+// sampling with a reservoir of one; Vitter, "Random Sampling with a Reservoir", 1985).
+//
+// `Candidate` is copied and default-constructible. Not thread-safe.
 template <class Candidate>
 class LeastCost {
  public:
-  // `generator` is a uniform random bit generator, used only for ties.
+  // `cost` in any unit, the same for all candidates. `generator`: a uniform random bit generator, drawn from
+  // only to break ties.
   template <class Generator>
   void offer(Candidate candidate, double cost, Generator& generator, int rank = 0) {
     std::pair<int, double> key{rank, cost};
@@ -22,8 +26,9 @@
     if (ties_ == 1 || std::uniform_int_distribution<>(1, ties_)(generator) == 1) best_ = candidate;
   }
 
+  // True until a candidate is offered.
   bool empty() const { return ties_ == 0; }
-  // The candidate kept; meaningless while `empty`.
+  // The candidate kept; a default-constructed one while `empty`.
   const Candidate& best() const { return best_; }
 
  private:
