--- /dev/null
+++ b/tests/cluster/scheduler/event_log.hpp
@@ -0,0 +1,70 @@
+// What happens in a simulation of a service: its jobs, and the events that the rule checker judges.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "cluster/wire/cluster.pb.h"
+
+namespace winchhall::cluster::test {
+
+using Ms = std::int64_t;  // simulated time in milliseconds
+
+// A submitted job, the true behaviour of its tasks, and what its client has seen.
+struct SimulatedJob {
+  std::string id;
+  wire::JobSpec spec;
+  wire::QueueTerms terms;
+  double fail_rate = 0;
+  Ms submitted_at = -1;
+  Ms accepted_at = -1;   // when the client was answered; -1: not yet
+  Ms cancelled_at = -1;  // when the cancellation was answered; -1: not yet
+  bool cancel_sent = false;
+  wire::JobState visible_state = wire::JOB_UNKNOWN;
+  Ms final_at = -1;
+};
+
+// A run began on a leaf.
+struct StartEvent {
+  std::string task;
+  std::uint64_t run = 0;
+  Ms at = 0;
+  std::string leaf;
+};
+// A run ended on a leaf.
+struct EndEvent {
+  std::string task;
+  std::uint64_t run = 0;
+  Ms at = 0;
+  wire::EndKind how = wire::END_UNKNOWN;
+  std::string leaf;
+  std::uint64_t lease_expiries = 0;  // of its leaf until then
+  bool acknowledged = false;         // by a leader, and no lease of the leaf expired in between
+};
+
+// All events of a simulation, and the violations of rules among them.
+struct EventLog {
+  std::deque<StartEvent> starts;
+  std::deque<EndEvent> ends;
+  std::vector<std::string> violations;
+  std::set<std::string> done;  // tasks with a run that ended END_DONE
+  std::map<std::pair<std::string, std::uint64_t>, std::set<wire::EndKind>> gang_ends;  // by stage and run
+
+  void add_end(EndEvent end) {
+    if (end.how == wire::END_DONE) done.insert(end.task);
+    gang_ends[{stage_part(end.task), end.run}].insert(end.how);
+    ends.push_back(std::move(end));
+  }
+  // The part of a task name that identifies its stage: "ID.K.STEP.".
+  static std::string stage_part(const std::string& task) { return task.substr(0, task.rfind('.') + 1); }
+  void add_violation(const std::string& rule, const std::string& what, Ms now) {
+    violations.push_back(rule + " at " + std::to_string(now) + ": " + what);
+  }
+};
+
+}  // namespace winchhall::cluster::test
--- a/tests/cluster/scheduler/ended_jobs_test.cpp
+++ b/tests/cluster/scheduler/job_lifecycle_test.cpp
@@ -1,7 +1,7 @@
 // The records of jobs that have ended.
 #include <catch2/catch.hpp>
 
-#include "tests/cluster/scheduler/scheduler_script.hpp"
+#include "tests/cluster/scheduler/scheduler_harness.hpp"
 
 namespace winchhall::cluster {
 namespace {
--- a/tests/cluster/scheduler/scheduler_sim_checker.hpp
+++ b/tests/cluster/scheduler/rule_checker.hpp
@@ -2,25 +2,33 @@
 // scheduler.
 #pragma once
 
+#include <algorithm>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
 
 #include "cluster/common/settings.hpp"
-#include "tests/cluster/scheduler/scheduler_sim_leaf.hpp"
+#include "tests/cluster/scheduler/simulated_leaf.hpp"
 
 namespace winchhall::cluster::test {
 
-// Violations are logged under the rule's name:
-// UNASKED: only submitted work runs, with its own spec and checkpoints, and none after a confirmed cancel;
-// LIMIT: runs never exceed a leaf's capacity; TWICE: a task has one run at a time and none after it is done;
-// ORDER: stages start after those they depend on, repeats when due; ROUTE: labels and anti-affinity;
-// DRAIN: no start on a leaf that has been draining for longer than the bound; GANG: without faults, no member
-// of a gang waits in vain for the others; BUDGET: no run after max_retries failures; LOST: no job is lost,
-// changes its final state or ends without a cause; MIXED: a completed job has all its tasks done; RUN (added
-// by the simulation): run numbers of a task rise on each leaf.
-struct RuleChecker {
+// Violations are logged under the name of the rule:
+// UNASKED  only submitted work runs, with its own spec and checkpoints, and none after a confirmed cancel
+// LIMIT    runs never exceed a leaf's capacity
+// TWICE    a task has one run at a time, and none after an acknowledged end as done
+// ORDER    stages start after those that they depend on, repeats when they are due
+// ROUTE    labels and anti-affinity are heeded
+// DRAIN    no start on a leaf that has been draining for longer than the bound
+// GANG     without faults, no member of a gang waits in vain for the others
+// BUDGET   no run of a task after max_retries acknowledged failures
+// LOST     no job is lost, changes its final state, or ends without a cause
+// MIXED    a completed job has all its tasks done
+// Logged by the simulation itself:
+// RUN      on one leaf, run numbers of a task rise
+// SUBMIT   valid jobs are accepted
+class RuleChecker {
+ public:
   using Leaves = std::vector<std::unique_ptr<SimulatedLeaf>>;
 
   Bounds bounds;
@@ -30,17 +38,15 @@
 
   // To be called before the run is added to the leaf.
   void on_start(const SimulatedLeaf& leaf, const SimulatedRun& run, const Leaves& leaves,
-                const std::string& spec, const std::string& saved, Ms now) {
+                const std::string& spec, const std::string& checkpoint, Ms now) {
     const wire::Stage& stage = leaf.stage_of(run);
     if (spec != run.job->spec.spec()) log.add_violation("UNASKED", "spec of " + run.task, now);
     check_capacity(leaf, run, stage, now);
     check_single_run(run, stage, leaves, now);
     check_order(run, stage, now);
-    check_checkpoint(run, stage, saved, now);
-    check_affinity(leaf, run, stage, now);
-    const std::string& label = stage.requirements();
-    if (!label.empty() && std::find(leaf.labels.begin(), leaf.labels.end(), label) == leaf.labels.end())
-      log.add_violation("ROUTE", "label of " + run.task, now);
+    check_checkpoint(run, stage, checkpoint, now);
+    check_anti_affinity(leaf, run, stage, now);
+    check_label(leaf, run, stage, now);
     if (leaf.draining && leaf.drain_acknowledged >= 0 &&
         now > leaf.drain_acknowledged + bounds.drain_timeout.count())
       log.add_violation("DRAIN", run.task + " on " + leaf.id, now);
@@ -49,10 +55,12 @@
     log.starts.push_back({run.task, run.run, now, leaf.id});
   }
 
+  // A member of a gang gave up waiting for the others.
   void on_incomplete_gang(const SimulatedRun& run, Ms now) {
     if (fault_free && !run.job->cancel_sent) log.add_violation("GANG", run.task, now);
   }
 
+  // A client sees this state of its job.
   void on_visible_state(SimulatedJob& job, wire::JobState state, Ms now) {
     if (state == wire::JOB_UNKNOWN && job.accepted_at >= 0 &&
         (job.final_at < 0 || now < job.final_at + bounds.status.count()))
@@ -112,15 +120,24 @@
           log.add_violation("ORDER", run.task, now);
   }
 
-  void check_checkpoint(const SimulatedRun& run, const wire::Stage& stage, const std::string& saved, Ms now) {
-    if (saved.empty()) return;
-    std::string task = saved.substr(0, saved.find('/'));
+  void check_checkpoint(const SimulatedRun& run, const wire::Stage& stage, const std::string& checkpoint,
+                        Ms now) {
+    if (checkpoint.empty()) return;
+    std::string task = checkpoint.substr(0, checkpoint.find('/'));
     std::string prefix = stage.gang() ? task.substr(0, task.rfind('.')) : task;
-    std::string wanted = stage.gang() ? run.task.substr(0, run.task.rfind('.')) : run.task;
-    if (prefix != wanted) log.add_violation("UNASKED", "checkpoint " + saved + " for " + run.task, now);
+    std::string expected = stage.gang() ? run.task.substr(0, run.task.rfind('.')) : run.task;
+    if (prefix != expected)
+      log.add_violation("UNASKED", "checkpoint " + checkpoint + " for " + run.task, now);
+  }
+
+  void check_label(const SimulatedLeaf& leaf, const SimulatedRun& run, const wire::Stage& stage, Ms now) {
+    const std::string& label = stage.requirements();
+    if (!label.empty() && std::find(leaf.labels.begin(), leaf.labels.end(), label) == leaf.labels.end())
+      log.add_violation("ROUTE", "label of " + run.task, now);
   }
 
-  void check_affinity(const SimulatedLeaf& leaf, const SimulatedRun& run, const wire::Stage& stage, Ms now) {
+  void check_anti_affinity(const SimulatedLeaf& leaf, const SimulatedRun& run, const wire::Stage& stage,
+                           Ms now) {
     if (stage.anti_affinity() == 0) return;
     std::uint32_t there = 0;
     for (const auto& [name, other] : leaf.running)
@@ -160,7 +177,6 @@
     return next != log.done.end() && next->starts_with(EventLog::stage_part(task));
   }
 
- public:
   static Ms due(const SimulatedJob& job, std::uint32_t repeat) {
     return static_cast<Ms>(job.spec.start_at_ms() + repeat * job.spec.interval_ms());
   }
--- a/tests/cluster/scheduler/scheduler_script.hpp
+++ b/tests/cluster/scheduler/scheduler_harness.hpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "cluster/scheduler/scheduler.hpp"
+#include "tests/cluster/scheduler/record_map.hpp"
 
 namespace winchhall::cluster::test {
 
@@ -17,7 +18,7 @@
   std::int64_t now_ms = 1000;
   std::unique_ptr<Scheduler> scheduler;
   std::uint64_t epoch = 1;
-  std::map<std::string, std::string> records;
+  RecordMap records;
   std::map<std::string, std::uint64_t> report_numbers;
 
   explicit SchedulerHarness(std::uint64_t lease_epoch = 1, std::vector<ShardEntry> entries = {})
@@ -29,11 +30,7 @@
   }
   TimePoint time() const { return TimePoint(Millis(now_ms)); }
   std::int64_t wall() const { return kWallClockStartMs + now_ms; }
-  std::vector<ShardEntry> entries() const {
-    std::vector<ShardEntry> all;
-    for (const auto& [key, value] : records) all.push_back({key, value});
-    return all;
-  }
+  std::vector<ShardEntry> entries() const { return shard_entries(records); }
 
   // Makes all changes durable, with what follows from them, and plans.
   void make_durable_and_plan() {
@@ -41,13 +38,7 @@
       scheduler->plan(time(), wall());
       Scheduler::ChangeBatch changes = scheduler->take_changes();
       if (changes.number == 0) continue;
-      for (ShardChange& change : changes.changes) {
-        if (change.value) {
-          records[change.key] = *change.value;
-        } else {
-          records.erase(change.key);
-        }
-      }
+      apply_changes(records, changes.changes);
       scheduler->on_changes_durable(changes.number);
     }
     scheduler->plan(time(), wall());
--- a/tests/cluster/scheduler/inspection_test.cpp
+++ b/tests/cluster/scheduler/scheduler_inspection_test.cpp
@@ -10,12 +10,12 @@
 constexpr std::int64_t kWallClockStartMs = 1'700'000'000'000;
 const std::string kJob = "00000000000000a1";
 
-struct SchedulerFixture {
+struct SchedulerWithOneLeaf {
   TimePoint now{std::chrono::hours(1)};
   std::unique_ptr<Scheduler> scheduler;
   std::uint64_t report_number = 0;
 
-  SchedulerFixture() {
+  SchedulerWithOneLeaf() {
     SchedulerTerms terms;
     terms.service = "core";
     scheduler = make_scheduler(terms, 2, 1);
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(SchedulerFixture, "jobs are listed newest first within the limit") {
+TEST_CASE_METHOD(SchedulerWithOneLeaf, "jobs are listed newest first within the limit") {
   submit(kJob);
   submit("00000000000000a2");
   const JobList list = scheduler->jobs(1);
@@ -82,7 +82,7 @@
   CHECK(scheduler->stats().counters.jobs_accepted == 2);
 }
 
-TEST_CASE_METHOD(SchedulerFixture,
+TEST_CASE_METHOD(SchedulerWithOneLeaf,
                  "a job is shown with its stages and runs, a leaf with its allocated resources") {
   submit(kJob);
   report();
@@ -110,7 +110,7 @@
   CHECK(stats.runs == 2);
 }
 
-TEST_CASE_METHOD(SchedulerFixture,
+TEST_CASE_METHOD(SchedulerWithOneLeaf,
                  "unknown jobs are not shown, and a canceled one only once that is durable") {
   CHECK_FALSE(scheduler->job(kJob));
   submit(kJob);
--- a/tests/cluster/scheduler/course_test.cpp
+++ b/tests/cluster/scheduler/scheduler_test.cpp
@@ -1,7 +1,7 @@
 // The scheduler as a whole: single jobs step by step, the test playing the worker-agents.
 #include <catch2/catch.hpp>
 
-#include "tests/cluster/scheduler/scheduler_script.hpp"
+#include "tests/cluster/scheduler/scheduler_harness.hpp"
 
 namespace winchhall::cluster {
 namespace {
@@ -108,8 +108,8 @@
   harness.submit("a", single_stage_job(1));
   harness.submit("b", single_stage_job(1));
   harness.make_durable_and_plan();
-  bool told = GENERATE(true, false);
-  if (told) REQUIRE(harness.orders("i-1").starts_size() == 2);
+  bool delivered = GENERATE(true, false);
+  if (delivered) REQUIRE(harness.orders("i-1").starts_size() == 2);
   CancelResult result = harness.scheduler->cancel("a", harness.time(), harness.wall());
   CHECK(result.found);
   CHECK(result.durable_after > 0);
@@ -117,7 +117,7 @@
   wire::WorkerOrders orders = harness.orders("i-1");
   REQUIRE(orders.starts_size() == 1);
   CHECK(orders.starts(0).task() == "b.0.0.0");
-  CHECK(orders.stops_size() == (told ? 1 : 0));
+  CHECK(orders.stops_size() == (delivered ? 1 : 0));
   harness.make_durable_and_plan();
   CHECK(harness.scheduler->state("a") == wire::JOB_CANCELED);
   CHECK_FALSE(harness.scheduler->cancel("c", harness.time(), harness.wall()).found);
@@ -157,34 +157,17 @@
   orders = harness.orders("i-1");
   CHECK(orders.starts_size() == 0);
   REQUIRE(orders.stops_size() == 1);
-  wire::WorkerReport settled = harness.make_report("i-1");
-  settled.mutable_leaf()->set_draining(true);
-  settled.set_orders_received(orders.revision());
-  settled.set_orders_settled(orders.revision());
-  harness.deliver(settled);
+  wire::WorkerReport applied = harness.make_report("i-1");
+  applied.mutable_leaf()->set_draining(true);
+  applied.set_orders_received(orders.revision());
+  applied.set_orders_settled(orders.revision());
+  harness.deliver(applied);
   harness.deliver(harness.make_report("i-2"));
   wire::WorkerOrders elsewhere = harness.orders("i-2");
   REQUIRE(elsewhere.starts_size() == 1);
   CHECK(elsewhere.starts(0).run() == 2);
 }
 
-TEST_CASE("a gang starts with all members or not at all") {
-  SchedulerHarness harness;
-  harness.deliver(harness.make_report("i-1"));
-  wire::JobSpec spec = single_stage_job(2);
-  spec.mutable_stages(0)->set_gang(true);
-  spec.mutable_stages(0)->set_cpu(5000);
-  harness.submit("a", spec);
-  harness.make_durable_and_plan();
-  CHECK(harness.orders("i-1").starts_size() == 0);
-  harness.deliver(harness.make_report("i-2"));
-  wire::WorkerOrders one = harness.orders("i-1");
-  wire::WorkerOrders two = harness.orders("i-2");
-  REQUIRE(one.starts_size() == 1);
-  REQUIRE(two.starts_size() == 1);
-  CHECK(one.starts(0).run() == two.starts(0).run());
-}
-
 TEST_CASE("a job that fits on no leaf and invalid reports are tolerated") {
   SchedulerHarness harness;
   harness.deliver(harness.make_report("i-1"));
@@ -273,35 +256,5 @@
   CHECK(harness.records.empty());
 }
 
-wire::WorkerReport report_in_rack(SchedulerHarness& harness, const std::string& leaf,
-                                  const std::string& rack) {
-  wire::WorkerReport report = harness.make_report(leaf);
-  report.mutable_leaf()->set_labels(1, rack);
-  return report;
-}
-
-TEST_CASE(
-    "a task runs in the rack of its data if there is capacity, waits for it briefly, then runs remotely") {
-  SchedulerHarness harness;
-  harness.deliver(report_in_rack(harness, "near", "r-1"));
-  harness.deliver(report_in_rack(harness, "away", "r-2"));
-  harness.deliver(report_in_rack(harness, "near", "r-1"));
-  harness.deliver(report_in_rack(harness, "away", "r-2"));
-  wire::JobSpec spec = single_stage_job(8);
-  spec.mutable_stages(0)->set_colocation("r-1");
-  harness.submit("0000000000000001", spec);
-  harness.make_durable_and_plan();
-  // Eight cores: the first job fits in the rack of its data, although the other leaf is idle.
-  CHECK(harness.orders("near").starts_size() == 8);
-  CHECK(harness.orders("away").starts_size() == 0);
-  harness.submit("0000000000000002", spec);
-  harness.make_durable_and_plan();
-  CHECK(harness.orders("away").starts_size() == 0);
-  // The wait is half of the time lost by running remotely: 0.5 x 500 ms x (1.5 - 1).
-  harness.now_ms += 150;
-  harness.make_durable_and_plan();
-  CHECK(harness.orders("away").starts_size() == 8);
-}
-
 }  // namespace
 }  // namespace winchhall::cluster
--- a/tests/cluster/scheduler/scheduler_sim.hpp
+++ b/tests/cluster/scheduler/service_simulation.hpp
@@ -2,15 +2,18 @@
 // and injected faults. The same seed gives the same course of events.
 #pragma once
 
+#include <deque>
 #include <functional>
 #include <memory>
 #include <queue>
+#include <random>
 #include <string>
 #include <vector>
 
 #include "cluster/scheduler/scheduler.hpp"
-#include "tests/cluster/scheduler/scheduler_sim_checker.hpp"
-#include "tests/cluster/scheduler/scheduler_sim_worker.hpp"
+#include "tests/cluster/scheduler/record_map.hpp"
+#include "tests/cluster/scheduler/rule_checker.hpp"
+#include "tests/cluster/scheduler/simulated_worker_agent.hpp"
 
 namespace winchhall::cluster::test {
 
@@ -67,7 +70,8 @@
     SimulatedLeaf* leaf = nullptr;
     Ms next_heartbeat = 0;
     Ms partitioned_until = -1;
-    Ms answer_by = -1;   // when a pending report is answered at the latest; -1: none is pending
+    Ms answer_by = -1;   // when a pending report is answered at the latest; -1:
+                         // none is pending
     Ms restart_at = -1;  // when the next leaf process starts, while there is none
   };
   TimePoint time() const { return TimePoint(Millis(now_ + 1000000)); }
@@ -75,16 +79,26 @@
   void step();
   void start_leader();
   void stop_leader();
+  // Takes the leader's changes and makes them durable a little later.
   void write_changes();
+  // Calls `action` once the leader's changes up to `number` are durable, unless the leader is lost before.
+  void when_durable(ChangeBatchNumber number, std::function<void()> action);
   void start_leaf(Node& node);
   void stop_leaf(Node& node);
   void step_leaf(SimulatedLeaf& leaf);
   void step_gang(SimulatedLeaf& leaf, const std::string& task);
+  // The leaf's heartbeat to its worker-agent, and the orders in the answer.
   void heartbeat(Node& node);
-  void apply_orders(Node& node, const std::string& leaf_id, const wire::WorkerOrders& delivered,
-                    Ms hold_until);
+  // The worker-agent takes over the leaf's description and lists.
+  void update_worker(Node& node);
+  static wire::LeafDescription describe(const SimulatedLeaf& leaf, Ms now);
+  static std::vector<wire::RunningTask> list_running(const SimulatedLeaf& leaf);
+  // `lease_until`: -1 where no lease is granted; then nothing starts.
+  void apply_orders(SimulatedLeaf& leaf, const wire::WorkerOrders& orders, Ms lease_until);
   void start_run(SimulatedLeaf& leaf, const wire::StartOrder& order);
+  // Sends the worker-agent's report to the leader.
   void report(Node& node);
+  // The leader answers the node's pending report.
   void deliver_answer(Node& node);
   void inject_faults();
   void check_visible_states();
@@ -102,12 +116,8 @@
   std::uint64_t next_leaf_ = 1;
   std::uint64_t epoch_ = 0;
   std::unique_ptr<Scheduler> leader_;
-  std::map<std::string, std::string> records_;
-  struct Write {
-    std::uint64_t epoch = 0;
-    Scheduler::ChangeBatch changes;
-  };
-  std::deque<Write> writes_;
+  RecordMap records_;                          // durable
+  std::deque<Scheduler::ChangeBatch> writes_;  // of the leader, not durable yet
 };
 
 }  // namespace winchhall::cluster::test
--- a/tests/cluster/scheduler/scheduler_sim_impl.hpp
+++ b/tests/cluster/scheduler/service_simulation_impl.hpp
@@ -1,11 +1,11 @@
 // Implementation of ServiceSimulation: leaders, clients and faults.
 #pragma once
 
-#include "tests/cluster/scheduler/scheduler_sim.hpp"
+#include "tests/cluster/scheduler/service_simulation.hpp"
 
 namespace winchhall::cluster::test {
 
-inline constexpr Ms kStep = 5;
+inline constexpr Ms kStep = 5;  // of the virtual clock
 inline constexpr Ms kStateCheckInterval = 100;
 
 inline ServiceSimulation::ServiceSimulation(std::uint64_t seed, std::size_t leaves, FaultRates faults)
@@ -23,9 +23,9 @@
 inline void ServiceSimulation::start_leaf(Node& node) {
   auto& leaf = *leaves_.emplace_back(std::make_unique<SimulatedLeaf>());
   leaf.id = "i-" + std::to_string(next_leaf_++);
-  std::size_t place = std::stoul(node.worker.node.substr(5));
-  leaf.capacity = place % 3 == 2 ? Resources{16000, 16384, 4} : Resources{8000, 8192, 0};
-  leaf.labels = {place % 3 == 2 ? "g" : "a", "r-" + std::to_string(place / 3)};
+  const std::size_t index = std::stoul(node.worker.node.substr(5));
+  leaf.capacity = index % 3 == 2 ? Resources{16000, 16384, 4} : Resources{8000, 8192, 0};
+  leaf.labels = {index % 3 == 2 ? "g" : "a", "r-" + std::to_string(index / 3)};
   leaf.clock_slowdown = 1 + chance() * 0.02;
   node.leaf = &leaf;
   node.next_heartbeat = now_ + between(5, 100);
@@ -45,23 +45,15 @@
   terms.bounds = checker_.bounds;
   terms.lease_duration = Millis(4000);
   leader_ = make_scheduler(terms, ++epoch_, random_());
-  std::vector<ShardEntry> entries;
-  for (const auto& [key, value] : records_) entries.push_back({key, value});
-  leader_->restore(entries, time(), now_);
+  leader_->restore(shard_entries(records_), time(), now_);
 }
 
 inline void ServiceSimulation::stop_leader() {
   leader_.reset();
   // Batches that were being written are durable up to some random one.
-  bool there = true;
-  for (Write& write : writes_) {
-    there = there && chance() < 0.5;
-    if (!there) break;
-    for (ShardChange& change : write.changes.changes)
-      if (change.value)
-        records_[change.key] = *change.value;
-      else
-        records_.erase(change.key);
+  for (const Scheduler::ChangeBatch& batch : writes_) {
+    if (chance() >= 0.5) break;
+    apply_changes(records_, batch.changes);
   }
   writes_.clear();
   for (auto& node : nodes_) node->answer_by = -1;
@@ -69,45 +61,46 @@
 }
 
 inline void ServiceSimulation::write_changes() {
-  Scheduler::ChangeBatch changes = leader_->take_changes();
-  if (changes.number == 0) return;
-  writes_.push_back({epoch_, std::move(changes)});
-  std::uint64_t number = writes_.back().changes.number;
+  Scheduler::ChangeBatch batch = leader_->take_changes();
+  if (batch.number == 0) return;
+  const ChangeBatchNumber number = batch.number;
+  writes_.push_back(std::move(batch));
   at(now_ + between(3, 20), [this, epoch = epoch_, number] {
     if (leader_ == nullptr || epoch != epoch_) return;
-    while (!writes_.empty() && writes_.front().changes.number <= number) {
-      for (ShardChange& change : writes_.front().changes.changes)
-        if (change.value)
-          records_[change.key] = *change.value;
-        else
-          records_.erase(change.key);
+    while (!writes_.empty() && writes_.front().number <= number) {
+      apply_changes(records_, writes_.front().changes);
       writes_.pop_front();
     }
     leader_->on_changes_durable(number);
   });
 }
 
+inline void ServiceSimulation::when_durable(ChangeBatchNumber number, std::function<void()> action) {
+  at(now_ + kStep, [this, epoch = epoch_, number, action = std::move(action)] {
+    if (epoch != epoch_ || leader_ == nullptr) return;
+    const bool durable = number == 0 || writes_.empty() || writes_.front().number > number;
+    if (!durable) return when_durable(number, action);
+    action();
+  });
+}
+
 inline void ServiceSimulation::submit(SimulatedJob job) {
   std::string id = job.id;
   if (!checker_.jobs.contains(id)) {
     job.submitted_at = now_;
     checker_.jobs[id] = std::move(job);
   }
-  SimulatedJob& kept = checker_.jobs[id];
-  if (kept.accepted_at >= 0) return;
+  SimulatedJob& stored = checker_.jobs[id];
+  if (stored.accepted_at >= 0) return;
   at(now_ + 400, [this, id] { submit(checker_.jobs[id]); });
   if (leader_ == nullptr) return;
-  SubmitResult result = leader_->submit(id, kept.spec, kept.terms, time(), now_);
+  SubmitResult result = leader_->submit(id, stored.spec, stored.terms, time(), now_);
   if (result.outcome != wire::JOB_OK) checker_.log.add_violation("SUBMIT", result.reason, now_);
   write_changes();
-  auto answer = std::make_shared<std::function<void()>>();
-  *answer = [this, id, epoch = epoch_, number = result.durable_after, answer] {
-    if (epoch != epoch_ || leader_ == nullptr) return;
-    bool durable = number == 0 || writes_.empty() || writes_.front().changes.number > number;
-    if (durable && checker_.jobs[id].accepted_at < 0) checker_.jobs[id].accepted_at = now_;
-    if (!durable) at(now_ + 5, *answer);
-  };
-  at(now_ + 5, *answer);
+  when_durable(result.durable_after, [this, id] {
+    SimulatedJob& answered = checker_.jobs[id];
+    if (answered.accepted_at < 0) answered.accepted_at = now_;
+  });
 }
 
 inline void ServiceSimulation::cancel(const std::string& id) {
@@ -118,14 +111,10 @@
   job.cancel_sent = true;
   CancelResult result = leader_->cancel(id, time(), now_);
   write_changes();
-  auto answer = std::make_shared<std::function<void()>>();
-  *answer = [this, id, epoch = epoch_, number = result.durable_after, answer] {
-    if (epoch != epoch_ || leader_ == nullptr) return;
-    bool durable = number == 0 || writes_.empty() || writes_.front().changes.number > number;
-    if (durable && checker_.jobs[id].cancelled_at < 0) checker_.jobs[id].cancelled_at = now_;
-    if (!durable) at(now_ + 5, *answer);
-  };
-  at(now_ + 5, *answer);
+  when_durable(result.durable_after, [this, id] {
+    SimulatedJob& answered = checker_.jobs[id];
+    if (answered.cancelled_at < 0) answered.cancelled_at = now_;
+  });
 }
 
 inline void ServiceSimulation::run_until(Ms time_limit) {
@@ -144,16 +133,17 @@
   for (auto& node : nodes_) {
     if (node->leaf == nullptr && now_ >= node->restart_at) start_leaf(*node);
     if (node->leaf != nullptr && now_ >= node->next_heartbeat) heartbeat(*node);
-    if (node->worker.leaf_id.empty() ? false : (node->worker.has_changes || now_ >= node->worker.next_report))
-      report(*node);
+    const SimulatedWorkerAgent& worker = node->worker;
+    if (!worker.leaf_id.empty() && (worker.has_changes || now_ >= worker.next_report)) report(*node);
   }
   if (leader_ == nullptr) return;
   leader_->plan(time(), now_);
   write_changes();
-  for (auto& node : nodes_)
-    if (node->answer_by >= 0 &&
-        (now_ >= node->answer_by || leader_->has_undelivered_orders(node->worker.leaf_id)))
+  for (auto& node : nodes_) {
+    if (node->answer_by < 0) continue;
+    if (now_ >= node->answer_by || leader_->has_undelivered_orders(node->worker.leaf_id))
       deliver_answer(*node);
+  }
   if (now_ % kStateCheckInterval == 0) check_visible_states();
 }
 
@@ -186,4 +176,4 @@
 
 }  // namespace winchhall::cluster::test
 
-#include "tests/cluster/scheduler/scheduler_sim_leaves.hpp"
+#include "tests/cluster/scheduler/service_simulation_leaves.hpp"
--- a/tests/cluster/scheduler/scheduler_sim_leaves.hpp
+++ b/tests/cluster/scheduler/service_simulation_leaves.hpp
@@ -1,7 +1,7 @@
 // Implementation of ServiceSimulation: leaves and worker-agents.
 #pragma once
 
-#include "tests/cluster/scheduler/scheduler_sim.hpp"
+#include "tests/cluster/scheduler/service_simulation.hpp"
 
 namespace winchhall::cluster::test {
 
@@ -39,10 +39,10 @@
       if (name->second.run == run.run) ++present;
   const std::set<wire::EndKind>& ends = checker_.log.gang_ends[{prefix, run.run}];
   bool done = ends.contains(wire::END_DONE);
-  bool violations = !done && !ends.empty();
+  bool broken = !done && !ends.empty();
   if (done) return leaf.end(task, wire::END_DONE, checker_.log, now_);
   bool began = run.worked_ms > 0;
-  if (violations && began) return leaf.end(task, wire::END_BROKEN, checker_.log, now_);
+  if (broken && began) return leaf.end(task, wire::END_BROKEN, checker_.log, now_);
   if (present < leaf.stage_of(run).count()) {
     if (began) return leaf.end(task, wire::END_BROKEN, checker_.log, now_);
     if (now_ - run.started_at < checker_.bounds.gang.count()) return;
@@ -57,28 +57,20 @@
              now_);
 }
 
-inline void ServiceSimulation::heartbeat(Node& node) {
-  SimulatedLeaf& leaf = *node.leaf;
-  SimulatedWorkerAgent& worker = node.worker;
-  node.next_heartbeat = now_ + between(30, 200);
-  if (leaf.draining && now_ >= leaf.ends_at) {
-    worker.observe_leaf(leaf.id);
-    worker.left = true;
-    worker.has_changes = true;
-    stop_leaf(node);
-    return;
-  }
-  worker.observe_leaf(leaf.id);
-  worker.heartbeat_at = now_;
-  wire::LeafDescription said;
-  said.set_service("s");
-  said.set_cpu(static_cast<std::uint32_t>(leaf.capacity.cpu));
-  said.set_mem_mb(static_cast<std::uint32_t>(leaf.capacity.mem_mb));
-  said.set_gpu(static_cast<std::uint32_t>(leaf.capacity.gpu));
-  for (const std::string& label : leaf.labels) said.add_labels(label);
-  said.set_draining(leaf.draining);
-  if (leaf.draining) said.set_remaining_ms(static_cast<std::uint32_t>(std::max<Ms>(0, leaf.ends_at - now_)));
-  if (leaf.draining && leaf.drain_acknowledged < 0) leaf.drain_acknowledged = now_;
+inline wire::LeafDescription ServiceSimulation::describe(const SimulatedLeaf& leaf, Ms now) {
+  wire::LeafDescription description;
+  description.set_service("s");
+  description.set_cpu(static_cast<std::uint32_t>(leaf.capacity.cpu));
+  description.set_mem_mb(static_cast<std::uint32_t>(leaf.capacity.mem_mb));
+  description.set_gpu(static_cast<std::uint32_t>(leaf.capacity.gpu));
+  for (const std::string& label : leaf.labels) description.add_labels(label);
+  description.set_draining(leaf.draining);
+  if (leaf.draining)
+    description.set_remaining_ms(static_cast<std::uint32_t>(std::max<Ms>(0, leaf.ends_at - now)));
+  return description;
+}
+
+inline std::vector<wire::RunningTask> ServiceSimulation::list_running(const SimulatedLeaf& leaf) {
   std::vector<wire::RunningTask> running;
   for (const auto& [name, run] : leaf.running) {
     wire::RunningTask& entry = running.emplace_back();
@@ -87,52 +79,73 @@
     entry.set_saved(run.checkpoint);
     entry.set_percent(static_cast<std::uint32_t>(run.worked_ms * 100 / std::max<Ms>(1, run.work_ms)));
   }
-  std::size_t before = worker.finished.size();
-  bool same =
-      running.size() == worker.running.size() &&
-      std::equal(running.begin(), running.end(), worker.running.begin(),
+  return running;
+}
+
+inline void ServiceSimulation::update_worker(Node& node) {
+  SimulatedLeaf& leaf = *node.leaf;
+  SimulatedWorkerAgent& worker = node.worker;
+  const wire::LeafDescription description = describe(leaf, now_);
+  std::vector<wire::RunningTask> running = list_running(leaf);
+  const bool same_running =
+      std::equal(running.begin(), running.end(), worker.running.begin(), worker.running.end(),
                  [](const auto& a, const auto& b) { return a.SerializeAsString() == b.SerializeAsString(); });
-  worker.running = running;
+  const std::size_t ends_before = worker.finished.size();
+  worker.running = std::move(running);
   worker.finished.assign(leaf.finished.begin(),
                          leaf.finished.begin() + std::min<std::ptrdiff_t>(500, std::ssize(leaf.finished)));
-  bool ends_same =
-      before == worker.finished.size() &&
-      (before == 0 || worker.finished.back().number() == worker.finished.front().number() + before - 1);
-  std::uint64_t settled = worker.settled;
+  const bool no_ends = ends_before == 0 && worker.finished.empty();
+  const std::uint64_t applied = worker.applied;
   worker.resolve_orders();
-  worker.lists_changed = worker.lists_changed || !same || !ends_same || before != 0;
-  worker.has_changes =
-      worker.lists_changed || worker.settled != settled || said.draining() != worker.description.draining();
-  worker.description = said;
-  Ms hold_until = worker.grant_until > now_ ? now_ + std::min<Ms>(worker.grant_until - now_, 10000) : -1;
-  wire::WorkerOrders delivered;
-  delivered.set_epoch(worker.epoch);
-  delivered.set_last_seen(worker.last_seen);
-  if (hold_until >= 0 && !leaf.draining)
-    for (const auto& [revision, start] : worker.starts) *delivered.add_starts() = start;
-  for (const auto& [revision, stop] : worker.stops) *delivered.add_stops() = stop;
+  worker.lists_changed = worker.lists_changed || !same_running || !no_ends;
+  worker.has_changes = worker.lists_changed || worker.applied != applied ||
+                       description.draining() != worker.description.draining();
+  worker.description = description;
+}
+
+inline void ServiceSimulation::heartbeat(Node& node) {
+  SimulatedLeaf& leaf = *node.leaf;
+  SimulatedWorkerAgent& worker = node.worker;
+  node.next_heartbeat = now_ + between(30, 200);
+  worker.observe_leaf(leaf.id);
+  if (leaf.draining && now_ >= leaf.ends_at) {
+    worker.left = true;
+    worker.has_changes = true;
+    stop_leaf(node);
+    return;
+  }
+  worker.heartbeat_at = now_;
+  if (leaf.draining && leaf.drain_acknowledged < 0) leaf.drain_acknowledged = now_;
+  update_worker(node);
+  const Ms lease_until =
+      worker.grant_until > now_ ? now_ + std::min<Ms>(worker.grant_until - now_, 10000) : -1;
+  wire::WorkerOrders orders;
+  orders.set_epoch(worker.epoch);
+  orders.set_last_seen(worker.last_seen);
+  if (lease_until >= 0 && !leaf.draining)
+    for (const auto& [revision, start] : worker.starts) *orders.add_starts() = start;
+  for (const auto& [revision, stop] : worker.stops) *orders.add_stops() = stop;
   if (loses_message()) return;
   node.next_heartbeat = now_ + between(30, 200);
-  apply_orders(node, leaf.id, delivered, hold_until);
+  apply_orders(leaf, orders, lease_until);
 }
 
-inline void ServiceSimulation::apply_orders(Node& node, const std::string& leaf_id,
-                                            const wire::WorkerOrders& delivered, Ms hold_until) {
-  SimulatedLeaf& leaf = *node.leaf;
-  if (leaf.id != leaf_id || delivered.epoch() < leaf.fencing_epoch) return;
-  leaf.fencing_epoch = delivered.epoch();
-  leaf.acknowledge_ends(delivered.last_seen());
-  if (hold_until >= 0)
-    leaf.lease_expires_at =
-        std::max(leaf.lease_expires_at,
-                 now_ + static_cast<Ms>(static_cast<double>(hold_until - now_) * leaf.clock_slowdown));
-  for (const wire::StopOrder& stop : delivered.stops()) {
+inline void ServiceSimulation::apply_orders(SimulatedLeaf& leaf, const wire::WorkerOrders& orders,
+                                            Ms lease_until) {
+  if (orders.epoch() < leaf.fencing_epoch) return;
+  leaf.fencing_epoch = orders.epoch();
+  leaf.acknowledge_ends(orders.last_seen());
+  if (lease_until >= 0) {
+    const double lease_ms = static_cast<double>(lease_until - now_) * leaf.clock_slowdown;
+    leaf.lease_expires_at = std::max(leaf.lease_expires_at, now_ + static_cast<Ms>(lease_ms));
+  }
+  for (const wire::StopOrder& stop : orders.stops()) {
     auto run = leaf.running.find(stop.task());
     if (run != leaf.running.end() && run->second.run == stop.run() && run->second.stop_at < 0)
       run->second.stop_at = now_ + between(0, checker_.bounds.stop.count());
   }
-  if (hold_until < 0) return;
-  for (const wire::StartOrder& start : delivered.starts()) start_run(leaf, start);
+  if (lease_until < 0) return;
+  for (const wire::StartOrder& start : orders.starts()) start_run(leaf, start);
 }
 
 inline void ServiceSimulation::start_run(SimulatedLeaf& leaf, const wire::StartOrder& order) {
--- a/tests/cluster/scheduler/scheduler_sim_leaf.hpp
+++ b/tests/cluster/scheduler/simulated_leaf.hpp
@@ -1,74 +1,21 @@
 // A simulated leaf: executes start and stop orders, and logs events for the rule checker.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <deque>
 #include <map>
-#include <random>
-#include <set>
 #include <string>
 #include <vector>
 
 #include "cluster/scheduler/resources.hpp"
 #include "cluster/scheduler/task_name.hpp"
 #include "cluster/wire/cluster.pb.h"
+#include "tests/cluster/scheduler/event_log.hpp"
 
 namespace winchhall::cluster::test {
 
 using scheduling::Resources;
-using Ms = std::int64_t;
-
-// A submitted job, the true behaviour of its tasks, and what its client has seen.
-struct SimulatedJob {
-  std::string id;
-  wire::JobSpec spec;
-  wire::QueueTerms terms;
-  double fail_rate = 0;
-  Ms submitted_at = -1;
-  Ms accepted_at = -1;   // when the client was answered; -1: not yet
-  Ms cancelled_at = -1;  // when the cancellation was answered; -1: not yet
-  bool cancel_sent = false;
-  wire::JobState visible_state = wire::JOB_UNKNOWN;
-  Ms final_at = -1;
-};
-
-// A run began on a leaf.
-struct StartEvent {
-  std::string task;
-  std::uint64_t run = 0;
-  Ms at = 0;
-  std::string leaf;
-};
-// A run ended on a leaf.
-struct EndEvent {
-  std::string task;
-  std::uint64_t run = 0;
-  Ms at = 0;
-  wire::EndKind how = wire::END_UNKNOWN;
-  std::string leaf;
-  std::uint64_t lease_expiries = 0;  // of its leaf until then
-  bool acknowledged = false;         // by a leader, and no lease of the leaf expired in between
-};
-
-// All events of a simulation, and the violations of rules among them.
-struct EventLog {
-  std::deque<StartEvent> starts;
-  std::deque<EndEvent> ends;
-  std::vector<std::string> violations;
-  std::set<std::string> done;  // tasks with a run that ended END_DONE
-  std::map<std::pair<std::string, std::uint64_t>, std::set<wire::EndKind>> gang_ends;  // by stage and run
-
-  void add_end(EndEvent end) {
-    if (end.how == wire::END_DONE) done.insert(end.task);
-    gang_ends[{stage_part(end.task), end.run}].insert(end.how);
-    ends.push_back(std::move(end));
-  }
-  // The part of a task name that identifies its stage: "ID.K.STEP.".
-  static std::string stage_part(const std::string& task) { return task.substr(0, task.rfind('.') + 1); }
-  void add_violation(const std::string& rule, const std::string& what, Ms now) {
-    violations.push_back(rule + " at " + std::to_string(now) + ": " + what);
-  }
-};
 
 // A run that is executed on a leaf.
 struct SimulatedRun {
@@ -84,20 +31,22 @@
   std::string checkpoint;  // newest, empty: none
 };
 
+// A leaf process. Its runs end when they have worked for their time, are stopped, or the execution lease
+// expires.
 struct SimulatedLeaf {
   std::string id;
   Resources capacity;
   std::vector<std::string> labels;
   bool draining = false;
-  Ms drain_acknowledged = -1;
-  Ms ends_at = -1;
-  double clock_slowdown = 1;
+  Ms drain_acknowledged = -1;  // when a heartbeat first said that it drains
+  Ms ends_at = -1;             // when a draining leaf deregisters
+  double clock_slowdown = 1;   // how much longer the leaf takes its lease to be
   bool fails_everything = false;
   bool stalls = false;  // its tasks make no progress
   std::map<std::string, SimulatedRun> running;
   std::vector<wire::FinishedTask> finished;
-  std::deque<EndEvent*> unacknowledged;  // the events of `finished`, in the same order
-  std::map<std::string, std::uint64_t> highest_ended;
+  std::deque<EndEvent*> unacknowledged;                // the events of `finished`, in the same order
+  std::map<std::string, std::uint64_t> highest_ended;  // run number, by task
   std::uint64_t next_end_number = 1;
   std::uint64_t fencing_epoch = 0;
   Ms lease_expires_at = -1;
@@ -116,6 +65,7 @@
     return sum;
   }
 
+  // Ends the run of a task, which must be running.
   void end(const std::string& task, wire::EndKind how, EventLog& log, Ms now) {
     auto found = running.find(task);
     SimulatedRun run = found->second;
@@ -131,6 +81,7 @@
     unacknowledged.push_back(&log.ends.back());
   }
 
+  // Drops the ends up to this number from the list.
   void acknowledge_ends(std::uint64_t last_seen) {
     while (!finished.empty() && finished.front().number() <= last_seen) {
       unacknowledged.front()->acknowledged = unacknowledged.front()->lease_expiries == lease_expiries;
@@ -139,6 +90,7 @@
     }
   }
 
+  // Ends all runs.
   void expire_lease(EventLog& log, Ms now) {
     ++lease_expiries;
     lease_expires_at = -1;
--- a/tests/cluster/scheduler/scheduler_sim_worker.hpp
+++ b/tests/cluster/scheduler/simulated_worker_agent.hpp
@@ -6,27 +6,28 @@
 #include <map>
 #include <string>
 
-#include "tests/cluster/scheduler/scheduler_sim_leaf.hpp"
+#include "tests/cluster/scheduler/event_log.hpp"
 
 namespace winchhall::cluster::test {
 
+// The process beside a leaf; its reports are its only link to the leader.
 struct SimulatedWorkerAgent {
   std::string node;
   std::uint64_t session = 1;
   std::uint64_t report_number = 0;
   std::uint64_t epoch = 0;          // of the newest leader that answered
   bool heartbeat_in_epoch = false;  // a heartbeat came after its first answer
-  std::uint64_t received = 0;
-  std::uint64_t settled = 0;
+  std::uint64_t received = 0;       // highest revision received from that leader
+  std::uint64_t applied = 0;        // highest revision up to which the lists reflect all orders
   std::map<std::uint64_t, wire::StartOrder> starts;  // not reflected in the lists, by revision
   std::map<std::uint64_t, wire::StopOrder> stops;
   std::uint64_t last_seen = 0;
-  Ms grant_until = -1;
+  Ms grant_until = -1;                  // end of the lease that may be passed on to the leaf
   std::map<std::uint64_t, Ms> sent_at;  // by report number
   Ms heartbeat_at = -100000;
   std::string leaf_id;
   std::string previous_leaf_id;
-  bool left = false;
+  bool left = false;  // the leaf has deregistered
   wire::LeafDescription description;
   std::vector<wire::RunningTask> running;
   std::vector<wire::FinishedTask> finished;
@@ -36,6 +37,7 @@
   bool has_changes = false;
   Ms next_report = 0;
 
+  // Starts anew, without memory.
   void restart(std::uint64_t new_session) {
     std::string name = node;
     *this = SimulatedWorkerAgent();
@@ -43,6 +45,7 @@
     session = new_session;
   }
 
+  // A heartbeat came from a leaf; a new ID is a new incarnation, to which no order was given.
   void observe_leaf(const std::string& id) {
     if (id == leaf_id) return;
     previous_leaf_id = leaf_id;
@@ -55,7 +58,7 @@
     starts.clear();
     stops.clear();
     received = 0;
-    settled = 0;
+    applied = 0;
     last_seen = 0;
   }
 
@@ -75,12 +78,13 @@
                   [&](const auto& entry) { return is_listed(entry.second.task(), entry.second.run()); });
     std::erase_if(stops,
                   [&](const auto& entry) { return !is_running(entry.second.task(), entry.second.run()); });
-    settled = received;
-    if (!starts.empty()) settled = std::min(settled, starts.begin()->first - 1);
-    if (!stops.empty()) settled = std::min(settled, stops.begin()->first - 1);
+    applied = received;
+    if (!starts.empty()) applied = std::min(applied, starts.begin()->first - 1);
+    if (!stops.empty()) applied = std::min(applied, stops.begin()->first - 1);
     heartbeat_in_epoch = true;
   }
 
+  // Handles the answer to a report.
   void apply_answer(const wire::WorkerOrders& orders, Ms now) {
     if (orders.epoch() == 0 || orders.epoch() < epoch) return;
     if (orders.epoch() > epoch) {
@@ -120,7 +124,7 @@
     report.set_heartbeat_age_ms(static_cast<std::uint32_t>(std::min<Ms>(now - heartbeat_at, 1000000)));
     report.set_epoch(heartbeat_in_epoch ? epoch : 0);
     report.set_orders_received(heartbeat_in_epoch ? received : 0);
-    report.set_orders_settled(heartbeat_in_epoch ? settled : 0);
+    report.set_orders_settled(heartbeat_in_epoch ? applied : 0);
     bool included = lists_changed || lists_answered != lists_number || lists_number == 0;
     report.set_lists_included(included);
     report.set_lists_as_of(lists_number);
--- a/tests/cluster/scheduler/rules_test.cpp
+++ b/tests/cluster/scheduler/simulation_test.cpp
@@ -1,7 +1,7 @@
 // Randomized simulations: the rules for jobs hold under random workloads and injected faults.
 #include <catch2/catch.hpp>
 
-#include "tests/cluster/scheduler/scheduler_sim_impl.hpp"
+#include "tests/cluster/scheduler/service_simulation_impl.hpp"
 
 namespace winchhall::cluster::test {
 namespace {
@@ -54,38 +54,40 @@
   return job;
 }
 
-bool lasts(const SimulatedJob& job) { return job.spec.stages(0).long_running(); }
+bool is_long_running(const SimulatedJob& job) { return job.spec.stages(0).long_running(); }
 
-void play(std::uint64_t seed, FaultRates faults, int jobs,
-          const std::function<void(SimulatedLeaf&)>& harm = {}) {
-  constexpr Ms kTraffic = 20000;
-  constexpr Ms kLimit = 240000;
+// Submits random jobs to a service of six leaves, injects faults meanwhile, and requires that no rule is
+// violated and all jobs end. `damage`: makes the first leaf faulty.
+void simulate(std::uint64_t seed, FaultRates faults, int jobs,
+              const std::function<void(SimulatedLeaf&)>& damage = {}) {
+  constexpr Ms kSubmissionPeriod = 20000;
+  constexpr Ms kTimeLimit = 240000;
   ServiceSimulation sim(seed, 6, faults);
   sim.checker().bounds.status = Millis(400000);
-  sim.faults_until = kTraffic + 5000;
-  if (harm) {
+  sim.faults_until = kSubmissionPeriod + 5000;
+  if (damage) {
     sim.checker().fault_free = false;
-    harm(*sim.leaves().front());
+    damage(*sim.leaves().front());
   }
   for (int i = 0; i < jobs; ++i) {
-    Ms at = sim.between(0, kTraffic);
+    Ms at = sim.between(0, kSubmissionPeriod);
     sim.at(at, [&sim, i] {
       SimulatedJob job = random_job(sim, i);
       std::string id = job.id;
-      bool cancel = lasts(job) || sim.chance() < 0.1;
-      Ms later = lasts(job) ? kTraffic + 20000 : sim.now() + sim.between(0, 5000);
+      bool cancel = is_long_running(job) || sim.chance() < 0.1;
+      Ms later = is_long_running(job) ? kSubmissionPeriod + 20000 : sim.now() + sim.between(0, 5000);
       sim.submit(std::move(job));
       if (cancel) sim.at(later, [&sim, id] { sim.cancel(id); });
     });
   }
-  sim.run_until(kTraffic + 5000);
+  sim.run_until(kSubmissionPeriod + 5000);
   sim.stop_faults();
-  while (sim.now() < kLimit && !(sim.all_ended() && sim.now() > kTraffic + 30000) &&
+  while (sim.now() < kTimeLimit && !(sim.all_ended() && sim.now() > kSubmissionPeriod + 30000) &&
          sim.checker().log.violations.empty())
     sim.run_until(sim.now() + 1000);
   sim.checker().check_after_run();
   INFO("seed " << seed);
-  for (const std::string& violations : sim.checker().log.violations) FAIL_CHECK(violations);
+  for (const std::string& violation : sim.checker().log.violations) FAIL_CHECK(violation);
   std::string open;
   for (const auto& [id, job] : sim.checker().jobs)
     if (job.final_at < 0) open += " " + id;
@@ -94,47 +96,48 @@
 }
 
 TEST_CASE("the rules hold without faults") {
-  for (std::uint64_t seed = 1; seed <= 60; ++seed) play(seed, {}, 40);
+  for (std::uint64_t seed = 1; seed <= 60; ++seed) simulate(seed, {}, 40);
 }
 
 TEST_CASE("the rules hold when messages are lost, delayed or duplicated") {
-  for (std::uint64_t seed = 1000; seed < 1060; ++seed) play(seed, {.loss = 0.1, .delay = 0.05}, 40);
+  for (std::uint64_t seed = 1000; seed < 1060; ++seed) simulate(seed, {.loss = 0.1, .delay = 0.05}, 40);
 }
 
 TEST_CASE("the rules hold when leaves crash and drain") {
-  for (std::uint64_t seed = 2000; seed < 2060; ++seed) play(seed, {.leaf_crashes = 0.3, .drains = 0.3}, 40);
+  for (std::uint64_t seed = 2000; seed < 2060; ++seed)
+    simulate(seed, {.leaf_crashes = 0.3, .drains = 0.3}, 40);
 }
 
 TEST_CASE("the rules hold when worker-agents restart and are partitioned") {
   for (std::uint64_t seed = 3000; seed < 3060; ++seed)
-    play(seed, {.worker_restarts = 0.5, .partitions = 0.3}, 40);
+    simulate(seed, {.worker_restarts = 0.5, .partitions = 0.3}, 40);
 }
 
 TEST_CASE("the rules hold when leaders change") {
-  for (std::uint64_t seed = 4000; seed < 4060; ++seed) play(seed, {.leader_changes = 0.4}, 40);
+  for (std::uint64_t seed = 4000; seed < 4060; ++seed) simulate(seed, {.leader_changes = 0.4}, 40);
 }
 
 TEST_CASE("all jobs end although one leaf fails every run") {
   for (std::uint64_t seed = 6000; seed < 6030; ++seed)
-    play(seed, {}, 40, [](SimulatedLeaf& leaf) { leaf.fails_everything = true; });
+    simulate(seed, {}, 40, [](SimulatedLeaf& leaf) { leaf.fails_everything = true; });
 }
 
 TEST_CASE("all jobs end although tasks on one leaf stall") {
   for (std::uint64_t seed = 7000; seed < 7030; ++seed)
-    play(seed, {}, 40, [](SimulatedLeaf& leaf) { leaf.stalls = true; });
+    simulate(seed, {}, 40, [](SimulatedLeaf& leaf) { leaf.stalls = true; });
 }
 
 TEST_CASE("the rules hold when all faults are injected at once") {
   for (std::uint64_t seed = 5000; seed < 5100; ++seed)
-    play(seed,
-         {.loss = 0.05,
-          .delay = 0.05,
-          .leaf_crashes = 0.2,
-          .worker_restarts = 0.2,
-          .partitions = 0.2,
-          .leader_changes = 0.2,
-          .drains = 0.1},
-         40);
+    simulate(seed,
+             {.loss = 0.05,
+              .delay = 0.05,
+              .leaf_crashes = 0.2,
+              .worker_restarts = 0.2,
+              .partitions = 0.2,
+              .leader_changes = 0.2,
+              .drains = 0.1},
+             40);
 }
 
 }  // namespace
