--- a/tests/cluster/scheduler/scheduler_sim_worker.hpp
+++ b/tests/cluster/scheduler/simulated_worker_agent.hpp
@@ -1,61 +1,64 @@
-// A simulated worker-agent: keeps orders until the leaf's lists show them, reports, takes the leader's
-// answers.
+// A simulated worker-agent: keeps orders until its leaf's lists reflect them, sends reports, applies the
+// leader's answers.
 #pragma once
 
 #include <algorithm>
 #include <map>
 #include <string>
 
-#include "tests/cluster/scheduler/scheduler_sim_leaf.hpp"
+#include "tests/cluster/scheduler/event_log.hpp"
 
 namespace winchhall::cluster::test {
 
-struct SimWorker {
+// The process beside a leaf; its reports are its only link to the leader.
+struct SimulatedWorkerAgent {
   std::string node;
   std::uint64_t session = 1;
   std::uint64_t report_number = 0;
-  std::uint64_t epoch = 0;      // adopted
-  bool lists_of_epoch = false;  // a heartbeat came since
-  std::uint64_t received = 0;
-  std::uint64_t settled = 0;
-  std::map<std::uint64_t, wire::StartOrder> starts;  // not resolved
+  std::uint64_t epoch = 0;          // of the newest leader that answered
+  bool heartbeat_in_epoch = false;  // a heartbeat came after its first answer
+  std::uint64_t received = 0;       // highest revision received from that leader
+  std::uint64_t applied = 0;        // highest revision up to which the lists reflect all orders
+  std::map<std::uint64_t, wire::StartOrder> starts;  // not reflected in the lists, by revision
   std::map<std::uint64_t, wire::StopOrder> stops;
   std::uint64_t last_seen = 0;
-  Ms grant_until = -1;
+  Ms grant_until = -1;                  // end of the lease that may be passed on to the leaf
   std::map<std::uint64_t, Ms> sent_at;  // by report number
   Ms heartbeat_at = -100000;
   std::string leaf_id;
   std::string previous_leaf_id;
-  bool left = false;
+  bool left = false;  // the leaf has deregistered
   wire::LeafDescription description;
   std::vector<wire::RunningTask> running;
   std::vector<wire::FinishedTask> finished;
   std::uint64_t lists_number = 0;    // of the report that last included the lists
   std::uint64_t lists_answered = 0;  // the newest such report that was answered
   bool lists_changed = true;
-  bool news = false;
+  bool has_changes = false;
   Ms next_report = 0;
 
+  // Starts anew, without memory.
   void restart(std::uint64_t new_session) {
     std::string name = node;
-    *this = SimWorker();
+    *this = SimulatedWorkerAgent();
     node = name;
     session = new_session;
   }
 
-  void take_leaf(const std::string& id) {
+  // A heartbeat came from a leaf; a new ID is a new incarnation, to which no order was given.
+  void observe_leaf(const std::string& id) {
     if (id == leaf_id) return;
     previous_leaf_id = leaf_id;
     leaf_id = id;
     left = false;
-    forget_orders();
+    discard_orders();
   }
 
-  void forget_orders() {
+  void discard_orders() {
     starts.clear();
     stops.clear();
     received = 0;
-    settled = 0;
+    applied = 0;
     last_seen = 0;
   }
 
@@ -69,24 +72,25 @@
                        [&](const auto& entry) { return entry.task() == task && entry.run() == run; });
   }
 
-  // A heartbeat has come and the lists are those of the leaf now.
-  void resolve() {
+  // Drops the orders that the lists of the leaf's newest heartbeat reflect.
+  void resolve_orders() {
     std::erase_if(starts,
                   [&](const auto& entry) { return is_listed(entry.second.task(), entry.second.run()); });
     std::erase_if(stops,
                   [&](const auto& entry) { return !is_running(entry.second.task(), entry.second.run()); });
-    settled = received;
-    if (!starts.empty()) settled = std::min(settled, starts.begin()->first - 1);
-    if (!stops.empty()) settled = std::min(settled, stops.begin()->first - 1);
-    lists_of_epoch = true;
+    applied = received;
+    if (!starts.empty()) applied = std::min(applied, starts.begin()->first - 1);
+    if (!stops.empty()) applied = std::min(applied, stops.begin()->first - 1);
+    heartbeat_in_epoch = true;
   }
 
-  void take_orders(const wire::WorkerOrders& orders, Ms now) {
+  // Handles the answer to a report.
+  void apply_answer(const wire::WorkerOrders& orders, Ms now) {
     if (orders.epoch() == 0 || orders.epoch() < epoch) return;
     if (orders.epoch() > epoch) {
-      forget_orders();
+      discard_orders();
       epoch = orders.epoch();
-      lists_of_epoch = false;
+      heartbeat_in_epoch = false;
       lists_answered = 0;
       next_report = now;
     }
@@ -118,9 +122,9 @@
     *report.mutable_leaf() = description;
     report.mutable_leaf()->set_leaf_id(leaf_id);
     report.set_heartbeat_age_ms(static_cast<std::uint32_t>(std::min<Ms>(now - heartbeat_at, 1000000)));
-    report.set_epoch(lists_of_epoch ? epoch : 0);
-    report.set_orders_received(lists_of_epoch ? received : 0);
-    report.set_orders_settled(lists_of_epoch ? settled : 0);
+    report.set_epoch(heartbeat_in_epoch ? epoch : 0);
+    report.set_orders_received(heartbeat_in_epoch ? received : 0);
+    report.set_orders_settled(heartbeat_in_epoch ? applied : 0);
     bool included = lists_changed || lists_answered != lists_number || lists_number == 0;
     report.set_lists_included(included);
     report.set_lists_as_of(lists_number);
@@ -133,7 +137,7 @@
     lists_changed = false;
     report.set_previous_leaf_id(previous_leaf_id);
     report.set_left(left);
-    news = false;
+    has_changes = false;
     next_report = now + 400;
     return report;
   }
