--- a/src/cluster/consensus/acceptor.cpp
+++ b/src/cluster/consensus/acceptor.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-constexpr std::size_t kPageBytes = 128 << 10;
+constexpr std::size_t kPageBytes = 128 << 10;  // a page ends once its entries reach this size
 
-// Keys of state pages: their order is the order of the pages.
+// Prefixes of the keys in state pages; their order is the order in which entries are sent.
 const std::string kShardPrefix = "1/";
 const std::string kRecordPrefix = "2/";
 const std::string kRegisterPrefix = "3/";
 
-// Keys of the store.
+// Prefixes of the keys in the store.
 const std::string kStoredShardPrefix = shard_store_key("");
 const std::string kStoredRecordPrefix = "record/";
 const std::string kStoredRegisterPrefix = register_store_key("");
 
-// Splits "SHARD\0KEY".
+// A record's name is "SHARD\0KEY".
 struct RecordName {
   std::string shard;
   std::string key;
@@ -44,7 +44,7 @@
   return message;
 }
 
-// Collects entries behind a key until the page is full.
+// Collects the entries after a key until the page is full.
 class PageWriter {
  public:
   explicit PageWriter(std::string after_key) : after_key_(std::move(after_key)) { page_.set_last(true); }
@@ -69,18 +69,17 @@
 
 void add_records(const std::string& shard, const ShardRecords& records, PageWriter& writer) {
   const std::string prefix = kRecordPrefix + joined(shard, "");
-  // Records that were sent already are passed over without being looked at.
-  const bool begun = writer.after_key().starts_with(prefix);
-  auto entry = begun ? records.upper_bound(writer.after_key().substr(prefix.size())) : records.begin();
+  // Skips the records that were sent already without visiting them.
+  const bool resumes_here = writer.after_key().starts_with(prefix);
+  auto entry = resumes_here ? records.upper_bound(writer.after_key().substr(prefix.size())) : records.begin();
   for (; entry != records.end() && !writer.full(); ++entry) writer.add(prefix + entry->first, entry->second);
 }
 
 }  // namespace
 
-Acceptor::Acceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& membership_status,
+Acceptor::Acceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& status,
                    RegisterAcceptor::ChosenListener on_chosen)
-    : registers_(commit_queue, membership_status, std::move(on_chosen)),
-      shards_(runtime, commit_queue, membership_status) {}
+    : registers_(commit_queue, status, std::move(on_chosen)), shards_(runtime, commit_queue, status) {}
 
 void Acceptor::load(std::string_view key, std::string_view value) {
   if (key.starts_with(kStoredShardPrefix)) {
--- a/src/cluster/consensus/acceptor.hpp
+++ b/src/cluster/consensus/acceptor.hpp
@@ -1,5 +1,4 @@
-// The acceptor of one node: registers, leases and replicas of shards, kept in memory and mirrored to the
-// store.
+// The acceptor of one node: registers, shard leases and shard replicas.
 #pragma once
 
 #include <string>
@@ -12,23 +11,27 @@
 
 namespace winchhall::cluster {
 
+// Combines the acceptors of registers and shards: dispatches requests, loads the store, and gives and takes
+// whole states for state transfers. The state is in memory and mirrored to the store.
 class Acceptor {
  public:
-  Acceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& membership_status,
+  // The references must outlive this object.
+  Acceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& status,
            RegisterAcceptor::ChosenListener on_chosen);
 
-  // Takes up one entry of the store at the start; others than the acceptor's are passed over.
+  // Loads one entry of the store at the start. Entries of other parts are ignored.
   void load(std::string_view key, std::string_view value);
-  // Answers requests for registers, leases and shards; false: of another kind.
+  // Handles requests for registers, leases and shards; false: of another kind.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
 
-  // Entries of the whole state that follow a key, for a newcomer: states of shards first, as a copy's bases
-  // must not be newer than its records.
+  // The entries of the whole state that follow a key, up to a page's size. The states of shards come before
+  // their records: a copy is made page by page while writes go on, and a copied base must not be newer than
+  // the copied records.
   wire::StatePage state_page(const std::string& after_key) const;
-  // Takes an entry of another acceptor's state page into a copy.
+  // Adds an entry of another acceptor's state page to a copy.
   static void add_state_entry(const wire::StateEntry& entry, TransferredState& copy);
-  // Joins copies of other acceptors' states with this one. The changes are in memory at once and become
-  // durable with the batch that is returned.
+  // Joins copies of other acceptors' states into this one. The changes are in memory at once and become
+  // durable with the returned batch, which the caller has to commit.
   StoreBatch merge(const std::vector<TransferredState>& copies);
 
   RegisterAcceptor& registers() { return registers_; }
--- a/src/cluster/consensus/commit_queue.cpp
+++ b/src/cluster/consensus/commit_queue.cpp
@@ -5,7 +5,7 @@
 namespace winchhall::cluster {
 
 namespace {
-constexpr Millis kRecoveryPause{100};
+constexpr Millis kRecoveryBackoff{100};
 
 std::size_t size_of(const StoreBatch& batch) {
   std::size_t bytes = 0;
@@ -22,7 +22,7 @@
   waiting_bytes_ += bytes;
   Entry entry{std::move(batch), std::move(on_durable), bytes};
   if (recovering_) {
-    held_.push_back(std::move(entry));
+    queued_.push_back(std::move(entry));
   } else {
     issue(std::move(entry));
   }
@@ -37,11 +37,11 @@
   StoreBatch batch = entry.batch;
   outstanding_.push_back(std::move(entry));
   store_.commit(std::move(batch), [this, alive = std::weak_ptr(alive_)](CommitOutcome outcome) {
-    if (!alive.expired()) ended(outcome);
+    if (!alive.expired()) on_committed(outcome);
   });
 }
 
-void CommitQueue::ended(CommitOutcome outcome) {
+void CommitQueue::on_committed(CommitOutcome outcome) {
   Entry entry = std::move(outstanding_.front());
   outstanding_.pop_front();
   if (outcome == CommitOutcome::failed) recovering_ = true;
@@ -50,18 +50,18 @@
     if (entry.on_durable) entry.on_durable();
     return;
   }
-  doubtful_.push_back(std::move(entry));
+  in_doubt_.push_back(std::move(entry));
   if (outstanding_.empty()) schedule_recovery();
 }
 
 void CommitQueue::schedule_recovery() {
-  recovery_timer_ = runtime_.after(kRecoveryPause, [this] { recover(); });
+  recovery_timer_ = runtime_.after(kRecoveryBackoff, [this] { recover(); });
 }
 
 void CommitQueue::recover() {
   recovering_ = false;
-  for (Entry& entry : std::exchange(doubtful_, {})) issue(std::move(entry));
-  for (Entry& entry : std::exchange(held_, {})) issue(std::move(entry));
+  for (Entry& entry : std::exchange(in_doubt_, {})) issue(std::move(entry));
+  for (Entry& entry : std::exchange(queued_, {})) issue(std::move(entry));
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/commit_queue.hpp
+++ b/src/cluster/consensus/commit_queue.hpp
@@ -1,5 +1,4 @@
-// Writes of one node to its store, in order. A positive answer that waits for the journal is given only if
-// everything that the node held in memory at that time is durable.
+// One node's writes to its store, in order, with retries after a failure.
 #pragma once
 
 #include <deque>
@@ -12,21 +11,28 @@
 
 namespace winchhall::cluster {
 
-// After a failed commit the batches behind it are in doubt, too: all are written once more, in their order
-// and before anything new, until the store takes them; what waits for them goes on waiting.
+// The parts of a node change their state in memory first and answer a request only from `on_durable`.
+//
+// Invariant: `on_durable` of a batch is called only once that batch and all batches committed before it are
+// durable. So a positive answer is backed by everything that the node held in memory when it was prepared.
+//
+// After a failed commit all batches behind it are in doubt, too: after a pause all are written again, in
+// their order and before anything new, until the store accepts them. What waits for them goes on waiting.
 class CommitQueue {
  public:
+  // Both references must outlive this object.
   CommitQueue(Runtime& runtime, DurableStore& store);
 
-  // Calls `on_durable` once this batch and all before it are durable.
+  // Calls `on_durable` once this batch and all before it are durable; never, if this object is destroyed
+  // before.
   void commit(StoreBatch batch, std::function<void()> on_durable = {});
-  // Calls `on_durable` once all batches so far are durable, at once if they are.
+  // Calls `on_durable` once all batches so far are durable; from within this function if they are.
   void barrier(std::function<void()> on_durable);
-  // True while so much waits for the disk that nothing more should be taken on.
-  bool overloaded() const { return waiting_bytes_ > kMostWaitingBytes; }
+  // True while so much waits for the disk that no further requests should be accepted.
+  bool overloaded() const { return waiting_bytes_ > kMaxWaitingBytes; }
 
  private:
-  static constexpr std::size_t kMostWaitingBytes = 16u << 20;
+  static constexpr std::size_t kMaxWaitingBytes = 16u << 20;
 
   struct Entry {
     StoreBatch batch;
@@ -35,17 +41,17 @@
   };
 
   void issue(Entry entry);
-  void ended(CommitOutcome outcome);
+  void on_committed(CommitOutcome outcome);
   void schedule_recovery();
   void recover();
 
   Runtime& runtime_;
   DurableStore& store_;
   std::deque<Entry> outstanding_;  // given to the store
-  std::vector<Entry> doubtful_;    // to be written once more
-  std::vector<Entry> held_;        // not given to the store before that
+  std::vector<Entry> in_doubt_;    // to be written again
+  std::vector<Entry> queued_;      // to be written once those are
   std::size_t waiting_bytes_ = 0;  // of all three
-  bool recovering_ = false;
+  bool recovering_ = false;        // since a failure, until the batches in doubt are issued again
   std::unique_ptr<Timer> recovery_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/cluster/consensus/control_group.hpp
+++ b/src/cluster/consensus/control_group.hpp
@@ -1,166 +1,136 @@
-// The control group: a member, or a candidate, of the group of nodes that keep registers and shards.
+// The control group as one node takes part in it: member or candidate, acceptor, proposer, lease holder.
 #pragma once
 
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
 #include "cluster/common/settings.hpp"
 #include "cluster/consensus/acceptor.hpp"
+#include "cluster/consensus/commit_queue.hpp"
 #include "cluster/consensus/excess_member_remover.hpp"
+#include "cluster/consensus/group_context.hpp"
+#include "cluster/consensus/lease_directory.hpp"
 #include "cluster/consensus/leased_shard.hpp"
+#include "cluster/consensus/local_membership.hpp"
 #include "cluster/consensus/member_joiner.hpp"
+#include "cluster/consensus/member_pinger.hpp"
+#include "cluster/consensus/member_record_exchange.hpp"
 #include "cluster/consensus/member_rpc_client.hpp"
 #include "cluster/consensus/peer_table.hpp"
-#include "cluster/consensus/quorum_register_client.hpp"
-#include "cluster/consensus/state_transfer.hpp"
+#include "cluster/consensus/register_service.hpp"
+#include "cluster/consensus/state_transfer_manager.hpp"
 #include "cluster/store/store.hpp"
 
 namespace winchhall::cluster {
 
+// Facade of the module: owns its parts, connects them, dispatches requests to them and runs their periodic
+// work. The parts and the algorithms they follow:
+//   - registers: compare-and-swap by two quorum phases (register_client.hpp);
+//   - shards: records replicated by the holder of a quorum lease (leased_shard.hpp, shard_acceptor.hpp);
+//   - members: one change of the member record at a time (member_record.hpp);
+//   - newcomers: copy of the state before they vote (state_transfer.hpp).
+// Invariant: what this node answers to others is durable here, and its requests and answers carry the epoch
+// of its newest durable member record. All calls on the event loop.
 class ControlGroup : private GroupContext {
  public:
-  // Told of a register's newer values that are known to be chosen.
-  using RegisterWatch = std::function<void(const RegisterValue& value)>;
-
+  // `runtime` and `store` must outlive this object. Nothing is sent or read before `start`.
   ControlGroup(Runtime& runtime, DurableStore& store, const NodeSettings& settings);
   ~ControlGroup() override;
 
   // Loads the store and takes part from now on.
   void start();
-  // Before a planned end: leaves the group where it can do without this member. `done` is called once, after
-  // at most `limit`.
+  // Before a planned shutdown: leaves the group if it can do without this member. `done` is called once,
+  // after at most `limit`.
   void leave(Millis limit, std::function<void()> done);
-  // Takes part no more; shards that are still led are to be stepped down before.
+  // Takes part no more. Shards that this node still leads have to be stepped down before.
   void stop();
-  // Answers requests of other control nodes; false: of another kind.
+  // Handles requests of other control nodes; false: not of a kind handled here. Before `start` and after
+  // `stop` requests stay unanswered.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
 
-  RegisterClient& registers() { return client_; }
+  RegisterClient& registers() { return registers_.client(); }
   // This node's part in a shard. To be destroyed before the group.
   std::unique_ptr<ReplicatedShard> open_shard(std::string name, ShardCallbacks callbacks);
   // Internal listeners of the seeds, after a change of the settings.
-  void set_seeds(std::vector<Address> seeds) { seeds_ = std::move(seeds); }
-  // Control nodes that peer sampling brought up: also asked for the record while no majority is heard.
-  void set_sampled_control(std::vector<Address> nodes) { sampled_ = std::move(nodes); }
+  void set_seeds(std::vector<Address> seeds) { record_exchange_.set_seeds(std::move(seeds)); }
+  // Internal listeners of control nodes that peer sampling found: asked for the member record while there is
+  // no quorum contact.
+  void set_sampled_control(std::vector<Address> nodes) {
+    record_exchange_.set_sampled_control(std::move(nodes));
+  }
   // Calls `on_newer` for the value known now, if any, and for every newer one that differs.
-  void watch_register(const std::string& key, RegisterWatch on_newer);
+  void watch_register(const std::string& key, RegisterWatcher::Listener on_newer);
 
-  // A register's value as far as it is known to be chosen here; none: never heard of one.
+  // A register's newest value that is known here to be chosen; none: no chosen value is known.
   std::optional<std::string> locally_known_value(const std::string& key) const;
-  // Drops what is kept here of registers that are never needed again.
+  // Drops the state kept here of registers that are never needed again.
   void drop_registers(const std::function<bool(const std::string& key)>& unneeded);
-  // Every member has said that it reads configuration records with snapshots.
+  // True if every member has announced that it reads configuration records with snapshots.
   bool members_read_snapshots() const;
 
-  // Names of the shards that this node keeps a replica of.
+  // Names of the shards of which this node keeps a replica.
   std::vector<std::string> stored_shards() const;
 
-  // Newest member record known; epoch 0: none yet.
-  const wire::MemberRecord& members() const { return record_; }
-  // Leases in force as far as known here.
-  std::vector<wire::ShardLeader> leaders() const;
-  // True while a majority of the members was heard within the last second.
+  // Newest durable member record; epoch 0: none yet.
+  const wire::MemberRecord& members() const { return membership_.record(); }
+  // Holders of the shards' leases as far as known here, granted by a majority.
+  std::vector<wire::ShardLeader> leaders() const { return leases_.confirmed_leaders(); }
+  // True if a majority of the members, this node included, answered a ping within `kContactTimeout`.
   bool has_quorum_contact() const override;
-  std::uint64_t member_id() const { return membership_status_.id; }
-  // A member of the newest record that holds all state: its answers count.
-  bool votes() const { return membership_status_.voting; }
+  std::uint64_t member_id() const { return membership_.status().id; }
+  // True if this node is a member of the newest record and holds all state: its answers count.
+  bool votes() const { return membership_.status().voting; }
 
  private:
-  struct Watch {
-    std::string key;
-    RegisterWatch on_newer;
-    std::optional<std::string> told;
-    wire::Ballot unresolved_ballot;  // at the last tick
-  };
+  // Registers itself with the group while it exists.
   class OpenShard;
 
   // GroupContext
   Runtime& runtime() override { return runtime_; }
-  const wire::MemberRecord& record() const override { return record_; }
-  std::uint64_t self_id() const override { return membership_status_.id; }
+  const wire::MemberRecord& record() const override { return membership_.record(); }
+  std::uint64_t self_id() const override { return membership_.status().id; }
   std::uint64_t next_unique_id() override;
-  bool voting() const override { return membership_status_.voting; }
+  bool voting() const override { return membership_.status().voting; }
   std::vector<std::uint64_t> reachable_voters() const override;
   void call(const wire::Member& member, wire::Envelope request, Millis timeout,
             std::function<void(CallResult)> done) override;
-  void defer(std::function<void()> action) override { calls_.defer(std::move(action)); }
+  void defer(std::function<void()> action) override { rpc_.defer(std::move(action)); }
   void on_member_epoch_observed(std::uint64_t epoch, const wire::Member& member) override;
   std::optional<wire::ShardLeader> lease_in_force(const std::string& shard) const override;
-  std::size_t own_lease_count() const override;
+  std::size_t own_lease_count() const override { return leases_.lease_count_of(self_id()); }
   std::uint64_t promised_epoch(const std::string& shard) const override;
 
-  // Identity and member records
+  MembershipCallbacks membership_callbacks();
+  PingCallbacks ping_callbacks();
   void load();
-  void initialize_identity();
-  wire::Member self_member() const;
   void activate();
-  void adopt(const wire::MemberRecord& record);
-  void adopted(const wire::MemberRecord& record, const wire::NodeIdentity& identity);
-  void update_membership_status();
-
-  // Exchange with others
-  void tick();
-  void ping(const wire::Member& member);
-  wire::MemberPing make_ping() const;
-  void ping_back(std::uint64_t from);
-  void on_ping_received(const wire::MemberPing& ping);
-  void fetch_member_record(const Address& address);
-  void push_member_record(const wire::Member& member);
-  void request_to_join();
-  std::vector<Address> join_targets() const;
-  void synchronize();
-  void retry_state_transfer_later();
-  void synchronized(const std::vector<TransferredState>& copies, std::uint64_t member_epoch);
-
-  // Registers
-  void register_chosen(const std::string& key, const RegisterValue& value);
-  void on_attempt_chosen(const std::string& key, const RegisterValue& value, bool newly_chosen);
-  std::set<Address> commit_recipients(const std::string& key, const RegisterValue& value) const;
-  void handle_chosen(const wire::RegisterChosen& chosen, const ReplyCallback& reply);
-  void handle_state_pull(const wire::StatePull& pull, const ReplyCallback& reply);
-  void tell(Watch& watch, const RegisterValue& value);
-  void refresh_registers();
-  void refresh_unresolved_registers();
-  void refresh(const std::string& key);
+  void run_periodic_work();
+  void on_record_adopted();
+  void notify_shards_of_membership();
 
   Runtime& runtime_;
   DurableStore& store_;
   const NodeSettings settings_;
-  std::vector<Address> seeds_;    // internal listeners; those of the settings at first
-  std::vector<Address> sampled_;  // control nodes from peer sampling
   CommitQueue commit_queue_;
-  MembershipStatus membership_status_;
-  wire::NodeIdentity identity_;
-  wire::MemberRecord record_;
-  std::uint64_t adopting_epoch_ = 0;
-  Acceptor acceptor_;
-  MemberRpcClient calls_;
   PeerTable peers_;
-  QuorumRegisterClient client_;
-  MemberJoiner member_joiner_;
+  LocalMembership membership_;
+  Acceptor acceptor_;
+  LeaseDirectory leases_;
+  MemberRpcClient rpc_;
+  RegisterService registers_;
+  MemberPinger pinger_;
+  MemberRecordExchange record_exchange_;
+  StateTransferManager state_transfer_;
+  MemberJoiner joiner_;
   ExcessMemberRemover excess_member_remover_;
   std::set<LeasedShard*> shards_;
-  std::vector<std::shared_ptr<Watch>> watches_;
   bool active_ = false;
-  std::shared_ptr<StateTransfer> sync_;
-  unsigned failed_syncs_ = 0;  // since the record was adopted
-  std::unique_ptr<Timer> sync_timer_;
-  bool fetching_ = false;
-  bool joining_ = false;
-  bool leaving_ = false;
-  std::size_t next_join_target_ = 0;
-  std::map<std::uint64_t, TimePoint> pushed_at_;
-  bool had_quorum_contact_ = false;
-  std::set<std::string> to_refresh_;
-  std::set<std::string> refreshing_;
-  wire::Ballot
-      newest_reported_configuration_;  // highest chosen ballot of the configuration that others told of
-  std::unique_ptr<Timer> tick_timer_;
+  std::unique_ptr<Timer> periodic_timer_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/excess_member_remover.cpp
+++ b/src/cluster/consensus/excess_member_remover.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 #include <vector>
 
-#include "cluster/consensus/member_change.hpp"
 #include "cluster/consensus/member_record.hpp"
+#include "cluster/consensus/member_record_change.hpp"
 
 namespace winchhall::cluster {
 
@@ -14,22 +14,22 @@
 }
 
 ExcessMemberRemover::ExcessMemberRemover(GroupContext& group, RegisterClient& registers,
-                                         const PeerTable& peers, Millis gone,
+                                         const PeerTable& peers, Millis unreachable_after,
                                          std::function<void(const wire::MemberRecord&)> on_record)
     : group_(group),
       registers_(registers),
       peers_(peers),
-      unreachable_after_(gone),
+      unreachable_after_(unreachable_after),
       on_record_(std::move(on_record)) {}
 
-void ExcessMemberRemover::check() {
+void ExcessMemberRemover::remove_unreachable_member() {
   if (busy_ || !group_.voting() || !group_.has_quorum_contact() || !is_proposer()) return;
   if (!has_excess_member(group_.record())) return;
-  const wire::Member* silent = find_unreachable_member(group_.record(), peers_, unreachable_after_);
-  if (silent) remove(silent->id());
+  const wire::Member* unreachable = find_unreachable_member(group_.record(), peers_, unreachable_after_);
+  if (unreachable) remove(unreachable->id());
 }
 
-// One of the members that are heard, so that they don't race for the change.
+// One of the reachable voters, so that they don't compete for the change.
 bool ExcessMemberRemover::is_proposer() const {
   const std::vector<std::uint64_t> voters = group_.reachable_voters();
   const auto first = std::min_element(voters.begin(), voters.end());
@@ -59,12 +59,13 @@
 
 void ExcessMemberRemover::try_to_leave() {
   const bool member = find_member(group_.record(), leaving_id_) != nullptr;
-  if (!member || !has_excess_member(group_.record()) || group_.runtime().now() >= leave_by_) return left();
+  if (!member || !has_excess_member(group_.record()) || group_.runtime().now() >= leave_by_)
+    return finish_leaving();
   if (!busy_ && group_.voting() && group_.has_quorum_contact() && all_others_vote()) remove(leaving_id_);
   retry_timer_ = group_.runtime().after(kLeaveRetry, [this] { try_to_leave(); });
 }
 
-void ExcessMemberRemover::left() {
+void ExcessMemberRemover::finish_leaving() {
   retry_timer_.reset();
   const std::function<void()> done = std::exchange(on_left_, nullptr);
   if (done) done();
--- a/src/cluster/consensus/excess_member_remover.hpp
+++ b/src/cluster/consensus/excess_member_remover.hpp
@@ -1,10 +1,7 @@
-// Takes members out of a group of even size, which bears no more losses than the next smaller one: a member
-// that ends by plan, and one that stays silent though no machine has come in its place.
-//
-// A planned replacement adds the new machine first. Between the end of the old one and its removal the group
-// would have one member that is down for good, and would bear one loss less than before.
+// Removes members from a group of even size, which tolerates no more losses than the next smaller one.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <memory>
 
@@ -14,17 +11,23 @@
 
 namespace winchhall::cluster {
 
+// Removes this node before its planned shutdown, and a member that is unreachable for long although no
+// machine has come in its place.
+//
+// A planned replacement adds the new machine first. Between the shutdown of the old one and its removal the
+// group would have a member that is down for good, and would tolerate one loss less than before.
 class ExcessMemberRemover {
  public:
-  // `gone`: a member that was silent for so long is taken to be down for good. `on_record` is told of every
-  // chosen record that a change brings up. All references outlive this object.
-  ExcessMemberRemover(GroupContext& group, RegisterClient& registers, const PeerTable& peers, Millis gone,
-                      std::function<void(const wire::MemberRecord&)> on_record);
-
-  // Removes a silent surplus member, if there is one. To be called now and then.
-  void check();
-  // This node is about to end: it leaves the group where it is a surplus member and all others vote, so that
-  // what it holds is on enough of them. `done` is called once, after at most `limit`.
+  // `unreachable_after`: a member that is unreachable for longer is taken to be down for good. `on_record` is
+  // called with the record that is chosen after a change was tried. All references must outlive this object.
+  ExcessMemberRemover(GroupContext& group, RegisterClient& registers, const PeerTable& peers,
+                      Millis unreachable_after, std::function<void(const wire::MemberRecord&)> on_record);
+
+  // Removes an unreachable excess member, if there is one. To be called periodically.
+  void remove_unreachable_member();
+  // Before this node's shutdown: removes it from the group if it is an excess member and all other members
+  // are reachable and vote, so that what it holds is on enough of them. `done` is called once, from within
+  // this function or later, after at most `limit`.
   void leave(Millis limit, std::function<void()> done);
 
  private:
@@ -32,14 +35,14 @@
   bool all_others_vote() const;
   void try_to_leave();
   void remove(std::uint64_t member);
-  void left();
+  void finish_leaving();
 
   GroupContext& group_;
   RegisterClient& registers_;
   const PeerTable& peers_;
   const Millis unreachable_after_;
   const std::function<void(const wire::MemberRecord&)> on_record_;
-  bool busy_ = false;
+  bool busy_ = false;  // a change of the member record is in progress
   std::uint64_t leaving_id_ = 0;
   TimePoint leave_by_{};
   std::function<void()> on_left_;
--- a/src/cluster/consensus/leader_record_table.hpp
+++ b/src/cluster/consensus/leader_record_table.hpp
@@ -1,49 +1,55 @@
-// The lease holder's copy of a shard's records, with a number for each change made under this lease.
+// The lease holder's copy of a shard's records, with a number for each change made under the lease.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <string>
 
-#include "cluster/consensus/shard_acceptor.hpp"
+#include "cluster/consensus/shard_replica.hpp"
 
 namespace winchhall::cluster {
 
-// A record and the number of the change that made it; 0: found when the lease was got.
+// A record and the number of the change that made this version; 0: recovered when the lease was acquired.
 struct VersionedRecord {
   wire::ShardRecord record;
   std::uint64_t change = 0;
 };
 
+// Changes are numbered 1, 2, ... under one epoch. The number is the record's sequence, so that (epoch,
+// sequence) orders all versions of a record, whoever made them.
 class LeaderRecordTable {
  public:
   LeaderRecordTable() = default;
-  LeaderRecordTable(std::uint64_t epoch, ShardRecords found) : epoch_(epoch) {
-    for (auto& [key, record] : found) records_[key] = {std::move(record), 0};
+  LeaderRecordTable(std::uint64_t epoch, ShardRecords recovered) : epoch_(epoch) {
+    for (auto& [key, record] : recovered) records_[key] = {std::move(record), 0};
   }
 
+  // Number of the newest change; 0: none yet.
   std::uint64_t last_change() const { return last_change_; }
+  // All records by key, those removed included.
   const std::map<std::string, VersionedRecord>& all() const { return records_; }
+  // Null: no such record.
   const VersionedRecord* find(const std::string& key) const {
     const auto found = records_.find(key);
     return found == records_.end() ? nullptr : &found->second;
   }
 
-  // Makes a new version of a record; no value: removed.
+  // Makes a new version of a record; null: removed.
   void put(const std::string& key, const std::string* value) {
-    VersionedRecord& held = records_[key];
-    held.change = ++last_change_;
-    held.record.set_key(key);
-    held.record.set_epoch(epoch_);
-    held.record.set_sequence(last_change_);
-    held.record.set_deleted(value == nullptr);
-    held.record.set_value(value ? *value : std::string());
+    VersionedRecord& versioned = records_[key];
+    versioned.change = ++last_change_;
+    versioned.record.set_key(key);
+    versioned.record.set_epoch(epoch_);
+    versioned.record.set_sequence(last_change_);
+    versioned.record.set_deleted(value == nullptr);
+    versioned.record.set_value(value ? *value : std::string());
   }
-  // A new version with the same value, newer than whatever a replica holds from earlier epochs.
+  // Makes a new version with the same value, newer than any that a replica holds from earlier epochs. A
+  // record that isn't in the table is marked as removed.
   void renew(const std::string& key) {
-    const VersionedRecord* held = find(key);
-    const bool live = held && !held->record.deleted();
-    const std::string value = live ? held->record.value() : std::string();
+    const VersionedRecord* current = find(key);
+    const bool live = current && !current->record.deleted();
+    const std::string value = live ? current->record.value() : std::string();
     put(key, live ? &value : nullptr);
   }
 
--- a/src/cluster/consensus/lease_renewer.cpp
+++ b/src/cluster/consensus/lease_renewer.cpp
@@ -25,12 +25,12 @@
       highest_epoch_(epoch) {}
 
 void LeaseRenewer::start() {
-  end_ = group_.runtime().now() + kAcquireTimeout;
+  expires_at_ = group_.runtime().now() + kAcquireTimeout;
   arm_expiry_timer();
   send_round();
 }
 
-wire::Envelope LeaseRenewer::request(bool release) const {
+wire::Envelope LeaseRenewer::make_request(bool release) const {
   wire::Envelope envelope;
   wire::LeaseRequest& request = *envelope.mutable_lease_request();
   request.set_shard(shard_);
@@ -51,50 +51,54 @@
   round->sent_at = group_.runtime().now();
   round->record = group_.record();
   for (const wire::Member& member : round->record.members()) {
-    if (acquired_ || member.id() != group_.self_id()) ask(round, member);
+    if (acquired_ || member.id() != group_.self_id()) request_lease(round, member);
   }
   if (!acquired_) request_own_lease_last(round);
   renew_timer_ = group_.runtime().after(kRenewInterval, [this] { send_round(); });
 }
 
-void LeaseRenewer::ask(const std::shared_ptr<Round>& round, const wire::Member& member) {
-  group_.call(member, request(false), kLeaseCallTimeout,
+void LeaseRenewer::request_lease(const std::shared_ptr<Round>& round, const wire::Member& member) {
+  group_.call(member, make_request(false), kLeaseCallTimeout,
               [weak = weak_from_this(), round, member](const CallResult& result) {
                 const std::shared_ptr<LeaseRenewer> self = weak.lock();
-                if (self && !self->ended_) self->answered(round, member, result);
+                if (self && !self->ended_) self->on_reply(round, member, result);
               });
 }
 
-// A node that reaches no majority must not raise the epoch promised here: coming back with it, it would
-// depose the holder that the others have.
 void LeaseRenewer::request_own_lease_last(const std::shared_ptr<Round>& round) {
   if (round->own_lease_requested || round->granted.size() + 1 < majority(round->record)) return;
   const wire::Member* self = find_member(round->record, group_.self_id());
   if (self == nullptr) return;
   round->own_lease_requested = true;
-  ask(round, *self);
+  request_lease(round, *self);
 }
 
-void LeaseRenewer::answered(const std::shared_ptr<Round>& shared, const wire::Member& member,
+void LeaseRenewer::on_reply(const std::shared_ptr<Round>& round, const wire::Member& member,
                             const CallResult& result) {
-  Round& round = *shared;
   if (!result.answer || !result.answer->has_lease_reply()) return;
   const wire::LeaseReply& reply = result.answer->lease_reply();
-  if (find_member(round.record, reply.acceptor()) == nullptr) return;
+  if (find_member(round->record, reply.acceptor()) == nullptr) return;
   highest_epoch_ = std::max(highest_epoch_, reply.epoch());
-  if (reply.member_epoch() != round.record.epoch())
-    group_.on_member_epoch_observed(reply.member_epoch(), member);
-  const bool same_record = reply.member_epoch() == round.record.epoch();
+  const bool same_record = reply.member_epoch() == round->record.epoch();
+  if (!same_record) group_.on_member_epoch_observed(reply.member_epoch(), member);
   if (reply.granted() && same_record && reply.epoch() == epoch_) {
-    if (reply.voting()) count_grant(round, reply.acceptor());
-    if (!ended_ && !acquired_) request_own_lease_last(shared);
-    if (!ended_) callbacks_.on_granted(reply.acceptor(), reply.voting());
-    return;
+    on_granted(round, reply);
+  } else {
+    on_rejected(*round, reply);
   }
-  ++round.refused;
+}
+
+void LeaseRenewer::on_granted(const std::shared_ptr<Round>& round, const wire::LeaseReply& reply) {
+  if (reply.voting()) count_grant(*round, reply.acceptor());
+  if (!ended_ && !acquired_) request_own_lease_last(round);
+  if (!ended_) callbacks_.on_granted(reply.acceptor(), reply.voting());
+}
+
+void LeaseRenewer::on_rejected(Round& round, const wire::LeaseReply& reply) {
+  ++round.rejected;
   const auto members = static_cast<std::size_t>(round.record.members_size());
-  const bool hopeless = !acquired_ && round.refused + majority(round.record) > members;
-  if (reply.epoch() > epoch_ || hopeless) lose();
+  const bool majority_impossible = !acquired_ && round.rejected + majority(round.record) > members;
+  if (reply.epoch() > epoch_ || majority_impossible) end_as_lost();
 }
 
 void LeaseRenewer::count_grant(Round& round, std::uint64_t member) {
@@ -105,23 +109,22 @@
 void LeaseRenewer::on_majority_granted(const Round& round) {
   const TimePoint end = round.sent_at + kLeaseUsable;
   if (acquired_) {
-    end_ = std::max(end_, end);
+    expires_at_ = std::max(expires_at_, end);
     return;
   }
   acquired_ = true;
-  end_ = end;
-  granted_under_ = round.record.epoch();
+  expires_at_ = end;
   arm_expiry_timer();
   callbacks_.on_acquired();
 }
 
 void LeaseRenewer::arm_expiry_timer() {
-  const auto left = std::chrono::duration_cast<Millis>(end_ - group_.runtime().now()) + Millis(1);
-  end_timer_ = group_.runtime().after(std::max(left, Millis(0)), [this] {
-    if (group_.runtime().now() < end_) {
-      arm_expiry_timer();
+  const auto left = std::chrono::duration_cast<Millis>(expires_at_ - group_.runtime().now()) + Millis(1);
+  expiry_timer_ = group_.runtime().after(std::max(left, Millis(0)), [this] {
+    if (group_.runtime().now() < expires_at_) {
+      arm_expiry_timer();  // renewed meanwhile
     } else {
-      lose();
+      end_as_lost();
     }
   });
 }
@@ -130,15 +133,15 @@
   if (ended_) return;
   ended_ = true;
   renew_timer_.reset();
-  end_timer_.reset();
-  const wire::Envelope message = request(true);
+  expiry_timer_.reset();
+  const wire::Envelope message = make_request(true);
   const wire::MemberRecord record = group_.record();
   for (const wire::Member& member : record.members()) {
     group_.call(member, message, kLeaseCallTimeout, [](const CallResult&) {});
   }
 }
 
-void LeaseRenewer::lose() {
+void LeaseRenewer::end_as_lost() {
   if (ended_) return;
   const std::shared_ptr<LeaseRenewer> self = shared_from_this();
   release();
--- a/src/cluster/consensus/lease_renewer.hpp
+++ b/src/cluster/consensus/lease_renewer.hpp
@@ -1,4 +1,4 @@
-// Asks for one epoch of a shard's lease, and renews it until it is lost or given back.
+// Acquires and renews one epoch of a shard's lease.
 #pragma once
 
 #include <cstdint>
@@ -12,52 +12,61 @@
 namespace winchhall::cluster {
 
 struct LeaseCallbacks {
-  // A member granted, or renewed. `voting`: its answer counts.
+  // A member granted or renewed the lease. `voting`: its answer counts for a majority.
   std::function<void(std::uint64_t member, bool voting)> on_granted;
-  // A majority has granted; called once.
+  // A majority has granted the lease for the first time; called at most once.
   std::function<void()> on_acquired;
-  // The lease wasn't got, can't be renewed in time, or a higher epoch was seen. Called at most once, and
-  // last.
+  // The lease was not acquired in time, could not be renewed in time, or a higher epoch was seen. Called at
+  // most once, and last.
   std::function<void()> on_lost;
 };
 
+// The holder's side of a quorum lease (see lease_timing.hpp). A round sends one request to every member; once
+// a majority of voting members at the round's member epoch has granted it, the lease is usable until
+// `kLeaseUsable` after the round was sent. As an acceptor keeps its grant for longer than that after the
+// request arrived, no other holder can get a majority before this one's lease is over.
+//
+// This node's own acceptor is asked last, once the others' grants make a majority with it: otherwise a
+// candidate in a minority partition would raise its own promise again and again, and depose the others'
+// holder with it when the partition heals.
 class LeaseRenewer : public std::enable_shared_from_this<LeaseRenewer> {
  public:
+  // `group` must outlive this object. `epoch`: higher than any that this node has promised or seen.
   LeaseRenewer(GroupContext& group, std::string shard, std::uint64_t epoch, LeaseCallbacks callbacks);
 
+  // Sends the first round; further ones follow until the lease ends.
   void start();
-  // Gives the lease back at every member and ends without a word.
+  // Releases the lease at every member and ends without calling `on_lost`.
   void release();
 
-  // True while the lease certainly holds, by the clock of this moment.
-  bool holds() const { return acquired_ && !ended_ && group_.runtime().now() < end_; }
+  // True while the lease is certainly held, by the clock of this moment.
+  bool is_held() const { return acquired_ && !ended_ && group_.runtime().now() < expires_at_; }
   std::uint64_t epoch() const { return epoch_; }
-  // Tells this request for the epoch from any other.
+  // Tells this acquisition of the epoch from any other, also one by an earlier incarnation of this process.
   std::uint64_t session() const { return session_; }
   // Highest epoch of the shard seen in any answer.
   std::uint64_t highest_epoch() const { return highest_epoch_; }
-  // Epoch of the member record under which the majority granted first.
-  std::uint64_t granted_under() const { return granted_under_; }
 
  private:
-  // One request to all members; a majority of one round's answers extends the lease from the round's sending.
   struct Round {
     TimePoint sent_at{};
     wire::MemberRecord record;
-    std::set<std::uint64_t> granted;
-    std::size_t refused = 0;
+    std::set<std::uint64_t> granted;  // voting members
+    std::size_t rejected = 0;
     bool own_lease_requested = false;
   };
 
-  wire::Envelope request(bool release) const;
+  wire::Envelope make_request(bool release) const;
   void send_round();
-  void ask(const std::shared_ptr<Round>& round, const wire::Member& member);
+  void request_lease(const std::shared_ptr<Round>& round, const wire::Member& member);
   void request_own_lease_last(const std::shared_ptr<Round>& round);
-  void answered(const std::shared_ptr<Round>& round, const wire::Member& member, const CallResult& result);
+  void on_reply(const std::shared_ptr<Round>& round, const wire::Member& member, const CallResult& result);
+  void on_granted(const std::shared_ptr<Round>& round, const wire::LeaseReply& reply);
+  void on_rejected(Round& round, const wire::LeaseReply& reply);
   void count_grant(Round& round, std::uint64_t member);
   void on_majority_granted(const Round& round);
   void arm_expiry_timer();
-  void lose();
+  void end_as_lost();
 
   GroupContext& group_;
   const std::string shard_;
@@ -66,11 +75,10 @@
   LeaseCallbacks callbacks_;
   bool acquired_ = false;
   bool ended_ = false;
-  TimePoint end_{};
+  TimePoint expires_at_{};  // before the lease is acquired: when the attempt is given up
   std::uint64_t highest_epoch_;
-  std::uint64_t granted_under_ = 0;
   std::unique_ptr<Timer> renew_timer_;
-  std::unique_ptr<Timer> end_timer_;
+  std::unique_ptr<Timer> expiry_timer_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/leased_shard.hpp
+++ b/src/cluster/consensus/leased_shard.hpp
@@ -1,22 +1,27 @@
-// This node's part in one shard: waits for the lease to be free, takes over, leads.
+// One node's part in one shard: stands for the lease while nobody holds it, and leads while it holds it.
 #pragma once
 
-#include <deque>
-#include <map>
+#include <cstdint>
+#include <functional>
 #include <memory>
-#include <set>
+#include <optional>
 #include <string>
 #include <vector>
 
 #include "cluster/consensus/group_context.hpp"
-#include "cluster/consensus/lease_renewer.hpp"
-#include "cluster/consensus/replica_progress.hpp"
 #include "cluster/consensus/replicated_shard.hpp"
+#include "cluster/consensus/shard_leadership.hpp"
 
 namespace winchhall::cluster {
 
+// Election: each voting node with quorum contact that knows of no lease in force waits for a delay and then
+// requests the lease under an epoch above all that it has promised or seen. The delay ranks the candidates
+// differently for each shard and puts nodes that lead other shards last, so that as a rule one candidate at a
+// time asks and the leases spread over the nodes. Safety doesn't depend on it: whoever gets a majority leads
+// (see shard_leadership.hpp).
 class LeasedShard : public ReplicatedShard {
  public:
+  // `group` must outlive this object.
   LeasedShard(GroupContext& group, std::string name, ShardCallbacks callbacks);
   ~LeasedShard() override;
 
@@ -26,58 +31,21 @@
   void step_down() override;
 
   // The group's member record, or this node's place in it, has changed.
-  void record_changed();
+  void on_membership_changed();
 
  private:
-  enum class Phase { asking, reading, establishing, leading };
-
-  struct PendingWrite {
-    std::uint64_t last_change = 0;
-    std::function<void(ShardWriteOutcome)> done;
-  };
-
-  // Everything that belongs to one epoch of the lease; what answers come later find it gone.
-  struct Term {
-    Phase phase = Phase::asking;
-    std::shared_ptr<LeaseRenewer> lease;
-    wire::MemberRecord member_record_at_request;
-    std::map<std::uint64_t, ShardReplica> replicas;  // read before the take-over, by member
-    LeaderRecordTable records;
-    std::map<std::uint64_t, ReplicaProgress> followers;
-    std::deque<PendingWrite> writes;
-    std::unique_ptr<Timer> retry_timer;
-  };
-
   void schedule_check(Millis delay);
-  void check();
+  void check_lease();
   bool lease_is_free() const;
   Millis election_delay() const;
-
-  void ask();
-  ReplicaProgress& follower(std::uint64_t member);
-  void on_lease_granted(std::uint64_t member, bool voting);
-  void read_replica(std::uint64_t member);
-  void replica_read(std::uint64_t member, std::optional<ShardReplica> replica);
-  void recover_if_majority_read();
-  void take_over();
-  void lead();
-
-  void replicate_to_all();
-  void replicate_to(std::uint64_t member);
-  void send(const wire::Member& member, ReplicationBatch message);
-  void answered(const wire::Member& member, const ReplicationBatch& message, const CallResult& result);
-  void retry_rejected_members();
-  void check_progress();
-  void complete_writes();
-  std::uint64_t majority_durable_change() const;
-  std::size_t established_members() const;
-  void lose();
+  void request_lease();
+  void step_down_on_lost_lease();
 
   GroupContext& group_;
   const std::string name_;
   const ShardCallbacks callbacks_;
-  std::shared_ptr<Term> term_;
-  std::uint64_t seen_epoch_ = 0;
+  std::shared_ptr<ShardLeadership> leadership_;  // null: this node neither leads nor requests the lease
+  std::uint64_t highest_seen_epoch_ = 0;
   bool stepped_down_ = false;
   std::optional<TimePoint> request_at_;  // set while the lease is free
   std::unique_ptr<Timer> check_timer_;
--- /dev/null
+++ b/src/cluster/consensus/local_membership.hpp
@@ -0,0 +1,74 @@
+// This node's identity and place in the control group, as they are on its disk.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string_view>
+
+#include "cluster/common/settings.hpp"
+#include "cluster/consensus/commit_queue.hpp"
+#include "cluster/consensus/membership_status.hpp"
+#include "cluster/consensus/peer_table.hpp"
+
+namespace winchhall::cluster {
+
+// All are called on the event loop, after `LocalMembership` is up to date.
+struct MembershipCallbacks {
+  // This node begins to vote. Called first of the three.
+  std::function<void()> on_voting_started;
+  // A newer member record is durable here and in use.
+  std::function<void()> on_record_adopted;
+  // The transferred state is durable: this node is synchronized.
+  std::function<void()> on_synchronized;
+};
+
+// Owns this node's identity (member id, whether it holds all state) and the newest member record that it
+// knows. Both are used only once they are durable, so that a restarted node never acts on an older record
+// than before its end. A node that finds itself removed takes a new id and has to copy the state anew: an id
+// that was removed is never admitted again (see member_record.hpp).
+class LocalMembership {
+ public:
+  // All references must outlive this object.
+  LocalMembership(Runtime& runtime, CommitQueue& commit_queue, PeerTable& peers, const NodeSettings& settings,
+                  MembershipCallbacks callbacks);
+
+  // Loads one entry of the store at the start; false: it belongs to another part.
+  bool load(std::string_view key, std::string_view value);
+  // All entries are loaded.
+  void finish_load();
+  bool has_identity() const { return identity_.id() != 0; }
+  // First start of this node: makes an identity durable, and for a founder the founding record, then calls
+  // `on_durable`.
+  void initialize_identity(std::function<void()> on_durable);
+
+  // Takes over a record that is known to be chosen, if it is newer than the newest one known.
+  void adopt(const wire::MemberRecord& record);
+  // True if the newest record known here has this epoch and is durable.
+  bool is_newest_epoch(std::uint64_t epoch) const;
+  // Makes the state copied from other members durable, and with it that this node is synchronized.
+  void commit_synchronized(StoreBatch transferred_state);
+
+  const wire::MemberRecord& record() const { return record_; }
+  const MembershipStatus& status() const { return status_; }
+  bool is_synchronized() const { return identity_.synchronized(); }
+  // True if the newest record names this node.
+  bool is_member() const;
+  // This node as a member record names it.
+  wire::Member self() const;
+
+ private:
+  void use_record(const wire::MemberRecord& record, const wire::NodeIdentity& identity);
+  void update_status();
+
+  Runtime& runtime_;
+  CommitQueue& commit_queue_;
+  PeerTable& peers_;
+  const NodeSettings& settings_;
+  const MembershipCallbacks callbacks_;
+  wire::NodeIdentity identity_;
+  wire::MemberRecord record_;         // durable
+  std::uint64_t adopting_epoch_ = 0;  // of the newest record, durable or being written
+  MembershipStatus status_;
+};
+
+}  // namespace winchhall::cluster
--- a/src/cluster/consensus/member_joiner.hpp
+++ b/src/cluster/consensus/member_joiner.hpp
@@ -1,6 +1,7 @@
-// Admits machines to the control group on their request, one change of the member record at a time.
+// Admits machines to the control group at their request, one change of the member record at a time.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
@@ -11,38 +12,46 @@
 
 namespace winchhall::cluster {
 
-// How a candidate stands that would make the group larger than it ever was.
+// Whether a candidate may make the group larger than it ever was.
 enum class GroupGrowth {
   allowed,
-  too_early,  // a member may just have gone whose place it is to take
+  too_early,  // a member may just have failed, whose place the candidate is to take
 };
 
-// The next record on the way to a group with this candidate in it; none: nothing to change now. A member at
-// the candidate's address under another id has lost its disk. A member that has been silent for long gives
-// way to a candidate from elsewhere; the group never gets smaller than its largest size less one.
-// `gone`: how long a member has to be silent for that.
+// The next record on the way to a group with this candidate in it; none: nothing to change now.
+//   - A member at the candidate's address under another id is its machine before it lost its disk: it is
+//     removed, and the candidate added.
+//   - A member that is unreachable for longer than `unreachable_after` is removed for a candidate from
+//     elsewhere.
+//   - Otherwise the candidate is added, if the group may grow.
+// The group never gets smaller than its largest size less one, and every change leaves it with a majority of
+// reachable voters.
 std::optional<wire::MemberRecord> next_member_record(const wire::MemberRecord& record,
                                                      const wire::Member& candidate, const GroupContext& group,
-                                                     const PeerTable& peers, GroupGrowth growth, Millis gone);
+                                                     const PeerTable& peers, GroupGrowth growth,
+                                                     Millis unreachable_after);
 
+// Serves requests for admission at a voting member with quorum contact; other nodes only answer with their
+// record. One candidate is verified and admitted at a time, and a change takes effect only if no other member
+// changed the record meanwhile: candidates go on asking until they are members.
 class MemberJoiner {
  public:
-  // `gone`: a member that was silent for so long gives way to a candidate. `on_record` is told of every
-  // chosen record that a change brings up.
-  MemberJoiner(GroupContext& group, RegisterClient& registers, const PeerTable& peers, Millis gone,
-               std::function<void(const wire::MemberRecord&)> on_record);
+  // `unreachable_after`: a member that is unreachable for longer gives way to a candidate. `on_record` is
+  // called with the record that is chosen after a change was tried. All references must outlive this object.
+  MemberJoiner(GroupContext& group, RegisterClient& registers, const PeerTable& peers,
+               Millis unreachable_after, std::function<void(const wire::MemberRecord&)> on_record);
 
-  // Answers at once with the newest record; changes it later where the candidate is to be admitted. No
-  // candidate: the sender only wants the record.
+  // Answers at once with the newest record; changes it afterwards if the candidate is to be admitted. A
+  // request without a candidate only asks for the record.
   void handle(const wire::JoinRequest& request, const ReplyCallback& reply);
-  // The group's record is a newer one: goes on with the candidate for which a member was removed.
-  void record_adopted();
+  // A newer member record is in use: continues with the candidate for whom a member was removed.
+  void on_record_adopted();
 
  private:
   bool may_join(const wire::Member& candidate) const;
-  GroupGrowth growth(std::uint64_t candidate);
-  // Asks the candidate itself: a request may be late and its sender long gone.
-  void verify(const wire::Member& candidate);
+  GroupGrowth growth_for(std::uint64_t candidate);
+  // Pings the candidate before it is admitted: a request may be late and its sender long gone.
+  void verify_candidate(const wire::Member& candidate);
   void change_record(const wire::Member& candidate);
 
   GroupContext& group_;
@@ -52,8 +61,8 @@
   const std::function<void(const wire::MemberRecord&)> on_record_;
   const TimePoint started_at_;
   std::map<std::uint64_t, TimePoint> first_requested_at_;  // by candidate
-  std::optional<wire::Member> pending_candidate_;          // a place was made for this candidate
-  bool busy_ = false;
+  std::optional<wire::Member> pending_candidate_;          // a member was removed for this candidate
+  bool busy_ = false;                                      // a candidate is being verified or admitted
 };
 
 }  // namespace winchhall::cluster
--- /dev/null
+++ b/src/cluster/consensus/member_pinger.hpp
@@ -0,0 +1,49 @@
+// Heartbeats between the members of the control group.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+
+#include "cluster/consensus/acceptor.hpp"
+#include "cluster/consensus/group_context.hpp"
+#include "cluster/consensus/peer_table.hpp"
+
+namespace winchhall::cluster {
+
+// Called for what a ping or the answer to one brings. Both are called on the event loop.
+struct PingCallbacks {
+  // The sender, reached at this address, knows a newer member record than this node.
+  std::function<void(const Address& sender)> on_newer_member_record;
+  // The ballot of the newest configuration that the sender knows to be chosen; counter 0: none.
+  std::function<void(const wire::Ballot& ballot)> on_configuration_ballot;
+};
+
+// Sends pings to the other members, answers theirs, and keeps the peer table up to date with the results. A
+// ping carries the sender's member epoch, whether it votes, the leases in force at its acceptor and the
+// ballot of the configuration that it knows. All references must outlive this object.
+class MemberPinger {
+ public:
+  // `address`: this node's internal listener.
+  MemberPinger(GroupContext& group, const Acceptor& acceptor, PeerTable& peers, Address address,
+               PingCallbacks callbacks);
+
+  // Pings every other member of the newest member record once.
+  void ping_members();
+  // Answers another node's ping. A sender without recent contact is pinged at once, so that a restarted
+  // member counts without waiting for the next interval.
+  void handle(const wire::MemberPing& ping, const ReplyCallback& reply);
+
+ private:
+  wire::MemberPing make_ping() const;
+  void ping(const wire::Member& member);
+  void on_ping_received(const wire::MemberPing& ping);
+  void ping_sender_without_contact(std::uint64_t sender);
+
+  GroupContext& group_;
+  const Acceptor& acceptor_;
+  PeerTable& peers_;
+  const Address address_;
+  const PingCallbacks callbacks_;
+};
+
+}  // namespace winchhall::cluster
--- a/src/cluster/consensus/member_record.cpp
+++ b/src/cluster/consensus/member_record.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// What a record's successor has to assume of members that lack chosen values.
+// The bound that the record's successor carries (see the argument in the header).
 std::size_t next_stale_bound(const wire::MemberRecord& record) {
   const auto members = static_cast<std::size_t>(record.members_size());
   return std::max<std::size_t>(record.stale_bound(), members - majority(record));
@@ -69,48 +69,10 @@
 }
 
 bool has_excess_member(const wire::MemberRecord& record) {
-  constexpr int kLeastSize = 4;  // two members keep both copies
+  constexpr int kMinSize = 4;  // a group of two keeps both replicas
   const auto members = static_cast<std::uint32_t>(record.members_size());
-  return record.members_size() >= kLeastSize && members % 2 == 0 && members >= record.largest() &&
+  return record.members_size() >= kMinSize && members % 2 == 0 && members >= record.largest() &&
          may_remove_member(record);
 }
 
-bool is_founder(const NodeSettings& settings) {
-  const auto& seeds = settings.seeds;
-  return settings.bootstrap && std::find(seeds.begin(), seeds.end(), settings.control) != seeds.end();
-}
-
-std::uint64_t founder_id(const Address& control_address) { return stable_hash("founder " + control_address); }
-
-wire::MemberRecord founding_record(const NodeSettings& settings) {
-  std::vector<Address> seeds = settings.seeds;
-  std::sort(seeds.begin(), seeds.end());
-  seeds.erase(std::unique(seeds.begin(), seeds.end()), seeds.end());
-  wire::MemberRecord record;
-  record.set_epoch(1);
-  record.set_largest(static_cast<std::uint32_t>(seeds.size()));
-  for (const Address& seed : seeds) {
-    wire::Member* founder = record.add_members();
-    founder->set_id(founder_id(seed));
-    founder->set_address(settings.internal_address_of(seed));
-    founder->set_http_address(seed);
-  }
-  return record;
-}
-
-std::uint64_t stable_hash(const std::string& text) {
-  constexpr std::uint64_t kOffset = 14695981039346656037ULL;
-  constexpr std::uint64_t kPrime = 1099511628211ULL;
-  std::uint64_t hash = kOffset;
-  for (const char character : text) {
-    hash ^= static_cast<unsigned char>(character);
-    hash *= kPrime;
-  }
-  // FNV alone spreads short texts badly over the upper bits.
-  hash ^= hash >> 33;
-  hash *= 0xff51afd7ed558ccdULL;
-  hash ^= hash >> 33;
-  return hash == 0 ? 1 : hash;
-}
-
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/member_rpc_client.hpp
+++ b/src/cluster/consensus/member_rpc_client.hpp
@@ -1,4 +1,4 @@
-// Calls to members of the group, where this node's own acceptor is reached without the network.
+// Calls to members of the group whose answers are dropped once the group is gone.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,18 @@
 
 namespace winchhall::cluster {
 
+// After this object is destroyed no callback given to it is called any more, so that callbacks may refer to
+// anything that lives as long. No callback is called from within the function it was given to.
 class MemberRpcClient {
  public:
-  // `local` handles the requests to this node itself.
+  // `local` handles the requests of this node to itself. `runtime` must outlive this object.
   MemberRpcClient(Runtime& runtime, RequestHandler local);
 
+  // Calls this node itself without the network.
   void call_local(const wire::Envelope& request, std::function<void(CallResult)> done);
   void call(const Address& address, wire::Envelope request, Millis timeout,
             std::function<void(CallResult)> done);
+  // Runs an action soon, in the order of the calls.
   void defer(std::function<void()> action);
 
  private:
--- a/src/cluster/consensus/membership_status.hpp
+++ b/src/cluster/consensus/membership_status.hpp
@@ -6,9 +6,11 @@
 namespace winchhall::cluster {
 
 struct MembershipStatus {
-  std::uint64_t id = 0;
+  std::uint64_t id = 0;            // this node's member id; 0: none yet
   std::uint64_t member_epoch = 0;  // of the newest durable member record; 0: none
-  bool voting = false;             // a member of that record that holds the state its votes are asked for
+  // This node belongs to that record and holds the state on which it votes. Answers of an acceptor that
+  // doesn't vote count for no majority.
+  bool voting = false;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/peer_table.cpp
+++ b/src/cluster/consensus/peer_table.cpp
@@ -1,15 +1,28 @@
 #include "cluster/consensus/peer_table.hpp"
 
+#include <utility>
+
 #include "cluster/consensus/member_record.hpp"
 
 namespace winchhall::cluster {
 
 namespace {
-// Pings in a row: a node that was frozen itself finds a few of its own unanswered at once.
+// Unanswered pings in a row. Time alone isn't enough: a node that was suspended itself finds several of its
+// pings unanswered at once.
 constexpr unsigned kUnreachableAfterFailures = 6;
 }  // namespace
 
-void PeerTable::watch(const wire::MemberRecord& record) {
+const PeerTable::Peer* PeerTable::find(std::uint64_t member) const {
+  const auto found = peers_.find(member);
+  return found == peers_.end() ? nullptr : &found->second;
+}
+
+PeerTable::Peer* PeerTable::find(std::uint64_t member) {
+  const auto found = peers_.find(member);
+  return found == peers_.end() ? nullptr : &found->second;
+}
+
+void PeerTable::track_members(const wire::MemberRecord& record) {
   std::erase_if(peers_, [&](const auto& entry) { return find_member(record, entry.first) == nullptr; });
   for (const wire::Member& member : record.members()) {
     const auto [entry, added] = peers_.try_emplace(member.id());
@@ -17,20 +30,18 @@
   }
 }
 
-void PeerTable::answered(std::uint64_t member, TimePoint sent_at, bool voting) {
-  const auto found = peers_.find(member);
-  if (found == peers_.end()) return;
-  Peer& peer = found->second;
-  peer.failures = 0;
-  if (peer.ever_contacted && sent_at < peer.last_contact_at) return;
-  peer.ever_contacted = true;
-  peer.last_contact_at = sent_at;
-  peer.voting = voting;
+void PeerTable::on_ping_answered(std::uint64_t member, TimePoint sent_at, bool voting) {
+  Peer* peer = find(member);
+  if (!peer) return;
+  peer->consecutive_failures = 0;
+  if (peer->ever_contacted && sent_at < peer->last_contact_at) return;
+  peer->ever_contacted = true;
+  peer->last_contact_at = sent_at;
+  peer->voting = voting;
 }
 
-void PeerTable::failed(std::uint64_t member) {
-  const auto found = peers_.find(member);
-  if (found != peers_.end()) ++found->second.failures;
+void PeerTable::on_ping_failed(std::uint64_t member) {
+  if (Peer* peer = find(member)) ++peer->consecutive_failures;
 }
 
 void PeerTable::record_reported_leases(const wire::MemberPing& ping) {
@@ -44,37 +55,34 @@
   }
 }
 
-bool PeerTable::contacted_within(std::uint64_t member, Millis span) const {
-  const auto found = peers_.find(member);
-  return found != peers_.end() && found->second.ever_contacted &&
-         runtime_.now() - found->second.last_contact_at <= span;
+bool PeerTable::contacted_within(std::uint64_t member, Millis duration) const {
+  const Peer* peer = find(member);
+  return peer && peer->ever_contacted && runtime_.now() - peer->last_contact_at <= duration;
 }
 
 bool PeerTable::votes(std::uint64_t member) const {
-  const auto found = peers_.find(member);
-  return found != peers_.end() && found->second.voting;
+  const Peer* peer = find(member);
+  return peer && peer->voting;
 }
 
 void PeerTable::set_reads_snapshots(std::uint64_t member) {
-  const auto found = peers_.find(member);
-  if (found != peers_.end()) found->second.reads_snapshots = true;
+  if (Peer* peer = find(member)) peer->reads_snapshots = true;
 }
 
 bool PeerTable::reads_snapshots(std::uint64_t member) const {
-  const auto found = peers_.find(member);
-  return found != peers_.end() && found->second.reads_snapshots;
+  const Peer* peer = find(member);
+  return peer && peer->reads_snapshots;
 }
 
-bool PeerTable::unreachable_for(std::uint64_t member, Millis span) const {
-  const auto found = peers_.find(member);
-  if (found == peers_.end()) return false;
-  return found->second.failures >= kUnreachableAfterFailures &&
-         runtime_.now() - found->second.last_contact_at > span;
+bool PeerTable::unreachable_for(std::uint64_t member, Millis duration) const {
+  const Peer* peer = find(member);
+  if (!peer || peer->consecutive_failures < kUnreachableAfterFailures) return false;
+  return runtime_.now() - peer->last_contact_at > duration;
 }
 
 TimePoint PeerTable::last_contact_at(std::uint64_t member) const {
-  const auto found = peers_.find(member);
-  return found == peers_.end() ? TimePoint{} : found->second.last_contact_at;
+  const Peer* peer = find(member);
+  return peer ? peer->last_contact_at : TimePoint{};
 }
 
 std::optional<wire::ShardLeader> PeerTable::describe(const ReportedLease& lease) const {
@@ -100,13 +108,14 @@
 }
 
 const wire::Member* find_unreachable_member(const wire::MemberRecord& record, const PeerTable& peers,
-                                            Millis span) {
-  const wire::Member* silent = nullptr;
+                                            Millis duration) {
+  const wire::Member* longest = nullptr;
   for (const wire::Member& member : record.members()) {
-    if (!peers.unreachable_for(member.id(), span)) continue;
-    if (!silent || peers.last_contact_at(member.id()) < peers.last_contact_at(silent->id())) silent = &member;
+    if (!peers.unreachable_for(member.id(), duration)) continue;
+    const bool longer = !longest || peers.last_contact_at(member.id()) < peers.last_contact_at(longest->id());
+    if (longer) longest = &member;
   }
-  return silent;
+  return longest;
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/peer_table.hpp
+++ b/src/cluster/consensus/peer_table.hpp
@@ -1,4 +1,4 @@
-// What this node heard from the other members: who answers, who votes, which leases they know of.
+// What this node knows of the other members from pings: reachability, votes, leases.
 #pragma once
 
 #include <cstdint>
@@ -11,53 +11,67 @@
 
 namespace winchhall::cluster {
 
+// A member that answered a ping sent at most this long ago is in contact.
+constexpr Millis kContactTimeout{1000};
+
+// One entry for each member of the newest record, and the newest lease that any of them reported for each
+// shard. Times are those of the sending of a ping, by this node's steady clock, so that a late answer never
+// makes a member look more recently reachable than it was.
 class PeerTable {
  public:
+  // `runtime` must outlive this object.
   explicit PeerTable(Runtime& runtime) : runtime_(runtime) {}
 
-  // Forgets members that left and begins to watch new ones.
-  void watch(const wire::MemberRecord& record);
-  // A member answered a ping that was sent at `sent_at`.
-  void answered(std::uint64_t member, TimePoint sent_at, bool voting);
-  void failed(std::uint64_t member);
+  // Keeps entries for exactly the members of this record.
+  void track_members(const wire::MemberRecord& record);
+  // A member answered a ping that was sent at `sent_at`; `voting`: as it says.
+  void on_ping_answered(std::uint64_t member, TimePoint sent_at, bool voting);
+  // A ping to the member failed or stayed unanswered.
+  void on_ping_failed(std::uint64_t member);
+  // Takes over the confirmed leases that a ping reports, if newer or longer than those known.
   void record_reported_leases(const wire::MemberPing& ping);
+  // The member announced that it reads configuration records with snapshots.
   void set_reads_snapshots(std::uint64_t member);
 
-  bool contacted_within(std::uint64_t member, Millis span) const;
+  // True if the member answered a ping that was sent within this time.
+  bool contacted_within(std::uint64_t member, Millis duration) const;
+  // True if the member voted by its newest answer.
   bool votes(std::uint64_t member) const;
-  // The member has said that it reads configuration records with snapshots.
   bool reads_snapshots(std::uint64_t member) const;
-  // True if a member did not answer for the whole span, nor any of many pings in a row.
-  bool unreachable_for(std::uint64_t member, Millis span) const;
+  // True if the member answered no ping for longer than this time, nor any of the last several pings.
+  bool unreachable_for(std::uint64_t member, Millis duration) const;
+  // When the newest answered ping was sent; before the first answer, when the member was first tracked.
   TimePoint last_contact_at(std::uint64_t member) const;
 
-  // The newest lease on a shard that others reported and that is not over yet.
+  // The newest lease on a shard that other members reported and that has not expired; none: no such lease.
   std::optional<wire::ShardLeader> leader(const std::string& shard) const;
   std::vector<wire::ShardLeader> leaders() const;
 
  private:
   struct Peer {
-    TimePoint
-        last_contact_at{};  // sending of the newest answered ping; before that: when it began to be watched
+    TimePoint last_contact_at{};
     bool ever_contacted = false;
     bool voting = false;
     bool reads_snapshots = false;
-    unsigned failures = 0;
+    unsigned consecutive_failures = 0;
   };
   struct ReportedLease {
     wire::ShardLeader leader;
     TimePoint expiry{};
   };
 
+  const Peer* find(std::uint64_t member) const;
+  Peer* find(std::uint64_t member);
+  // The lease with its remaining time as of now; none: expired.
   std::optional<wire::ShardLeader> describe(const ReportedLease& lease) const;
 
   Runtime& runtime_;
-  std::map<std::uint64_t, Peer> peers_;
-  std::map<std::string, ReportedLease> leases_;
+  std::map<std::uint64_t, Peer> peers_;          // by member id
+  std::map<std::string, ReportedLease> leases_;  // by shard
 };
 
-// The member that has been silent the longest, for `span` at least; null: none.
+// Of the members that are unreachable for this time, the one that has been so for the longest; null: none.
 const wire::Member* find_unreachable_member(const wire::MemberRecord& record, const PeerTable& peers,
-                                            Millis span);
+                                            Millis duration);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/quorum_register_client.cpp
+++ b/src/cluster/consensus/quorum_register_client.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Millis::rep kFirstPauseMs = 10;
-constexpr Millis::rep kLongestPauseMs = 160;
+constexpr Millis::rep kInitialBackoffMs = 10;
+constexpr Millis::rep kMaxBackoffMs = 160;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   if (entry.updates.size() == 1) start_attempt(key);
 }
 
-void QuorumRegisterClient::note_chosen(const std::string& key, const RegisterValue& value) {
+void QuorumRegisterClient::on_value_chosen(const std::string& key, const RegisterValue& value) {
   Register& entry = registers_[key];
   if (is_lower(entry.known.ballot, value.ballot)) entry.known = value;
 }
@@ -57,29 +57,30 @@
   entry.highest_counter = ballot.counter();
   entry.attempt = std::make_shared<RegisterAttempt>(
       group_, key, ballot, entry.known, entry.updates.front()->change,
-      [this, key](const AttemptResult& result) { attempt_ended(key, result); });
+      [this, key](const AttemptResult& result) { on_attempt_ended(key, result); });
   entry.attempt->start();
 }
 
-void QuorumRegisterClient::attempt_ended(const std::string& key, const AttemptResult& result) {
+void QuorumRegisterClient::on_attempt_ended(const std::string& key, const AttemptResult& result) {
   Register& entry = registers_[key];
   entry.highest_counter = std::max(entry.highest_counter, entry.attempt->highest_counter());
   entry.attempt.reset();
   if (result.outcome != AttemptOutcome::chosen) return retry_later(key);
   entry.failures = 0;
-  note_chosen(key, result.value);
+  on_value_chosen(key, result.value);
   on_chosen_(key, result.value, result.newly_chosen);
   complete_first(key, result.value);
 }
 
 void QuorumRegisterClient::retry_later(const std::string& key) {
   Register& entry = registers_[key];
-  const unsigned doublings = std::min(entry.failures, 4U);
+  constexpr unsigned kMaxDoublings = 4;
+  const unsigned doublings = std::min(entry.failures, kMaxDoublings);
   ++entry.failures;
-  const Millis::rep longest = std::min(kFirstPauseMs << doublings, kLongestPauseMs);
-  const Millis pause(
-      1 + static_cast<Millis::rep>(group_.runtime().random() % static_cast<std::uint64_t>(longest)));
-  entry.retry = group_.runtime().after(pause, [this, key] { start_attempt(key); });
+  const Millis::rep limit_ms = std::min(kInitialBackoffMs << doublings, kMaxBackoffMs);
+  const Millis backoff(
+      1 + static_cast<Millis::rep>(group_.runtime().random() % static_cast<std::uint64_t>(limit_ms)));
+  entry.retry = group_.runtime().after(backoff, [this, key] { start_attempt(key); });
 }
 
 void QuorumRegisterClient::complete_first(const std::string& key, const RegisterValue& value) {
@@ -95,9 +96,9 @@
   Register& entry = registers_[key];
   const auto found = std::find(entry.updates.begin(), entry.updates.end(), update);
   if (!update || found == entry.updates.end()) return;
-  const bool under_way = found == entry.updates.begin();
+  const bool in_progress = found == entry.updates.begin();
   entry.updates.erase(found);
-  if (under_way) {
+  if (in_progress) {
     cancel_attempt(entry);
     entry.retry.reset();
     start_attempt(key);
--- a/src/cluster/consensus/quorum_register_client.hpp
+++ b/src/cluster/consensus/quorum_register_client.hpp
@@ -1,32 +1,40 @@
-// Changes registers by quorum rounds, with retries; changes of one key made here are carried out one after
-// another.
+// The proposer of one node: changes registers by ballots, with retries.
 #pragma once
 
+#include <cstdint>
 #include <deque>
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
 
+#include "cluster/consensus/group_context.hpp"
 #include "cluster/consensus/register_attempt.hpp"
 
 namespace winchhall::cluster {
 
+// Changes of one register that are made here are carried out one after another, changes of different
+// registers at the same time. An attempt that ends without a chosen value is repeated under a higher ballot
+// after a random time (exponential backoff, so that competing proposers get out of each other's way), until
+// the change's time is over.
 class QuorumRegisterClient : public RegisterClient {
  public:
-  // `on_chosen` is told of every value that an attempt of this node has found or made chosen.
+  // Called with every value that an attempt of this node found or made chosen; `newly_chosen`: the attempt
+  // made it so.
   using ChosenListener =
       std::function<void(const std::string& key, const RegisterValue& value, bool newly_chosen)>;
 
-  // `proposer`: a number that no other process and no earlier life of this one has.
+  // `proposer`: an id that no other process and no other incarnation of this one has, since a proposer must
+  // not use a ballot twice. `group` must outlive this object.
   QuorumRegisterClient(GroupContext& group, std::uint64_t proposer, ChosenListener on_chosen);
   ~QuorumRegisterClient() override;
 
   void update(const std::string& key, RegisterChange change, Millis timeout,
               std::function<void(std::optional<RegisterValue>)> done) override;
-  // Forgets registers that are never needed again, unless a change to them is under way.
+  // Drops the state of registers that are never needed again, unless a change of them is in progress.
   void drop(const std::function<bool(const std::string& key)>& unneeded);
-  // A value that is known to be chosen from elsewhere.
-  void note_chosen(const std::string& key, const RegisterValue& value);
+  // A value was learned to be chosen: acceptors need not send it once more.
+  void on_value_chosen(const std::string& key, const RegisterValue& value);
 
  private:
   struct Update {
@@ -35,25 +43,25 @@
     std::unique_ptr<Timer> deadline;
   };
   struct Register {
-    RegisterValue known;
-    std::uint64_t highest_counter = 0;
-    std::deque<std::shared_ptr<Update>> updates;  // the first one is under way
-    std::shared_ptr<RegisterAttempt> attempt;
+    RegisterValue known;                          // newest value known to be chosen
+    std::uint64_t highest_counter = 0;            // of any ballot used or seen
+    std::deque<std::shared_ptr<Update>> updates;  // the first one is in progress
+    std::shared_ptr<RegisterAttempt> attempt;     // of the first update; null: none, or waiting for a retry
     std::unique_ptr<Timer> retry;
-    unsigned failures = 0;
+    unsigned failures = 0;  // attempts in a row
   };
 
   void start_attempt(const std::string& key);
-  void attempt_ended(const std::string& key, const AttemptResult& result);
+  void on_attempt_ended(const std::string& key, const AttemptResult& result);
   void retry_later(const std::string& key);
   void complete_first(const std::string& key, const RegisterValue& value);
   void expire(const std::string& key, const std::shared_ptr<Update>& update);
-  void cancel_attempt(Register& entry);
+  static void cancel_attempt(Register& entry);
 
   GroupContext& group_;
   const std::uint64_t proposer_;
   const ChosenListener on_chosen_;
-  std::map<std::string, Register> registers_;
+  std::map<std::string, Register> registers_;  // by key
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/register_acceptor.cpp
+++ b/src/cluster/consensus/register_acceptor.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-wire::Envelope envelope(wire::RegisterPromise answer) {
+wire::Envelope to_envelope(wire::RegisterPromise answer) {
   wire::Envelope envelope;
   *envelope.mutable_register_promise() = std::move(answer);
   return envelope;
 }
 
-wire::Envelope envelope(wire::RegisterAccepted answer) {
+wire::Envelope to_envelope(wire::RegisterAccepted answer) {
   wire::Envelope envelope;
   *envelope.mutable_register_accepted() = std::move(answer);
   return envelope;
@@ -24,9 +24,9 @@
 
 std::string register_store_key(const std::string& key) { return "register/" + key; }
 
-RegisterAcceptor::RegisterAcceptor(CommitQueue& commit_queue, const MembershipStatus& membership_status,
+RegisterAcceptor::RegisterAcceptor(CommitQueue& commit_queue, const MembershipStatus& status,
                                    ChosenListener on_chosen)
-    : commit_queue_(commit_queue), membership_status_(membership_status), on_chosen_(std::move(on_chosen)) {}
+    : commit_queue_(commit_queue), status_(status), on_chosen_(std::move(on_chosen)) {}
 
 void RegisterAcceptor::load(const std::string& key, const wire::RegisterState& state) {
   states_[key] = state;
@@ -36,42 +36,44 @@
 
 void RegisterAcceptor::prepare(const wire::RegisterPrepare& request, const ReplyCallback& reply) {
   wire::RegisterPromise answer;
-  answer.set_acceptor(membership_status_.id);
-  answer.set_member_epoch(membership_status_.member_epoch);
-  if (request.member_epoch() != membership_status_.member_epoch) return reply(envelope(std::move(answer)));
-  answer.set_voting(membership_status_.voting);
+  answer.set_acceptor(status_.id);
+  answer.set_member_epoch(status_.member_epoch);
+  if (request.member_epoch() != status_.member_epoch) return reply(to_envelope(std::move(answer)));
+  answer.set_voting(status_.voting);
   wire::RegisterState& state = states_[request.key()];
   if (is_lower(request.ballot(), state.promised())) {
     *answer.mutable_highest() = state.promised();
-    return reply(envelope(std::move(answer)));
+    return reply(to_envelope(std::move(answer)));
   }
   *state.mutable_promised() = request.ballot();
   answer.set_promised(true);
   *answer.mutable_highest() = state.promised();
   *answer.mutable_accepted() = state.accepted();
   if (!same_ballot(state.accepted(), request.known())) answer.set_value(state.value());
-  commit_queue_.commit({stored(request.key())},
-                       [reply, answer = std::move(answer)]() mutable { reply(envelope(std::move(answer))); });
+  commit_queue_.commit({stored(request.key())}, [reply, answer = std::move(answer)]() mutable {
+    reply(to_envelope(std::move(answer)));
+  });
 }
 
 void RegisterAcceptor::accept(const wire::RegisterAccept& request, const ReplyCallback& reply) {
   wire::RegisterAccepted answer;
-  answer.set_acceptor(membership_status_.id);
-  answer.set_member_epoch(membership_status_.member_epoch);
-  if (request.member_epoch() != membership_status_.member_epoch) return reply(envelope(std::move(answer)));
-  answer.set_voting(membership_status_.voting);
+  answer.set_acceptor(status_.id);
+  answer.set_member_epoch(status_.member_epoch);
+  if (request.member_epoch() != status_.member_epoch) return reply(to_envelope(std::move(answer)));
+  answer.set_voting(status_.voting);
   wire::RegisterState& state = states_[request.key()];
   if (is_lower(request.ballot(), state.promised())) {
     *answer.mutable_highest() = state.promised();
-    return reply(envelope(std::move(answer)));
+    return reply(to_envelope(std::move(answer)));
   }
   *state.mutable_promised() = request.ballot();
   *state.mutable_accepted() = request.ballot();
   state.set_value(request.value());
   answer.set_accepted(true);
   *answer.mutable_highest() = request.ballot();
-  commit_queue_.commit({stored(request.key())},
-                       [reply, answer = std::move(answer)]() mutable { reply(envelope(std::move(answer))); });
+  commit_queue_.commit({stored(request.key())}, [reply, answer = std::move(answer)]() mutable {
+    reply(to_envelope(std::move(answer)));
+  });
 }
 
 void RegisterAcceptor::learn(const std::string& key, const RegisterValue& value) {
@@ -112,8 +114,9 @@
 
 wire::Ballot RegisterAcceptor::unresolved_ballot(const std::string& key) const {
   const auto state = states_.find(key);
-  const bool open = state != states_.end() && is_lower(state->second.chosen(), state->second.accepted());
-  return open ? state->second.accepted() : wire::Ballot();
+  const bool unresolved =
+      state != states_.end() && is_lower(state->second.chosen(), state->second.accepted());
+  return unresolved ? state->second.accepted() : wire::Ballot();
 }
 
 void RegisterAcceptor::merge(const std::string& key, const wire::RegisterState& other, StoreBatch& batch) {
--- a/src/cluster/consensus/register_attempt.cpp
+++ b/src/cluster/consensus/register_attempt.cpp
@@ -9,7 +9,7 @@
 namespace winchhall::cluster {
 
 namespace {
-constexpr Millis kRoundTimeout{700};
+constexpr Millis kPhaseTimeout{700};
 }
 
 RegisterAttempt::RegisterAttempt(GroupContext& group, std::string key, wire::Ballot ballot,
@@ -35,19 +35,19 @@
 
 void RegisterAttempt::broadcast(const wire::Envelope& request) {
   agreed_.clear();
-  refused_ = false;
-  outstanding_ = static_cast<std::size_t>(record_.members_size());
+  rejected_ = false;
+  unanswered_ = static_cast<std::size_t>(record_.members_size());
   for (const wire::Member& member : record_.members()) {
-    group_.call(member, request, kRoundTimeout,
+    group_.call(member, request, kPhaseTimeout,
                 [self = shared_from_this(), phase = phase_, member](const CallResult& result) {
-                  if (self->done_) self->answered(phase, member, result);
+                  if (self->done_) self->on_answer(phase, member, result);
                 });
   }
 }
 
-void RegisterAttempt::answered(Phase phase, const wire::Member& member, const CallResult& result) {
+void RegisterAttempt::on_answer(Phase phase, const wire::Member& member, const CallResult& result) {
   if (phase != phase_) return;
-  --outstanding_;
+  --unanswered_;
   if (result.answer && result.answer->has_register_promise()) {
     const wire::RegisterPromise& promise = result.answer->register_promise();
     if (promise.member_epoch() != record_.epoch())
@@ -67,13 +67,13 @@
 }
 
 void RegisterAttempt::on_rejection(const wire::Ballot& highest) {
-  refused_ = true;
+  rejected_ = true;
   highest_counter_ = std::max(highest_counter_, highest.counter());
 }
 
 void RegisterAttempt::on_promise(const wire::RegisterPromise& promise) {
   if (!counts(promise.acceptor(), promise.voting(), promise.member_epoch())) {
-    refused_ = true;
+    rejected_ = true;
     return;
   }
   if (!promise.promised()) return on_rejection(promise.highest());
@@ -84,12 +84,12 @@
     newest_ballot_ = promise.accepted();
     newest_value_ = same_ballot(promise.accepted(), known_.ballot) ? known_.value : promise.value();
   }
-  if (agreed_.size() >= majority(record_)) prepared();
+  if (agreed_.size() >= majority(record_)) on_majority_promised();
 }
 
 void RegisterAttempt::on_accepted(const wire::RegisterAccepted& accepted) {
   if (!counts(accepted.acceptor(), accepted.voting(), accepted.member_epoch())) {
-    refused_ = true;
+    rejected_ = true;
     return;
   }
   if (!accepted.accepted()) return on_rejection(accepted.highest());
@@ -99,23 +99,21 @@
 }
 
 void RegisterAttempt::fail_if_majority_impossible() {
-  if (agreed_.size() + outstanding_ >= majority(record_)) return;
-  finish({refused_ ? AttemptOutcome::refused : AttemptOutcome::unanswered, {}, false});
+  if (agreed_.size() + unanswered_ >= majority(record_)) return;
+  finish({rejected_ ? AttemptOutcome::rejected : AttemptOutcome::no_majority, {}, false});
 }
 
-void RegisterAttempt::prepared() {
+void RegisterAttempt::on_majority_promised() {
   const std::string current = newest_value_;
   std::optional<std::string> next = change_(current);
   if (!done_) return;
   if (next) return start_accept(std::move(*next));
-  // A majority that accepted the same ballot has chosen it, or has nothing; else it has to be accepted once
-  // more.
   if (unanimous_) return finish({AttemptOutcome::chosen, RegisterValue{newest_ballot_, current}, false});
   start_accept(current);
 }
 
 void RegisterAttempt::start_accept(std::string value) {
-  if (group_.record().epoch() != record_.epoch()) return finish({AttemptOutcome::refused, {}, false});
+  if (group_.record().epoch() != record_.epoch()) return finish({AttemptOutcome::rejected, {}, false});
   proposed_ = std::move(value);
   phase_ = Phase::accept;
   wire::Envelope request;
--- a/src/cluster/consensus/register_client.hpp
+++ b/src/cluster/consensus/register_client.hpp
@@ -1,4 +1,9 @@
-// Compare-and-swap registers on the control group: two quorum rounds a change, no log and no leader.
+// Compare-and-swap registers on the control group.
+//
+// Each register is a Paxos instance (Lamport, "Paxos Made Simple", 2001) that is changed again and again
+// under ever higher ballots, without a log and without a leader, as in Rystsov, "CASPaxos: Replicated State
+// Machines without logs" (2018): a change reads the newest accepted value in the prepare phase, applies a
+// function to it and has the outcome accepted. Each change takes two round trips to a majority.
 #pragma once
 
 #include <functional>
@@ -10,22 +15,24 @@
 
 namespace winchhall::cluster {
 
-// A register's chosen value; counter 0 and no value: never written.
+// A register's chosen value; ballot counter 0 and an empty value: never written.
 struct RegisterValue {
   wire::Ballot ballot;
   std::string value;
 };
 
-// Computes the next value from the current one; none: leave it as it is. May be called several times.
+// Computes the next value from the current one; none: leave it unchanged. May be called several times for one
+// change, so it must have no side effects.
 using RegisterChange = std::function<std::optional<std::string>(const std::string& current)>;
 
+// Changes are linearizable for each register; a read is a change that leaves the value unchanged.
 class RegisterClient {
  public:
   virtual ~RegisterClient() = default;
-  // Applies `change` to the newest value and makes the outcome durable on a majority; `done` gets the value
-  // that is chosen afterwards (the newest if nothing was changed), or none if no majority answered before
-  // `timeout`: then the change may or may not take effect. A value for which `change` returned none was
-  // chosen on a majority.
+  // Applies `change` to the newest value and makes the outcome durable on a majority. `done` is called once
+  // with the value that is chosen afterwards (the newest one if nothing was changed), or with none if no
+  // majority answered before `timeout`: then the change may or may not take effect. A value that `change`
+  // left unchanged was chosen, too, before `done` is called.
   virtual void update(const std::string& key, RegisterChange change, Millis timeout,
                       std::function<void(std::optional<RegisterValue>)> done) = 0;
 };
--- a/src/cluster/consensus/replica_progress.hpp
+++ b/src/cluster/consensus/replica_progress.hpp
@@ -1,5 +1,4 @@
-// What the holder of a shard's lease knows of one replica: which records it did not confirm yet (hints,
-// handed off when it answers again), and whether it was made equal to the holder's state.
+// What the holder of a shard's lease knows of one replica.
 #pragma once
 
 #include <cstdint>
@@ -8,42 +7,52 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "cluster/consensus/leader_record_table.hpp"
 
 namespace winchhall::cluster {
 
-// Records of one message to a replica.
+// The records of one message to a replica.
 struct ReplicationBatch {
-  struct Sent {
+  struct Entry {
     std::string key;
-    std::uint64_t change = 0;
+    std::uint64_t change = 0;  // version that was sent
   };
-  std::vector<Sent> sent;
-  bool establishes = false;
+  std::vector<Entry> entries;
+  bool establishes = false;  // makes the replica equal to the holder's table
 };
 
+// Tracks which records a replica has not acknowledged yet, decides what to send next, and whether the replica
+// was made equal to the holder's table ("established"). Missing records stay here as hints while the replica
+// is away, and are sent when it answers again (hinted handoff, as in DeCandia et al., "Dynamo", 2007).
+//
+// Invariant: once `tracked_`, the replica holds the newest version of every record that is not in `missing_`.
 class ReplicaProgress {
  public:
-  // `from_the_start`: known since before the holder's first change. Else the replica counts for no change
-  // before its content was taken.
-  explicit ReplicaProgress(bool from_the_start) : tracked_(from_the_start) {}
+  // `tracked_from_start`: tracked since before the holder's first change. Otherwise the replica counts for no
+  // change until its content was reconciled.
+  explicit ReplicaProgress(bool tracked_from_start) : tracked_(tracked_from_start) {}
 
-  // Notes that the replica lacks a record since the given change (at least 1).
-  void mark(const std::string& key, std::uint64_t change);
-  // Compares the replica's whole content with the holder's: marks what it lacks. Records of the replica that
-  // the holder doesn't have, or that look newer, get a new version. To be called once.
+  // The replica misses a record since the given change (at least 1).
+  void mark_missing(const std::string& key, std::uint64_t change);
+  // Compares the replica's whole content with the holder's table and marks what it misses. Records that only
+  // the replica has, or has in a version that looks newer, were never acknowledged: they get a new version in
+  // the table, which supersedes them everywhere. To be called once.
   void reconcile_with(const ShardRecords& content, LeaderRecordTable& records);
 
-  // Records that have to be sent now; none: nothing to send.
-  std::optional<ReplicationBatch> next_message(const LeaderRecordTable& records);
-  void confirmed(const ReplicationBatch& message, const LeaderRecordTable& records);
-  void failed(const ReplicationBatch& message);
+  // The next message to send; none: nothing to send now.
+  std::optional<ReplicationBatch> next_batch(const LeaderRecordTable& records);
+  // The replica acknowledged a message as durable.
+  void on_acknowledged(const ReplicationBatch& batch, const LeaderRecordTable& records);
+  // A message was rejected or stayed unanswered: its records are sent again.
+  void on_failed(const ReplicationBatch& batch);
 
-  // The replica holds every change up to this one.
+  // The highest change up to which the replica acknowledged every change. `last_change`: the holder's newest.
   std::uint64_t acknowledged_up_to(std::uint64_t last_change) const;
   bool established() const { return established_; }
+  // True once the content was reconciled.
   bool content_known() const { return content_known_; }
 
   bool voting = false;     // by its newest answer
@@ -52,19 +61,19 @@
 
  private:
   struct MissingRecord {
-    std::uint64_t since = 0;
-    std::uint64_t sent = kNotSent;  // change under way to the replica
+    std::uint64_t since = 0;          // first change that the replica misses
+    std::uint64_t in_flight = kNone;  // version that is being sent
   };
-  static constexpr std::uint64_t kNotSent = ~std::uint64_t{0};
+  static constexpr std::uint64_t kNone = ~std::uint64_t{0};
 
-  void requeue(const ReplicationBatch::Sent& sent);
+  void requeue(const ReplicationBatch::Entry& entry);
 
-  std::map<std::string, MissingRecord> missing_;
-  std::set<std::pair<std::uint64_t, std::string>> by_change_;  // same entries, by `since`
-  std::deque<std::string> unsent_;  // may name keys that are sent or confirmed meanwhile
-  unsigned in_flight_ = 0;
-  bool stalled_ = false;  // a message failed, and none was confirmed since: its disk may hang
-  bool tracked_;          // `missing_` names every record that the replica may lack
+  std::map<std::string, MissingRecord> missing_;                       // by key
+  std::set<std::pair<std::uint64_t, std::string>> missing_by_change_;  // the same records, by `since`
+  std::deque<std::string> unsent_;  // may name records that were sent or acknowledged meanwhile
+  unsigned batches_in_flight_ = 0;
+  bool stalled_ = false;  // a message failed and none was acknowledged since: its disk may hang
+  bool tracked_;
   bool content_known_ = false;
   bool established_ = false;
 };
--- a/src/cluster/consensus/replica_reader.cpp
+++ b/src/cluster/consensus/replica_reader.cpp
@@ -16,7 +16,7 @@
       member_(std::move(member)),
       done_(std::move(done)) {}
 
-void ReplicaReader::ask(const std::string& after_key) {
+void ReplicaReader::request_page(const std::string& after_key) {
   wire::Envelope request;
   wire::ShardRead& read = *request.mutable_shard_read();
   read.set_shard(shard_);
@@ -24,14 +24,15 @@
   read.set_after_key(after_key);
   read.set_member_epoch(group_.record().epoch());
   group_.call(member_, std::move(request), kReadTimeout,
-              [self = shared_from_this()](const CallResult& result) { self->take(result); });
+              [self = shared_from_this()](const CallResult& result) { self->on_page(result); });
 }
 
-void ReplicaReader::take(const CallResult& result) {
+void ReplicaReader::on_page(const CallResult& result) {
   if (!result.answer || !result.answer->has_shard_page()) return done_(std::nullopt);
   const wire::ShardPage& page = result.answer->shard_page();
   if (!page.ok() || !page.voting() || page.acceptor() != member_.id()) return done_(std::nullopt);
-  // The base as of the first page: what a replica holds only grows.
+  // The base as of the first page: the replica only gets newer while its pages are read, and a copied base
+  // must not be newer than the copied records.
   if (std::exchange(first_page_, false)) replica_.state.set_base(page.base());
   std::string last_key;
   for (const wire::ShardRecord& record : page.records()) {
@@ -39,7 +40,7 @@
     replica_.records[last_key] = record;
   }
   if (page.last() || last_key.empty()) return done_(std::move(replica_));
-  ask(last_key);
+  request_page(last_key);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/replica_reader.hpp
+++ b/src/cluster/consensus/replica_reader.hpp
@@ -1,4 +1,4 @@
-// Reads one member's whole replica of a shard, page by page, under a lease.
+// Reads one member's whole replica of a shard, page by page.
 #pragma once
 
 #include <functional>
@@ -7,23 +7,25 @@
 #include <string>
 
 #include "cluster/consensus/group_context.hpp"
-#include "cluster/consensus/shard_acceptor.hpp"
+#include "cluster/consensus/shard_replica.hpp"
 
 namespace winchhall::cluster {
 
+// Reads under an epoch that the member has promised to this node: no earlier holder's write is carried out
+// there from the first page on. Keeps itself alive until it has ended.
 class ReplicaReader : public std::enable_shared_from_this<ReplicaReader> {
  public:
-  // `done` is called once with the replica, or with none where the member did not answer, not under this
-  // epoch, or does not vote.
+  // Called once with the replica, or with none if the member didn't answer, has promised another epoch, or
+  // doesn't vote.
   using Done = std::function<void(std::optional<ShardReplica>)>;
 
   ReplicaReader(GroupContext& group, std::string shard, std::uint64_t epoch, wire::Member member, Done done);
 
-  void start() { ask(std::string()); }
+  void start() { request_page(std::string()); }
 
  private:
-  void ask(const std::string& after_key);
-  void take(const CallResult& result);
+  void request_page(const std::string& after_key);
+  void on_page(const CallResult& result);
 
   GroupContext& group_;
   const std::string shard_;
--- a/src/cluster/consensus/shard_acceptor.cpp
+++ b/src/cluster/consensus/shard_acceptor.cpp
@@ -1,7 +1,6 @@
 #include "cluster/consensus/shard_acceptor.hpp"
 
 #include <algorithm>
-#include <tuple>
 #include <utility>
 
 #include "cluster/consensus/lease_timing.hpp"
@@ -13,19 +12,19 @@
 constexpr std::size_t kShardPageBytes = 128 << 10;
 constexpr std::size_t kRecordOverheadBytes = 32;
 
-wire::Envelope envelope(wire::LeaseReply answer) {
+wire::Envelope to_envelope(wire::LeaseReply answer) {
   wire::Envelope envelope;
   *envelope.mutable_lease_reply() = std::move(answer);
   return envelope;
 }
 
-wire::Envelope envelope(wire::ShardPage answer) {
+wire::Envelope to_envelope(wire::ShardPage answer) {
   wire::Envelope envelope;
   *envelope.mutable_shard_page() = std::move(answer);
   return envelope;
 }
 
-wire::Envelope envelope(wire::ShardWritten answer) {
+wire::Envelope to_envelope(wire::ShardWritten answer) {
   wire::Envelope envelope;
   *envelope.mutable_shard_written() = std::move(answer);
   return envelope;
@@ -39,29 +38,6 @@
   return {record_store_key(shard, record.key()), record.SerializeAsString()};
 }
 
-void copy_promise(const wire::ShardState& from, wire::ShardState& to) {
-  to.set_epoch(from.epoch());
-  to.set_holder(from.holder());
-  to.set_session(from.session());
-  to.set_holder_address(from.holder_address());
-}
-
-// True if both name one session of one holder under one epoch.
-bool same_promise(const wire::ShardState& left, const wire::ShardState& right) {
-  return left.epoch() == right.epoch() && left.holder() == right.holder() &&
-         left.session() == right.session();
-}
-
-// Joins the promises of two acceptors. Where they promised one epoch to two holders, neither may count on the
-// joined promise: it is for the next epoch, and to none.
-void merge_promise(wire::ShardState& merged, const wire::ShardState& other) {
-  if (other.epoch() > merged.epoch()) return copy_promise(other, merged);
-  if (other.epoch() < merged.epoch() || same_promise(merged, other)) return;
-  wire::ShardState next;
-  next.set_epoch(merged.epoch() + 1);
-  copy_promise(next, merged);
-}
-
 wire::ShardState promise_to(const wire::LeaseRequest& request) {
   wire::ShardState promise;
   promise.set_epoch(request.epoch());
@@ -79,12 +55,6 @@
   return promise;
 }
 
-// Takes a record into a merged replica if it is newer than what is there.
-void offer(ShardRecords& records, const wire::ShardRecord& record) {
-  const auto [entry, added] = records.try_emplace(record.key(), record);
-  if (!added && is_older(entry->second, record)) entry->second = record;
-}
-
 }  // namespace
 
 std::string shard_store_key(const std::string& shard) { return "shard/" + shard; }
@@ -95,29 +65,8 @@
   return stored + key;
 }
 
-bool is_older(const wire::ShardRecord& left, const wire::ShardRecord& right) {
-  return std::make_tuple(left.epoch(), left.sequence()) < std::make_tuple(right.epoch(), right.sequence());
-}
-
-ShardReplica merge_replicas(const std::vector<const ShardReplica*>& replicas) {
-  ShardReplica merged;
-  for (const ShardReplica* replica : replicas) {
-    merge_promise(merged.state, replica->state);
-    merged.state.set_base(std::max(merged.state.base(), replica->state.base()));
-  }
-  const std::uint64_t base = merged.state.base();
-  for (const ShardReplica* replica : replicas) {
-    const bool whole = replica->state.base() == base;
-    for (const auto& [key, record] : replica->records) {
-      if (whole || record.epoch() >= base) offer(merged.records, record);
-    }
-  }
-  return merged;
-}
-
-ShardAcceptor::ShardAcceptor(Runtime& runtime, CommitQueue& commit_queue,
-                             const MembershipStatus& membership_status)
-    : runtime_(runtime), commit_queue_(commit_queue), membership_status_(membership_status) {}
+ShardAcceptor::ShardAcceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& status)
+    : runtime_(runtime), commit_queue_(commit_queue), status_(status) {}
 
 void ShardAcceptor::load_state(const std::string& shard, const wire::ShardState& state) {
   shards_[shard].replica.state = state;
@@ -137,26 +86,26 @@
   }
 }
 
-bool ShardAcceptor::in_force(const Shard& shard) const { return runtime_.now() < shard.lease.expiry; }
+bool ShardAcceptor::is_in_force(const Shard& shard) const { return runtime_.now() < shard.lease.expiry; }
 
 void ShardAcceptor::lease(const wire::LeaseRequest& request, const ReplyCallback& reply) {
   wire::LeaseReply answer;
-  answer.set_acceptor(membership_status_.id);
-  answer.set_member_epoch(membership_status_.member_epoch);
+  answer.set_acceptor(status_.id);
+  answer.set_member_epoch(status_.member_epoch);
   Shard& shard = shards_[request.shard()];
   if (request.release()) release(shard, request);
   answer.set_epoch(shard.replica.state.epoch());
-  if (request.release() || request.member_epoch() != membership_status_.member_epoch) {
-    return reply(envelope(std::move(answer)));
+  if (request.release() || request.member_epoch() != status_.member_epoch) {
+    return reply(to_envelope(std::move(answer)));
   }
-  answer.set_voting(membership_status_.voting);
+  answer.set_voting(status_.voting);
   if (may_grant(shard, request)) return grant(request, std::move(answer), reply);
   if (const std::optional<wire::ShardLeader> leader = describe(request.shard(), shard)) {
     answer.set_holder(leader->holder());
     answer.set_holder_address(leader->address());
     answer.set_remaining_ms(leader->remaining_ms());
   }
-  reply(envelope(std::move(answer)));
+  reply(to_envelope(std::move(answer)));
 }
 
 void ShardAcceptor::release(Shard& shard, const wire::LeaseRequest& request) {
@@ -172,7 +121,7 @@
   const wire::ShardState& state = shard.replica.state;
   if (request.epoch() == 0 || request.epoch() < state.epoch()) return false;
   if (request.epoch() == state.epoch() && !same_promise(state, promise_to(request))) return false;
-  return !in_force(shard) || shard.lease.holder == request.holder();
+  return !is_in_force(shard) || shard.lease.holder == request.holder();
 }
 
 void ShardAcceptor::promise(const std::string& name, const wire::ShardState& to, StoreBatch& batch) {
@@ -193,7 +142,7 @@
   answer.set_granted(true);
   answer.set_epoch(epoch);
   answer.set_holder(request.holder());
-  const std::function<void()> send = [reply, answer = std::move(answer)] { reply(envelope(answer)); };
+  const std::function<void()> send = [reply, answer = std::move(answer)] { reply(to_envelope(answer)); };
   StoreBatch batch;
   if (epoch > state.epoch()) {
     promise(name, promise_to(request), batch);
@@ -209,12 +158,12 @@
 
 void ShardAcceptor::read(const wire::ShardRead& request, const ReplyCallback& reply) {
   wire::ShardPage page;
-  page.set_acceptor(membership_status_.id);
-  page.set_voting(membership_status_.voting);
+  page.set_acceptor(status_.id);
+  page.set_voting(status_.voting);
   const ShardReplica& replica = shards_[request.shard()].replica;
   page.set_epoch(replica.state.epoch());
   page.set_base(replica.state.base());
-  if (request.epoch() != replica.state.epoch()) return reply(envelope(std::move(page)));
+  if (request.epoch() != replica.state.epoch()) return reply(to_envelope(std::move(page)));
   page.set_ok(true);
   page.set_last(true);
   std::size_t bytes = 0;
@@ -227,25 +176,25 @@
     *page.add_records() = entry->second;
     bytes += entry->first.size() + entry->second.value().size() + kRecordOverheadBytes;
   }
-  commit_queue_.barrier([reply, page = std::move(page)]() mutable { reply(envelope(std::move(page))); });
+  commit_queue_.barrier([reply, page = std::move(page)]() mutable { reply(to_envelope(std::move(page))); });
 }
 
 void ShardAcceptor::write(const wire::ShardWrite& request, const ReplyCallback& reply) {
   wire::ShardWritten answer;
-  answer.set_acceptor(membership_status_.id);
-  answer.set_member_epoch(membership_status_.member_epoch);
+  answer.set_acceptor(status_.id);
+  answer.set_member_epoch(status_.member_epoch);
   const std::string& name = request.shard();
   const std::uint64_t promised = shards_[name].replica.state.epoch();
   answer.set_epoch(promised);
-  if (request.member_epoch() != membership_status_.member_epoch || request.epoch() < promised ||
-      request.epoch() == 0) {
-    return reply(envelope(std::move(answer)));
+  if (request.member_epoch() != status_.member_epoch || request.epoch() < promised || request.epoch() == 0) {
+    return reply(to_envelope(std::move(answer)));
   }
-  answer.set_voting(membership_status_.voting);
+  answer.set_voting(status_.voting);
   answer.set_ok(true);
   answer.set_epoch(request.epoch());
   StoreBatch batch;
-  // Only who was promised this epoch by a majority writes under it.
+  // Only the session to which a majority promised this epoch writes under it, so its write replaces any other
+  // promise that was made here.
   const wire::ShardState writer = promise_to(request);
   Lease& lease = shards_[name].lease;
   if (lease.epoch == request.epoch() && lease.session == request.session()) lease.confirmed = true;
@@ -256,7 +205,7 @@
                        [this, name, epoch = request.epoch(), reply, answer = std::move(answer)]() mutable {
                          std::uint64_t& durable = shards_[name].durable_epoch;
                          durable = std::max(durable, epoch);
-                         reply(envelope(std::move(answer)));
+                         reply(to_envelope(std::move(answer)));
                        });
 }
 
@@ -274,7 +223,7 @@
   ShardReplica& replica = shards_[name].replica;
   replica.state.set_base(std::max(replica.state.base(), epoch));
   batch.push_back(stored_state(name, replica.state));
-  // Marks of removed records from earlier epochs have done their work: no older version counts any more.
+  // Tombstones of earlier epochs are no longer needed: no older version counts beside the new base.
   std::erase_if(replica.records, [&](const auto& entry) {
     const wire::ShardRecord& record = entry.second;
     if (!record.deleted() || record.epoch() >= epoch) return false;
@@ -284,7 +233,7 @@
 }
 
 std::optional<wire::ShardLeader> ShardAcceptor::describe(const std::string& name, const Shard& shard) const {
-  if (!in_force(shard)) return std::nullopt;
+  if (!is_in_force(shard)) return std::nullopt;
   wire::ShardLeader leader;
   leader.set_shard(name);
   leader.set_epoch(shard.lease.epoch);
--- a/src/cluster/consensus/shard_acceptor.hpp
+++ b/src/cluster/consensus/shard_acceptor.hpp
@@ -1,11 +1,7 @@
-// The acceptor's half of the shards: promised epochs, leases in force, replicas of the records.
-//
-// A replica's `base` is the highest lease epoch whose holder made the replica equal to its own state. A new
-// holder reads a majority, takes the replicas with the highest base whole, and from the others only records
-// written under that base or later: so what an earlier holder wrote without a majority, and its successor did
-// not see, never comes back.
+// The acceptor of the shards: promised epochs, leases in force, replicas of the records.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
@@ -13,47 +9,45 @@
 
 #include "cluster/consensus/commit_queue.hpp"
 #include "cluster/consensus/membership_status.hpp"
+#include "cluster/consensus/shard_replica.hpp"
 
 namespace winchhall::cluster {
 
-using ShardRecords = std::map<std::string, wire::ShardRecord>;
-
-// An epoch is promised to one holder, and to one session of it: a holder that comes back from a crash may
-// have forgotten for which epochs it asked, and must not lead twice under one of them.
-//
-// One acceptor's whole replica of a shard.
-struct ShardReplica {
-  wire::ShardState state;
-  ShardRecords records;
-};
-
-// True if `left` is the older version.
-bool is_older(const wire::ShardRecord& left, const wire::ShardRecord& right);
-
-// Union of several replicas as described above.
-ShardReplica merge_replicas(const std::vector<const ShardReplica*>& replicas);
-
+// Invariants, for each shard:
+//   - The promised epoch never falls. It is promised to one holder, and to one session of that holder: a
+//     holder that comes back after a crash may have forgotten which epochs it requested, and must not lead
+//     twice under one of them.
+//   - While a lease is in force, no other member is granted one.
+//   - Writes under a lower epoch than the promised one are rejected (the epoch is the fencing token).
+//   - Answers that grant or acknowledge are sent once what they say is durable. Leases themselves are kept in
+//     memory only; see `assume_leases`.
 class ShardAcceptor {
  public:
-  ShardAcceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& membership_status);
+  // The references must outlive this object; `status` is read at every request.
+  ShardAcceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& status);
 
-  // Take up stored states at the start.
+  // Load stored states at the start.
   void load_state(const std::string& shard, const wire::ShardState& state);
   void load_record(const std::string& shard, const wire::ShardRecord& record);
-  // Treats every promise as a lease granted now: what was granted before is not known.
+  // Treats every promise as a lease granted now. To be called when this node starts, as it may have granted
+  // leases before that it no longer knows of, and when it begins to vote.
   void assume_leases();
 
+  // Grants, renews or releases a lease.
   void lease(const wire::LeaseRequest& request, const ReplyCallback& reply);
+  // Answers with one page of the replica, if the epoch is the promised one.
   void read(const wire::ShardRead& request, const ReplyCallback& reply);
+  // Applies the records of a lease holder.
   void write(const wire::ShardWrite& request, const ReplyCallback& reply);
 
-  // The lease in force at this acceptor; none: no such lease.
+  // The lease in force that this acceptor has granted; none: no such lease. `unconfirmed` is set until the
+  // holder is known to have the grants of a majority.
   std::optional<wire::ShardLeader> lease_in_force(const std::string& shard) const;
   std::vector<wire::ShardLeader> leases_in_force() const;
-  // Highest epoch promised for a shard.
+  // Highest epoch promised for a shard; 0: none.
   std::uint64_t promised_epoch(const std::string& shard) const;
 
-  // Whole replicas by shard, for a newcomer that copies them.
+  // All replicas by shard, for a state transfer to a newcomer. The pointers are valid until the next change.
   std::map<std::string, const ShardReplica*> replicas() const;
   // Replaces a replica; the changes are appended to `batch`.
   void replace(const std::string& shard, ShardReplica replica, StoreBatch& batch);
@@ -69,24 +63,25 @@
   };
   struct Shard {
     ShardReplica replica;
-    std::uint64_t durable_epoch = 0;
+    std::uint64_t durable_epoch = 0;  // highest promise that is durable
     Lease lease;
   };
 
-  bool in_force(const Shard& shard) const;
+  bool is_in_force(const Shard& shard) const;
   std::optional<wire::ShardLeader> describe(const std::string& name, const Shard& shard) const;
   void release(Shard& shard, const wire::LeaseRequest& request);
   bool may_grant(const Shard& shard, const wire::LeaseRequest& request) const;
-  // Notes to whom an epoch was promised.
+  // Promises an epoch to the holder and session that `to` names.
   void promise(const std::string& name, const wire::ShardState& to, StoreBatch& batch);
   void grant(const wire::LeaseRequest& request, wire::LeaseReply answer, const ReplyCallback& reply);
   void apply(const wire::ShardWrite& request, StoreBatch& batch);
+  // The replica equals the holder's state as of this epoch: raises the base.
   void establish(const std::string& name, std::uint64_t epoch, StoreBatch& batch);
 
   Runtime& runtime_;
   CommitQueue& commit_queue_;
-  const MembershipStatus& membership_status_;
-  std::map<std::string, Shard> shards_;
+  const MembershipStatus& status_;
+  std::map<std::string, Shard> shards_;  // by name
 };
 
 // Keys in the store. The part of a record's key before the first zero byte is the shard's name.
--- a/src/cluster/consensus/state_transfer.hpp
+++ b/src/cluster/consensus/state_transfer.hpp
@@ -1,8 +1,10 @@
-// Copies the state of enough other members to a newcomer, so that it may vote (see member_record.hpp).
+// Copies the state of enough other members to a newcomer, so that it may vote.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <memory>
+#include <string>
 #include <vector>
 
 #include "cluster/consensus/group_context.hpp"
@@ -10,16 +12,21 @@
 
 namespace winchhall::cluster {
 
+// One attempt to read the state of `state_transfer_sources_needed` voting members (see member_record.hpp),
+// page by page and from all members at the same time. A copy counts if the source knew this node's member
+// record when it sent the first page: from then on it refuses what older proposers send. Keeps itself alive
+// until it has ended.
 class StateTransfer : public std::enable_shared_from_this<StateTransfer> {
  public:
-  // `done` is called once; empty: not enough members answered at this node's member epoch.
+  // Called once, unless cancelled; empty: not enough members answered under this node's member epoch.
   using Done = std::function<void(std::vector<TransferredState> copies)>;
 
+  // `group` must outlive the transfer or drop its calls' answers.
   StateTransfer(GroupContext& group, Done done);
 
   void start();
+  // Ends the transfer without calling `done`.
   void cancel() { done_ = nullptr; }
-  std::uint64_t member_epoch() const { return record_.epoch(); }
 
  private:
   struct Source {
@@ -28,18 +35,18 @@
     bool first_page = true;
   };
 
-  void ask(const std::shared_ptr<Source>& source, const std::string& after_key);
-  void take(const std::shared_ptr<Source>& source, const CallResult& result);
-  // True if the page counts: from the member asked, which votes and, at the first page, knows the same
+  void request_page(const std::shared_ptr<Source>& source, const std::string& after_key);
+  void on_page(const std::shared_ptr<Source>& source, const CallResult& result);
+  // True if the page counts: sent by the requested member, which votes and, at the first page, knows the same
   // record.
-  bool usable(const Source& source, const wire::StatePage& page);
-  void source_failed();
+  bool is_usable(const Source& source, const wire::StatePage& page);
+  void on_source_failed();
   void finish();
 
   GroupContext& group_;
-  Done done_;
+  Done done_;  // null: ended
   const wire::MemberRecord record_;
-  std::size_t reading_ = 0;
+  std::size_t reading_ = 0;  // sources that are being read
   std::vector<TransferredState> copies_;
 };
 
--- a/tests/cluster/consensus/catch_up_test.cpp
+++ b/tests/cluster/consensus/catch_up_test.cpp
@@ -1,9 +1,9 @@
-// A member that was away through hundreds of changes: it catches up in time, at a cost that goes with what it
-// missed, and never leads or votes with older state.
+// A member that was away through hundreds of changes: it catches up in time, at a cost in proportion to what
+// it missed, and never leads or votes with older state.
 #include <catch2/catch.hpp>
 #include <cstdio>
 
-#include "tests/cluster/consensus/consensus_candidate.hpp"
+#include "tests/cluster/consensus/lease_candidate.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
@@ -76,14 +76,14 @@
     return cluster.group(index).votes() && cluster.group(index).has_quorum_contact() &&
            records_on_disk(cluster, index) == expected;
   }
-  // Time until the member holds everything, in ms; looked at every 50 ms.
+  // Time until the member holds everything, in ms; sampled every 50 ms.
   std::int64_t time_to_catch_up(std::size_t index) {
     const std::int64_t start_ms = simulation().now_ms();
-    for (int look = 0; look < 400 && !caught_up(index); ++look) simulation().run_for(Millis(50));
+    for (int sample = 0; sample < 400 && !caught_up(index); ++sample) simulation().run_for(Millis(50));
     REQUIRE(caught_up(index));
     return simulation().now_ms() - start_ms;
   }
-  // All but this member and one more are gone: of three, it is needed for a majority.
+  // Crashes two others, so that this member is needed for a majority.
   void require_usable(std::size_t index) {
     std::size_t crashed = 0;
     for (std::size_t other = 0; other < cluster.size() && crashed < 2; ++other) {
@@ -152,9 +152,9 @@
   fixture.simulation().run_for(Millis(1500));
   fixture.change_register(2000, fixture.leader());
   fixture.write_records(10000);
-  // A disk that hangs does not fill the memory with what waits for it.
-  constexpr std::size_t kMostWaiting = 18u << 20;
-  CHECK(fixture.cluster.node(away).store().waiting_bytes() < kMostWaiting);
+  // A hung disk does not fill the memory with what waits for it.
+  constexpr std::size_t kMaxWaitingBytes = 18u << 20;
+  CHECK(fixture.cluster.node(away).store().waiting_bytes() < kMaxWaitingBytes);
   fixture.counting = true;
   bring_back(fixture, how, away);
   const std::int64_t took_ms = fixture.time_to_catch_up(away);
@@ -164,7 +164,7 @@
   fixture.require_usable(away);
 }
 
-TEST_CASE("what catching up costs goes with what was missed") {
+TEST_CASE("the cost of catching up is in proportion to what was missed") {
   std::size_t few = 0;
   std::size_t many = 0;
   for (const bool all : {false, true}) {
@@ -183,7 +183,7 @@
   CHECK(few * 8 < many);
 }
 
-TEST_CASE("changes go on while a member catches up, and its state pages are cut off and begun again") {
+TEST_CASE("changes continue while a member catches up, and its state transfer is interrupted and restarted") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     const Absence how = seed % 2 == 0 ? Absence::wiped : Absence::crashed;
     CAPTURE(seed, static_cast<int>(how));
--- a/tests/cluster/consensus/members_test.cpp
+++ b/tests/cluster/consensus/members_test.cpp
@@ -1,15 +1,15 @@
-// Who belongs to the control group: its founding, machines that join, lose their disks, or are replaced.
+// Membership of the control group: founding, machines that join, lose their disks, or are replaced.
 #include <catch2/catch.hpp>
 
 #include "cluster/consensus/member_record.hpp"
-#include "tests/cluster/consensus/consensus_calls.hpp"
+#include "tests/cluster/consensus/register_calls.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
 
 using Cluster = ControlCluster<>;
 
-TEST_CASE("founders and joining machines make one group soon after the start") {
+TEST_CASE("founders and joining machines form one group soon after the start") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     for (const std::size_t machines : {3, 4, 5, 7}) {
       CAPTURE(seed, machines);
@@ -22,7 +22,7 @@
   }
 }
 
-TEST_CASE("the group starts with one founder missing, and takes it in later") {
+TEST_CASE("the group starts with one founder missing, and admits it later") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
@@ -45,9 +45,9 @@
     std::string expected;
     for (std::size_t round = 0; round < 6; ++round) {
       const std::size_t index = (seed + round) % 5;
-      const std::string mark = std::to_string(round);
-      REQUIRE(append(cluster, (index + round) % 5, mark));
-      expected += mark;
+      const std::string marker = std::to_string(round);
+      REQUIRE(append(cluster, (index + round) % 5, marker));
+      expected += marker;
       const std::uint64_t old_id = cluster.group(index).member_id();
       cluster.wipe(index);
       REQUIRE(wait_until_stable(cluster, Millis(4000)));
@@ -59,7 +59,7 @@
 }
 
 TEST_CASE(
-    "what was acknowledged outlasts every disk, lost one after another, though two members never heard of "
+    "an acknowledged value survives the loss of every disk, one after another, though two members missed "
     "it") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("one loses its disk while all others lose power, right after an acknowledgement") {
+TEST_CASE("one member loses its disk while all others lose power, right after an acknowledgement") {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
@@ -105,7 +105,7 @@
   }
 }
 
-TEST_CASE("a machine that is gone for good is replaced by one from elsewhere") {
+TEST_CASE("a permanently failed machine is replaced by one from elsewhere") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
@@ -126,7 +126,7 @@
   }
 }
 
-TEST_CASE("a member that was only cut off stays, or comes back under a new id if it was replaced") {
+TEST_CASE("a partitioned member stays, or comes back under a new id if it was replaced") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
@@ -153,7 +153,7 @@
   }
 }
 
-TEST_CASE("a machine that joins while the group grows does not stop it") {
+TEST_CASE("a machine that joins while the group grows does not block the growth") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
@@ -165,11 +165,12 @@
   }
 }
 
-// Plays a chain of records and quorums as sets and checks the claim in member_record.hpp: whatever was
-// acknowledged by a quorum under one record is held by some member of every quorum under each later record.
-class ChainModel {
+// Models a chain of member records and quorums as sets and checks the claim in member_record.hpp: whatever
+// was acknowledged by a quorum under one record is held by some member of every quorum under each later
+// record.
+class RecordChainModel {
  public:
-  explicit ChainModel(std::mt19937_64& generator) : generator_(generator) {
+  explicit RecordChainModel(std::mt19937_64& generator) : generator_(generator) {
     record_.set_epoch(1);
     const std::uint64_t founders = 1 + generator_() % 5;
     record_.set_largest(static_cast<std::uint32_t>(founders));
@@ -180,7 +181,7 @@
 
   void acknowledge() {
     const std::optional<std::set<std::uint64_t>> quorum = pick(majority(record_), voting_);
-    if (quorum) things_.push_back(*quorum);
+    if (quorum) acknowledged_holders_.push_back(*quorum);
   }
   void change() {
     if (generator_() % 2 == 0 && record_.members_size() < 7) {
@@ -194,13 +195,13 @@
       voting_.erase(id);
     }
   }
-  void synchronize() {
+  void transfer_state() {
     for (const wire::Member& member : record_.members()) {
       if (voting_.contains(member.id()) || generator_() % 2 == 0) continue;
       const std::optional<std::set<std::uint64_t>> sources =
           pick(state_transfer_sources_needed(record_), voting_);
       if (!sources) continue;
-      for (std::set<std::uint64_t>& holders : things_) {
+      for (std::set<std::uint64_t>& holders : acknowledged_holders_) {
         const bool copied = std::any_of(sources->begin(), sources->end(),
                                         [&](std::uint64_t source) { return holders.contains(source); });
         if (copied) holders.insert(member.id());
@@ -210,13 +211,14 @@
   }
   // Every majority of voting members holds every thing, i.e. fewer than a majority don't.
   bool safe() const {
-    return std::all_of(things_.begin(), things_.end(), [&](const std::set<std::uint64_t>& holders) {
-      std::size_t stale = 0;
-      for (const wire::Member& member : record_.members()) {
-        if (voting_.contains(member.id()) && !holders.contains(member.id())) ++stale;
-      }
-      return stale < majority(record_);
-    });
+    return std::all_of(acknowledged_holders_.begin(), acknowledged_holders_.end(),
+                       [&](const std::set<std::uint64_t>& holders) {
+                         std::size_t stale = 0;
+                         for (const wire::Member& member : record_.members()) {
+                           if (voting_.contains(member.id()) && !holders.contains(member.id())) ++stale;
+                         }
+                         return stale < majority(record_);
+                       });
   }
 
  private:
@@ -236,18 +238,18 @@
   std::mt19937_64& generator_;
   wire::MemberRecord record_;
   std::set<std::uint64_t> voting_;
-  std::vector<std::set<std::uint64_t>> things_;
+  std::vector<std::set<std::uint64_t>> acknowledged_holders_;
   std::uint64_t next_id_ = 0;
 };
 
-TEST_CASE("quorums of any two records hold what was acknowledged, whatever the changes between them") {
+TEST_CASE("quorums of any two member records hold what was acknowledged, whatever the changes between them") {
   std::mt19937_64 generator(17);
   for (int chain = 0; chain < 20000; ++chain) {
-    ChainModel model(generator);
+    RecordChainModel model(generator);
     for (int step = 0; step < 20; ++step) {
       if (generator() % 2 == 0) model.acknowledge();
       if (generator() % 2 == 0) model.change();
-      if (generator() % 2 == 0) model.synchronize();
+      if (generator() % 2 == 0) model.transfer_state();
       if (!model.safe()) FAIL("a quorum lacks what was acknowledged, chain " << chain);
     }
   }
--- a/tests/cluster/consensus/model_cluster.hpp
+++ b/tests/cluster/consensus/model_cluster.hpp
@@ -1,6 +1,7 @@
-// Acceptors and proposers whose every step is chosen from outside: which message arrives, is lost or doubled,
-// which disk syncs, who crashes. A course of events is a list of choices and can be played again, so that all
-// of them up to a bound can be walked through.
+// A model of acceptors and proposers for explicit-state exploration: the real classes on a runtime and disks
+// whose every step is chosen from outside (which message arrives, is lost or duplicated, which disk syncs,
+// which node crashes). A run is a list of choices and can be repeated, so that all runs up to a bound can be
+// explored.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +19,7 @@
 #include "cluster/consensus/register_attempt.hpp"
 #include "cluster/consensus/state_transfer.hpp"
 
-namespace winchhall::cluster::explore {
+namespace winchhall::cluster::exploration {
 
 // Time stands still; timers never fire. Calls of the runtime's own are not made.
 class FrozenRuntime : public Runtime {
@@ -32,7 +33,7 @@
   std::uint64_t random() override { return 4; }
 };
 
-// A disk that writes when it is told to.
+// A disk that syncs when the exploration says so.
 class ManualSyncStore : public DurableStore {
  public:
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done) override {
@@ -79,7 +80,7 @@
   std::deque<Waiting> waiting_;
 };
 
-// One machine: its disk, what it knows of the group, and the real acceptor on top.
+// One machine: its disk, its membership status, and the real acceptor on top.
 struct AcceptorNode {
   AcceptorNode(Runtime& used_runtime, std::uint64_t id, bool voting) : runtime(used_runtime) {
     membership_status.id = id;
@@ -114,10 +115,10 @@
   bool lost = false;  // gone with its disk
 };
 
-// A request or its answer on the way. `life` of the receiving acceptor does not matter: a message may be
-// late.
+// A request or its answer in flight. It is delivered to whatever incarnation of the acceptor runs then, since
+// a message may be late.
 struct Message {
-  std::size_t caller = 0;  // view that called
+  std::size_t caller = 0;  // context that called
   std::size_t node = 0;    // acceptor called
   bool answer = false;
   unsigned broadcast = 0;  // of the caller; answers to an earlier one change nothing
@@ -125,12 +126,13 @@
   std::shared_ptr<std::function<void(CallResult)>> done;
 };
 
-class World;
+class ModelCluster;
 
-// What one proposer, or a newcomer that copies state, knows of the group.
-class View : public GroupContext {
+// The group as one proposer, or a newcomer that copies state, sees it.
+class ModelGroupContext : public GroupContext {
  public:
-  View(World& world, std::size_t index, std::uint64_t self) : world_(world), index_(index), self_(self) {}
+  ModelGroupContext(ModelCluster& cluster, std::size_t index, std::uint64_t self)
+      : cluster_(cluster), index_(index), self_(self) {}
 
   Runtime& runtime() override { return runtime_; }
   const wire::MemberRecord& record() const override { return record_; }
@@ -150,29 +152,30 @@
   void adopt(const wire::MemberRecord& record) { record_ = record; }
 
  private:
-  World& world_;
+  ModelCluster& cluster_;
   const std::size_t index_;
   const std::uint64_t self_;
   FrozenRuntime runtime_;
   wire::MemberRecord record_;
 };
 
-// The messages on their way and the machines that they go to.
-class World {
+// The machines and the messages in flight between them.
+class ModelCluster {
  public:
   AcceptorNode& add_node(std::uint64_t id, bool voting) {
     nodes_.push_back(std::make_unique<AcceptorNode>(runtime_, id, voting));
     return *nodes_.back();
   }
-  std::size_t add_view(std::uint64_t self) {
-    views_.push_back(std::make_unique<View>(*this, views_.size(), self));
-    told_.emplace_back();
+  std::size_t add_context(std::uint64_t self) {
+    contexts_.push_back(std::make_unique<ModelGroupContext>(*this, contexts_.size(), self));
+    received_.emplace_back();
     last_broadcast_.emplace_back();
     broadcasts_.push_back(0);
-    return views_.size() - 1;
+    return contexts_.size() - 1;
   }
-  View& view(std::size_t index) { return *views_[index]; }
+  ModelGroupContext& context(std::size_t index) { return *contexts_[index]; }
   AcceptorNode& node(std::size_t index) { return *nodes_[index]; }
+  const AcceptorNode& node(std::size_t index) const { return *nodes_[index]; }
   std::size_t nodes() const { return nodes_.size(); }
   std::vector<Message>& messages() { return messages_; }
 
@@ -208,26 +211,26 @@
     page.mutable_state_page()->mutable_record()->set_epoch(node.membership_status.member_epoch);
     reply(std::move(page));
   }
-  // The caller hears nothing in time.
+  // The caller gets no answer in time.
   void lose(std::size_t index) {
     const Message message = messages_[index];
     messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(index));
-    told_[message.caller].push_back({message.node, "lost"});
-    tell(message, CallResult{});
+    received_[message.caller].push_back({message.node, "lost"});
+    complete_call(message, CallResult{});
   }
   void duplicate(std::size_t index) { messages_.push_back(messages_[index]); }
 
-  // A proposer's state follows from what it sent last and what it was told since, in any order.
-  void note_broadcast(std::size_t caller, const std::string& text) {
+  // A proposer's state follows from its last broadcast and the answers received since, in any order.
+  void on_broadcast(std::size_t caller, const std::string& text) {
     if (last_broadcast_[caller] == text) return;
     last_broadcast_[caller] = text;
     ++broadcasts_[caller];
-    told_[caller].clear();
+    received_[caller].clear();
     std::erase_if(messages_,
                   [caller](const Message& message) { return message.answer && message.caller == caller; });
   }
 
-  // The same text for states that differ only in which of the founders is which.
+  // A text that is equal for states that differ only by a permutation of the founders.
   std::string describe() const {
     constexpr std::size_t kFounders = 3;
     std::vector<std::size_t> order(nodes_.size());
@@ -248,18 +251,18 @@
       nodes_[index]->describe(machines[rank[index]]);
     std::string text;
     for (const std::string& machine : machines) text += machine;
-    std::vector<std::string> on_the_way;
+    std::vector<std::string> in_flight;
     for (const Message& message : messages_) {
-      on_the_way.push_back(std::to_string(message.caller) + "/" + std::to_string(rank[message.node]) +
-                           (message.answer ? "a" : "r") + (*message.done ? "o" : "c") +
-                           content(message.body));
+      in_flight.push_back(std::to_string(message.caller) + "/" + std::to_string(rank[message.node]) +
+                          (message.answer ? "a" : "r") + (*message.done ? "o" : "c") + content(message.body));
     }
-    append_sorted(std::move(on_the_way), text);
-    for (std::size_t caller = 0; caller < told_.size(); ++caller) {
+    append_sorted(std::move(in_flight), text);
+    for (std::size_t caller = 0; caller < received_.size(); ++caller) {
       text += last_broadcast_[caller];
-      std::vector<std::string> told;
-      for (const Told& one : told_[caller]) told.push_back(std::to_string(rank[one.node]) + one.text);
-      append_sorted(std::move(told), text);
+      std::vector<std::string> received;
+      for (const ReceivedAnswer& one : received_[caller])
+        received.push_back(std::to_string(rank[one.node]) + one.text);
+      append_sorted(std::move(received), text);
     }
     return text;
   }
@@ -268,7 +271,7 @@
     for (const std::string& part : parts) text += part + ",";
     text += "|";
   }
-  // Without the acceptor's name, which goes with its place.
+  // Without the acceptor's id, which its rank replaces.
   static std::string content(wire::Envelope body) {
     if (body.has_register_promise()) body.mutable_register_promise()->clear_acceptor();
     if (body.has_register_accepted()) body.mutable_register_accepted()->clear_acceptor();
@@ -276,32 +279,32 @@
   }
 
   void answer(const Message& message) {
-    if (!*message.done) return;  // told already, or too late
-    told_[message.caller].push_back({message.node, content(message.body)});
-    tell(message, CallResult{message.body, CallError::timed_out});
+    if (!*message.done) return;  // answered already, or too late
+    received_[message.caller].push_back({message.node, content(message.body)});
+    complete_call(message, CallResult{message.body, CallError::timed_out});
   }
-  static void tell(const Message& message, CallResult result) {
+  static void complete_call(const Message& message, CallResult result) {
     if (*message.done) std::exchange(*message.done, nullptr)(std::move(result));
   }
 
   FrozenRuntime runtime_;
   std::vector<std::unique_ptr<AcceptorNode>> nodes_;
-  std::vector<std::unique_ptr<View>> views_;
+  std::vector<std::unique_ptr<ModelGroupContext>> contexts_;
   std::vector<Message> messages_;
-  struct Told {
+  struct ReceivedAnswer {
     std::size_t node = 0;
     std::string text;
   };
-  // By view.
-  std::vector<std::vector<Told>> told_;  // since its last broadcast
+  // By context.
+  std::vector<std::vector<ReceivedAnswer>> received_;  // since its last broadcast
   std::vector<std::string> last_broadcast_;
   std::vector<unsigned> broadcasts_;
 };
 
-inline void View::call(const wire::Member& member, wire::Envelope request, Millis,
-                       std::function<void(CallResult)> done) {
-  world_.note_broadcast(index_, request.SerializeAsString());
-  world_.send(index_, member.id(), std::move(request), std::move(done));
+inline void ModelGroupContext::call(const wire::Member& member, wire::Envelope request, Millis,
+                                    std::function<void(CallResult)> done) {
+  cluster_.on_broadcast(index_, request.SerializeAsString());
+  cluster_.send(index_, member.id(), std::move(request), std::move(done));
 }
 
-}  // namespace winchhall::cluster::explore
+}  // namespace winchhall::cluster::exploration
--- a/tests/cluster/consensus/model_run.hpp
+++ b/tests/cluster/consensus/model_run.hpp
@@ -1,85 +1,85 @@
-// One course of events of an explored world: proposers, a newcomer and what may befall them.
+// One run of the model: two proposers, a newcomer, and faults within given bounds.
 #pragma once
 
 #include "tests/cluster/consensus/model_cluster.hpp"
 
-namespace winchhall::cluster::explore {
+namespace winchhall::cluster::exploration {
 
 inline const std::string kList = "list";
 inline const std::string kMembers = "members";
 
-// What may happen beside the delivery of each message once.
-struct Bounds {
+// Bounds on what may happen beside the delivery of each message once.
+struct ExplorationBounds {
   unsigned losses = 0;
   unsigned duplicates = 0;
   unsigned crashes = 0;
-  unsigned attempts = 1;        // of each proposer
-  bool newcomer = false;        // a fourth machine joins while the proposers go on
-  bool lost_disk = false;       // a founder is gone for good once the newcomer votes
-  std::size_t most_states = 0;  // 0: no limit
+  unsigned attempts = 1;       // of each proposer
+  bool newcomer = false;       // a fourth machine joins while the proposers go on
+  bool lost_disk = false;      // a founder fails permanently once the newcomer votes
+  std::size_t max_states = 0;  // 0: no limit
 };
 
-// One course of events, played choice by choice.
-class Course {
+// One run, advanced choice by choice.
+class ModelRun {
  public:
-  explicit Course(const Bounds& bounds) : bounds_(bounds) {
+  explicit ModelRun(const ExplorationBounds& bounds) : bounds_(bounds) {
     founding_.set_epoch(1);
     founding_.set_largest(3);
     for (std::uint64_t id = 1; id <= 3; ++id) founding_.add_members()->set_id(id);
-    for (std::uint64_t id = 1; id <= 3; ++id) world_.add_node(id, true).membership_status.member_epoch = 1;
+    for (std::uint64_t id = 1; id <= 3; ++id) cluster_.add_node(id, true).membership_status.member_epoch = 1;
     for (std::size_t index = 0; index < 2; ++index) {
-      world_.view(world_.add_view(11 + index)).adopt(founding_);
+      cluster_.context(cluster_.add_context(11 + index)).adopt(founding_);
       proposers_.push_back(Proposer{});
     }
     if (bounds_.newcomer) {
-      world_.add_node(4, false);
+      cluster_.add_node(4, false);
       wire::Member newcomer;
       newcomer.set_id(4);
       grown_ = with_member(founding_, newcomer);
-      joining_ = world_.add_view(13);
-      world_.view(joining_).adopt(founding_);
-      copying_ = world_.add_view(4);
+      joining_ = cluster_.add_context(13);
+      cluster_.context(joining_).adopt(founding_);
+      copying_ = cluster_.add_context(4);
       change_members();
     }
     for (std::size_t index = 0; index < proposers_.size(); ++index) propose(index);
   }
 
-  // Number of choices now; 0: nothing more can happen.
-  std::size_t choices() { return list_choices().size(); }
+  // Number of choices now; 0: the run is over.
+  std::size_t choices() { return enabled_choices().size(); }
   void choose(std::size_t number) {
-    const Choice choice = list_choices()[number];
+    const Choice choice = enabled_choices()[number];
     switch (choice.kind) {
       case Kind::deliver:
-        world_.deliver(choice.index);
+        cluster_.deliver(choice.index);
         break;
       case Kind::lose:
         ++lost_;
-        world_.lose(choice.index);
+        cluster_.lose(choice.index);
         break;
       case Kind::duplicate:
         ++duplicated_;
-        world_.duplicate(choice.index);
+        cluster_.duplicate(choice.index);
         break;
       case Kind::sync:
-        world_.node(choice.index).store.sync_all();
+        cluster_.node(choice.index).store.sync_all();
         break;
       case Kind::crash:
         ++crashed_;
-        world_.node(choice.index).crash();
+        cluster_.node(choice.index).crash();
         break;
       case Kind::adopt:
         adopt_at(choice.index);
         break;
       case Kind::follow:
-        world_.view(choice.index).adopt(grown_);
+        cluster_.context(choice.index).adopt(grown_);
         break;
       case Kind::copy:
         start_copy();
         break;
       case Kind::lose_disk:
         disk_lost_ = true;
-        world_.node(choice.index).store.lose_all();
-        world_.node(choice.index).lost = true;
+        cluster_.node(choice.index).store.lose_all();
+        cluster_.node(choice.index).lost = true;
         break;
     }
     restart_proposers();
@@ -87,7 +87,7 @@
   }
 
   std::string describe() const {
-    std::string text = world_.describe();
+    std::string text = cluster_.describe();
     for (const Proposer& proposer : proposers_)
       text += std::to_string(proposer.attempts) + (proposer.busy ? "b" : "-");
     text += std::to_string(lost_) + "," + std::to_string(duplicated_) + "," + std::to_string(crashed_);
@@ -97,8 +97,9 @@
     return text;
   }
 
-  // Acknowledged values form one chain, and every quorum that can form now brings the newest one up.
-  bool holds() const {
+  // The safety property: acknowledged values form one chain, and every quorum that can form now holds the
+  // newest.
+  bool is_safe() const {
     for (const std::string& value : acknowledged_) {
       const bool chained = newest_.starts_with(value);
       if (!chained) return false;
@@ -121,16 +122,16 @@
     std::shared_ptr<RegisterAttempt> attempt;
   };
 
-  std::vector<Choice> list_choices() {
+  std::vector<Choice> enabled_choices() {
     std::vector<Choice> choices;
-    for (std::size_t index = 0; index < world_.messages().size(); ++index) {
-      const Message& message = world_.messages()[index];
+    for (std::size_t index = 0; index < cluster_.messages().size(); ++index) {
+      const Message& message = cluster_.messages()[index];
       choices.push_back({Kind::deliver, index});
       if (lost_ < bounds_.losses && *message.done) choices.push_back({Kind::lose, index});
       if (duplicated_ < bounds_.duplicates) choices.push_back({Kind::duplicate, index});
     }
-    for (std::size_t index = 0; index < world_.nodes(); ++index) {
-      AcceptorNode& node = world_.node(index);
+    for (std::size_t index = 0; index < cluster_.nodes(); ++index) {
+      AcceptorNode& node = cluster_.node(index);
       if (node.lost) continue;
       if (node.store.has_waiting()) choices.push_back({Kind::sync, index});
       if (node.store.has_waiting() && crashed_ < bounds_.crashes) choices.push_back({Kind::crash, index});
@@ -138,11 +139,11 @@
     }
     if (!grown_chosen_) return choices;
     for (std::size_t index = 0; index < proposers_.size(); ++index) {
-      if (!proposers_[index].busy && world_.view(index).record().epoch() < 2)
+      if (!proposers_[index].busy && cluster_.context(index).record().epoch() < 2)
         choices.push_back({Kind::follow, index});
     }
-    const AcceptorNode& newcomer = world_.node(3);
-    if (newcomer.membership_status.member_epoch == 2 && copies_ < kMostCopies && !copy_started_)
+    const AcceptorNode& newcomer = cluster_.node(3);
+    if (newcomer.membership_status.member_epoch == 2 && copies_ < kMaxCopies && !copy_started_)
       choices.push_back({Kind::copy, 3});
     if (bounds_.lost_disk && !disk_lost_ && newcomer.membership_status.voting)
       choices.push_back({Kind::lose_disk, 0});
@@ -157,14 +158,14 @@
     wire::Ballot ballot;
     ballot.set_counter(proposer.highest + 1);
     ballot.set_proposer(11 + index);
-    const std::string mark(1, static_cast<char>('a' + index));
-    const RegisterChange append = [mark](const std::string& current) -> std::optional<std::string> {
-      if (current.find(mark) != std::string::npos) return std::nullopt;
-      return current + mark;
+    const std::string marker(1, static_cast<char>('a' + index));
+    const RegisterChange append = [marker](const std::string& current) -> std::optional<std::string> {
+      if (current.find(marker) != std::string::npos) return std::nullopt;
+      return current + marker;
     };
     proposer.highest = ballot.counter();
     proposer.attempt = std::make_shared<RegisterAttempt>(
-        world_.view(index), kList, ballot, RegisterValue{}, append,
+        cluster_.context(index), kList, ballot, RegisterValue{}, append,
         [this, index](const AttemptResult& result) {
           Proposer& ended = proposers_[index];
           ended.busy = false;
@@ -188,36 +189,36 @@
     ballot.set_counter(1);
     ballot.set_proposer(13);
     change_ = std::make_shared<RegisterAttempt>(
-        world_.view(joining_), kMembers, ballot, RegisterValue{},
+        cluster_.context(joining_), kMembers, ballot, RegisterValue{},
         [this](const std::string&) { return std::optional(grown_.SerializeAsString()); },
         [this](const AttemptResult& result) { grown_chosen_ = result.outcome == AttemptOutcome::chosen; });
     change_->start();
   }
-  // Without a crash it makes no difference when a disk syncs, but that answers wait for it.
+  // Without crashes it makes no difference when a disk syncs, except that answers wait for it.
   void sync_all() {
-    for (std::size_t index = 0; index < world_.nodes(); ++index) world_.node(index).store.sync_all();
+    for (std::size_t index = 0; index < cluster_.nodes(); ++index) cluster_.node(index).store.sync_all();
   }
-  void adopt_at(std::size_t index) { world_.node(index).membership_status.member_epoch = 2; }
+  void adopt_at(std::size_t index) { cluster_.node(index).membership_status.member_epoch = 2; }
   void start_copy() {
     copy_started_ = true;
     ++copies_;
-    world_.view(copying_).adopt(grown_);
+    cluster_.context(copying_).adopt(grown_);
     copy_ = std::make_shared<StateTransfer>(
-        world_.view(copying_), [this](const std::vector<TransferredState>& copies) {
+        cluster_.context(copying_), [this](const std::vector<TransferredState>& copies) {
           copy_started_ = !copies.empty();  // else begun again
           if (copies.empty()) return;
-          AcceptorNode& newcomer = world_.node(3);
+          AcceptorNode& newcomer = cluster_.node(3);
           newcomer.commit_queue->commit(newcomer.acceptor->merge(copies),
                                         [&newcomer] { newcomer.membership_status.voting = true; });
         });
     copy_->start();
   }
 
-  // Every majority of a record whose members vote at its epoch, or may come to, holds what was acknowledged.
+  // Every majority of a record's members that vote at its epoch, or may come to, holds what was acknowledged.
   bool quorums_hold(const wire::MemberRecord& record) const {
     std::vector<const AcceptorNode*> voters;
-    for (std::size_t index = 0; index < world_.nodes(); ++index) {
-      const AcceptorNode& node = const_cast<World&>(world_).node(index);
+    for (std::size_t index = 0; index < cluster_.nodes(); ++index) {
+      const AcceptorNode& node = cluster_.node(index);
       const bool may_vote =
           node.membership_status.voting && node.membership_status.member_epoch <= record.epoch();
       if (find_member(record, node.membership_status.id) && may_vote && !node.lost) voters.push_back(&node);
@@ -241,8 +242,8 @@
     return best.value().starts_with(newest_);
   }
 
-  const Bounds bounds_;
-  World world_;
+  const ExplorationBounds bounds_;
+  ModelCluster cluster_;
   wire::MemberRecord founding_;
   wire::MemberRecord grown_;
   std::vector<Proposer> proposers_;
@@ -251,7 +252,7 @@
   std::shared_ptr<RegisterAttempt> change_;
   std::shared_ptr<StateTransfer> copy_;
   bool grown_chosen_ = false;
-  static constexpr unsigned kMostCopies = 2;
+  static constexpr unsigned kMaxCopies = 2;
   bool copy_started_ = false;
   unsigned copies_ = 0;
   bool disk_lost_ = false;
@@ -262,4 +263,4 @@
   std::string newest_;
 };
 
-}  // namespace winchhall::cluster::explore
+}  // namespace winchhall::cluster::exploration
--- a/tests/cluster/consensus/cut_leader_test.cpp
+++ b/tests/cluster/consensus/partitioned_leader_test.cpp
@@ -1,20 +1,20 @@
-// A lease holder that is cut off from the other members: it names no later epoch, and its return deposes
-// nobody.
+// A lease holder that is partitioned from the other members: it reports no later epoch, and its return
+// deposes nobody.
 #include <catch2/catch.hpp>
 
-#include "tests/cluster/consensus/consensus_candidate.hpp"
+#include "tests/cluster/consensus/lease_candidate.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
 
-// Epoch of the leader that a node would send callers to; 0: none.
-std::uint64_t named_epoch(CandidateCluster& cluster, std::size_t index) {
+// Epoch of the leader to which a node would direct callers; 0: none.
+std::uint64_t reported_epoch(CandidateCluster& cluster, std::size_t index) {
   for (const wire::ShardLeader& leader : cluster.group(index).leaders())
     if (leader.shard() == kShard) return leader.epoch();
   return 0;
 }
 
-void play(std::uint64_t seed, std::size_t machines) {
+void run_partition(std::uint64_t seed, std::size_t machines) {
   CAPTURE(seed, machines);
   CandidateCluster cluster(seed, machines);
   Simulation& simulation = cluster.simulation();
@@ -32,7 +32,7 @@
   const std::size_t second = *leader_of(cluster);
   const std::uint64_t epoch = cluster.extra(second).shard->epoch();
   std::uint64_t highest = 0;
-  simulation.on_event([&] { highest = std::max(highest, named_epoch(cluster, first)); });
+  simulation.on_event([&] { highest = std::max(highest, reported_epoch(cluster, first)); });
   simulation.run_for(Millis(5000));
   CHECK(highest <= epoch);
   simulation.heal();
@@ -42,14 +42,14 @@
   CHECK(cluster.extra(second).shard->epoch() == epoch);
 }
 
-TEST_CASE("a holder that is cut off names no later leader and deposes none when it returns") {
+TEST_CASE("a partitioned holder reports no later leader and deposes none when it returns") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    play(seed, 3);
-    play(seed, 5);
+    run_partition(seed, 3);
+    run_partition(seed, 5);
   }
 }
 
-// Asks one acceptor for a lease in the name of another member; true: granted.
+// Requests a lease from one acceptor in the name of another member; true: granted.
 bool request_lease_from(ControlCluster<>& cluster, std::size_t acceptor, std::size_t holder, bool asking) {
   wire::Envelope envelope;
   wire::LeaseRequest& request = *envelope.mutable_lease_request();
@@ -67,20 +67,20 @@
   return granted;
 }
 
-TEST_CASE("a lease that one acceptor granted is named to nobody before a majority did") {
+TEST_CASE("a lease is reported to nobody before a majority granted it") {
   ControlCluster<> cluster(3, 5);
   cluster.bootstrap();
   REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(6000)));
   REQUIRE(request_lease_from(cluster, 0, 1, true));
   CHECK(cluster.group(0).leaders().empty());
-  cluster.simulation().run_for(Millis(400));  // pings have told the others
+  cluster.simulation().run_for(Millis(400));  // the others have received pings
   CHECK(cluster.group(2).leaders().empty());
   REQUIRE(request_lease_from(cluster, 0, 1, false));
   REQUIRE(cluster.group(0).leaders().size() == 1);
   CHECK(cluster.group(0).leaders()[0].address() == cluster.node(1).address());
 }
 
-TEST_CASE("acceptors that start again hold back until the lease that they may have granted is over") {
+TEST_CASE("restarted acceptors grant nothing until a lease that they may have granted is over") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     CandidateCluster cluster(seed, 3);
--- a/tests/cluster/consensus/second_loss_test.cpp
+++ b/tests/cluster/consensus/second_loss_test.cpp
@@ -1,21 +1,21 @@
-// A second loss right after a repair or a replacement: no such pair leaves the group without a majority or
+// A second failure right after a repair or a replacement: no such pair leaves the group without a majority or
 // loses what was acknowledged.
 #include <catch2/catch.hpp>
 #include <cstdio>
 
 #include "cluster/consensus/member_record.hpp"
-#include "tests/cluster/consensus/consensus_calls.hpp"
+#include "tests/cluster/consensus/register_calls.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
 
 using Cluster = ControlCluster<>;
 
-// The pages' bound: a machine that is back, or new, counts as lost for so long after its start.
+// Documented bound: a machine that is back, or new, counts as failed for this long after its start.
 constexpr Millis kCatchUp{4000};
 constexpr Millis kSettled{9000};
-// A surplus member that is silent for so long has been removed.
-constexpr Millis kSurplusRemoved{34000};
+// An excess member that is unreachable for this long has been removed.
+constexpr Millis kExcessMemberRemoved{34000};
 
 void found(Cluster& cluster) {
   cluster.bootstrap();
@@ -37,22 +37,22 @@
   simulation.run_for(Millis(1501));
 }
 
-TEST_CASE("a successor holds all state within the time to catch up, so that the next loss is borne") {
+TEST_CASE("a successor holds all state within the time to catch up, so that the next loss is tolerated") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     for (const std::size_t machines : {3, 5, 7}) {
       CAPTURE(seed, machines);
-      const std::size_t borne = machines == 7 ? 2 : 1;
+      const std::size_t tolerated = machines == 7 ? 2 : 1;
       Cluster cluster(seed, machines);
       found(cluster);
       REQUIRE(append(cluster, 0, "x"));
       std::set<std::size_t> gone;
-      for (std::size_t loss = 0; loss < borne; ++loss) gone.insert((seed + loss) % machines);
+      for (std::size_t loss = 0; loss < tolerated; ++loss) gone.insert((seed + loss) % machines);
       for (const std::size_t index : gone) cluster.crash(index);
       cluster.simulation().run_for(Millis(1000));
-      for (std::size_t loss = 0; loss < borne; ++loss) cluster.start(cluster.add_machine());
+      for (std::size_t loss = 0; loss < tolerated; ++loss) cluster.start(cluster.add_machine());
       cluster.simulation().run_for(kCatchUp);
       std::set<std::size_t> wiped;
-      for (std::size_t index = 0; index < machines && wiped.size() < borne; ++index)
+      for (std::size_t index = 0; index < machines && wiped.size() < tolerated; ++index)
         if (!gone.contains(index)) wiped.insert(index);
       lose_disks_and_power(cluster, wiped, gone);
       REQUIRE(wait_until_stable(cluster, kSettled));
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("a machine that is replaced by plan leaves the group before it ends") {
+TEST_CASE("a machine that is replaced by plan leaves the group before its shutdown") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     for (const std::size_t machines : {3, 5, 7}) {
       CAPTURE(seed, machines);
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("a surplus member that ended without leaving is removed") {
+TEST_CASE("an excess member that ended without leaving is removed") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 3);
@@ -96,14 +96,15 @@
     cluster.simulation().run_for(kCatchUp);
     const std::size_t old = seed % 3;
     cluster.crash(old);
-    cluster.simulation().run_for(kSurplusRemoved);
+    cluster.simulation().run_for(kExcessMemberRemoved);
     lose_disks_and_power(cluster, {(old + 1) % 3}, {old});
     REQUIRE(wait_until_stable(cluster, kSettled));
     CHECK(read(cluster, successor) == "x");
   }
 }
 
-TEST_CASE("a planned end leaves a group of odd size as it is, and its restart brings the same member back") {
+TEST_CASE(
+    "a planned shutdown leaves a group of odd size unchanged, and a restart brings the same member back") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
@@ -123,15 +124,15 @@
   }
 }
 
-TEST_CASE("a member that leaves while another one is silent stays: it may hold what that one lacks") {
+TEST_CASE("a member can't leave while another one is unreachable: it may hold what that one lacks") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 4);
     found(cluster);
     REQUIRE(cluster.group(0).members().members_size() == 4);
-    const std::size_t silent = seed % 4;
+    const std::size_t unreachable = seed % 4;
     const std::size_t leaving = (seed + 1) % 4;
-    cluster.simulation().isolate(silent);
+    cluster.simulation().isolate(unreachable);
     cluster.simulation().run_for(Millis(1200));
     bool left = false;
     cluster.group(leaving).leave(Millis(300), [&left] { left = true; });
@@ -140,7 +141,7 @@
   }
 }
 
-TEST_CASE("a newcomer votes soon after it is counted") {
+TEST_CASE("a newcomer votes soon after its admission") {
   std::int64_t longest_ms = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
@@ -150,15 +151,15 @@
     REQUIRE(append(cluster, 0, "x"));
     const std::size_t newcomer = cluster.add_machine();
     cluster.start(newcomer);
-    const auto counted = [&] {
+    const auto admitted = [&] {
       return find_member(cluster.group(0).members(), cluster.group(newcomer).member_id()) != nullptr;
     };
-    REQUIRE(simulation.run_until(counted, kCatchUp));
-    const std::int64_t counted_ms = simulation.now_ms();
+    REQUIRE(simulation.run_until(admitted, kCatchUp));
+    const std::int64_t admitted_ms = simulation.now_ms();
     REQUIRE(simulation.run_until([&] { return cluster.group(newcomer).votes(); }, kCatchUp));
-    longest_ms = std::max(longest_ms, simulation.now_ms() - counted_ms);
+    longest_ms = std::max(longest_ms, simulation.now_ms() - admitted_ms);
   }
-  std::printf("a newcomer is counted without its vote for %lld ms at most\n",
+  std::printf("a newcomer is a member without a vote for %lld ms at most\n",
               static_cast<long long>(longest_ms));
   CHECK(longest_ms <= 100);
 }
@@ -198,11 +199,11 @@
   return {};
 }
 
-TEST_CASE("all machines lose power at any event of a repair: nothing is lost, and the repair ends") {
-  constexpr int kEventsApart = 3;
+TEST_CASE("all machines lose power at any event of a repair: nothing is lost, and the repair completes") {
+  constexpr int kEventStep = 3;
   for (const Repair& repair : kRepairs) {
     bool more = true;
-    for (int events = 0; more && events < 900; events += kEventsApart) {
+    for (int events = 0; more && events < 900; events += kEventStep) {
       const std::uint64_t seed = 1 + static_cast<std::uint64_t>(events);
       CAPTURE(repair.name, repair.machines, events);
       Cluster cluster(seed, repair.machines);
@@ -219,7 +220,7 @@
   }
 }
 
-TEST_CASE("losses follow one another at the distance that the pages allow, whatever they are") {
+TEST_CASE("losses of any kind follow one another at the shortest documented distance") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     for (const std::size_t machines : {3, 5}) {
       CAPTURE(seed, machines);
@@ -235,9 +236,9 @@
           if (cluster.running(index)) present.push_back(index);
         std::shuffle(present.begin(), present.end(),
                      std::mt19937_64(seed + static_cast<std::uint64_t>(round)));
-        const std::string mark = std::to_string(round);
-        REQUIRE(append(cluster, present[1], mark));
-        expected += mark;
+        const std::string marker = std::to_string(round);
+        REQUIRE(append(cluster, present[1], marker));
+        expected += marker;
         const std::size_t lost = present[0];
         const std::int64_t kind = simulation.random_between(0, 3);
         if (kind == 0) {
--- a/tests/cluster/consensus/versions_test.cpp
+++ b/tests/cluster/consensus/versions_test.cpp
@@ -1,8 +1,8 @@
-// Control nodes of neighbouring versions in one group: an older one leaves the newer fields of messages out,
-// a later one adds fields that nobody here knows.
+// Control nodes of adjacent versions in one group: an older one omits the newer fields of messages, a later
+// one adds fields that are unknown here.
 #include <catch2/catch.hpp>
 
-#include "tests/cluster/consensus/consensus_candidate.hpp"
+#include "tests/cluster/consensus/lease_candidate.hpp"
 
 namespace winchhall::cluster::sim {
 namespace {
@@ -19,7 +19,7 @@
     leader.clear_unconfirmed();
 }
 
-void play(std::uint64_t seed, const std::vector<Version>& versions) {
+void run_rolling_restart(std::uint64_t seed, const std::vector<Version>& versions) {
   CAPTURE(seed);
   CandidateCluster cluster(seed, versions.size());
   Simulation& simulation = cluster.simulation();
@@ -50,14 +50,17 @@
 
 TEST_CASE("a group of older and present nodes elects its leaders, whoever crashes") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    play(seed, {Version::older, Version::present, Version::older, Version::present, Version::present});
-    play(seed, {Version::present, Version::older, Version::older, Version::older, Version::present});
+    run_rolling_restart(
+        seed, {Version::older, Version::present, Version::older, Version::present, Version::present});
+    run_rolling_restart(seed,
+                        {Version::present, Version::older, Version::older, Version::older, Version::present});
   }
 }
 
 TEST_CASE("a group of present and later nodes elects its leaders, whoever crashes") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed)
-    play(seed, {Version::later, Version::present, Version::later, Version::present, Version::later});
+    run_rolling_restart(seed,
+                        {Version::later, Version::present, Version::later, Version::present, Version::later});
 }
 
 }  // namespace
