--- a/tests/cluster/consensus/register_test.cpp
+++ b/tests/cluster/consensus/register_test.cpp
@@ -1,5 +1,4 @@
-// Registers on a simulated control group: every schedule of troubles must look like one register that is
-// changed by one update after another.
+// Registers on a simulated control group: every history under faults must be linearizable.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -17,10 +16,10 @@
   explicit AppendHistory(ControlCluster<>& cluster) : cluster_(cluster) {}
 
   void append(std::size_t index) {
-    const std::string mark = "<" + std::to_string(++marks_) + ">";
-    update(index, mark, [mark](const std::string& current) -> std::optional<std::string> {
-      if (current.find(mark) != std::string::npos) return std::nullopt;
-      return current + mark;
+    const std::string marker = "<" + std::to_string(++markers_) + ">";
+    update(index, marker, [marker](const std::string& current) -> std::optional<std::string> {
+      if (current.find(marker) != std::string::npos) return std::nullopt;
+      return current + marker;
     });
   }
   void read(std::size_t index) {
@@ -32,26 +31,27 @@
   // True if a value holds every acknowledged mark.
   bool complete(const std::string& value) const {
     return std::all_of(acknowledged_.begin(), acknowledged_.end(),
-                       [&](const std::string& mark) { return value.find(mark) != std::string::npos; });
+                       [&](const std::string& marker) { return value.find(marker) != std::string::npos; });
   }
   const std::string& longest() const { return longest_; }
 
  private:
-  void update(std::size_t index, const std::string& mark, RegisterChange change) {
+  void update(std::size_t index, const std::string& marker, RegisterChange change) {
     if (!cluster_.running(index)) return;
     const std::string before = longest_;
-    cluster_.group(index).registers().update(kKey, std::move(change), Millis(2500),
-                                             [this, mark, before](const std::optional<RegisterValue>& value) {
-                                               if (value) check(mark, before, value->value);
-                                             });
+    cluster_.group(index).registers().update(
+        kKey, std::move(change), Millis(2500),
+        [this, marker, before](const std::optional<RegisterValue>& value) {
+          if (value) check(marker, before, value->value);
+        });
   }
-  void check(const std::string& mark, const std::string& before, const std::string& value) {
+  void check(const std::string& marker, const std::string& before, const std::string& value) {
     ++ended_;
-    if (!mark.empty()) {
-      acknowledged_.push_back(mark);
-      const std::size_t at = value.find(mark);
+    if (!marker.empty()) {
+      acknowledged_.push_back(marker);
+      const std::size_t at = value.find(marker);
       REQUIRE(at != std::string::npos);
-      REQUIRE(value.find(mark, at + 1) == std::string::npos);
+      REQUIRE(value.find(marker, at + 1) == std::string::npos);
     }
     REQUIRE(value.starts_with(before));
     REQUIRE((value.starts_with(longest_) || longest_.starts_with(value)));
@@ -59,13 +59,13 @@
   }
 
   ControlCluster<>& cluster_;
-  std::size_t marks_ = 0;
+  std::size_t markers_ = 0;
   std::size_t ended_ = 0;
   std::vector<std::string> acknowledged_;
   std::string longest_;
 };
 
-void require_all_acknowledged_found(ControlCluster<>& cluster, AppendHistory& history) {
+void require_all_acknowledged_readable(ControlCluster<>& cluster, AppendHistory& history) {
   const std::size_t ended = history.ended();
   for (std::size_t index = 0; index < cluster.size(); ++index) history.read(index);
   REQUIRE(cluster.simulation().run_until([&] { return history.ended() >= ended + cluster.size(); },
@@ -73,7 +73,7 @@
   REQUIRE(history.complete(history.longest()));
 }
 
-void play(std::uint64_t seed, std::size_t machines, SimulationOptions terms, FaultPlan fault_plan) {
+void run_history(std::uint64_t seed, std::size_t machines, SimulationOptions terms, FaultPlan fault_plan) {
   CAPTURE(seed, machines);
   ControlCluster<> cluster(seed, machines, terms);
   AppendHistory history(cluster);
@@ -100,11 +100,11 @@
   simulation.terms().loss = 0;
   simulation.terms().late = 0;
   REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
-  require_all_acknowledged_found(cluster, history);
+  require_all_acknowledged_readable(cluster, history);
   REQUIRE(history.acknowledged() > 5);
 }
 
-TEST_CASE("a calm group takes changes at once and tells all its members") {
+TEST_CASE("a healthy group applies changes at once") {
   ControlCluster<> cluster(1, 5);
   cluster.bootstrap();
   REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
@@ -118,15 +118,15 @@
   CHECK(cluster.simulation().now_ms() - begun_ms < 80);
 }
 
-TEST_CASE("watches hear of every newer chosen value, also after a restart of all") {
+TEST_CASE("watches are notified of every newer chosen value, also after a restart of all nodes") {
   ControlCluster<> cluster(2, 5);
   cluster.bootstrap();
   REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
-  std::vector<std::string> heard(5);
+  std::vector<std::string> notified(5);
   const auto watch = [&] {
     for (std::size_t index = 0; index < 5; ++index) {
       cluster.group(index).watch_register(
-          "configuration", [&heard, index](const RegisterValue& value) { heard[index] = value.value; });
+          "configuration", [&notified, index](const RegisterValue& value) { notified[index] = value.value; });
     }
   };
   watch();
@@ -135,17 +135,17 @@
       "configuration", [](const std::string&) { return "v1"; }, Millis(2000),
       [&](const std::optional<RegisterValue>& value) { done = value.has_value(); });
   REQUIRE(cluster.simulation().run_until([&] { return done; }, Millis(2000)));
-  REQUIRE(cluster.simulation().run_until([&] { return heard == std::vector<std::string>(5, "v1"); },
+  REQUIRE(cluster.simulation().run_until([&] { return notified == std::vector<std::string>(5, "v1"); },
                                          Millis(1000)));
   cluster.crash_all();
-  heard.assign(5, "");
+  notified.assign(5, "");
   cluster.start_all();
   watch();
-  REQUIRE(cluster.simulation().run_until([&] { return heard == std::vector<std::string>(5, "v1"); },
+  REQUIRE(cluster.simulation().run_until([&] { return notified == std::vector<std::string>(5, "v1"); },
                                          Millis(3000)));
 }
 
-TEST_CASE("a value that was only just acknowledged is told to watches after all lost power") {
+TEST_CASE("watches are notified of a value that was acknowledged just before all nodes lost power") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     ControlCluster<> cluster(seed, 5);
@@ -159,15 +159,15 @@
     cluster.crash_all();
     cluster.node(seed % 5).lose_disk();
     cluster.start_all();
-    std::size_t heard = 0;
+    std::size_t notified = 0;
     for (std::size_t index = 0; index < 5; ++index) {
-      cluster.group(index).watch_register("configuration", [&](const RegisterValue&) { ++heard; });
+      cluster.group(index).watch_register("configuration", [&](const RegisterValue&) { ++notified; });
     }
-    REQUIRE(cluster.simulation().run_until([&] { return heard == 5; }, Millis(6000)));
+    REQUIRE(cluster.simulation().run_until([&] { return notified == 5; }, Millis(6000)));
   }
 }
 
-TEST_CASE("without a majority an update ends without an answer") {
+TEST_CASE("without a majority an update times out") {
   ControlCluster<> cluster(3, 5);
   cluster.bootstrap();
   REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(5000)));
@@ -183,7 +183,7 @@
   CHECK(ended);
 }
 
-TEST_CASE("one member that is slow, hung or dead does not delay a change") {
+TEST_CASE("one slow, hung or unreachable member does not delay a change") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
     ControlCluster<> cluster(seed, 5);
@@ -201,17 +201,17 @@
   }
 }
 
-TEST_CASE("registers are linearizable: crashes, freezes, cuts, disks in trouble") {
+TEST_CASE("registers are linearizable: crashes, freezes, partitions, disk faults") {
   for (std::uint64_t seed = 1; seed <= 120; ++seed)
-    play(seed, seed % 2 == 0 ? 5 : 3, SimulationOptions{}, FaultPlan{});
+    run_history(seed, seed % 2 == 0 ? 5 : 3, SimulationOptions{}, FaultPlan{});
 }
 
-TEST_CASE("registers are linearizable: messages lost, doubled and late") {
+TEST_CASE("registers are linearizable: lost, duplicated and late messages") {
   SimulationOptions terms;
   terms.loss = 0.05;
   terms.duplication = 0.1;
   terms.late = 0.05;
-  for (std::uint64_t seed = 1; seed <= 80; ++seed) play(seed, 5, terms, FaultPlan{});
+  for (std::uint64_t seed = 1; seed <= 80; ++seed) run_history(seed, 5, terms, FaultPlan{});
 }
 
 TEST_CASE("registers are linearizable: members lose their disks one after another") {
@@ -220,7 +220,7 @@
   terms.late = 0.05;
   FaultPlan faults;
   faults.wipes = true;
-  for (std::uint64_t seed = 1; seed <= 100; ++seed) play(seed, seed % 3 == 0 ? 4 : 5, terms, faults);
+  for (std::uint64_t seed = 1; seed <= 100; ++seed) run_history(seed, seed % 3 == 0 ? 4 : 5, terms, faults);
 }
 
 }  // namespace
--- a/tests/cluster/consensus/shard_test.cpp
+++ b/tests/cluster/consensus/shard_test.cpp
@@ -1,5 +1,5 @@
-// Shards on a simulated control group: never two leaders, and each leader starts from what the one before it
-// had.
+// Shards on a simulated control group: never two leaders, and each leader continues from its predecessor's
+// records.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -7,17 +7,17 @@
 namespace winchhall::cluster::sim {
 namespace {
 
-// What was told and acknowledged of one shard, over all nodes and lives.
+// Everything that was recovered, written and acknowledged for one shard, over all nodes and incarnations.
 //
-// Each leader has a history a key: what it found, then what it wrote. A later leader must find, for every
-// key, the predecessor's last acknowledged version or a later one of the predecessor's, and nothing from
-// before or beside.
+// Each leader has a history for each key: what it recovered, then what it wrote. Its successor must recover,
+// for every key, the predecessor's last acknowledged version or a later one of the predecessor's, and nothing
+// else.
 class ShardHistory {
  public:
   struct KeyHistory {
     std::vector<std::string> versions;  // empty text: no such record
-    std::size_t acknowledged = 0;       // index of a version that certainly lasts
-    std::size_t found_by_next = 0;
+    std::size_t acknowledged = 0;       // index of the newest acknowledged version
+    std::size_t recovered_by_next = 0;
   };
   struct Leadership {
     std::map<std::string, KeyHistory> keys;
@@ -25,19 +25,19 @@
   };
 
   void lead(std::uint64_t epoch, const std::vector<ShardEntry>& entries) {
-    std::map<std::string, std::string> found;
-    for (const ShardEntry& entry : entries) found[entry.key] = entry.value;
+    std::map<std::string, std::string> recovered;
+    for (const ShardEntry& entry : entries) recovered[entry.key] = entry.value;
     if (!leaderships_.empty()) {
       REQUIRE(epoch > leaderships_.rbegin()->first);
-      check_succession(leaderships_.rbegin()->second, found);
+      check_succession(leaderships_.rbegin()->second, recovered);
     } else {
-      REQUIRE(found.empty());
+      REQUIRE(recovered.empty());
     }
     Leadership& leadership = leaderships_[epoch];
-    for (const auto& [key, value] : found) leadership.keys[key].versions = {value};
+    for (const auto& [key, value] : recovered) leadership.keys[key].versions = {value};
   }
 
-  // Notes a write; the number of the version is for `acknowledged`.
+  // Records a write; the returned version is for `acknowledged`.
   std::size_t written(std::uint64_t epoch, const std::string& key, const std::string& value) {
     KeyHistory& history = leaderships_.at(epoch).keys[key];
     if (history.versions.empty()) history.versions = {""};
@@ -49,29 +49,29 @@
     Leadership& leadership = leaderships_.at(epoch);
     KeyHistory& history = leadership.keys.at(key);
     history.acknowledged = std::max(history.acknowledged, version);
-    if (leadership.succeeded) REQUIRE(history.found_by_next >= version);
+    if (leadership.succeeded) REQUIRE(history.recovered_by_next >= version);
   }
 
   std::size_t leaderships() const { return leaderships_.size(); }
   std::size_t acknowledgements() const { return acknowledgements_; }
 
  private:
-  void check_succession(Leadership& before, const std::map<std::string, std::string>& found) {
+  void check_succession(Leadership& before, const std::map<std::string, std::string>& recovered) {
     before.succeeded = true;
-    for (const auto& [key, value] : found) {
+    for (const auto& [key, value] : recovered) {
       CAPTURE(key, value);
       REQUIRE(before.keys.contains(key));
     }
     for (auto& [key, history] : before.keys) {
-      const auto entry = found.find(key);
-      const std::string value = entry == found.end() ? "" : entry->second;
+      const auto entry = recovered.find(key);
+      const std::string value = entry == recovered.end() ? "" : entry->second;
       const auto first = history.versions.begin() + static_cast<std::ptrdiff_t>(history.acknowledged);
       const auto version = std::find(first, history.versions.end(), value);
       CAPTURE(key, value, history.versions, history.acknowledged);
       REQUIRE(version != history.versions.end());
-      history.found_by_next = static_cast<std::size_t>(version - history.versions.begin());
-      // Removed twice: the same text may stand for a later version.
-      if (value.empty()) history.found_by_next = history.versions.size() - 1;
+      history.recovered_by_next = static_cast<std::size_t>(version - history.versions.begin());
+      // Removed twice: the empty text may be a later version.
+      if (value.empty()) history.recovered_by_next = history.versions.size() - 1;
     }
   }
 
@@ -118,7 +118,7 @@
   }
 
   // Writes or removes one of a few records, if this node leads.
-  void write_something() {
+  void write_random_records() {
     if (!leads()) return;
     Simulation& simulation = node_.simulation();
     const std::uint64_t epoch = shard_->epoch();
@@ -156,7 +156,7 @@
   return std::nullopt;
 }
 
-// Nobody acts while frozen, but a node that wakes up must not believe that it leads.
+// Nobody acts while frozen, but a node that resumes must not believe that it leads.
 void require_one_leader(Cluster& cluster) {
   std::size_t leaders = 0;
   for (std::size_t index = 0; index < cluster.size(); ++index) {
@@ -165,19 +165,19 @@
   if (leaders > 1) FAIL("two leaders at once");
 }
 
-struct Play {
+struct RunPlan {
   std::uint64_t seed = 0;
   std::size_t machines = 5;
   SimulationOptions terms;
   FaultPlan faults;
   std::int64_t duration_ms = 25000;
-  bool hunt_leaders = false;  // new leaders soon crash or are cut off
+  bool disturb_new_leaders = false;  // new leaders soon crash or are partitioned
   std::int64_t keys = 30;
   std::int64_t writes_at_once = 1;
 };
 
-// Troubles that befall a leader within its first moments.
-void hunt(Cluster& cluster, SimNode& node) {
+// Faults that hit a leader within its first moments.
+void disturb_new_leader(Cluster& cluster, SimNode& node) {
   Simulation& simulation = cluster.simulation();
   const std::size_t index = node.index();
   if (simulation.chance(0.3)) return;
@@ -196,7 +196,7 @@
   simulation.in(soon + back, [&simulation] { simulation.heal(); });
 }
 
-void play(const Play& plan) {
+void run_plan(const RunPlan& plan) {
   CAPTURE(plan.seed, plan.machines);
   ShardHistory history;
   history_of_test = &history;
@@ -206,7 +206,8 @@
   simulation.on_event([&] { require_one_leader(cluster); });
   keys_of_test = plan.keys;
   when_leading = nullptr;
-  if (plan.hunt_leaders) when_leading = [&cluster](SimNode& node) { hunt(cluster, node); };
+  if (plan.disturb_new_leaders)
+    when_leading = [&cluster](SimNode& node) { disturb_new_leader(cluster, node); };
   cluster.bootstrap();
   std::int64_t next_fault_ms = 2500;
   const std::int64_t end_ms = simulation.now_ms() + plan.duration_ms;
@@ -214,7 +215,7 @@
     for (std::size_t index = 0; index < plan.machines; ++index) {
       if (!cluster.running(index) || cluster.node(index).frozen()) continue;
       for (std::int64_t write = 0; write < plan.writes_at_once; ++write)
-        cluster.extra(index).write_something();
+        cluster.extra(index).write_random_records();
     }
     simulation.run_for(Millis(simulation.random_between(1, 60)));
     if (simulation.now_ms() < next_fault_ms) continue;
@@ -228,14 +229,14 @@
   simulation.run_for(kMaxFaultDuration);
   REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
   REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(5000)));
-  // One more leader reads what is left.
+  // One more leader recovers what is left.
   cluster.crash(*leader_of(cluster));
   REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(6000)));
   REQUIRE(history.acknowledgements() > 20);
   simulation.on_event(nullptr);
 }
 
-TEST_CASE("a lease is taken soon after the start, and again soon after its holder is gone") {
+TEST_CASE("a leader is elected soon after the start, and again soon after its crash or step-down") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     ShardHistory history;
@@ -258,7 +259,7 @@
   }
 }
 
-TEST_CASE("a lease is kept for hours without trouble") {
+TEST_CASE("a lease is kept for hours without faults") {
   ShardHistory history;
   history_of_test = &history;
   Cluster cluster(5, 5);
@@ -272,7 +273,7 @@
   CHECK(history.leaderships() == leaderships);
 }
 
-TEST_CASE("a leader that is cut off is told of its loss before anybody else can lead") {
+TEST_CASE("a partitioned leader is notified of its loss before anybody else can lead") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
     ShardHistory history;
@@ -314,7 +315,7 @@
   CHECK(simulation.now_ms() - begun_ms < 200);
 }
 
-TEST_CASE("a member that comes back gets what it missed") {
+TEST_CASE("a member that comes back gets the writes that it missed") {
   ShardHistory history;
   history_of_test = &history;
   Cluster cluster(7, 5);
@@ -332,7 +333,7 @@
   cluster.start(away);
   simulation.run_for(Millis(2000));
   REQUIRE(leader_of(cluster) == leader);
-  // With two more gone, the one that was away is needed for a majority.
+  // With two more down, the one that was away is needed for a majority.
   const std::size_t gone = (leader + 2) % 5;
   cluster.crash(gone);
   cluster.crash(leader);
@@ -341,41 +342,41 @@
   CHECK(history.leaderships() > leaderships);
 }
 
-TEST_CASE("one leader at a time, nothing acknowledged is lost: crashes, freezes, cuts, disks in trouble") {
+TEST_CASE("one leader at a time, no acknowledged write is lost: crashes, freezes, partitions, disk faults") {
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
-    Play plan;
+    RunPlan plan;
     plan.seed = seed;
     plan.machines = seed % 2 == 0 ? 5 : 3;
-    play(plan);
+    run_plan(plan);
   }
 }
 
-TEST_CASE("one leader at a time, nothing acknowledged is lost: messages lost, doubled and late") {
+TEST_CASE("one leader at a time, no acknowledged write is lost: lost, duplicated and late messages") {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Play plan;
+    RunPlan plan;
     plan.seed = seed;
     plan.terms.loss = 0.05;
     plan.terms.duplication = 0.1;
     plan.terms.late = 0.05;
-    play(plan);
+    run_plan(plan);
   }
 }
 
-TEST_CASE("one leader at a time, nothing acknowledged is lost: members lose their disks one after another") {
+TEST_CASE("one leader at a time, no acknowledged write is lost: members lose their disks one after another") {
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
-    Play plan;
+    RunPlan plan;
     plan.seed = seed;
     plan.machines = seed % 3 == 0 ? 4 : 5;
     plan.terms.duplication = 0.05;
     plan.terms.late = 0.05;
     plan.faults.wipes = true;
-    play(plan);
+    run_plan(plan);
   }
 }
 
-TEST_CASE("leaders that last for moments only: what they were told and wrote is never contradicted") {
+TEST_CASE("leaders that last for moments only: what they recovered and wrote is never contradicted") {
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
-    Play plan;
+    RunPlan plan;
     plan.seed = seed;
     plan.machines = seed % 2 == 0 ? 5 : 3;
     plan.terms.loss = seed % 3 == 0 ? 0.1 : 0;
@@ -383,10 +384,10 @@
     plan.terms.late = 0.05;
     plan.terms.late_max_us = 100000;
     plan.faults.wipes = seed % 4 == 0;
-    plan.hunt_leaders = true;
+    plan.disturb_new_leaders = true;
     plan.keys = 4;
     plan.writes_at_once = 4;
-    play(plan);
+    run_plan(plan);
   }
 }
 
--- a/tests/cluster/consensus/store_test.cpp
+++ b/tests/cluster/consensus/store_test.cpp
@@ -1,4 +1,4 @@
-// The LevelDB store, and the journal on a store that refuses.
+// The LevelDB store, and the commit queue on a store that fails.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -67,7 +67,7 @@
   return found;
 }
 
-TEST_CASE("what was committed is there after the store is opened again") {
+TEST_CASE("committed entries are there after the store is opened again") {
   const TemporaryFolder folder;
   Loop loop;
   const std::string path = folder.path("deep/data");
@@ -86,7 +86,7 @@
   CHECK(content(*store) == expected);
 }
 
-TEST_CASE("many commits end in their order") {
+TEST_CASE("commits end in the order in which they were issued") {
   const TemporaryFolder folder;
   Loop loop;
   const auto store = opened(folder.path("data"), loop);
@@ -119,7 +119,7 @@
   CHECK(found == "9");
 }
 
-TEST_CASE("a folder that can't be made is a failure of the store") {
+TEST_CASE("a folder that can't be created is a StoreFailure") {
   const TemporaryFolder folder;
   Loop loop;
   std::ofstream(folder.path("file")) << "in the way";
@@ -134,8 +134,8 @@
 }
 
 TEST_CASE(
-    "a journal writes what a refusing disk left in doubt once more, in order, before anything waiting goes "
-    "on") {
+    "a commit queue rewrites what a failing disk left in doubt, in order, before anything that waits "
+    "continues") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
     sim::Simulation simulation(seed);
--- a/tests/cluster/support/consensus_fixture.hpp
+++ b/tests/cluster/support/consensus_fixture.hpp
@@ -1,4 +1,4 @@
-// A simulated control group: machines that run a ControlGroup each, and troubles that befall them.
+// A simulated control group: machines that run a ControlGroup each, and an injector of random faults.
 #pragma once
 
 #include <memory>
@@ -27,7 +27,7 @@
   return settings;
 }
 
-// What runs on one machine. `Extra` is built beside the group and destroyed before it.
+// The program of one machine. `Extra` is what runs on top of the group: built after it, destroyed before it.
 template <typename Extra>
 struct ControlProgram {
   ControlProgram(SimNode& node, const NodeSettings& settings)
@@ -38,7 +38,7 @@
   Extra extra;
 };
 
-// Nothing beside the group.
+// Nothing on top of the group.
 struct NoExtra {
   NoExtra(SimNode&, ControlGroup&) {}
 };
@@ -59,7 +59,7 @@
   ControlGroup& group(std::size_t index) { return programs_.at(index)->group; }
   Extra& extra(std::size_t index) { return programs_.at(index)->extra; }
 
-  // From now on machines start with seeds that are up, as the operator's list has them.
+  // From now on machines start with seeds that are up, as the operators keep the list current.
   void use_fresh_seeds() { fresh_seeds_ = true; }
 
   std::size_t add_machine() {
@@ -111,7 +111,8 @@
     }
     return false;
   }
-  // True once every running machine is a member that votes and all know the same record of just these.
+  // True once every running machine votes and all know the same record, whose members are just these
+  // machines.
   bool is_stable() {
     std::size_t machines = 0;
     std::uint64_t epoch = 0;
@@ -151,7 +152,7 @@
   bool fresh_seeds_ = false;
 };
 
-// Which troubles a schedule may hold.
+// The kinds of faults that may be injected.
 struct FaultPlan {
   bool crashes = true;
   bool power_loss = true;
@@ -161,10 +162,10 @@
   bool wipes = false;  // one at a time: the next only once the machine before votes again
 };
 
-// By then every trouble is over that was begun before.
+// Every fault is over this long after it began.
 constexpr Millis kMaxFaultDuration{4000};
 
-// Brings random troubles on a cluster, and takes them away.
+// Injects random faults into a cluster, and ends them.
 template <typename Extra>
 class FaultInjector {
  public:
--- a/tests/cluster/support/long_fault_injector.hpp
+++ b/tests/cluster/support/long_fault_injector.hpp
@@ -1,5 +1,5 @@
-// Troubles that outlast every lease and every call: cuts, freezes and stalled disks of 5 to 30 s, one at a
-// time, beside short ones.
+// Faults that outlast every lease and every call: partitions, freezes and hung disks of 5 to 30 s, one at a
+// time.
 #pragma once
 
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -11,7 +11,7 @@
  public:
   explicit LongFaultInjector(ControlCluster<Extra>& cluster) : cluster_(cluster) {}
 
-  // Begins one trouble and returns when it is over.
+  // Begins one random fault and returns its duration.
   Millis one() {
     Simulation& simulation = cluster_.simulation();
     const std::size_t index = pick();
@@ -62,7 +62,7 @@
       }
     }
   }
-  // Cut off and back, again and again.
+  // Partitioned and healed, again and again.
   void flap(std::size_t index, Millis span) {
     Simulation& simulation = cluster_.simulation();
     for (Millis at{0}; at < span; at += Millis(simulation.random_between(300, 2500))) {
