--- a/src/cluster/consensus/control_group.hpp
+++ b/src/cluster/consensus/control_group.hpp
@@ -34,8 +34,8 @@
 //   - shards: records replicated by the holder of a quorum lease (leased_shard.hpp, shard_acceptor.hpp);
 //   - members: one change of the member record at a time (member_record.hpp);
 //   - newcomers: copy of the state before they vote (state_transfer.hpp).
-// Invariant: what this node answers to others is durable here, and its requests and answers carry the epoch
-// of its newest durable member record. All calls on the event loop.
+// Invariant: promises and acknowledgements are answered only once they are durable here, and requests and
+// answers carry the epoch of this node's newest durable member record. All calls on the event loop.
 class ControlGroup : private GroupContext {
  public:
   // `runtime` and `store` must outlive this object. Nothing is sent or read before `start`.
@@ -44,8 +44,8 @@
 
   // Loads the store and takes part from now on.
   void start();
-  // Before a planned shutdown: leaves the group if it can do without this member. `done` is called once,
-  // after at most `limit`.
+  // Before a planned shutdown: leaves the group if it can do without this member. `done` is called once, from
+  // within this function or later, after at most `limit`.
   void leave(Millis limit, std::function<void()> done);
   // Takes part no more. Shards that this node still leads have to be stepped down before.
   void stop();
--- a/src/cluster/consensus/register_watcher.hpp
+++ b/src/cluster/consensus/register_watcher.hpp
@@ -13,8 +13,8 @@
 
 namespace winchhall::cluster {
 
-// A value can be chosen without this node being told: the notification may be lost, or the proposer may have
-// crashed between the accept phase and the notification. So a watched register is read from a majority
+// A value can be chosen without this node being notified: the notification may be lost, or the proposer may
+// have crashed between the accept phase and the notification. So a watched register is read from a majority
 //   - after contact with a majority is regained,
 //   - if another member reports a configuration with a higher ballot,
 //   - if a value accepted here stays unresolved (not known to be chosen) for a whole refresh interval.
