--- a/tests/cluster/consensus/consensus_candidate.hpp
+++ b/tests/cluster/consensus/lease_candidate.hpp
@@ -1,4 +1,4 @@
-// Nodes that stand for the lease of one shard and do nothing else with it.
+// Nodes that are candidates for the lease of one shard and do nothing else with it.
 #pragma once
 
 #include <memory>
--- a/tests/cluster/consensus/consensus_calls.hpp
+++ b/tests/cluster/consensus/register_calls.hpp
@@ -1,4 +1,4 @@
-// Calls of a simulated control group that wait for their answers.
+// Blocking calls on a simulated control group: each runs the simulation until the answer or a time-out.
 #pragma once
 
 #include <optional>
@@ -12,12 +12,12 @@
   return cluster.simulation().run_until([&] { return cluster.is_stable(); }, limit);
 }
 
-// Appends to a register by way of one node; false: no answer in time.
-inline bool append(ControlCluster<>& cluster, std::size_t index, const std::string& mark) {
+// Appends to the test's register through one node; false: no answer in time.
+inline bool append(ControlCluster<>& cluster, std::size_t index, const std::string& marker) {
   bool ended = false;
   bool chosen = false;
   cluster.group(index).registers().update(
-      "list", [mark](const std::string& current) { return current + mark; }, Millis(3000),
+      "list", [marker](const std::string& current) { return current + marker; }, Millis(3000),
       [&](const std::optional<RegisterValue>& value) {
         ended = true;
         chosen = value.has_value();
