--- a/examples/by_hand.cpp
+++ b/examples/by_hand.cpp
@@ -10,14 +10,14 @@
 
 int main() {
   Settings settings;
-  settings.classes.push_back({.name = "search", .aim = 500, .deadline = 2000});
+  settings.classes.push_back({.name = "search", .latency_target = 500, .deadline = 2000});
   settings.max_attempts = 2;
 
   Coordinator coordinator(settings, /*seed=*/1, /*now=*/0);
   coordinator.start();  // a real broker would carry out the timers it returns
   coordinator.handle(0, ServerList{ServerList::Kind::complete, {{.server = "a"}, {.server = "b"}}});
 
-  bool whole = false;
+  bool complete = false;
   auto actions = coordinator.handle(
       1, QueryArrived{
              .query = "q", .give_up_at = 2000, .parts = {{"q/0", 0, 0.5, 40.0}, {"q/1", 0, 0.5, 20.0}}});
@@ -27,8 +27,8 @@
     std::cout << send->part << " -> " << send->server << '\n';
     for (const Action& then :
          coordinator.handle(30, AttemptEnded{.part = send->part, .server = send->server}))
-      if (const auto* answer = std::get_if<AnswerQuery>(&then)) whole = answer->whole;
+      if (const auto* answer = std::get_if<AnswerQuery>(&then)) complete = answer->complete;
   }
-  std::cout << (whole ? "answered whole\n" : "no whole answer\n");
-  return whole ? 0 : 1;
+  std::cout << (complete ? "answered whole\n" : "no whole answer\n");
+  return complete ? 0 : 1;
 }
--- a/examples/toy_leaf.cpp
+++ b/examples/toy_leaf.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/stream.hpp"
 #include "aggregator/http/frames.hpp"
 
@@ -13,14 +13,14 @@
 
 namespace {
 
-struct Side : net::Stream::Owner, std::enable_shared_from_this<Side> {
-  Side(net::Loop& l, std::set<std::shared_ptr<Side>>& a) : loop(l), all(a) {}
+struct Side : event_loop::Stream::Owner, std::enable_shared_from_this<Side> {
+  Side(event_loop::Loop& l, std::set<std::shared_ptr<Side>>& a) : loop(l), all(a) {}
   void received(std::string& in) override {
     bool bad = false;
-    while (auto frame = platform::take_frame(in, bad)) {
-      if (frame->letter == 'U') stream->write(platform::make_frame('U', "inflight=" + std::to_string(held)));
-      if (frame->letter == 'I') stream->write(platform::make_frame('I', "200"));
-      if (frame->letter != 'D') continue;
+    while (auto frame = http::take_frame(in, bad)) {
+      if (frame->message == 'U') stream->write(http::make_frame('U', "inflight=" + std::to_string(held)));
+      if (frame->message == 'I') stream->write(http::make_frame('I', "200"));
+      if (frame->message != 'D') continue;
       for (std::string rest = frame->rest; !rest.empty();) {
         std::size_t line = rest.find('\n');
         char id[200];
@@ -33,9 +33,8 @@
         ++held;
         loop.at(loop.now() + 20, [self = shared_from_this(), name = std::string(id), shard] {
           --self->held;
-          self->stream->write(
-              platform::make_frame('O', name + " 200 0 inflight=" + std::to_string(self->held) + "\n" +
-                                            "value of shard " + std::to_string(shard)));
+          self->stream->write(http::make_frame('O', name + " 200 0 inflight=" + std::to_string(self->held) +
+                                                        "\n" + "value of shard " + std::to_string(shard)));
         });
       }
     }
@@ -47,23 +46,23 @@
     all.erase(self);
     loop.destroy_later(std::move(self));
   }
-  net::Loop& loop;
+  event_loop::Loop& loop;
   std::set<std::shared_ptr<Side>>& all;
-  std::shared_ptr<net::Stream> stream;
+  std::shared_ptr<event_loop::Stream> stream;
   int held = 0;
 };
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  auto address = net::parse_address("127.0.0.1:" + std::string(argc > 1 ? argv[1] : ""));
+  auto address = event_loop::parse_address("127.0.0.1:" + std::string(argc > 1 ? argv[1] : ""));
   if (!address) return std::fprintf(stderr, "usage: toy_leaf PORT\n"), EXIT_FAILURE;
-  net::Loop loop;
+  event_loop::Loop loop;
   std::set<std::shared_ptr<Side>> sides;
-  net::Listener listener(loop, *address, [&](net::UniqueFd fd) {
+  event_loop::Listener listener(loop, *address, [&](event_loop::UniqueFd fd) {
     auto side = std::make_shared<Side>(loop, sides);
     sides.insert(side);
-    side->stream = net::Stream::adopt(loop, std::move(fd), *side);
+    side->stream = event_loop::Stream::adopt(loop, std::move(fd), *side);
   });
   std::printf("toy leaf on port %d\n", listener.port());
   std::fflush(stdout);
--- a/include/winchhall/coordinator.hpp
+++ b/include/winchhall/coordinator.hpp
@@ -19,19 +19,24 @@
 
 using Millis = double;
 
-enum class Repeat { safe, keyed, unsafe };  // may a part run twice: always; within `repeat_window`; never
+enum class Idempotency {
+  safe,
+  keyed,
+  unsafe
+};  // may a part run twice: always; within `idempotency_window`; never
 
 struct ClassSettings {
   std::string name{};
-  Repeat repeat = Repeat::safe;
-  Millis aim = 1000;          // full worth within this time of the query's arrival
-  Millis deadline = 1000;     // what a client waits in all, every try together
-  double late_worth = 0;      // share of the worth earned between aim and deadline
-  double worth = 1;           // of a whole answer, to weigh classes against each other
-  Millis repeat_window = 0;   // keyed: how long repeats are dropped, from the first attempt that may have run
+  Idempotency repeat = Idempotency::safe;
+  Millis latency_target = 1000;  // full worth within this time of the query's arrival
+  Millis deadline = 1000;        // what a client waits in all, every try together
+  double late_value = 0;         // share of the worth earned between aim and deadline
+  double value = 1;              // of a whole answer, to weigh classes against each other
+  Millis idempotency_window =
+      0;                      // keyed: how long repeats are dropped, from the first attempt that may have run
   double need = 1;            // share of weight that makes a whole answer
   double floor = 1;           // least share of weight for any answer
-  double partial_worth = 0;   // a partial answer earns this x share / need
+  double partial_value = 0;   // a partial answer earns this x share / need
   int second_step_parts = 0;  // above 0: the first answer brings a second step of so many parts
   bool operator==(const ClassSettings&) const = default;
 };
@@ -47,32 +52,32 @@
 struct Settings {
   std::vector<ClassSettings> classes{};
   std::vector<TenantSettings> tenants{};
-  double over_share_worth = 1;  // worth of a query above its tenant's share
+  double over_quota_value = 1;  // worth of a query above its tenant's share
   int brokers = 1;              // how many brokers send to the same servers
   int cells = 1;                // shard s is held by the servers of cells (s + j) mod cells, j < reach
   int reach = 1;
   Millis tick = 1;               // events may be this late
   bool list_on_request = false;  // the server list must be asked for
   bool list_watched = false;     // ... or comes on a watch that must be held all the same
-  Millis must_ask_in = 0;        // ... at least this often while there is no watch
+  Millis max_poll_interval = 0;  // ... at least this often while there is no watch
   bool may_cancel = false;
   bool may_probe = false;
   bool may_hedge = false;  // two attempts of a part at once: late parts of classes that are safe get a copy
-  bool retry_after_heard = false;
+  bool honors_retry_after = false;
   Millis max_retry_after = 0;
-  bool weights_count = false;  // a server's size says how much it takes beside others
-  int max_attempts = 1;        // per part
-  int max_open = 0;            // queries and parts held at most; 0: no limit stated
-  Millis answer_grace = 0;     // a final answer still counts this long after give_up_at
-  Millis drain_grace = 0;      // sends to a draining server must have stopped by then
-  double cold_share = 1;       // a server starts with at least this share of its capacity
-  Millis cold_time = 0;        // and is warm within this time
-  double fall_multiple = 0;    // sent more than this x its present capacity ... (0: no such rule)
-  Millis fall_time = 0;        // ... for this long, by all brokers, a cold server falls over
-  bool budget = false;         // further attempts are rationed:
-  double budget_free = 0;      // at most so many ...
-  double budget_share = 0;     // ... plus this share of queries and parts taken ...
-  Millis budget_window = 0;    // ... in any window of this length
+  bool weights_count = false;        // a server's size says how much it takes beside others
+  int max_attempts = 1;              // per part
+  int max_open = 0;                  // queries and parts held at most; 0: no limit stated
+  Millis answer_grace = 0;           // a final answer still counts this long after give_up_at
+  Millis drain_grace = 0;            // sends to a draining server must have stopped by then
+  double warm_up_initial_share = 1;  // a server starts with at least this share of its capacity
+  Millis warm_up_time = 0;           // and is warm within this time
+  double fall_multiple = 0;          // sent more than this x its present capacity ... (0: no such rule)
+  Millis fall_time = 0;              // ... for this long, by all brokers, a cold server falls over
+  bool budget = false;               // further attempts are rationed:
+  double budget_free = 0;            // at most so many ...
+  double budget_share = 0;           // ... plus this share of queries and parts taken ...
+  Millis budget_window = 0;          // ... in any window of this length
   bool reports = false;
   std::vector<ReportField> report_fields{};  // the order of values in a report
   bool operator==(const Settings&) const = default;
@@ -81,7 +86,7 @@
 // ---- Events
 // -------------------------------------------------------------------------------------------------
 
-enum class ServerState { ready, draining, gone };
+enum class ServerState { ready, draining, removed };
 
 struct ServerEntry {
   std::string server{};
@@ -93,10 +98,10 @@
 
 // How a call for the list failed.
 enum class CallEnd {
-  failed,   // somebody was there: it said no, broke off, or said nothing more
-  silent,   // no connection came up, and nothing says why
-  refused,  // the connection was refused: nobody could be asked in that moment
-  ended,    // the watch was ended in good order: all that there was to tell until then has come
+  failed,        // somebody was there: it said no, broke off, or said nothing more
+  unresponsive,  // no connection came up, and nothing says why
+  refused,       // the connection was refused: nobody could be asked in that moment
+  ended,         // the watch was ended in good order: all that there was to tell until then has come
 };
 
 // What discovery says. `complete`: servers not named are gone. `failed`: a call failed or the watch broke.
@@ -107,10 +112,10 @@
 };
 
 // The watch wrote something, if only its empty line. Where this is never told, its silence means nothing.
-struct ListHeard {};
+struct ListKeepalive {};
 
 // The service that is asked for the list is at another address; what was open to the old one is void.
-struct ListMoved {};
+struct ListServiceMoved {};
 
 struct PartSpec {
   std::string part{};
@@ -201,9 +206,9 @@
   std::vector<int> from{};  // by class: the index of before whose learned figures hold for it, or -1
 };
 
-using Event = std::variant<ServerList, SettingsChanged, ListHeard, ListMoved, QueryArrived, PartsAdded,
-                           AttemptEnded, HoldersChanged, PartsReplaced, AttemptStarted, ProbeEnded,
-                           PeerMessage, TimerFired, QueryWithdrawn>;
+using Event = std::variant<ServerList, SettingsChanged, ListKeepalive, ListServiceMoved, QueryArrived,
+                           PartsAdded, AttemptEnded, HoldersChanged, PartsReplaced, AttemptStarted,
+                           ProbeEnded, PeerMessage, TimerFired, QueryWithdrawn>;
 
 // ---- Actions
 // ------------------------------------------------------------------------------------------------
@@ -221,7 +226,7 @@
 };
 struct AnswerQuery {  // final, but for the first of two steps
   std::string query{};
-  bool whole = false;
+  bool complete = false;
 };
 struct RefuseQuery {  // final; trying again is harmless
   std::string query{};
@@ -240,7 +245,7 @@
 struct CloseIdle {
   std::string server{};
 };
-struct TellPeers {
+struct SendToPeers {
   int to = -1;  // -1: all
   std::string bytes{};
 };
@@ -253,7 +258,7 @@
 };
 
 using Action = std::variant<SendPart, CancelAttempt, AnswerQuery, RefuseQuery, FailQuery, SendProbe,
-                            WatchList, FetchList, CloseIdle, TellPeers, SetTimer, LogLine>;
+                            WatchList, FetchList, CloseIdle, SendToPeers, SetTimer, LogLine>;
 
 // -------------------------------------------------------------------------------------------------------------
 
--- a/include/winchhall/estimate.hpp
+++ b/include/winchhall/estimate.hpp
@@ -10,16 +10,16 @@
 
 constexpr double kMeanGain = 1.0 / 8;  // smoothing of means, as in TCP's round-trip estimate (RFC 6298)
 constexpr double kDevGain = 1.0 / 4;   // smoothing of deviations, likewise
-constexpr Millis kFade = 2000;         // ms: what was learned over time fades e-fold in this
+constexpr Millis kDecayTime = 2000;    // ms: what was learned over time fades e-fold in this
 
-inline bool sound(double x) { return std::isfinite(x) && x >= 0; }
+inline bool is_finite_nonnegative(double x) { return std::isfinite(x) && x >= 0; }
 
 // Mean and mean deviation of what is seen, both smoothed.
 struct Estimate {
   double mean = 0, dev = 0;
   int seen = 0;
   void add(double x) {
-    if (!sound(x)) return;
+    if (!is_finite_nonnegative(x)) return;
     double off = seen++ == 0 ? x / 2 : std::abs(x - mean);
     dev += std::max(kDevGain, 1.0 / seen) * (off - dev);
     mean += std::max(kMeanGain, 1.0 / seen) * (x - mean);
@@ -31,7 +31,7 @@
 struct Recent {
   double sum = 0, weight = 0;
   Millis at = 0;
-  double left(Millis now) const { return std::exp((at - now) / kFade); }
+  double left(Millis now) const { return std::exp((at - now) / kDecayTime); }
   void add(double x, Millis now) {
     double keep = left(now);
     sum = keep * sum + x;
--- a/sim/simulation_adapter.cpp
+++ b/sim/simulation_adapter.cpp
@@ -69,39 +69,41 @@
     ClassSettings c;
     c.name = take<std::string>(row, "name", "");
     std::string repeat = take<std::string>(row, "semantics", "free");
-    c.repeat = repeat == "free" ? Repeat::safe : repeat == "guarded" ? Repeat::keyed : Repeat::unsafe;
-    c.aim = take(row, "objective", c.aim);
-    c.deadline = take(row, "hard_limit", c.aim);
-    c.late_worth = take(row, "late_share", 0.0);
-    c.worth = take(row, "gain", 1.0);
-    c.repeat_window = take(row, "window", 0.0);
+    c.repeat = repeat == "free"      ? Idempotency::safe
+               : repeat == "guarded" ? Idempotency::keyed
+                                     : Idempotency::unsafe;
+    c.latency_target = take(row, "objective", c.latency_target);
+    c.deadline = take(row, "hard_limit", c.latency_target);
+    c.late_value = take(row, "late_share", 0.0);
+    c.value = take(row, "gain", 1.0);
+    c.idempotency_window = take(row, "window", 0.0);
     c.need = pick(extra, "need_by_class", i, 1.0);
     c.floor = pick(extra, "floor_by_class", i, c.need);
-    c.partial_worth = pick(extra, "partial_earns", i, 0.0);
+    c.partial_value = pick(extra, "partial_earns", i, 0.0);
     c.second_step_parts = pick(extra, "second_step", i, 0);
     s.classes.push_back(c);
     ++i;
   }
   for (const json& row : setup.value("tenants", json::array()))
     s.tenants.push_back({take<std::string>(row, "name", ""), take(row, "quota_per_s", 0.0)});
-  s.over_share_worth = take(setup, "over_share_worth", 1.0);
+  s.over_quota_value = take(setup, "over_share_worth", 1.0);
   s.brokers = take(setup, "balancers", 1);
   s.cells = take(extra, "positions", 1);
   s.reach = take(extra, "reach", 1);
   s.tick = take(setup, "tick", 1.0);
   s.list_on_request = take<std::string>(setup, "membership_mode", "pushed") == "on_request";
-  s.must_ask_in = take(rules, "must_ask_in", 0.0);
+  s.max_poll_interval = take(rules, "must_ask_in", 0.0);
   s.may_cancel = take(allow, "cancel", false);
   s.may_probe = take(allow, "probes", false);
   s.may_hedge = take(allow, "second_copies", false);
-  s.retry_after_heard = take(allow, "retry_after", false);
+  s.honors_retry_after = take(allow, "retry_after", false);
   s.max_retry_after = take(allow, "max_retry_after", 0.0);
   s.max_attempts = take(allow, "max_attempts", 1);
   s.max_open = take(allow, "max_open", 0);
   s.answer_grace = take(rules, "grace_to_answer", 0.0);
   s.drain_grace = take(rules, "drain_grace", 0.0);
-  s.cold_share = take(rules, "cold_from", 1.0);
-  s.cold_time = take(rules, "cold", 0.0);
+  s.warm_up_initial_share = take(rules, "cold_from", 1.0);
+  s.warm_up_time = take(rules, "cold", 0.0);
   s.fall_multiple = take(rules, "fall_multiple", 0.0);
   s.fall_time = take(rules, "fall", 0.0);
   s.budget_window = take(rules, "resend_span", 0.0);
@@ -123,7 +125,7 @@
     e.server = at(row, 2).get<std::string>();
     std::string mode = at(row, 4).get<std::string>();
     e.state = mode == "draining" ? ServerState::draining
-              : mode == "gone"   ? ServerState::gone
+              : mode == "gone"   ? ServerState::removed
                                  : ServerState::ready;
     if (row.size() > 5 && row[5].is_number() && row[5].get<double>() != 0) e.started = row[5].get<double>();
     entries.push_back(std::move(e));
@@ -175,14 +177,14 @@
     const std::string& b;
     json operator()(const SendPart& a) { return json::array({"Send", b, a.part, a.timeout, a.server}); }
     json operator()(const CancelAttempt& a) { return json::array({"AbortAttempt", b, a.part, a.attempt}); }
-    json operator()(const AnswerQuery& a) { return json::array({"Assemble", b, a.query, a.whole}); }
+    json operator()(const AnswerQuery& a) { return json::array({"Assemble", b, a.query, a.complete}); }
     json operator()(const RefuseQuery& a) { return json::array({"Bounce", b, a.query, a.retry_after}); }
     json operator()(const FailQuery& a) { return json::array({"GiveUp", b, a.query}); }
     json operator()(const SendProbe& a) { return json::array({"Test", b, a.server}); }
     json operator()(const WatchList& a) { return json::array({"Listen", b, a.on}); }
     json operator()(const FetchList&) { return json::array({"Resolve", b}); }
     json operator()(const CloseIdle& a) { return json::array({"FreeLinks", b, a.server}); }
-    json operator()(const TellPeers& a) { return json::array({"Publish", b, a.to, to_hex(a.bytes)}); }
+    json operator()(const SendToPeers& a) { return json::array({"Publish", b, a.to, to_hex(a.bytes)}); }
     json operator()(const SetTimer& a) { return json::array({"WakeMe", b, a.at, a.tag}); }
     json operator()(const LogLine& a) { return json::array({"Trace", b, a.text}); }
   } writer{broker};
--- a/src/aggregator/admin/door.cpp
+++ b/src/aggregator/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "aggregator/admin/door.hpp"
+#include "aggregator/admin/admin_server.hpp"
 
 #include <poll.h>
 #include <sys/eventfd.h>
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <vector>
 
-namespace winchhall::door {
+namespace winchhall::admin {
 namespace {
 
 constexpr int kBacklog = 128;          // callers that wait to be let in
@@ -27,35 +27,35 @@
       .count();
 }
 
-void ring(const net::UniqueFd& bell) {
+void ring(const event_loop::UniqueFd& bell) {
   std::uint64_t one = 1;
   // It can only fail where the bell has been rung already and not been heard.
   [[maybe_unused]] ssize_t n = ::write(bell.get(), &one, sizeof one);
 }
 
-void hush(const net::UniqueFd& bell) {
+void hush(const event_loop::UniqueFd& bell) {
   std::uint64_t rung = 0;
   [[maybe_unused]] ssize_t n = ::read(bell.get(), &rung, sizeof rung);
 }
 
-net::UniqueFd bell() {
-  net::UniqueFd fd(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
+event_loop::UniqueFd bell() {
+  event_loop::UniqueFd fd(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
   if (!fd) throw std::system_error(errno, std::generic_category(), "eventfd");
   return fd;
 }
 
 }  // namespace
 
-struct Door::Caller {
+struct AdminServer::Caller {
   std::uint64_t number = 0;
-  net::UniqueFd fd;
+  event_loop::UniqueFd fd;
   double since = 0;  // of the state it is in
   enum class State { speaking, waiting, closing } state = State::speaking;
-  Call call = Call::ready;
+  Command command = Command::ready;
   std::string in{};
 
-  void say(const Answer& answer) {
-    std::string line = answer.line();
+  void say(const Reply& reply) {
+    std::string line = reply.line();
     // A line fits into the socket's buffer: nobody has written to it before.
     [[maybe_unused]] ssize_t n = ::send(fd.get(), line.data(), line.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     ::shutdown(fd.get(), SHUT_WR);
@@ -64,12 +64,13 @@
   }
 };
 
-Door::Door(net::Loop& loop, const sockaddr_in& address, std::function<Answer(Call)> obey)
+AdminServer::AdminServer(event_loop::Loop& loop, const sockaddr_in& address,
+                         std::function<Reply(Command)> handle_command)
     : loop_(loop),
-      obey_(std::move(obey)),
+      handle_command_(std::move(handle_command)),
       listener_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
       to_loop_(bell()),
-      to_door_(bell()) {
+      to_admin_thread_(bell()) {
   int on = 1;
   sockaddr_in bound = address;
   socklen_t size = sizeof bound;
@@ -83,29 +84,29 @@
   thread_ = std::thread([this] { work(); });
 }
 
-Door::~Door() {
+AdminServer::~AdminServer() {
   ending_.store(true);
-  ring(to_door_);
+  ring(to_admin_thread_);
   thread_.join();
   loop_.remove(to_loop_.get());
 }
 
 // On the loop: carries out what was called for.
-void Door::deliver() {
+void AdminServer::deliver() {
   hush(to_loop_);
   bool any = false;
-  for (Asked a; asked_.try_dequeue(a); any = true)
+  for (PendingCommand a; commands_.try_dequeue(a); any = true)
     // A ring that is full drops the answer and not the order: the door has its own for a loop that says
     // nothing.
-    told_.try_enqueue({a.caller, obey_(a.call)});
-  if (any) ring(to_door_);
+    replies_.try_enqueue({a.caller, handle_command_(a.command)});
+  if (any) ring(to_admin_thread_);
 }
 
-void Door::work() {
+void AdminServer::work() {
   std::list<Caller> callers;
   std::uint64_t next = 1;
   while (!ending_.load()) {
-    std::vector<pollfd> polled{{to_door_.get(), POLLIN, 0}, {listener_.get(), POLLIN, 0}};
+    std::vector<pollfd> polled{{to_admin_thread_.get(), POLLIN, 0}, {listener_.get(), POLLIN, 0}};
     double now = now_ms(), wait = 60000;
     for (const Caller& c : callers) {
       double limit = c.state == Caller::State::speaking  ? kHold
@@ -116,7 +117,7 @@
     }
     ::poll(polled.data(), polled.size(), static_cast<int>(std::clamp(wait + 1, 0.0, 60000.0)));
     now = now_ms();
-    if (polled[0].revents) hush(to_door_);
+    if (polled[0].revents) hush(to_admin_thread_);
 
     std::size_t i = 2;
     for (Caller& c : callers) {
@@ -130,44 +131,44 @@
         continue;
       }
       if (n > 0) c.in.append(buffer, static_cast<std::size_t>(n));
-      Heard heard = hear(c.in, n <= 0);
+      ParsedLine heard = parse_line(c.in, n <= 0);
       if (!heard.why.empty()) c.say({false, heard.why});
-      if (!heard.call) continue;
-      c.call = *heard.call;
+      if (!heard.command) continue;
+      c.command = *heard.command;
       c.state = Caller::State::waiting;
       c.since = now;
-      if (!asked_.try_enqueue({c.number, c.call})) c.say({false, "busy: too many calls at once"});
+      if (!commands_.try_enqueue({c.number, c.command})) c.say({false, "busy: too many calls at once"});
       ring(to_loop_);
     }
-    for (Told t; told_.try_dequeue(t);)
+    for (PendingReply t; replies_.try_dequeue(t);)
       for (Caller& c : callers)
-        if (c.number == t.caller && c.state == Caller::State::waiting) c.say(t.answer);
+        if (c.number == t.caller && c.state == Caller::State::waiting) c.say(t.reply);
     for (Caller& c : callers) {
       if (c.state == Caller::State::speaking && now >= c.since + kHold)
         c.say({false, "no whole line in time"});
       // Guards against a loop that is held up: an order is carried out when it comes to it, and /ready is as
       // it was.
       if (c.state == Caller::State::waiting && now >= c.since + kAnswerWithin) {
-        bool yes = c.call != Call::ready || serving_.load(std::memory_order_relaxed);
-        c.say({yes, c.call == Call::ready ? "as last told" : "ordered, not yet carried out"});
+        bool yes = c.command != Command::ready || serving_.load(std::memory_order_relaxed);
+        c.say({yes, c.command == Command::ready ? "as last told" : "ordered, not yet carried out"});
       }
     }
     callers.remove_if(
         [&](const Caller& c) { return c.state == Caller::State::closing && now >= c.since + kClosing; });
 
     while (polled[1].revents) {
-      net::UniqueFd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+      event_loop::UniqueFd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (!fd) break;
       // Guards against callers that hold every place and say nothing: the one that has stood there for
       // longest without a whole line goes, and those whose answer is out before it.
       if (callers.size() >= kCallersMost) {
-        auto worth = [](const Caller& c) {
+        auto value = [](const Caller& c) {
           return c.state == Caller::State::closing ? 2 : c.state == Caller::State::speaking ? 1 : 0;
         };
         auto out = std::max_element(callers.begin(), callers.end(), [&](const Caller& a, const Caller& b) {
-          return worth(a) != worth(b) ? worth(a) < worth(b) : a.since > b.since;
+          return value(a) != value(b) ? value(a) < value(b) : a.since > b.since;
         });
-        if (worth(*out) == 0) continue;  // all wait for the loop: this one goes
+        if (value(*out) == 0) continue;  // all wait for the loop: this one goes
         if (out->state == Caller::State::speaking) out->say({false, "busy: others call"});
         callers.erase(out);
       }
@@ -176,4 +177,4 @@
   }
 }
 
-}  // namespace winchhall::door
+}  // namespace winchhall::admin
--- a/src/aggregator/admin/door.hpp
+++ b/src/aggregator/admin/admin_server.hpp
@@ -10,20 +10,21 @@
 #include <functional>
 #include <thread>
 
-#include "aggregator/admin/words.hpp"
+#include "aggregator/admin/admin_protocol.hpp"
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/fd.hpp"
-#include "aggregator/event_loop/loop.hpp"
 
-namespace winchhall::door {
+namespace winchhall::admin {
 
-class Door {
+class AdminServer {
  public:
   // `obey` runs on the loop. `spare` answers `ready` where the loop has no time for it: it reads what the
   // loop told last by serving(). Throws std::system_error if the address cannot be had.
-  Door(net::Loop& loop, const sockaddr_in& address, std::function<Answer(Call)> obey);
-  ~Door();
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  AdminServer(event_loop::Loop& loop, const sockaddr_in& address,
+              std::function<Reply(Command)> handle_command);
+  ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
 
   void serving(bool yes) { serving_.store(yes, std::memory_order_relaxed); }
   int port() const { return port_; }
@@ -32,26 +33,26 @@
       24;  // connections at once, out of descriptors set aside for them
 
  private:
-  struct Asked {
+  struct PendingCommand {
     std::uint64_t caller = 0;
-    Call call = Call::ready;
+    Command command = Command::ready;
   };
-  struct Told {
+  struct PendingReply {
     std::uint64_t caller = 0;
-    Answer answer{};
+    Reply reply{};
   };
   struct Caller;
   void work();
   void deliver();
 
-  net::Loop& loop_;
-  std::function<Answer(Call)> obey_;
-  net::UniqueFd listener_, to_loop_, to_door_;
-  moodycamel::ReaderWriterQueue<Asked> asked_{kCallersMost};
-  moodycamel::ReaderWriterQueue<Told> told_{kCallersMost};
+  event_loop::Loop& loop_;
+  std::function<Reply(Command)> handle_command_;
+  event_loop::UniqueFd listener_, to_loop_, to_admin_thread_;
+  moodycamel::ReaderWriterQueue<PendingCommand> commands_{kCallersMost};
+  moodycamel::ReaderWriterQueue<PendingReply> replies_{kCallersMost};
   std::atomic<bool> serving_{false}, ending_{false};
   int port_ = 0;
   std::thread thread_;
 };
 
-}  // namespace winchhall::door
+}  // namespace winchhall::admin
--- a/src/aggregator/app/check_files.cpp
+++ b/src/aggregator/app/check_files.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 
 #include "aggregator/app/config.hpp"
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 
 namespace winchhall::app {
 namespace {
@@ -78,7 +78,7 @@
   std::string what;
   if (from.contains("ranges")) {
     c.kind = "map of ranges";
-    if (auto update = platform::read_update(text, what))
+    if (auto update = http::read_update(text, what))
       ranges::RangeMap::build(update->revision, std::move(update->ranges), what);
   } else if (from.contains("settings")) {
     c.kind = "configuration";
--- a/src/aggregator/app/command_line.cpp
+++ b/src/aggregator/app/command_line.cpp
@@ -6,10 +6,10 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "aggregator/app/beside.hpp"
 #include "aggregator/app/check_files.hpp"
 #include "aggregator/app/control_command.hpp"
 #include "aggregator/app/files_command.hpp"
+#include "aggregator/app/program_path.hpp"
 #include "aggregator/app/ranges_command.hpp"
 
 namespace winchhall::app {
@@ -50,7 +50,7 @@
   if (!config.empty()) setenv("LB_CONFIG", config.c_str(), 1);
   if (!operator_file.empty()) setenv("WINCHHALL_OPERATOR", operator_file.c_str(), 1);
   if (!level.empty()) setenv("WINCHHALL_LOG", level.c_str(), 1);
-  std::string program = beside_program("winchhall-aggregator");
+  std::string program = path_next_to_program("winchhall-aggregator");
   execl(program.c_str(), program.c_str(), nullptr);
   throw std::runtime_error("no winchhall-aggregator beside this program");
 }
@@ -132,13 +132,13 @@
   try {
     app.parse(argc, argv);
     if (serving->parsed()) return become_server(config, operator_file, level);
-    if (control->parsed()) return call_door(at.empty() ? control_address() : at, call, json);
+    if (control->parsed()) return call_admin_server(at.empty() ? control_address() : at, call, json);
     if (checking->parsed()) return check(files);
     if (files_checking->parsed()) return check_folder(files_check);
     if (files_status->parsed()) return show_store(store, false, files_check.json);
     if (files_history->parsed()) return show_store(store, true, files_check.json);
-    if (files_accept->parsed()) return leave_word(store, "accept", digest);
-    if (files_rollback->parsed()) return leave_word(store, "rollback", digest);
+    if (files_accept->parsed()) return submit_command(store, "accept", digest);
+    if (files_rollback->parsed()) return submit_command(store, "rollback", digest);
     if (files_diff->parsed()) return diff_folders(files_check.folder, other_folder);
     if (show->parsed()) {
       auto span = within.empty() ? std::optional(ranges::Span{0, ranges::kKeyEnd}) : parse_span(within);
--- a/src/aggregator/app/config.cpp
+++ b/src/aggregator/app/config.cpp
@@ -12,7 +12,7 @@
 
 #include "aggregator/app/settings_check.hpp"
 #include "aggregator/event_loop/stream.hpp"
-#include "aggregator/membership/members.hpp"
+#include "aggregator/membership/member_list.hpp"
 
 namespace winchhall::app {
 namespace {
@@ -82,21 +82,23 @@
     ClassSettings c;
     c.name = text(row, "name");
     std::string semantics = text(row, "semantics", "free");
-    c.repeat = semantics == "free" ? Repeat::safe : semantics == "guarded" ? Repeat::keyed : Repeat::unsafe;
-    c.aim = number(row, "objective", c.aim);
-    c.deadline = number(row, "hard_limit", c.aim);
-    c.late_worth = number(row, "late_share", 0);
-    c.worth = number(row, "gain", 1);
-    c.repeat_window = number(row, "window", 0);
+    c.repeat = semantics == "free"      ? Idempotency::safe
+               : semantics == "guarded" ? Idempotency::keyed
+                                        : Idempotency::unsafe;
+    c.latency_target = number(row, "objective", c.latency_target);
+    c.deadline = number(row, "hard_limit", c.latency_target);
+    c.late_value = number(row, "late_share", 0);
+    c.value = number(row, "gain", 1);
+    c.idempotency_window = number(row, "window", 0);
     c.need = nth(list(extra, "need_by_class"), i, 1);
     c.floor = nth(list(extra, "floor_by_class"), i, c.need);
-    c.partial_worth = nth(list(extra, "partial_earns"), i, 0);
+    c.partial_value = nth(list(extra, "partial_earns"), i, 0);
     s.classes.push_back(c);
   }
   if (s.classes.empty()) throw std::runtime_error("settings name no class of query");
   for (const json& row : list(from, "tenants"))
     s.tenants.push_back({text(row, "name"), number(row, "quota_per_s", 0)});
-  s.over_share_worth = number(from, "over_share_worth", 1);
+  s.over_quota_value = number(from, "over_share_worth", 1);
   s.brokers = whole(from, "balancers", 1);
   s.tick = number(from, "tick", 1);
   s.list_on_request = text(from, "membership_mode", "pushed") == "on_request";
@@ -106,15 +108,15 @@
   s.may_cancel = flag(permits, "cancel");
   s.may_probe = flag(permits, "probes");
   s.may_hedge = flag(permits, "second_copies");
-  s.retry_after_heard = flag(permits, "retry_after");
+  s.honors_retry_after = flag(permits, "retry_after");
   s.max_retry_after = number(permits, "max_retry_after", 0);
   s.max_attempts = whole(permits, "max_attempts", 1);
   s.max_open = whole(permits, "max_open", 0);
-  s.must_ask_in = number(rules, "must_ask_in", 0);
+  s.max_poll_interval = number(rules, "must_ask_in", 0);
   s.answer_grace = number(rules, "grace_to_answer", 0);
   s.drain_grace = number(rules, "drain_grace", 0);
-  s.cold_share = number(rules, "cold_from", 1);
-  s.cold_time = number(rules, "cold", 0);
+  s.warm_up_initial_share = number(rules, "cold_from", 1);
+  s.warm_up_time = number(rules, "cold", 0);
   s.fall_multiple = number(rules, "fall_multiple", 0);
   s.fall_time = number(rules, "fall", 0);
   s.budget_window = number(rules, "resend_span", 0);
@@ -131,7 +133,7 @@
   if (!holds) throw std::runtime_error(std::string("the configuration's ") + what);
 }
 
-bool is_address(const std::string& text) { return net::parse_address(text).has_value(); }
+bool is_address(const std::string& text) { return event_loop::parse_address(text).has_value(); }
 
 // What no aggregator can run on, found before any of it is used.
 void check(const Config& c) {
@@ -143,7 +145,7 @@
   require(c.conn_idle > 0 && c.connect_timeout > 0, "times for connections are of no use");
   for (const ClassSettings& k : c.settings.classes) {
     require(!k.name.empty(), "settings have a class without a name");
-    require(k.aim > 0 && k.deadline > 0, "settings have a class without time");
+    require(k.latency_target > 0 && k.deadline > 0, "settings have a class without time");
     require(k.need > 0 && k.need <= 1 && k.floor > 0 && k.floor <= k.need, "least shares are of no use");
   }
 }
@@ -178,7 +180,7 @@
   c.seed = read_seed(from);
   c.sockets = static_cast<std::size_t>(std::max(0, whole(child(from, "limits"), "sockets", 1024)));
   if (!child(from, "known").is_null()) {
-    auto known = platform::read_members(child(from, "known").dump());
+    auto known = http::read_members(child(from, "known").dump());
     c.known_read = known.has_value();
     if (known) {
       c.known = known->members;
@@ -241,7 +243,7 @@
 
 void ConfigFile::reload() {
   std::string all = read_file(path_);
-  if (std::string wrong = unfit_to_replace(text_, all); !wrong.empty())
+  if (std::string wrong = incompatible_setting(text_, all); !wrong.empty())
     throw std::runtime_error(path_ + ": " + wrong);
   Config fresh = parse_config(all);
   if (!fresh.known_read) throw std::runtime_error(path_ + ": 'known' is no list");
--- a/src/aggregator/app/config.hpp
+++ b/src/aggregator/app/config.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "aggregator/app/operator_file.hpp"
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
 namespace winchhall::app {
 
@@ -15,7 +15,7 @@
   std::string control{};  // the operators' door; empty: none
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
-  std::vector<core::Member> known{};
+  std::vector<coordination::Member> known{};
   long long known_revision = 0;
   bool known_read = true;  // false: the file's last list cannot be read
   winchhall::Settings settings{};
--- a/src/aggregator/app/control_command.hpp
+++ b/src/aggregator/app/control_command.hpp
@@ -10,6 +10,6 @@
 
 // Calls, prints the answer, and is 0 for ACK, 1 for NAK. Throws std::runtime_error where no answer comes in
 // time.
-int call_door(const std::string& at, const std::string& word, bool json);
+int call_admin_server(const std::string& at, const std::string& word, bool json);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/lifecycle.cpp
+++ b/src/aggregator/app/lifecycle.cpp
@@ -4,82 +4,82 @@
 namespace {
 
 // What an order does in a phase.
-enum class Move : char {
-  none,         // nothing, and that is right: ACK
-  no,           // refused: NAK
-  away,         // -> Draining
-  back,         // -> where it would be had it never been sent away
-  leave,        // -> Leaving
-  able,         // notes that it can serve, -> Ready or HandingOver where it waited for that
-  predecessor,  // notes that another serves, -> TakingOver where it had not served yet
-  successor,    // notes that a later one serves, -> HandingOver where it serves
-  alone,        // notes that no other is left, -> Ready where it handed over, Starting where it took over
-  stop,         // -> Stopped
+enum class Transition : char {
+  none,                 // nothing, and that is right: ACK
+  no,                   // refused: NAK
+  drain,                // -> Draining
+  resume,               // -> where it would be had it never been sent away
+  leave,                // -> Leaving
+  endpoints_available,  // notes that it can serve, -> Ready or HandingOver where it waited for that
+  predecessor,          // notes that another serves, -> TakingOver where it had not served yet
+  successor,            // notes that a later one serves, -> HandingOver where it serves
+  alone,  // notes that no other is left, -> Ready where it handed over, Starting where it took over
+  stop,   // -> Stopped
 };
 
 struct Cell {
-  Move move;
-  const char* word;
+  Transition transition;
+  const char* message;
 };
 
-constexpr Cell kTable[kPhases][kOrders] = {
+constexpr Cell kTable[kPhases][kLifecycleEvents] = {
     // drain, resume, terminate, able, predecessor, successor, alone, emptied
-    {{Move::away, "sent away before it served"},
-     {Move::none, "starting"},
-     {Move::leave, "leaving"},
-     {Move::able, "able"},
-     {Move::predecessor, "another serves"},
-     {Move::successor, "a later one serves"},
-     {Move::alone, "alone"},
-     {Move::none, "starting"}},
-    {{Move::away, "sent away before it served"},
-     {Move::none, "taking over"},
-     {Move::leave, "leaving"},
-     {Move::able, "able"},
-     {Move::predecessor, "another serves"},
-     {Move::successor, "a later one serves"},
-     {Move::alone, "alone"},
-     {Move::none, "taking over"}},
-    {{Move::away, "sending clients away"},
-     {Move::none, "serving"},
-     {Move::leave, "leaving"},
-     {Move::able, "serving"},
-     {Move::predecessor, "another serves"},
-     {Move::successor, "a later one serves"},
-     {Move::alone, "alone"},
-     {Move::none, "serving"}},
-    {{Move::away, "sending clients away"},
-     {Move::none, "serving"},
-     {Move::leave, "leaving"},
-     {Move::able, "serving"},
-     {Move::predecessor, "another serves"},
-     {Move::successor, "a later one serves"},
-     {Move::alone, "alone"},
-     {Move::none, "serving"}},
-    {{Move::none, "sending clients away"},
-     {Move::back, "back to work"},
-     {Move::leave, "leaving"},
-     {Move::able, "able"},
-     {Move::predecessor, "another serves"},
-     {Move::successor, "a later one serves"},
-     {Move::alone, "alone"},
-     {Move::none, "empty"}},
-    {{Move::none, "leaving"},
-     {Move::no, "leaving for good"},
-     {Move::none, "leaving"},
-     {Move::none, "leaving"},
-     {Move::none, "leaving"},
-     {Move::none, "leaving"},
-     {Move::none, "leaving"},
-     {Move::stop, "stopped"}},
-    {{Move::none, "stopped"},
-     {Move::no, "stopped"},
-     {Move::none, "stopped"},
-     {Move::none, "stopped"},
-     {Move::none, "stopped"},
-     {Move::none, "stopped"},
-     {Move::none, "stopped"},
-     {Move::none, "stopped"}},
+    {{Transition::drain, "sent away before it served"},
+     {Transition::none, "starting"},
+     {Transition::leave, "leaving"},
+     {Transition::endpoints_available, "able"},
+     {Transition::predecessor, "another serves"},
+     {Transition::successor, "a later one serves"},
+     {Transition::alone, "alone"},
+     {Transition::none, "starting"}},
+    {{Transition::drain, "sent away before it served"},
+     {Transition::none, "taking over"},
+     {Transition::leave, "leaving"},
+     {Transition::endpoints_available, "able"},
+     {Transition::predecessor, "another serves"},
+     {Transition::successor, "a later one serves"},
+     {Transition::alone, "alone"},
+     {Transition::none, "taking over"}},
+    {{Transition::drain, "sending clients away"},
+     {Transition::none, "serving"},
+     {Transition::leave, "leaving"},
+     {Transition::endpoints_available, "serving"},
+     {Transition::predecessor, "another serves"},
+     {Transition::successor, "a later one serves"},
+     {Transition::alone, "alone"},
+     {Transition::none, "serving"}},
+    {{Transition::drain, "sending clients away"},
+     {Transition::none, "serving"},
+     {Transition::leave, "leaving"},
+     {Transition::endpoints_available, "serving"},
+     {Transition::predecessor, "another serves"},
+     {Transition::successor, "a later one serves"},
+     {Transition::alone, "alone"},
+     {Transition::none, "serving"}},
+    {{Transition::none, "sending clients away"},
+     {Transition::resume, "back to work"},
+     {Transition::leave, "leaving"},
+     {Transition::endpoints_available, "able"},
+     {Transition::predecessor, "another serves"},
+     {Transition::successor, "a later one serves"},
+     {Transition::alone, "alone"},
+     {Transition::none, "empty"}},
+    {{Transition::none, "leaving"},
+     {Transition::no, "leaving for good"},
+     {Transition::none, "leaving"},
+     {Transition::none, "leaving"},
+     {Transition::none, "leaving"},
+     {Transition::none, "leaving"},
+     {Transition::none, "leaving"},
+     {Transition::stop, "stopped"}},
+    {{Transition::none, "stopped"},
+     {Transition::no, "stopped"},
+     {Transition::none, "stopped"},
+     {Transition::none, "stopped"},
+     {Transition::none, "stopped"},
+     {Transition::none, "stopped"},
+     {Transition::none, "stopped"},
+     {Transition::none, "stopped"}},
 };
 
 }  // namespace
@@ -90,49 +90,50 @@
   return kNames[static_cast<int>(phase)];
 }
 
-Lifecycle::Result Lifecycle::give(Order order, Millis now) {
+Lifecycle::Result Lifecycle::give(LifecycleEvent order, Millis now) {
   const Cell& cell = kTable[static_cast<int>(phase_)][static_cast<int>(order)];
   Phase before = phase_;
-  bool away = phase_ == Phase::Draining;
-  switch (cell.move) {
-    case Move::none:
-    case Move::no:
+  bool drain = phase_ == Phase::Draining;
+  switch (cell.transition) {
+    case Transition::none:
+    case Transition::no:
       break;
-    case Move::away:
+    case Transition::drain:
       phase_ = Phase::Draining;
-      away_since_ = now;
+      draining_since_ = now;
       break;
-    case Move::leave:
+    case Transition::leave:
       // Who was sent away before goes on counting from then.
-      if (!away) away_since_ = now;
+      if (!drain) draining_since_ = now;
       phase_ = Phase::Leaving;
       break;
-    case Move::stop:
+    case Transition::stop:
       phase_ = Phase::Stopped;
       break;
-    case Move::able:
-      able_ = true;
+    case Transition::endpoints_available:
+      endpoints_available_ = true;
       break;
-    case Move::predecessor:
-      elder_ = true;
+    case Transition::predecessor:
+      has_predecessor_ = true;
       break;
-    case Move::successor:
-      heir_ = true;
+    case Transition::successor:
+      has_successor_ = true;
       break;
-    case Move::alone:
-      elder_ = heir_ = false;
+    case Transition::alone:
+      has_predecessor_ = has_successor_ = false;
       break;
-    case Move::back:
-      away = false;
+    case Transition::resume:
+      drain = false;
       break;
   }
-  bool notes = cell.move == Move::able || cell.move == Move::predecessor || cell.move == Move::successor ||
-               cell.move == Move::alone || cell.move == Move::back;
-  if (notes && !away)
-    phase_ = able_    ? (heir_ ? Phase::HandingOver : Phase::Ready)
-             : elder_ ? Phase::TakingOver
-                      : Phase::Starting;
-  return {cell.move != Move::no, cell.word, phase_ != before};
+  bool notes = cell.transition == Transition::endpoints_available ||
+               cell.transition == Transition::predecessor || cell.transition == Transition::successor ||
+               cell.transition == Transition::alone || cell.transition == Transition::resume;
+  if (notes && !drain)
+    phase_ = endpoints_available_ ? (has_successor_ ? Phase::HandingOver : Phase::Ready)
+             : has_predecessor_   ? Phase::TakingOver
+                                  : Phase::Starting;
+  return {cell.transition != Transition::no, cell.message, phase_ != before};
 }
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/main.cpp
+++ b/src/aggregator/app/main.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <exception>
 
-#include "aggregator/app/beside.hpp"
+#include "aggregator/app/program_path.hpp"
 #include "aggregator/app/serve.hpp"
 
 int main(int argc, char** argv) {
@@ -15,7 +15,7 @@
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   if (const char* level = std::getenv("WINCHHALL_LOG")) spdlog::set_level(spdlog::level::from_str(level));
   if (argc > 1) {
-    execv(app::beside_program("winchhall-tool").c_str(), argv);
+    execv(app::path_next_to_program("winchhall-tool").c_str(), argv);
     spdlog::critical("no winchhall-tool beside this program, which has its commands");
     return EXIT_FAILURE;
   }
--- a/src/aggregator/app/module.cpp
+++ b/src/aggregator/app/module_loader.cpp
@@ -1,16 +1,16 @@
-#include "aggregator/app/module.hpp"
+#include "aggregator/app/module_loader.hpp"
 
 #include <dlfcn.h>
 
-#include "aggregator/app/beside.hpp"
+#include "aggregator/app/program_path.hpp"
 
 namespace winchhall::app {
 
-void* symbol_beside(const char* module, const char* function, std::string& why) {
+void* load_module_symbol(const char* module, const char* function, std::string& why) {
   std::string name = module;
   for (const std::string& path :
-       {beside_program(module), beside_program(("../lib/winchhall/" + name).c_str()),
-        beside_program(("../" + name).c_str())}) {
+       {path_next_to_program(module), path_next_to_program(("../lib/winchhall/" + name).c_str()),
+        path_next_to_program(("../" + name).c_str())}) {
     void* loaded = dlopen(path.c_str(), RTLD_NOW | RTLD_LOCAL);
     if (!loaded) {
       why = dlerror();
--- a/src/aggregator/app/module.hpp
+++ b/src/aggregator/app/module_loader.hpp
@@ -7,6 +7,6 @@
 
 // The function of that name in a module beside the program, in the build tree or an installation. Null, and
 // why. A module stays for the life of the program: its libraries have global state of their own.
-void* symbol_beside(const char* module, const char* function, std::string& why);
+void* load_module_symbol(const char* module, const char* function, std::string& why);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/operator_file.cpp
+++ b/src/aggregator/app/operator_file.cpp
@@ -1,13 +1,13 @@
 #include "aggregator/app/operator_file.hpp"
 
-#include "aggregator/app/module.hpp"
+#include "aggregator/app/module_loader.hpp"
 
 namespace winchhall::app {
 namespace {
 
 template <class Function>
 Function find(const char* name, std::string& why) {
-  return reinterpret_cast<Function>(symbol_beside("winchhall_operator.so", name, why));
+  return reinterpret_cast<Function>(load_module_symbol("winchhall_operator.so", name, why));
 }
 
 }  // namespace
@@ -21,11 +21,11 @@
   return faults;
 }
 
-void read_set(const generations::Bytes& bytes, generations::Rows& rows,
-              std::vector<generations::Fault>& faults) {
+void read_set(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
+              std::vector<dynamic_config::Fault>& faults) {
   static std::string why;
   static auto reader = find<SetReader>("winchhall_read_set", why);
-  if (!reader) return faults.push_back({generations::Kind::nodes, 0, "files cannot be read: " + why});
+  if (!reader) return faults.push_back({dynamic_config::Kind::nodes, 0, "files cannot be read: " + why});
   reader(bytes, rows, faults);
 }
 
--- a/src/aggregator/app/operator_file.hpp
+++ b/src/aggregator/app/operator_file.hpp
@@ -53,13 +53,13 @@
 std::vector<Fault> read_operator_file(const std::string& path, OperatorSettings& settings);
 
 // Reads a set of watched files: rows, and every fault of reading. May run on any thread, one at a time.
-void read_set(const generations::Bytes& bytes, generations::Rows& rows,
-              std::vector<generations::Fault>& faults);
+void read_set(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
+              std::vector<dynamic_config::Fault>& faults);
 
 // What the module offers; called through the loader only.
 using OperatorReader = void (*)(const std::string& path, OperatorSettings& settings,
                                 std::vector<Fault>& faults);
-using SetReader = void (*)(const generations::Bytes& bytes, generations::Rows& rows,
-                           std::vector<generations::Fault>& faults);
+using SetReader = void (*)(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
+                           std::vector<dynamic_config::Fault>& faults);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/beside.hpp
+++ b/src/aggregator/app/program_path.hpp
@@ -7,7 +7,7 @@
 
 namespace winchhall::app {
 
-inline std::string beside_program(const char* name) {
+inline std::string path_next_to_program(const char* name) {
   char path[4096];
   ssize_t n = readlink("/proc/self/exe", path, sizeof path);
   std::string program(path, n > 0 ? static_cast<std::size_t>(n) : 0);
--- a/src/aggregator/app/ranges_command.cpp
+++ b/src/aggregator/app/ranges_command.cpp
@@ -7,10 +7,10 @@
 #include <stdexcept>
 
 #include "aggregator/app/check_files.hpp"
-#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/stream.hpp"
 #include "aggregator/http/http.hpp"
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 #include "aggregator/ranges/follower.hpp"
 
 namespace winchhall::app {
@@ -18,19 +18,19 @@
 
 using namespace ranges;
 using nlohmann::json;
-constexpr net::Millis kPatience = 10000;  // ms for a directory to give its whole map
+constexpr event_loop::Millis kPatience = 10000;  // ms for a directory to give its whole map
 
 // Asks a directory for its map, once.
-class Question : public net::Stream::Owner {
+class Question : public event_loop::Stream::Owner {
  public:
   explicit Question(const std::string& address) : address_(address) {}
 
   RangeMap ask() {
-    auto to = net::parse_address(address_);
+    auto to = event_loop::parse_address(address_);
     int error = 0;
-    if (to) stream_ = net::Stream::connect(loop_, *to, *this, error);
+    if (to) stream_ = event_loop::Stream::connect(loop_, *to, *this, error);
     if (!stream_) throw std::runtime_error(address_ + ": no such file, and no address of a directory");
-    net::Millis end = loop_.now() + kPatience;
+    event_loop::Millis end = loop_.now() + kPatience;
     while (!over_ && follower_.map().empty() && loop_.now() < end) loop_.turn(100);
     stream_->close();
     if (!follower_.map().empty()) return follower_.map();
@@ -53,7 +53,7 @@
 
  private:
   void take() {
-    platform::HttpMessage& m = parser_.message();
+    http::HttpMessage& m = parser_.message();
     if (parser_.failed() || (parser_.head_done() && m.status != 200)) {
       fault_ = parser_.failed() ? "an answer that cannot be read" : "status " + std::to_string(m.status);
       over_ = true;
@@ -64,16 +64,16 @@
     if (parser_.done() && !m.body.empty()) line(std::exchange(m.body, {}));
   }
   void line(const std::string& text) {
-    if (platform::trim(text).empty()) return;
-    auto update = platform::read_update(text, fault_);
+    if (http::trim(text).empty()) return;
+    auto update = http::read_update(text, fault_);
     if (update && follower_.take(std::move(*update), 0) != Taken::taken) fault_ = follower_.fault();
   }
 
   std::string address_, fault_;
-  net::Loop loop_;
-  platform::HttpParser parser_{platform::HttpParser::Mode::streamed};
+  event_loop::Loop loop_;
+  http::HttpParser parser_{http::HttpParser::Mode::streamed};
   Follower follower_;
-  std::shared_ptr<net::Stream> stream_;
+  std::shared_ptr<event_loop::Stream> stream_;
   bool over_ = false;
 };
 
@@ -98,7 +98,7 @@
   std::string why;
   std::string text = read_text(source, why);
   if (!why.empty()) return Question(source).ask();
-  auto update = platform::read_update(text, why);
+  auto update = http::read_update(text, why);
   if (!update) throw std::runtime_error(source + ": " + why);
   if (!update->complete) throw std::runtime_error(source + ": changes only, a whole map is wanted");
   auto map = RangeMap::build(update->revision, std::move(update->ranges), why);
@@ -122,7 +122,7 @@
     u.ranges.push_back({p.id, p.span, p.weight, *p.holders});
     return true;
   });
-  if (as_json) return platform::write_update(u) + "\n";
+  if (as_json) return http::write_update(u) + "\n";
   std::string out = "revision " + text_of(map.revision()) + ", " + std::to_string(map.size()) + " ranges\n";
   for (const Range& r : u.ranges) out += range_text(r) + "\n";
   return out;
--- a/src/aggregator/app/settings_check.cpp
+++ b/src/aggregator/app/settings_check.cpp
@@ -68,9 +68,9 @@
   return "";
 }
 
-std::string unfit_to_replace(const std::string& old_text, const std::string& fresh_text) {
-  if (std::string fault = json_fault(fresh_text); !fault.empty()) return fault;
-  json old = json::parse(old_text, nullptr, false), fresh = json::parse(fresh_text, nullptr, false);
+std::string incompatible_setting(const std::string& old_text, const std::string& new_text) {
+  if (std::string fault = json_fault(new_text); !fault.empty()) return fault;
+  json old = json::parse(old_text, nullptr, false), fresh = json::parse(new_text, nullptr, false);
   if (std::string wrong = keys_missing(old, fresh, ""); !wrong.empty()) return wrong;
   const json none = json::object();
   const json settings = fresh.value("settings", none);
--- a/src/aggregator/app/xml/document.cpp
+++ b/src/aggregator/app/xml/document.cpp
@@ -25,7 +25,7 @@
   list->report(error->line, what);
 }
 
-void note_parse(void* context, xmlErrorPtr error) {
+void record_parse_errors(void* context, xmlErrorPtr error) {
   note(static_cast<xmlParserCtxt*>(context)->_private, error);
 }
 
@@ -43,7 +43,7 @@
     report(0, "the schema that is built in cannot be used");
     return nullptr;
   }
-  parser->sax->serror = note_parse;
+  parser->sax->serror = record_parse_errors;
   parser->_private = &list;
   Doc doc(xmlCtxtReadMemory(parser.get(), text.data(), static_cast<int>(text.size()), "", nullptr,
                             XML_PARSE_NONET | XML_PARSE_BIG_LINES | XML_PARSE_COMPACT));
--- a/src/aggregator/app/xml/operator_module.cpp
+++ b/src/aggregator/app/xml/operator_module.cpp
@@ -26,7 +26,7 @@
   auto address = [&](const Attributes& a, const char* name) {
     std::string v = a.text(name);
     // The pattern lets 999.1.1.1:70000 through; what can't be bound or reached is told here as well.
-    if (!v.empty() && !net::parse_address(v))
+    if (!v.empty() && !event_loop::parse_address(v))
       list.faults.push_back({list.path, a.line(),
                              std::string("'") + name + "' is '" + v +
                                  "', wanted is an IPv4 address and port, "
@@ -106,8 +106,9 @@
 
 // A set of watched files. The schemas' order of elements does not say which root a file must have.
 extern "C" __attribute__((visibility("default"))) void winchhall_read_set(
-    const generations::Bytes& bytes, generations::Rows& rows, std::vector<generations::Fault>& faults) {
-  using namespace generations;
+    const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
+    std::vector<dynamic_config::Fault>& faults) {
+  using namespace dynamic_config;
   static const xml::Schema schema = xml::compile(std::string_view(kFilesSchema, sizeof kFilesSchema - 1));
   if (!bytes.count(Kind::nodes)) faults.push_back({Kind::nodes, 0, "is not there"});
   for (const auto& [kind, text] : bytes) {
@@ -129,7 +130,7 @@
       Attributes a{node};
       if (of == Kind::nodes) {
         std::string address = a.text("address");
-        if (!net::parse_address(address))
+        if (!event_loop::parse_address(address))
           faults.push_back({of, a.line(), "address '" + address + "', wanted is an IPv4 address and port"});
         rows.nodes.push_back({a.text("id"), address, a.text("zone"), static_cast<long long>(a.whole("cell")),
                               a.text("state") == "draining", a.line()});
--- a/src/aggregator/coordination/class_table.hpp
+++ b/src/aggregator/coordination/class_registry.hpp
@@ -8,7 +8,7 @@
 
 #include "winchhall/coordinator.hpp"
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 
 class ClassTable {
  public:
@@ -20,7 +20,7 @@
     std::vector<winchhall::ClassSettings> classes{};  // by index; without a name: of open queries only
     std::vector<int> from{};
   };
-  Change change(const std::vector<winchhall::ClassSettings>& fresh);
+  Change change(const std::vector<winchhall::ClassSettings>& next);
 
   void opened(int index) { ++open_[static_cast<std::size_t>(index)]; }
   void closed(int index) { --open_[static_cast<std::size_t>(index)]; }
@@ -37,9 +37,9 @@
 // Rules that hold under both the old and the new settings of a class: for the time in which clients may go by
 // either.
 winchhall::ClassSettings safe_under_both(const winchhall::ClassSettings& old,
-                                         const winchhall::ClassSettings& fresh);
+                                         const winchhall::ClassSettings& next);
 // The same of whole settings. Classes that either has are there: a dropped one may still be asked for, and an
 // added one already.
-winchhall::Settings safe_under_both(const winchhall::Settings& old, const winchhall::Settings& fresh);
+winchhall::Settings safe_under_both(const winchhall::Settings& old, const winchhall::Settings& next);
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- a/src/aggregator/coordination/check.cpp
+++ b/src/aggregator/coordination/query_validation.cpp
@@ -1,10 +1,10 @@
-#include "aggregator/coordination/check.hpp"
+#include "aggregator/coordination/query_validation.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 std::string unsound(const QuerySpec& q, int shards) {
   if (!q.spans.empty()) {
     if (!q.parts.empty()) return "both parts and spans";
@@ -32,4 +32,4 @@
 
 Millis due(Millis arrived, Millis timeout) { return arrived + timeout - std::min(kWayBack, timeout / 4); }
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- a/src/aggregator/coordination/check.hpp
+++ b/src/aggregator/coordination/query_validation.hpp
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 
 constexpr std::size_t kPartsMost = 4096;  // of one query
 constexpr std::size_t kSpansMost = 1024;  // of one query: as many fit into a body
@@ -21,4 +21,4 @@
 // When the answer is due, for a client that waits `timeout` and was first heard of at `arrived`.
 Millis due(Millis arrived, Millis timeout);
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- a/src/aggregator/coordination/exchange.cpp
+++ b/src/aggregator/coordination/request_router.cpp
@@ -1,18 +1,18 @@
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <limits>
 #include <utility>
 
-#include "aggregator/coordination/check.hpp"
+#include "aggregator/coordination/query_validation.hpp"
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 
 using namespace winchhall;
 
-Exchange::Exchange(Settings settings, std::uint64_t seed, std::function<Millis()> clock,
-                   std::function<void(const std::string&)> log)
+RequestRouter::RequestRouter(Settings settings, std::uint64_t seed, std::function<Millis()> clock,
+                             std::function<void(const std::string&)> log)
     : settings_(std::move(settings)),
       clock_(std::move(clock)),
       log_(std::move(log)),
@@ -21,13 +21,13 @@
   name_figures();
 }
 
-void Exchange::attach(Carrier& carrier, MembershipSource& members, RangeSource* range_source) {
-  carrier_ = &carrier;
+void RequestRouter::attach(Transport& transport, MembershipSource& members, RangeSource* range_source) {
+  transport_ = &transport;
   members_ = &members;
   range_source_ = range_source;
 }
 
-void Exchange::start(const std::vector<Member>& known) {
+void RequestRouter::start(const std::vector<Member>& known) {
   inbox_.push_back([this] {
     for (const Action& a : coordinator_.start()) act(a);
   });
@@ -37,18 +37,18 @@
 
 // ---- Client side
 
-QueryNumber Exchange::submit(QuerySpec spec, Sink sink) {
+QueryNumber RequestRouter::submit(QuerySpec spec, CompletionCallback on_complete) {
   QueryNumber number = next_query_++;
   QueryState& q = queries_[number];
   q.arrived = clock_();
-  q.sink = std::move(sink);
+  q.on_complete = std::move(on_complete);
   q.text = std::make_shared<const std::string>(std::move(spec.text));
   q.parts.reserve(spec.parts.size());
   for (const QueryPart& p : spec.parts) q.parts.push_back({.spec = p});
   q.spec = std::move(spec);
   Figures& f = figures_for(q.spec.query_class);
   ++f.taken;
-  f.worth_asked += settings_.classes[q.spec.query_class].worth;
+  f.value_requested += settings_.classes[q.spec.query_class].value;
   ++open_;
   classes_.opened(q.spec.query_class);
   // The site's limit on what is held: one more is turned away before the module sees it.
@@ -60,8 +60,8 @@
   held_ += q.held;
   if (!why.empty()) {
     inbox_.push_back([this, number, later, why] {
-      finish(number, {.kind = later ? Verdict::Kind::refused : Verdict::Kind::unfit,
-                      .retry_after = settings_.retry_after_heard ? settings_.max_retry_after : 0,
+      finish(number, {.kind = later ? QueryResult::Kind::refused : QueryResult::Kind::invalid,
+                      .retry_after = settings_.honors_retry_after ? settings_.max_retry_after : 0,
                       .why = why});
     });
     return number;
@@ -69,7 +69,7 @@
   query_ends_.insert({q.spec.give_up_at, number});
   inbox_.push_back([this, number] {
     auto it = queries_.find(number);
-    if (it == queries_.end() || !it->second.sink) return;
+    if (it == queries_.end() || !it->second.on_complete) return;
     QueryState& state = it->second;
     state.arrived_at_module = true;
     QueryArrived e;
@@ -88,48 +88,49 @@
     }
     handle(std::move(e));
     // Guards against a map that came between planning and here: nobody would tell this query of it.
-    if (state.coverage && state.sink && state.parts[0].span->planned.revision != map_.revision())
+    if (state.coverage && state.on_complete && state.parts[0].span->planned.revision != map_.revision())
       replan(number);
   });
   return number;
 }
 
-void Exchange::withdraw(QueryNumber number) {
+void RequestRouter::withdraw(QueryNumber number) {
   inbox_.push_back([this, number] {
     auto it = queries_.find(number);
-    if (it == queries_.end() || !it->second.sink) return;
+    if (it == queries_.end() || !it->second.on_complete) return;
     ++figures_for(it->second.spec.query_class).withdrawn;
-    it->second.sink = nullptr;
+    it->second.on_complete = nullptr;
     --open_;
     held_ -= it->second.held;
     query_ends_.erase({it->second.spec.give_up_at, number});
     handle(QueryWithdrawn{std::to_string(number)});
     recall_unsent(number);
-    settle(number);
+    forget_if_finished(number);
   });
 }
 
 // ---- Server side
 
-void Exchange::attempt_ended(AttemptNumber attempt, Result result) {
+void RequestRouter::attempt_ended(AttemptNumber attempt, Result result) {
   inbox_.push_back(
       [this, attempt, r = std::move(result)]() mutable { finish_attempt(attempt, std::move(r)); });
 }
 
-void Exchange::probe_ended(const std::string& server, Outcome outcome, Millis elapsed, const Load& load) {
+void RequestRouter::probe_ended(const std::string& server, Outcome outcome, Millis elapsed,
+                                const Load& load) {
   inbox_.push_back([this, e = ProbeEnded{server, outcome, elapsed, report(load)}] { handle(e); });
 }
 
-void Exchange::list_heard() {
-  inbox_.push_back([this] { handle(ListHeard{}); });
+void RequestRouter::on_list_keepalive() {
+  inbox_.push_back([this] { handle(ListKeepalive{}); });
 }
 
-void Exchange::list_moved() {
-  inbox_.push_back([this] { handle(ListMoved{}); });
+void RequestRouter::on_list_service_moved() {
+  inbox_.push_back([this] { handle(ListServiceMoved{}); });
 }
 
-void Exchange::list(ServerList::Kind kind, const std::vector<Member>& members, CallEnd end,
-                    long long revision) {
+void RequestRouter::list(ServerList::Kind kind, const std::vector<Member>& members, CallEnd end,
+                         long long revision) {
   inbox_.push_back([this, kind, members, end, revision] {
     if (revision != 0) list_revision_ = revision;
     ServerList e{kind, {}, end};
@@ -139,25 +140,25 @@
       std::optional<Millis> started = held.entry.started;
       bool later = m.entry.started && (!started || *m.entry.started > *started);
       // Guards against writing to connections of a process that died without a sign: they stay open, silent.
-      if (!fresh && later) carrier_->retire(m.entry.server);
+      if (!fresh && later) transport_->retire(m.entry.server);
       held = m;
       if (!later) held.entry.started = started;
-      it->second.named = lists_told_;
+      it->second.named = lists_delivered_;
       e.servers.push_back(m.entry);
     }
     // Guards against a table that grows with every server there ever was. What is still out on connections to
     // one that is gone may end; nothing new goes there.
-    std::set<std::string> gone;
+    std::set<std::string> removed;
     for (const Member& m : members)
-      if (m.entry.state == ServerState::gone) gone.insert(m.entry.server);
+      if (m.entry.state == ServerState::removed) removed.insert(m.entry.server);
     if (kind == ServerList::Kind::complete || kind == ServerList::Kind::cached)
       for (const auto& [id, known] : servers_)
-        if (known.named != lists_told_) gone.insert(id);
-    for (const std::string& id : gone) {
-      carrier_->retire(id);
+        if (known.named != lists_delivered_) removed.insert(id);
+    for (const std::string& id : removed) {
+      transport_->retire(id);
       servers_.erase(id);
     }
-    ++lists_told_;
+    ++lists_delivered_;
     // Guards against a part that waits for its connection while its server begins to drain.
     std::vector<AttemptNumber> waiting;
     for (const auto& [attempt, state] : attempts_) {
@@ -170,7 +171,7 @@
   });
 }
 
-std::vector<Member> Exchange::members() const {
+std::vector<Member> RequestRouter::members() const {
   std::vector<Member> list;
   list.reserve(servers_.size());
   for (const auto& [id, known] : servers_) list.push_back(known.member);
@@ -179,7 +180,7 @@
 
 // ---- The driver
 
-void Exchange::run() {
+void RequestRouter::run() {
   if (running_) return;
   running_ = true;
   for (bool again = true; again;) {
@@ -189,7 +190,7 @@
       for (auto& event : std::exchange(inbox_, {})) event();
     while (!attempt_ends_.empty() && attempt_ends_.begin()->first <= now) {
       AttemptNumber attempt = attempt_ends_.begin()->second;
-      carrier_->abandon(attempt);
+      transport_->abandon(attempt);
       finish_attempt(attempt, {.outcome = Outcome::timeout});
     }
     while (!timers_.empty() && timers_.begin()->first <= now) {
@@ -197,13 +198,13 @@
       timers_.erase(timers_.begin());
       handle(TimerFired{tag});
     }
-    while (!word_due_.empty() && word_due_.begin()->first <= now) {
-      auto [number, part] = word_due_.begin()->second;
-      word_due_.erase(word_due_.begin());
+    while (!directory_deadlines_.empty() && directory_deadlines_.begin()->first <= now) {
+      auto [number, part] = directory_deadlines_.begin()->second;
+      directory_deadlines_.erase(directory_deadlines_.begin());
       auto it = queries_.find(number);
-      if (it == queries_.end() || !it->second.sink) continue;
+      if (it == queries_.end() || !it->second.on_complete) continue;
       const PartState& p = it->second.parts[part];
-      if (p.span->held_back && !p.span->replaced && !p.in && p.span->out == 0) holders(number, part, false);
+      if (p.span->on_hold && !p.span->replaced && !p.in && p.span->out == 0) holders(number, part, false);
     }
     // One final answer, always: the module ends its queries earlier than this.
     while (!query_ends_.empty() && query_ends_.begin()->first <= now) {
@@ -214,26 +215,26 @@
     }
     again = !inbox_.empty();
   }
-  carrier_->flush();
+  transport_->flush();
   running_ = false;
 }
 
-Millis Exchange::next_due() const {
+Millis RequestRouter::next_due() const {
   Millis due = inbox_.empty() ? std::numeric_limits<double>::infinity() : 0;
   if (!timers_.empty()) due = std::min(due, timers_.begin()->first);
   if (!attempt_ends_.empty()) due = std::min(due, attempt_ends_.begin()->first);
   if (!query_ends_.empty()) due = std::min(due, query_ends_.begin()->first);
-  if (!word_due_.empty()) due = std::min(due, word_due_.begin()->first);
+  if (!directory_deadlines_.empty()) due = std::min(due, directory_deadlines_.begin()->first);
   return due;
 }
 
-void Exchange::handle(const Event& event) {
+void RequestRouter::handle(const Event& event) {
   for (const Action& a : coordinator_.handle(clock_(), event)) act(a);
 }
 
-void Exchange::act(const Action& action) {
+void RequestRouter::act(const Action& action) {
   struct {
-    Exchange& x;
+    RequestRouter& x;
     static QueryNumber number(const std::string& id) { return std::stoull(id); }
     void operator()(const SendPart& a) { x.send(a); }
     void operator()(const CancelAttempt& a) {
@@ -242,32 +243,32 @@
       if (it == x.queries_.end()) return;
       AttemptNumber attempt = it->second.parts.at(part).attempts.at(static_cast<std::size_t>(a.attempt));
       if (!x.attempts_.count(attempt)) return;
-      x.carrier_->abandon(attempt);
+      x.transport_->abandon(attempt);
       x.attempt_ended(attempt, {.outcome = Outcome::cancelled});
     }
     void operator()(const AnswerQuery& a) {
       auto it = x.queries_.find(number(a.query));
-      if (it != x.queries_.end()) x.finish(it->first, x.answer(it->second, a.whole));
+      if (it != x.queries_.end()) x.finish(it->first, x.answer(it->second, a.complete));
     }
     void operator()(const RefuseQuery& a) {
-      x.finish(number(a.query), {.kind = Verdict::Kind::refused, .retry_after = a.retry_after});
+      x.finish(number(a.query), {.kind = QueryResult::Kind::refused, .retry_after = a.retry_after});
     }
     void operator()(const FailQuery& a) { x.finish(number(a.query), {}); }
     void operator()(const SendProbe& a) {
       auto it = x.servers_.find(a.server);
-      if (it != x.servers_.end()) x.carrier_->probe(a.server, it->second.member.endpoint);
+      if (it != x.servers_.end()) x.transport_->probe(a.server, it->second.member.endpoint);
     }
     void operator()(const WatchList& a) { x.members_->watch(a.on); }
     void operator()(const FetchList&) { x.members_->fetch(); }
-    void operator()(const CloseIdle& a) { x.carrier_->close_idle(a.server); }
-    void operator()(const TellPeers&) {}  // no wire here carries words between instances
+    void operator()(const CloseIdle& a) { x.transport_->close_idle(a.server); }
+    void operator()(const SendToPeers&) {}  // no wire here carries words between instances
     void operator()(const SetTimer& a) { x.timers_.emplace(a.at, a.tag); }
     void operator()(const LogLine& a) { x.log_(a.text); }
   } visitor{*this};
   std::visit(visitor, action);
 }
 
-void Exchange::send(const SendPart& a) {
+void RequestRouter::send(const SendPart& a) {
   auto [number, index] = part_of(a.part);
   QueryState& q = queries_.at(number);
   PartState& p = q.parts.at(index);
@@ -286,24 +287,24 @@
   attempts_[attempt] = state;
   auto known = servers_.find(a.server);
   if (known == servers_.end()) return attempt_ended(attempt, {.outcome = Outcome::unsent, .written = false});
-  Order order{.attempt = attempt,
-              .server = a.server,
-              .endpoint = known->second.member.endpoint,
-              .shard = p.spec.shard,
-              .until = state.until,
-              .send_by = a.send_by,
-              .text = q.text};
+  AttemptRequest request{.attempt = attempt,
+                         .server = a.server,
+                         .endpoint = known->second.member.endpoint,
+                         .shard = p.spec.shard,
+                         .until = state.until,
+                         .send_by = a.send_by,
+                         .text = q.text};
   if (p.span) {
-    order.span = p.span->planned.span;
-    order.range = p.span->planned.range;
-    order.revision = p.span->planned.revision;
+    request.span = p.span->planned.span;
+    request.range = p.span->planned.range;
+    request.revision = p.span->planned.revision;
   }
   // A span's part is named by its place in the query: its range may have a part before and after it is split.
-  order.part = q.spec.id + (p.span ? ".r" + std::to_string(index) : "." + std::to_string(p.spec.shard));
-  carrier_->launch(order);
+  request.part = q.spec.id + (p.span ? ".r" + std::to_string(index) : "." + std::to_string(p.spec.shard));
+  transport_->launch(request);
 }
 
-void Exchange::finish_attempt(AttemptNumber attempt, Result r) {
+void RequestRouter::finish_attempt(AttemptNumber attempt, Result r) {
   auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;  // given up before; what came after does not count
   AttemptState a = it->second;
@@ -312,8 +313,8 @@
   QueryState& q = queries_.at(a.query);
   --q.out;
   if (q.coverage) --q.parts[a.part].span->out;
-  bool open = static_cast<bool>(q.sink), ok = r.outcome == Outcome::ok;
-  if (q.coverage && open) ok = spans_ended(q, a, r);
+  bool open = static_cast<bool>(q.on_complete), ok = r.outcome == Outcome::ok;
+  if (q.coverage && open) ok = on_span_attempt_ended(q, a, r);
   if (ok && open) {
     q.parts[a.part].in = true;
     q.parts[a.part].values = std::move(r.values);
@@ -322,50 +323,50 @@
   if (denies && !r.denial) r.denial = std::make_shared<const ranges::NotMine>();
   if (denies)
     denied(a.query, a.part, r, false);
-  else if (q.coverage && q.parts[a.part].span->held_back && open && !ok)
+  else if (q.coverage && q.parts[a.part].span->on_hold && open && !ok)
     holders(a.query, a.part, true);  // nothing more goes out under a plan that is void
   handle(AttemptEnded{part_id(a.query, a.part), a.count, a.server, r.outcome, clock_() - a.sent, ok || !open,
                       report(r.load), r.written});
-  if (q.coverage) spans_settled(q, a, denies, r);
-  settle(a.query);
+  if (q.coverage) on_span_attempt_settled(q, a, denies, r);
+  forget_if_finished(a.query);
 }
 
-void Exchange::finish(QueryNumber number, Verdict v) {
+void RequestRouter::finish(QueryNumber number, QueryResult v) {
   auto it = queries_.find(number);
-  if (it == queries_.end() || !it->second.sink) return;
+  if (it == queries_.end() || !it->second.on_complete) return;
   QueryState& q = it->second;
   const ClassSettings& c = settings_.classes[q.spec.query_class];
   Figures& f = figures_for(q.spec.query_class);
-  if (v.kind == Verdict::Kind::refused) ++f.refused;
-  if (v.kind == Verdict::Kind::failed) ++f.failed;
-  if (v.kind == Verdict::Kind::answered) {
-    ++(v.whole ? f.whole : f.partial);
-    double worth = c.worth * (v.whole ? 1 : c.partial_worth * v.share / c.need);
-    f.worth_earned += worth * (clock_() - q.arrived <= c.aim ? 1 : c.late_worth);
+  if (v.kind == QueryResult::Kind::refused) ++f.refused;
+  if (v.kind == QueryResult::Kind::failed) ++f.failed;
+  if (v.kind == QueryResult::Kind::answered) {
+    ++(v.complete ? f.complete : f.partial);
+    double value = c.value * (v.complete ? 1 : c.partial_value * v.share / c.need);
+    f.value_earned += value * (clock_() - q.arrived <= c.latency_target ? 1 : c.late_value);
   }
   --open_;
   held_ -= q.held;
   query_ends_.erase({q.spec.give_up_at, number});
-  Sink sink = std::exchange(q.sink, nullptr);
-  sink(std::move(v));
+  CompletionCallback on_complete = std::exchange(q.on_complete, nullptr);
+  on_complete(std::move(v));
   recall_unsent(number);
-  settle(number);
+  forget_if_finished(number);
 }
 
 // Forgets a query once its verdict is out and no attempt of it is owed an outcome any more. Not at once: the
 // module may name its parts until the end of the actions that closed it.
-void Exchange::settle(QueryNumber number) {
+void RequestRouter::forget_if_finished(QueryNumber number) {
   auto it = queries_.find(number);
-  if (it == queries_.end() || it->second.sink || it->second.out > 0) return;
+  if (it == queries_.end() || it->second.on_complete || it->second.out > 0) return;
   inbox_.push_back([this, number] {
     auto late = queries_.find(number);
-    if (late == queries_.end() || late->second.sink || late->second.out > 0) return;
+    if (late == queries_.end() || late->second.on_complete || late->second.out > 0) return;
     classes_.closed(late->second.spec.query_class);
     queries_.erase(late);
   });
 }
 
-std::vector<double> Exchange::report(const Load& load) const {
+std::vector<double> RequestRouter::report(const Load& load) const {
   std::vector<double> values;
   for (ReportField field : settings_.report_fields) {
     std::optional<double> v = field == ReportField::queued       ? load.queued
@@ -377,11 +378,11 @@
   return values;
 }
 
-std::string Exchange::part_id(QueryNumber number, std::size_t part) {
+std::string RequestRouter::part_id(QueryNumber number, std::size_t part) {
   return std::to_string(number) + "." + std::to_string(part);
 }
 
-std::pair<QueryNumber, std::size_t> Exchange::part_of(const std::string& id) const {
+std::pair<QueryNumber, std::size_t> RequestRouter::part_of(const std::string& id) const {
   QueryNumber number = 0;
   std::size_t part = 0;
   const char* end = id.data() + id.size();
@@ -390,4 +391,4 @@
   return {number, part};
 }
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- a/src/aggregator/coordination/exchange.hpp
+++ b/src/aggregator/coordination/request_router.hpp
@@ -14,11 +14,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "aggregator/coordination/class_table.hpp"
+#include "aggregator/coordination/class_registry.hpp"
 #include "aggregator/ranges/replan.hpp"
 #include "winchhall/coordinator.hpp"
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 
 using winchhall::Millis;
 using winchhall::Outcome;
@@ -46,24 +46,29 @@
   std::optional<Millis> hint{};  // spans: expected work of all
 };
 
-struct Row {
+struct PartialResult {
   int shard = 0;
   std::vector<std::string> values{};  // as the server gave them
   ranges::Span span{};                // empty: by shard
   ranges::Revision revision{};        // of the map that the server was asked under
 };
 
-struct Verdict {
-  enum class Kind { answered, refused, failed, unfit } kind = Kind::failed;  // unfit: nobody could answer it
-  bool whole = false;
+struct QueryResult {
+  enum class Kind {
+    answered,
+    refused,
+    failed,
+    invalid
+  } kind = Kind::failed;  // unfit: nobody could answer it
+  bool complete = false;
   double share = 0;        // of the parts' weight that is in
   Millis retry_after = 0;  // refused: 0 is no advice
-  std::vector<Row> rows{};
+  std::vector<PartialResult> rows{};
   std::string why{};  // where it isn't the module's word
 };
 
 using QueryNumber = std::uint64_t;
-using Sink = std::function<void(Verdict)>;  // called once, or never after withdraw()
+using CompletionCallback = std::function<void(QueryResult)>;  // called once, or never after withdraw()
 
 // ---- Server side
 
@@ -73,7 +78,7 @@
   std::optional<double> queued{}, in_flight{}, service_ms{};
 };
 
-struct Order {
+struct AttemptRequest {
   AttemptNumber attempt = 0;
   std::string server{}, endpoint{};
   std::string part{};  // the query's name, a dot and the shard
@@ -99,31 +104,32 @@
 // Guards against a connection that fell silent without a sign: its server is sound on a new one, and every
 // part sent there would be lost, the one that tries a server set aside again as well. A carrier tells what
 // passes and calls elsewhere once silent() holds.
-class Silence {
+class UnresponsivenessDetector {
  public:
-  void heard(Millis now) {
-    heard_at_ = now;
+  void on_activity(Millis now) {
+    last_activity_at_ = now;
     lost_ = 0;
   }
   // An attempt written at `written` was given up without an answer.
-  void given_up(Millis written, Millis now) {
-    if (written <= heard_at_ || written == last_) return;
+  void on_attempt_abandoned(Millis written, Millis now) {
+    if (written <= last_activity_at_ || written == last_) return;
     last_ = written;
     lost_ = now - written > kLong ? kLost : lost_ + 1;
   }
-  bool silent() const { return lost_ >= kLost; }
+  bool is_unresponsive() const { return lost_ >= kLost; }
 
  private:
   static constexpr Millis kLong = 50;  // ms: longer than a sound server needs beside a short queue
   static constexpr int kLost = 2;      // or so many in a row: one may be a client that went away
-  Millis heard_at_ = 0, last_ = 0;
+  Millis last_activity_at_ = 0, last_ = 0;
   int lost_ = 0;
 };
 
-class Carrier {
+class Transport {
  public:
-  virtual void launch(const Order& order) = 0;  // reports by attempt_ended(), never before it returns
-  virtual void flush() = 0;                     // no more orders in this round
+  virtual void launch(
+      const AttemptRequest& request) = 0;  // reports by attempt_ended(), never before it returns
+  virtual void flush() = 0;                // no more orders in this round
   virtual void abandon(AttemptNumber attempt) = 0;
   // Takes back an attempt of which nothing has been written, without a word to anybody; false if something
   // has.
@@ -133,7 +139,7 @@
   virtual void retire(const std::string& server) = 0;  // the process behind older connections is gone
 
  protected:
-  ~Carrier() = default;
+  ~Transport() = default;
 };
 
 struct Member {
@@ -150,7 +156,7 @@
   ~MembershipSource() = default;
 };
 
-// Tells the map of ranges by Exchange::remap(), whenever it has a new one.
+// Tells the map of ranges by RequestRouter::remap(), whenever it has a new one.
 class RangeSource {
  public:
   virtual void refresh() = 0;  // a server knows of a later revision: ask now
@@ -162,21 +168,21 @@
 // ---- Service figures, per class
 
 struct Figures {
-  std::uint64_t taken = 0, whole = 0, partial = 0, refused = 0, failed = 0, withdrawn = 0, attempts = 0;
-  double worth_asked = 0, worth_earned = 0;
+  std::uint64_t taken = 0, complete = 0, partial = 0, refused = 0, failed = 0, withdrawn = 0, attempts = 0;
+  double value_requested = 0, value_earned = 0;
   bool operator==(const Figures&) const = default;
 };
 
-class Exchange {
+class RequestRouter {
  public:
-  Exchange(winchhall::Settings settings, std::uint64_t seed, std::function<Millis()> clock,
-           std::function<void(const std::string&)> log);
+  RequestRouter(winchhall::Settings settings, std::uint64_t seed, std::function<Millis()> clock,
+                std::function<void(const std::string&)> log);
 
-  void attach(Carrier& carrier, MembershipSource& members, RangeSource* ranges = nullptr);
+  void attach(Transport& transport, MembershipSource& members, RangeSource* ranges = nullptr);
   void start(const std::vector<Member>& known);
 
   // Client side.
-  QueryNumber submit(QuerySpec spec, Sink sink);
+  QueryNumber submit(QuerySpec spec, CompletionCallback on_complete);
   void withdraw(QueryNumber number);
 
   // Server side.
@@ -185,14 +191,14 @@
   // `end`, of a call that failed: how. `revision` of the list that these members make; 0: it has none.
   void list(winchhall::ServerList::Kind kind, const std::vector<Member>& members,
             winchhall::CallEnd end = winchhall::CallEnd::failed, long long revision = 0);
-  void list_heard();  // the watch wrote something, if only its empty line
-  void list_moved();  // the service is asked elsewhere from now on; the watch of before is void
+  void on_list_keepalive();      // the watch wrote something, if only its empty line
+  void on_list_service_moved();  // the service is asked elsewhere from now on; the watch of before is void
   // The map from now on. Queries that are open are planned again where it touches them.
-  void remap(ranges::RangeMap map);
+  void update_ranges(ranges::RangeMap map);
 
   // Other settings from now on, of classes as of all else; queries that are open keep the class they came
   // under.
-  void retune(const winchhall::Settings& settings);
+  void change_settings(const winchhall::Settings& settings);
 
   // Carries events to the module and its actions out, until nothing is due. Call whenever the above were.
   void run();
@@ -205,15 +211,15 @@
   std::size_t open_queries() const { return open_; }
   std::size_t attempts_out() const { return attempts_.size(); }
   std::size_t known_servers() const { return servers_.size(); }
-  std::vector<Member> members() const;                        // the list as it is held
-  long long list_revision() const { return list_revision_; }  // of that list; 0: none was told with one
-  std::size_t lists_told() const { return lists_told_; }      // to the module, failed calls included
+  std::vector<Member> members() const;                              // the list as it is held
+  long long list_revision() const { return list_revision_; }        // of that list; 0: none was told with one
+  std::size_t lists_delivered() const { return lists_delivered_; }  // to the module, failed calls included
   const ranges::RangeMap& map() const { return map_; }
 
-  struct Moves {  // what moving ranges did to open queries since the start
-    std::uint64_t replaced = 0, joined = 0, elsewhere = 0, held_back = 0, denied = 0, dropped = 0;
+  struct RangeMigrations {  // what moving ranges did to open queries since the start
+    std::uint64_t replaced = 0, joined = 0, elsewhere = 0, on_hold = 0, denied = 0, dropped = 0;
   };
-  const Moves& moves() const { return moves_; }
+  const RangeMigrations& moves() const { return range_migrations_; }
 
  private:
   // What a part of a span has besides. Apart from the others: on the platform no part has it.
@@ -221,8 +227,8 @@
     ranges::PlannedPart planned{};
     ranges::Revision asked{};  // of the map that its last attempt was made under
     int out = 0;
-    bool replaced = false;   // by others: nothing more is asked or heard of it
-    bool held_back = false;  // its range is no more, or a server's word on it is awaited
+    bool replaced = false;  // by others: nothing more is asked or heard of it
+    bool on_hold = false;   // its range is no more, or a server's word on it is awaited
   };
   struct PartState {
     QueryPart spec{};
@@ -233,7 +239,7 @@
   };
   struct QueryState {
     QuerySpec spec;
-    Sink sink;  // empty once the verdict is out
+    CompletionCallback on_complete;  // empty once the verdict is out
     Millis arrived = 0;
     std::shared_ptr<const std::string> text;
     std::vector<PartState> parts;
@@ -262,21 +268,22 @@
   void act(const winchhall::Action& action);
   void send(const winchhall::SendPart& action);
   void finish_attempt(AttemptNumber attempt, Result result);
-  void finish(QueryNumber number, Verdict verdict);
+  void finish(QueryNumber number, QueryResult result);
   void recall_unsent(QueryNumber number);
   void recall(AttemptNumber attempt);
-  void settle(QueryNumber number);
-  bool spans_ended(QueryState& query, const AttemptState& attempt, Result& result);
-  void spans_settled(QueryState& query, const AttemptState& attempt, bool denies, const Result& result);
+  void forget_if_finished(QueryNumber number);
+  bool on_span_attempt_ended(QueryState& query, const AttemptState& attempt, Result& result);
+  void on_span_attempt_settled(QueryState& query, const AttemptState& attempt, bool denies,
+                               const Result& result);
   static PartState span_part(ranges::PlannedPart planned);
-  Verdict answer(const QueryState& query, bool whole) const;
+  QueryResult answer(const QueryState& query, bool complete) const;
   // Empty, or why these spans can't be planned; `later`: it may go in a while.
   std::string plan(QueryState& query, bool& later);
   void replan(QueryNumber number);
   void carry_out(QueryNumber number, const ranges::Decision& decision);
   void replace(QueryNumber number, const ranges::Decision& decision);
-  void holders(QueryNumber number, std::size_t part, bool held_back);
-  void denied(QueryNumber number, std::size_t part, const Result& result, bool heard);
+  void holders(QueryNumber number, std::size_t part, bool on_hold);
+  void denied(QueryNumber number, std::size_t part, const Result& result, bool on_activity);
   static ranges::OpenPart open_part(const QueryState& query, std::size_t part);
   std::vector<double> report(const Load& load) const;
   static std::string part_id(QueryNumber number, std::size_t part);
@@ -286,7 +293,7 @@
   std::function<Millis()> clock_;
   std::function<void(const std::string&)> log_;
   winchhall::Coordinator coordinator_;
-  Carrier* carrier_ = nullptr;
+  Transport* transport_ = nullptr;
   MembershipSource* members_ = nullptr;
   long long list_revision_ = 0;
   std::vector<std::function<void()>> inbox_;
@@ -300,15 +307,15 @@
   std::set<std::pair<Millis, AttemptNumber>> attempt_ends_;
   std::set<std::pair<Millis, QueryNumber>> query_ends_;
   // Parts whose server knows of a later map: they wait for the directory's word until then at the longest.
-  std::set<std::pair<Millis, std::pair<QueryNumber, std::size_t>>> word_due_;
+  std::set<std::pair<Millis, std::pair<QueryNumber, std::size_t>>> directory_deadlines_;
   RangeSource* range_source_ = nullptr;
   ranges::RangeMap map_;
-  Moves moves_;
-  std::size_t open_ = 0, held_ = 0, lists_told_ = 0;
+  RangeMigrations range_migrations_;
+  std::size_t open_ = 0, held_ = 0, lists_delivered_ = 0;
   ClassTable classes_;
   std::vector<Figures> figures_;            // a class keeps its counters whatever its settings become
   std::vector<std::string> figures_names_;  // of the same order
   std::vector<std::size_t> figures_of_;     // by class: its place there
 };
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- a/src/aggregator/coordination/exchange_spans.cpp
+++ b/src/aggregator/coordination/request_router_ranges.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "aggregator/coordination/check.hpp"
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/query_validation.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 
 using namespace winchhall;
 using ranges::Decision;
@@ -16,18 +16,18 @@
 namespace {
 // ms that a part waits for the directory once its server told of a later map: a question and its answer on
 // a slow link. Other holders of the old map would most likely say the same, and each saying costs an attempt.
-constexpr Millis kWord = 150;
+constexpr Millis kDirectoryTimeout = 150;
 constexpr double kShareSlack = 1e-4;  // of sums of shares, by rounding; the rule allows as much
 }  // namespace
 
-Exchange::PartState Exchange::span_part(PlannedPart planned) {
+RequestRouter::PartState RequestRouter::span_part(PlannedPart planned) {
   PartState p{.spec = {0, planned.weight, planned.hint}};
   p.span = std::make_unique<SpanPart>();
   p.span->planned = std::move(planned);
   return p;
 }
 
-std::string Exchange::plan(QueryState& q, bool& later) {
+std::string RequestRouter::plan(QueryState& q, bool& later) {
   std::string why;
   auto plan = ranges::plan(map_, q.spec.spans, q.spec.hint, kPartsMost, why);
   later = map_.empty();
@@ -38,43 +38,43 @@
   return "";
 }
 
-void Exchange::remap(RangeMap map) {
+void RequestRouter::update_ranges(RangeMap map) {
   inbox_.push_back([this, m = std::move(map)] {
     map_ = m;
     for (auto& [number, q] : queries_)
       // Guards against parts and their successors side by side: one that the module hasn't heard of yet is
       // planned again when it has.
-      if (q.sink && q.coverage && q.arrived_at_module) replan(number);
+      if (q.on_complete && q.coverage && q.arrived_at_module) replan(number);
   });
 }
 
-OpenPart Exchange::open_part(const QueryState& q, std::size_t part) {
+OpenPart RequestRouter::open_part(const QueryState& q, std::size_t part) {
   const SpanPart& p = *q.parts[part].span;
   return {part, p.out > 0, p.planned};
 }
 
-void Exchange::replan(QueryNumber number) {
+void RequestRouter::replan(QueryNumber number) {
   QueryState& q = queries_.at(number);
   std::vector<OpenPart> open;
   for (std::size_t i = 0; i < q.parts.size(); ++i)
     if (!q.parts[i].in && !q.parts[i].span->replaced) open.push_back(open_part(q, i));
   if (open.empty()) return;
   for (const Decision& d : ranges::replan(map_, *q.coverage, std::move(open))) {
-    if (!q.sink) return;  // the module has ended it meanwhile
+    if (!q.on_complete) return;  // the module has ended it meanwhile
     carry_out(number, d);
   }
 }
 
-void Exchange::carry_out(QueryNumber number, const Decision& d) {
+void RequestRouter::carry_out(QueryNumber number, const Decision& d) {
   QueryState& q = queries_.at(number);
   SpanPart& p = *q.parts[d.parts[0]].span;
   switch (d.kind) {
     case Decision::Kind::keep:
-      if (p.held_back) holders(number, d.parts[0], false);
+      if (p.on_hold) holders(number, d.parts[0], false);
       return;
     case Decision::Kind::hold_back: {
-      moves_.held_back += !p.held_back;
-      p.held_back = true;
+      range_migrations_.on_hold += !p.on_hold;
+      p.on_hold = true;
       // Whom its successors would go to: so long as it is out, the module only asks itself by them whether a
       // silent server is worth leaving.
       HoldersChanged e{part_id(number, d.parts[0]), {}};
@@ -85,7 +85,7 @@
       return handle(e);
     }
     case Decision::Kind::elsewhere:
-      ++moves_.elsewhere;
+      ++range_migrations_.elsewhere;
       p.planned = d.successors[0];
       return holders(number, d.parts[0], false);
     case Decision::Kind::replace:
@@ -94,23 +94,23 @@
       // would not let go of them. They are planned again when they end.
       if (std::any_of(d.parts.begin(), d.parts.end(),
                       [&](std::size_t i) { return q.parts[i].span->out > 0; })) {
-        for (std::size_t i : d.parts) q.parts[i].span->held_back |= q.parts[i].span->out > 0;
+        for (std::size_t i : d.parts) q.parts[i].span->on_hold |= q.parts[i].span->out > 0;
         return;
       }
-      ++(d.kind == Decision::Kind::join ? moves_.joined : moves_.replaced);
+      ++(d.kind == Decision::Kind::join ? range_migrations_.joined : range_migrations_.replaced);
       return replace(number, d);
   }
 }
 
-void Exchange::holders(QueryNumber number, std::size_t part, bool held_back) {
+void RequestRouter::holders(QueryNumber number, std::size_t part, bool on_hold) {
   SpanPart& p = *queries_.at(number).parts[part].span;
-  p.held_back = held_back;
+  p.on_hold = on_hold;
   HoldersChanged e{part_id(number, part), {}};
-  if (!held_back) e.holders = ranges::serving(*p.planned.holders);
+  if (!on_hold) e.holders = ranges::serving(*p.planned.holders);
   handle(e);
 }
 
-void Exchange::replace(QueryNumber number, const Decision& d) {
+void RequestRouter::replace(QueryNumber number, const Decision& d) {
   QueryState& q = queries_.at(number);
   PartsReplaced e;
   for (std::size_t part : d.parts) {
@@ -129,43 +129,44 @@
 
 // A server has not what the part asks for. First, before the module hears that the attempt is over: whom it
 // may ask next. Then, when it has heard: what takes the part's place.
-void Exchange::denied(QueryNumber number, std::size_t part, const Result& r, bool heard) {
+void RequestRouter::denied(QueryNumber number, std::size_t part, const Result& r, bool heard) {
   QueryState& q = queries_.at(number);
-  if (!q.sink) return;
+  if (!q.on_complete) return;
   auto answer = ranges::not_mine(map_, *q.coverage, open_part(q, part), *r.denial);
   if (heard) {
     if (answer.decision && answer.decision->kind == Decision::Kind::replace)
       carry_out(number, *answer.decision);
     return;
   }
-  ++moves_.denied;
-  if (answer.ask_directory && range_source_) range_source_->refresh();
+  ++range_migrations_.denied;
+  if (answer.refresh_directory && range_source_) range_source_->refresh();
   if (answer.decision && answer.decision->kind == Decision::Kind::elsewhere)
     return carry_out(number, *answer.decision);
-  bool wait = answer.ask_directory && r.denial->revision > map_.revision() && range_source_;
+  bool wait = answer.refresh_directory && r.denial->revision > map_.revision() && range_source_;
   if (!answer.decision && !wait) return;  // another holder, or the same one in a moment
   holders(number, part, true);
-  if (!answer.decision) word_due_.insert({clock_() + kWord, {number, part}});
+  if (!answer.decision) directory_deadlines_.insert({clock_() + kDirectoryTimeout, {number, part}});
 }
 
 // The module has heard of it: what takes the part's place now.
-void Exchange::spans_settled(QueryState& q, const AttemptState& a, bool denies, const Result& r) {
+void RequestRouter::on_span_attempt_settled(QueryState& q, const AttemptState& a, bool denies,
+                                            const Result& r) {
   const PartState& p = q.parts[a.part];
-  if (!q.sink || p.in || p.span->replaced) return;
+  if (!q.on_complete || p.in || p.span->replaced) return;
   if (denies && p.span->out == 0) return denied(a.query, a.part, r, true);
   // Its range was split or merged while it was out: now that it has no answer, its successors are asked.
-  if (p.span->held_back) replan(a.query);
+  if (p.span->on_hold) replan(a.query);
 }
 
 // True where the answer counts.
-bool Exchange::spans_ended(QueryState& q, const AttemptState& a, Result& r) {
+bool RequestRouter::on_span_attempt_ended(QueryState& q, const AttemptState& a, Result& r) {
   SpanPart& p = *q.parts[a.part].span;
   if (r.outcome != Outcome::ok) {
     if (p.out == 0) q.coverage->back(p.planned.span);
     return false;
   }
   if (q.coverage->take(p.planned.span)) return true;
-  ++moves_.dropped;
+  ++range_migrations_.dropped;
   std::string in;
   for (const ranges::Span& span : q.coverage->in().spans()) in += " " + ranges::text_of(span);
   log_("an answer dropped: some of its accounts are in already: query " + q.spec.id + " part " +
@@ -174,8 +175,8 @@
   return false;
 }
 
-Verdict Exchange::answer(const QueryState& q, bool whole) const {
-  Verdict v{.kind = Verdict::Kind::answered, .whole = whole};
+QueryResult RequestRouter::answer(const QueryState& q, bool complete) const {
+  QueryResult v{.kind = QueryResult::Kind::answered, .complete = complete};
   for (const PartState& p : q.parts)
     if (p.in) {
       v.share += p.spec.weight;
@@ -187,15 +188,15 @@
   if (!q.coverage) return v;
   // Shares of accounts are counted on accounts. The module's sums say the same; this is the last look.
   v.share = q.coverage->in_share();
-  v.whole = whole && q.coverage->whole();
+  v.complete = complete && q.coverage->complete();
   const ClassSettings& c = settings_.classes[q.spec.query_class];
-  if (whole != v.whole || v.share < c.floor - kShareSlack) {
+  if (complete != v.complete || v.share < c.floor - kShareSlack) {
     log_("an answer of less than it is called");
     if (v.share < c.floor - kShareSlack) return {.why = "the answer held less than its least share"};
   }
   std::sort(v.rows.begin(), v.rows.end(),
-            [](const Row& a, const Row& b) { return a.span.from < b.span.from; });
+            [](const PartialResult& a, const PartialResult& b) { return a.span.from < b.span.from; });
   return v;
 }
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- a/src/aggregator/coordination/exchange_settings.cpp
+++ b/src/aggregator/coordination/request_router_settings.cpp
@@ -1,13 +1,13 @@
 // Settings that change while queries run, in the exchange.
 #include <utility>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 
 using namespace winchhall;
 
-void Exchange::name_figures() {
+void RequestRouter::name_figures() {
   figures_of_.resize(settings_.classes.size());
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
     const std::string& name = settings_.classes[i].name;
@@ -22,7 +22,7 @@
   }
 }
 
-void Exchange::retune(const Settings& settings) {
+void RequestRouter::change_settings(const Settings& settings) {
   inbox_.push_back([this, settings] {
     ClassTable::Change change = classes_.change(settings.classes);
     settings_ = settings;
@@ -32,4 +32,4 @@
   });
 }
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- /dev/null
+++ b/src/aggregator/coordination/settings_transition.cpp
@@ -0,0 +1,24 @@
+#include "aggregator/coordination/settings_transition.hpp"
+
+#include "aggregator/coordination/class_registry.hpp"
+
+namespace winchhall::coordination {
+
+using winchhall::Millis;
+using winchhall::Settings;
+
+const Settings& SettingsTransition::begin(const Settings& next, Millis now) {
+  acting_ = safe_under_both(acting_, next);
+  target_ = next;
+  complete_at_ = now + kOverlapTime;
+  return acting_;
+}
+
+std::optional<Settings> SettingsTransition::complete_if_due(Millis now) {
+  if (now < complete_at_) return std::nullopt;
+  complete_at_ = std::numeric_limits<Millis>::infinity();
+  acting_ = target_;
+  return acting_;
+}
+
+}  // namespace winchhall::coordination
--- a/src/aggregator/coordination/retuning.hpp
+++ b/src/aggregator/coordination/settings_transition.hpp
@@ -7,28 +7,28 @@
 
 #include "winchhall/coordinator.hpp"
 
-namespace winchhall::core {
+namespace winchhall::coordination {
 
-class Retuning {
+class SettingsTransition {
  public:
-  explicit Retuning(const winchhall::Settings& settings) : acting_(settings), target_(settings) {}
+  explicit SettingsTransition(const winchhall::Settings& settings) : acting_(settings), target_(settings) {}
 
   // New settings were ordered: what acts from now on. A second order before the first has settled is safe
   // under all.
-  const winchhall::Settings& order(const winchhall::Settings& fresh, winchhall::Millis now);
+  const winchhall::Settings& begin(const winchhall::Settings& next, winchhall::Millis now);
   // What acts from now on, once clients go by the new settings alone; nothing before and after.
-  std::optional<winchhall::Settings> settle(winchhall::Millis now);
+  std::optional<winchhall::Settings> complete_if_due(winchhall::Millis now);
 
-  winchhall::Millis due() const { return settle_at_; }
+  winchhall::Millis due() const { return complete_at_; }
   const winchhall::Settings& acting() const { return acting_; }
 
   // ms: clients go by new settings from 1.2 s after the order (operators' page), and what they sent before
   // that is still on its way for a moment.
-  static constexpr winchhall::Millis kSettle = 1600;
+  static constexpr winchhall::Millis kOverlapTime = 1600;
 
  private:
   winchhall::Settings acting_, target_;
-  winchhall::Millis settle_at_ = std::numeric_limits<winchhall::Millis>::infinity();
+  winchhall::Millis complete_at_ = std::numeric_limits<winchhall::Millis>::infinity();
 };
 
-}  // namespace winchhall::core
+}  // namespace winchhall::coordination
--- a/src/aggregator/decision/choice.cpp
+++ b/src/aggregator/decision/coordinator.cpp
@@ -3,26 +3,26 @@
 // the smallest (own outstanding hinted cost + reported load + this part), ties at random. All else departs
 // from that only under the condition stated where it stands.
 
-#include "aggregator/decision/queries.hpp"
+#include "aggregator/decision/query_table.hpp"
 
 namespace winchhall {
 
 using namespace detail;
 
-class Coordinator::Impl : Queries {
+class Coordinator::Impl : QueryTable {
  public:
-  using Queries::on;
-  Impl(Settings settings, std::uint64_t seed, Millis now) : Queries(std::move(settings), seed, now) {}
+  using QueryTable::on;
+  Impl(Settings settings, std::uint64_t seed, Millis now) : QueryTable(std::move(settings), seed, now) {}
 
   std::vector<Action> start() {
-    list_clock_.start(now_);
+    list_freshness_.start(now_);
     keep_list();
-    act(SetTimer{now_ + pulse_, 0});
+    act(SetTimer{now_ + tick_interval_, 0});
     return std::exchange(actions_, {});
   }
 
   std::vector<Action> handle(Millis now, const Event& event) {
-    if (sound(now)) now_ = std::max(now_, now);
+    if (is_finite_nonnegative(now)) now_ = std::max(now_, now);
     std::visit([this](const auto& e) { on(e); }, event);
     return std::exchange(actions_, {});
   }
@@ -37,11 +37,11 @@
       successor.query = p.query;
       successor.step = p.step;
       successor.most = p.most;
-      successor.used = std::max(successor.used, p.tries());
+      successor.used = std::max(successor.used, p.attempt_count());
       successor.resets = std::max(successor.resets, p.resets);
-      successor.spare = p.spare;
+      successor.is_spare = p.is_spare;
       successor.dead |= p.dead;
-      successor.first_maybe = std::min(successor.first_maybe, p.first_maybe);
+      successor.first_possible_run = std::min(successor.first_possible_run, p.first_possible_run);
     }
     auto found = queries_.find(successor.query);
     if (found == queries_.end() || found->second.ended || found->second.step != successor.step) return;
@@ -51,10 +51,11 @@
       std::erase(q.parts, id);
     }
     for (const PartSpec& spec : e.successors)
-      add_part(q, successor, spec, spec.hint && sound(*spec.hint) ? *spec.hint : mean_hint(q.query_class));
+      add_part(q, successor, spec,
+               spec.hint && is_finite_nonnegative(*spec.hint) ? *spec.hint : mean_hint(q.query_class));
     for (const PartSpec& spec : e.successors)
-      if (Part& p = parts_.at(spec.part); !p.spare && !q.awaiting_step) try_part(q, p);
-    settle(q);
+      if (Part& p = parts_.at(spec.part); !p.is_spare && !q.awaiting_step) try_part(q, p);
+    finish_if_possible(q);
   }
 
   void on(const HoldersChanged& e) {
@@ -63,36 +64,36 @@
     Part& p = it->second;
     Query& q = queries_.at(p.query);
     p.holders = e.holders;
-    if (!p.spare && !q.awaiting_step && p.step == q.step) try_part(q, p);
+    if (!p.is_spare && !q.awaiting_step && p.step == q.step) try_part(q, p);
   }
 
   void on(const SettingsChanged& e) {
     set_ = e.settings;
     bound_settings();
-    list_clock_.change(list_terms());
+    list_freshness_.change(endpoint_list_terms());
     auto carry = [&](auto& figures) {
       auto before = std::exchange(figures, {});
       figures.resize(set_.classes.size());
       for (std::size_t i = 0; i < std::min(e.from.size(), figures.size()); ++i)
         if (e.from[i] >= 0) figures[i] = before.at(static_cast<std::size_t>(e.from[i]));
     };
-    carry(learned_);
+    carry(class_statistics_);
     for (Server& s : servers_) carry(s.by_class);
   }
 
   void keep_list() {
-    if (list_clock_.ask(now_)) act(WatchList{true});
+    if (list_freshness_.should_request(now_)) act(WatchList{true});
   }
-  void on(const ListHeard&) { list_clock_.heard(now_); }
-  void on(const ListMoved&) { list_clock_.moved(now_); }
+  void on(const ListKeepalive&) { list_freshness_.on_keepalive(now_); }
+  void on(const ListServiceMoved&) { list_freshness_.on_service_moved(now_); }
   void on(const ServerList& list) {
-    take_list(list);
+    apply_list(list);
     retry_waiting();
   }
 
   void on(const AttemptEnded& e) {
-    take_report(e.server, e.report);
-    heard_.add(0, now_);
+    apply_report(e.server, e.report);
+    attempts_ended_.add(0, now_);
     Attempt* found = find_attempt(e.part, e.attempt);
     if (!found || !found->out) return;
     Attempt& a = *found;
@@ -104,32 +105,32 @@
                      e.outcome == Outcome::unsent || e.outcome == Outcome::not_mine;
     if (e.outcome == Outcome::not_mine) a.denied = servers_[a.server].last_answer = now_;
     if (!e.written && p.unwritten < p.most) ++p.unwritten, --p.used;  // Rule: these are no attempts
-    if (!never_ran) p.first_maybe = std::min(p.first_maybe, a.sent);
-    judge(servers_[a.server], e.outcome, a, q.query_class, p.hint);
+    if (!never_ran) p.first_possible_run = std::min(p.first_possible_run, a.sent);
+    record_outcome(servers_[a.server], e.outcome, a, q.query_class, p.hint);
     if (q.ended) return;
-    if (e.outcome == Outcome::reset && falls_.mean(now_, 1) > 0.5 && fells_servers(q, p, a.server))
+    if (e.outcome == Outcome::reset && crash_estimate_.mean(now_, 1) > 0.5 && fells_servers(q, p, a.server))
       return end(q, true);
     if (e.outcome == Outcome::ok) {
       p.done = q.served = true;
       q.cautious = false;
       if (set_.may_cancel) cancel(p);
     } else if (!p.done && !p.out()) {  // else a copy of it counts
-      p.dead |= e.part_closed || (e.outcome == Outcome::timeout && !spare_load());
+      p.dead |= e.part_closed || (e.outcome == Outcome::timeout && !consume_late_retry_token());
       if (!q.awaiting_step && p.step == q.step) try_part(q, p);
     }
-    settle(q);
+    finish_if_possible(q);
   }
 
   // Guards against a query that fells every server it reaches. Once several fell, its parts go one at a time;
   // it is condemned, with its subject, when another falls or nothing came back.
   bool fells_servers(Query& q, Part& p, int server) {
-    q.fell.insert(server);
-    bool many = q.fell.size() >= kFellMany;
+    q.crashed_servers.insert(server);
+    bool many = q.crashed_servers.size() >= kCrashSuspectCount;
     bool condemned = ++p.resets > 1 || (q.cautious && q.outstanding == 0) || (many && !q.served);
     q.cautious |= many;
     if (!condemned) return false;
-    if (q.key) condemned_[*q.key] = now_;
-    learned_[q.query_class].wary_until = now_ + kSuspectFor;
+    if (q.key) rejected_subjects_[*q.key] = now_;
+    class_statistics_[q.query_class].suspect_until = now_ + kCrashSuspectTime;
     log("query fells servers, given up; last on " + servers_[server].id);
     return true;
   }
@@ -141,7 +142,7 @@
   }
 
   void on(const TimerFired&) {
-    act(SetTimer{now_ + pulse_, 0});
+    act(SetTimer{now_ + tick_interval_, 0});
     keep_list();
     quiet_after_ = 0;
     for (std::size_t c = 0; c < set_.classes.size(); ++c)
@@ -159,17 +160,17 @@
       std::nth_element(paces.begin(), middle, paces.end());
       typical_pace_ = *middle;
     }
-    double per_second = 1000 * heard_.weight * heard_.left(now_) / kFade;
-    sparse_ = std::clamp(ready / std::max(per_second, 1e-3), 1.0, kSparseMost);
+    double per_second = 1000 * attempts_ended_.weight * attempts_ended_.left(now_) / kDecayTime;
+    sparse_ = std::clamp(ready / std::max(per_second, 1e-3), 1.0, kMaxSparseFactor);
     for (auto& [number, q] : queries_) {
-      if (q.awaiting_step && now_ >= q.give_up_at - pulse_) end(q, true);
+      if (q.awaiting_step && now_ >= q.give_up_at - tick_interval_) end(q, true);
       if (q.ended || q.awaiting_step) continue;
       move_overdue(q);
-      settle(q);
+      finish_if_possible(q);
     }
     retry_waiting();
     forget_closed();
-    std::erase_if(condemned_, [&](const auto& key) { return now_ - key.second > kSuspectFor; });
+    std::erase_if(rejected_subjects_, [&](const auto& key) { return now_ - key.second > kCrashSuspectTime; });
   }
 
   // Guards against one slow server that keeps a whole query waiting: a part late by the usual response gets a
@@ -179,27 +180,27 @@
     for (Part* p : step_parts(q)) {
       if (!p->out() || p->attempts.back().moving || p->attempts.back().started) continue;
       const Attempt& a = p->attempts.back();
-      bool copy = set_.may_hedge && set_.classes[c].repeat == Repeat::safe && !p->holders;
-      if (now_ - a.sent <= (copy ? hedge_after(c) : patience(c)) || start_spare(q)) continue;
-      if (!set_.may_cancel || set_.classes[c].repeat == Repeat::unsafe) continue;
-      if (p->tries() >= p->most || !budget_allows()) continue;
+      bool copy = set_.may_hedge && set_.classes[c].repeat == Idempotency::safe && !p->holders;
+      if (now_ - a.sent <= (copy ? hedge_after(c) : patience(c)) || start_spare_part(q)) continue;
+      if (!set_.may_cancel || set_.classes[c].repeat == Idempotency::unsafe) continue;
+      if (p->attempt_count() >= p->most || !budget_allows()) continue;
       const Server& s = servers_[a.server];
-      if (!copy && s.last_answer >= a.sent && !s.by_class[c].aside) continue;
-      if (!copy && useful_until(q) - now_ < learned_[c].response.mean) continue;
-      if (moves_saved_ < 1 || (copy ? !place(*p, c, 0) : choose(*p, c, 0) < 0)) continue;
-      --moves_saved_;
+      if (!copy && s.last_answer >= a.sent && !s.by_class[c].is_ejected) continue;
+      if (!copy && useful_until(q) - now_ < class_statistics_[c].response.mean) continue;
+      if (late_retry_tokens_ < 1 || (copy ? !place(*p, c, 0) : choose(*p, c, 0) < 0)) continue;
+      --late_retry_tokens_;
       copy ? send(q, *p) : cancel(*p);
     }
   }
 
   // Any spare is a first attempt of another part: it costs no repeat.
-  bool start_spare(Query& q) {
+  bool start_spare_part(Query& q) {
     double in = 0;
     for (Part* p : step_parts(q))
       if (p->done || (p->out() && now_ - p->attempts.back().sent <= patience(q.query_class))) in += p->weight;
     if (in >= (q.shortened ? set_.classes[q.query_class].floor : need(q)) - q.slack) return true;
     for (Part* p : step_parts(q))
-      if (p->spare && try_part(q, *p)) return true;
+      if (p->is_spare && try_part(q, *p)) return true;
     return false;
   }
 
@@ -208,14 +209,14 @@
     for (auto& [number, q] : queries_) {
       if (q.ended || q.awaiting_step) continue;
       for (Part* p : step_parts(q))
-        if (!p->spare) try_part(q, *p);
+        if (!p->is_spare) try_part(q, *p);
     }
   }
 
   void on(const AttemptStarted& e) {
     if (Attempt* a = find_attempt(e.part, e.attempt)) a->started = true;
   }
-  void on(const ProbeEnded& e) { take_report(e.server, e.report); }
+  void on(const ProbeEnded& e) { apply_report(e.server, e.report); }
   void on(const PeerMessage&) {}
 };
 
--- a/src/aggregator/decision/state.hpp
+++ b/src/aggregator/decision/query_state.hpp
@@ -28,27 +28,27 @@
   double weight = 0, hint = 0;
   std::optional<std::vector<std::string>> holders;  // by name, where stated
   int used = 0, unwritten = 0, resets = 0;  // used: by the parts it came from, less its own unwritten ones
-  bool spare = false;                       // not needed as things stand
+  bool is_spare = false;                    // not needed as things stand
   bool done = false, dead = false;          // dead: no further attempt is possible
-  Millis first_maybe = kEver;               // sending time of the first attempt that may have run
+  Millis first_possible_run = kInfinity;    // sending time of the first attempt that may have run
   std::vector<Attempt> attempts;
   bool out() const {
     return std::any_of(attempts.begin(), attempts.end(), [](auto& a) { return a.out; });
   }
-  int tries() const { return used + static_cast<int>(attempts.size()); }
+  int attempt_count() const { return used + static_cast<int>(attempts.size()); }
 };
 
 struct Query {
   std::string id;
   int query_class = 0;
-  Millis aim_at = 0, give_up_at = 0;
+  Millis target_at = 0, give_up_at = 0;
   int step = 1;
-  bool first_whole = true;
+  bool first_step_complete = true;
   bool shortened = false;              // asked for a part of its parts only
   bool awaiting_step = false;          // answered the first step, second step's parts not in yet
   bool served = false, ended = false;  // served: a part has come back
   std::optional<std::uint64_t> key;    // its subject
-  std::set<int> fell;                  // servers whose connections broke under its parts
+  std::set<int> crashed_servers;       // servers whose connections broke under its parts
   bool cautious = false;               // one part at a time, until one has come back
   int outstanding = 0;                 // attempts still owed an outcome
   double slack = kWeightSlack;         // no whole part is lost in it, however little it weighs
@@ -57,11 +57,11 @@
 };
 
 // Whether a server is trusted, judged by what came back from it.
-struct Health {
+struct ServerHealth {
   double strikes = 0;
-  bool aside = false;
-  bool at_once = false;  // it failed at once, without work; else it was silent or full
-  Millis last_answer = kNever, aside_until = kNever, rest = kRest;
+  bool is_ejected = false;
+  bool failed_immediately = false;  // it failed at once, without work; else it was silent or full
+  Millis last_answer = kNever, ejected_until = kNever, ejection_time = kBaseEjectionTime;
 };
 
 struct Server {
@@ -74,16 +74,17 @@
   double reported = 0;
   Millis reported_at = kNever;
   std::multiset<Millis> out_since{};                // sending times of own attempts out
-  Millis gone_at = kNever;                          // when the list first had it gone
+  Millis removed_at = kNever;                       // when the list first had it gone
   Millis last_answer = kNever, proved_at = kNever;  // proved: when a part was sent that it took, not draining
-  Millis cut_at = kNever;  // a connection broke under an attempt, and what that meant is not known yet
-  double pace = 0;         // smoothed observed time over hint; 0: not known
+  Millis connection_broken_at =
+      kNever;       // a connection broke under an attempt, and what that meant is not known yet
+  double pace = 0;  // smoothed observed time over hint; 0: not known
   Millis paced_at = kNever;
-  Health health{};               // of the whole server: silence, broken connections, full queues
-  std::vector<Health> by_class;  // errors come by class: a server may fail one and serve another well
-  Millis turn_at = kNever;       // when lots were last drawn for this cold server
-  double turn = 1;               // the lot: under allowance / work it may be sent one part
-  std::deque<std::pair<Millis, double>> cold_sent{};  // what this broker sent while it was cold
+  ServerHealth health{};               // of the whole server: silence, broken connections, full queues
+  std::vector<ServerHealth> by_class;  // errors come by class: a server may fail one and serve another well
+  Millis turn_at = kNever;             // when lots were last drawn for this cold server
+  double turn = 1;                     // the lot: under allowance / work it may be sent one part
+  std::deque<std::pair<Millis, double>> sent_while_warming_up{};  // what this broker sent while it was cold
 };
 
 }  // namespace winchhall::detail
--- a/src/aggregator/decision/queries.hpp
+++ b/src/aggregator/decision/query_table.hpp
@@ -1,13 +1,13 @@
 // A query's life: its parts are placed, sent, sent again, and it gets its one final answer.
 #pragma once
 
-#include "aggregator/decision/tier.hpp"
+#include "aggregator/decision/server_pool.hpp"
 
 namespace winchhall::detail {
 
-class Queries : public Tier {
+class QueryTable : public ServerPool {
  protected:
-  using Tier::Tier;
+  using ServerPool::ServerPool;
 
   // Rule: the budget of further attempts, over an exact sliding window.
   bool budget_allows() {
@@ -20,40 +20,41 @@
     return further_.size() + 1 <= set_.budget_free + set_.budget_share * taken_in_window_;
   }
 
-  void count_taken(std::size_t requests) {
+  void record_accepted_requests(std::size_t requests) {
     if (!set_.budget) return;  // nothing would ever take it out again
     taken_in_window_ += taken_.emplace_back(now_, static_cast<double>(requests)).second;
   }
 
   // Guards against lateness that feeds itself: a part moved or copied because late adds load when there is
   // too much, so first attempts pay for those. What was turned away never ran.
-  bool spare_load() { return moves_saved_ >= 1 && moves_saved_-- > 0; }
+  bool consume_late_retry_token() { return late_retry_tokens_ >= 1 && late_retry_tokens_-- > 0; }
 
   // Rule: no effect twice. May this part be sent (again) now?
   bool repeat_allowed(const Part& p, const ClassSettings& c) const {
-    if (p.out() || p.tries() >= p.most) return false;
-    if (p.first_maybe == kEver || c.repeat == Repeat::safe) return true;
-    return c.repeat == Repeat::keyed && now_ < repeat_until(p, c);
+    if (p.out() || p.attempt_count() >= p.most) return false;
+    if (p.first_possible_run == kInfinity || c.repeat == Idempotency::safe) return true;
+    return c.repeat == Idempotency::keyed && now_ < repeat_until(p, c);
   }
   Millis repeat_until(const Part& p, const ClassSettings& c) const {
-    return p.first_maybe + c.repeat_window - set_.tick;
+    return p.first_possible_run + c.idempotency_window - set_.tick;
   }
 
   // The time until which an answer of this query still earns something.
   Millis useful_until(const Query& q) const {
-    return set_.classes[q.query_class].late_worth > 0 ? q.give_up_at - pulse_ : q.aim_at - margin();
+    return set_.classes[q.query_class].late_value > 0 ? q.give_up_at - tick_interval_
+                                                      : q.target_at - margin();
   }
   Millis margin() const { return 2 * set_.tick; }
 
   // Reserves the best replica for a part; the sum includes it from here on.
-  bool place(Part& p, int c, int most_distrust = 3) {
-    int server = choose(p, c, most_distrust);
+  bool place(Part& p, int c, int max_health_rank = 3) {
+    int server = choose(p, c, max_health_rank);
     if (server < 0) return false;
     Server& s = servers_[server];
     p.attempts.push_back({server, now_, p.hint, s.sum + load(s, c) + p.hint});
     s.sum += p.hint;
     s.out_since.insert(now_);
-    if (warms_up(s)) s.cold_sent.emplace_back(now_, std::max(p.hint, mean_hint(c)));
+    if (is_warming_up(s)) s.sent_while_warming_up.emplace_back(now_, std::max(p.hint, mean_hint(c)));
     return true;
   }
 
@@ -65,25 +66,30 @@
     if (s.out_since.empty()) s.sum = 0;  // no rounding is carried on
   }
 
-  void unplace(Part& p, bool spare = false) {
+  void unplace(Part& p, bool is_spare = false) {
     Server& s = servers_[p.attempts.back().server];
-    if (!s.cold_sent.empty() && s.cold_sent.back().first == now_) s.cold_sent.pop_back();
+    if (!s.sent_while_warming_up.empty() && s.sent_while_warming_up.back().first == now_)
+      s.sent_while_warming_up.pop_back();
     release(p.attempts.back());
     p.attempts.pop_back();
-    p.spare |= spare;
+    p.is_spare |= is_spare;
   }
 
   void send(Query& q, Part& p) {
     Attempt& a = p.attempts.back();
     Server& s = servers_[a.server];
     const ClassSettings& c = set_.classes[q.query_class];
-    if (p.tries() > 1 && set_.budget) further_.push_back(now_);
-    if (p.tries() == 1) moves_saved_ = std::min(moves_saved_ + kMoveShare, std::max(kMoveMost, most_parts_));
+    if (p.attempt_count() > 1 && set_.budget) further_.push_back(now_);
+    if (p.attempt_count() == 1)
+      late_retry_tokens_ =
+          std::min(late_retry_tokens_ + kLateRetryShare, std::max(kMaxLateRetryTokens, most_parts_));
     Millis timeout = useful_until(q) - now_;
-    if (!set_.may_cancel && c.repeat == Repeat::safe) timeout = std::min(timeout, patience(q.query_class));
+    if (!set_.may_cancel && c.repeat == Idempotency::safe)
+      timeout = std::min(timeout, patience(q.query_class));
     ++q.outstanding;
-    Millis by = list_clock_.write_by(s.proved_at);
-    if (p.first_maybe < kEver && c.repeat != Repeat::safe) by = std::min(by, repeat_until(p, c));
+    Millis by = list_freshness_.sendable_until(s.proved_at);
+    if (p.first_possible_run < kInfinity && c.repeat != Idempotency::safe)
+      by = std::min(by, repeat_until(p, c));
     act(SendPart{p.id, s.id, std::max(timeout, 1.0), by});
   }
 
@@ -93,59 +99,60 @@
     if (p.out() || p.done) return false;
     p.dead |= !repeat_allowed(p, c);
     if (p.dead) return false;
-    if (useful_until(q) - now_ < kLeastFit * learned_[q.query_class].response.mean) return false;
+    if (useful_until(q) - now_ < kMinUsefulShare * class_statistics_[q.query_class].response.mean)
+      return false;
     if (q.cautious && q.outstanding > 0) return false;
-    if (p.tries() > 0 && !budget_allows()) return false;
+    if (p.attempt_count() > 0 && !budget_allows()) return false;
     // A further attempt is not spent on a server that fails at once before it had time to mend.
-    bool soon = !p.attempts.empty() && now_ - p.attempts.back().sent < kRest;
+    bool soon = !p.attempts.empty() && now_ - p.attempts.back().sent < kBaseEjectionTime;
     if (!place(p, q.query_class, soon ? 2 : 3)) return false;
-    p.spare = false;
+    p.is_spare = false;
     send(q, p);
     return true;
   }
 
   void on(const QueryArrived& e) {
-    count_taken(1 + e.parts.size());
-    auto [it, fresh] = query_numbers_.try_emplace(e.query, next_query_);
-    if (!fresh) return;
+    record_accepted_requests(1 + e.parts.size());
+    auto [it, is_new] = query_numbers_.try_emplace(e.query, next_query_);
+    if (!is_new) return;
     Query& q = queries_[next_query_++];
     q.id = e.query;
     q.query_class = std::clamp(e.query_class, 0, static_cast<int>(set_.classes.size()) - 1);
     q.give_up_at = std::isfinite(e.give_up_at) ? e.give_up_at : now_;
-    q.aim_at = std::min(now_ + set_.classes[q.query_class].aim, q.give_up_at - pulse_);
+    q.target_at = std::min(now_ + set_.classes[q.query_class].latency_target, q.give_up_at - tick_interval_);
     q.key = e.key;
-    take_parts(it->second, e.parts);
-    if (q.key && condemned_.count(*q.key)) return end(q, true);
-    q.cautious = now_ < learned_[q.query_class].wary_until;
+    add_parts(it->second, e.parts);
+    if (q.key && rejected_subjects_.count(*q.key)) return end(q, true);
+    q.cautious = now_ < class_statistics_[q.query_class].suspect_until;
     place_step(q);
   }
 
   void on(const PartsAdded& e) {
-    count_taken(e.parts.size());
+    record_accepted_requests(e.parts.size());
     auto it = query_numbers_.find(e.query);
     if (it == query_numbers_.end() || !queries_[it->second].awaiting_step) return;
     Query& q = queries_[it->second];
     q.awaiting_step = false;
     q.step = 2;
-    take_parts(it->second, e.parts);
+    add_parts(it->second, e.parts);
     place_step(q);
   }
 
-  void take_parts(int number, const std::vector<PartSpec>& specs) {
+  void add_parts(int number, const std::vector<PartSpec>& specs) {
     Query& q = queries_[number];
     most_parts_ = std::max(most_parts_, static_cast<double>(specs.size()));
     for (const PartSpec& spec : specs) {
       Part p;
       p.query = number;
       p.step = q.step;
-      add_part(q, p, spec, take_hint(q.query_class, spec.hint));
+      add_part(q, p, spec, record_hint(q.query_class, spec.hint));
     }
   }
 
   void add_part(Query& q, Part p, const PartSpec& spec, double hint) {
     p.id = spec.part;
     p.shard = spec.shard;
-    p.weight = sound(spec.weight) ? spec.weight : 0;
+    p.weight = is_finite_nonnegative(spec.weight) ? spec.weight : 0;
     p.hint = hint;
     p.holders = spec.holders;
     if (p.most == 0) p.most = std::max(1, set_.max_attempts);
@@ -180,7 +187,7 @@
     // Work ahead at the tier's pace alone: a server's pace was learned with its queue of then in it.
     auto time_for = [&](const Part& p) { return p.attempts.back().ahead * queue_pace(); };
     if (c.floor < need(q) && !list.empty() && list[0]->out() &&
-        time_for(*list[0]) > kPressed * (useful_until(q) - now_))
+        time_for(*list[0]) > kOverloadTimeShare * (useful_until(q) - now_))
       placed = shorten(q, list, placed);
     double slowest = 0;
     for (Part* p : list) {
@@ -202,7 +209,7 @@
     }
     for (Part* p : list)
       if (p->out()) send(q, *p);
-    settle(q);
+    finish_if_possible(q);
   }
 
   // Departure, where fewer parts may answer and queues take most of the time left: those that weigh least for
@@ -221,47 +228,48 @@
 
   // The more of late went unserved, the surer a query must be: what is late displaces what could be served.
   bool too_late(const Query& q, double time) const {
-    double devs = std::clamp((unserved_.mean(now_, 0) - kUnservedFew) / kUnservedFew, 0.0, 1.0);
+    double devs = std::clamp((unserved_.mean(now_, 0) - kLowUnservedShare) / kLowUnservedShare, 0.0, 1.0);
     return time * std::exp(devs * spread_dev_.mean(now_, 0)) > useful_until(q) - now_;
   }
 
   // Time over cost ahead, as seen of late; starts from one server core's.
-  double queue_pace() const { return std::exp(spread_.mean(now_, 0)) / kLeastCores; }
+  double queue_pace() const { return std::exp(spread_.mean(now_, 0)) / kMinServerCores; }
 
   // Answers, fails or waits, by what is in and what may still come.
-  void settle(Query& q) {
+  void finish_if_possible(Query& q) {
     if (q.ended || q.awaiting_step) return;
     const ClassSettings& c = set_.classes[q.query_class];
-    double in = 0, possible = 0, asked = 0;
+    double in = 0, possible = 0, requested = 0;
     std::vector<Part*> list = step_parts(q);
     for (Part* p : list) {
       if (p->done) in += p->weight;
       if (!p->out() && !p->done && !repeat_allowed(*p, c)) p->dead = true;
       if (!p->dead) possible += p->weight;
-      if (!p->dead && !p->spare) asked += p->weight;
+      if (!p->dead && !p->is_spare) requested += p->weight;
     }
-    double whole = need(q) - q.slack, least = std::min(c.floor, need(q)) - q.slack;
+    double complete = need(q) - q.slack, least = std::min(c.floor, need(q)) - q.slack;
     if (list.empty() && q.step == 1) return end(q, false);
-    if (in >= whole) return answer(q, q.first_whole);
-    double goal = q.shortened ? least : whole;
+    if (in >= complete) return answer(q, q.first_step_complete);
+    double goal = q.shortened ? least : complete;
     for (Part* p : list)  // spares replace what has died
-      if (asked < goal && p->spare && !p->dead && try_part(q, *p)) asked += p->weight;
+      if (requested < goal && p->is_spare && !p->dead && try_part(q, *p)) requested += p->weight;
     // Departure from waiting: near the end of its use an honest partial answer beats a failure.
-    double partial = c.floor < c.need ? c.partial_worth * in / need(q) : 0;
+    double partial = c.floor < c.need ? c.partial_value * in / need(q) : 0;
     bool may_answer = c.floor < need(q) && in >= least && in > 0;
-    bool at_aim = now_ >= q.aim_at - margin() - pulse_;
-    if (q.shortened) possible = asked;
-    bool hopeless = possible < whole;
-    bool over = now_ >= useful_until(q) - pulse_;
-    if (may_answer && (over || (at_aim && partial > c.late_worth) || (hopeless && in >= possible - q.slack)))
+    bool at_target = now_ >= q.target_at - margin() - tick_interval_;
+    if (q.shortened) possible = requested;
+    bool hopeless = possible < complete;
+    bool over = now_ >= useful_until(q) - tick_interval_;
+    if (may_answer &&
+        (over || (at_target && partial > c.late_value) || (hopeless && in >= possible - q.slack)))
       return answer(q, false);
     if (over || (hopeless && (c.floor >= need(q) || possible < least))) end(q, true);
   }
 
-  void answer(Query& q, bool whole) {
-    act(AnswerQuery{q.id, whole});
+  void answer(Query& q, bool complete) {
+    act(AnswerQuery{q.id, complete});
     unserved_.add(0, now_);
-    q.first_whole = whole;
+    q.first_step_complete = complete;
     q.awaiting_step = q.step == 1 && set_.classes[q.query_class].second_step_parts > 0;
     if (!q.awaiting_step) close(q);
   }
@@ -272,11 +280,11 @@
     bool harmless = q.step == 1;
     unserved_.add(1, now_);
     for (const std::string& id : q.parts)
-      if (const Part& p = parts_.at(id); p.first_maybe < kEver || p.out() || p.done)
-        harmless &= c.repeat == Repeat::safe;
-    bool past = sent && now_ >= q.aim_at - margin() - pulse_;
+      if (const Part& p = parts_.at(id); p.first_possible_run < kInfinity || p.out() || p.done)
+        harmless &= c.repeat == Idempotency::safe;
+    bool past = sent && now_ >= q.target_at - margin() - tick_interval_;
     if (harmless && !past)
-      act(RefuseQuery{q.id, set_.retry_after_heard ? std::min(set_.max_retry_after, c.aim) : 0});
+      act(RefuseQuery{q.id, set_.honors_retry_after ? std::min(set_.max_retry_after, c.latency_target) : 0});
     else
       act(FailQuery{q.id});
     close(q);
@@ -311,14 +319,15 @@
     if (it != query_numbers_.end() && !queries_[it->second].ended) close(queries_[it->second]);
   }
 
-  double moves_saved_ = kMoveMost;
+  double late_retry_tokens_ = kMaxLateRetryTokens;
   double most_parts_ = 0;         // of any query so far
   Recent unserved_;               // share of recent queries that earned nothing
   std::map<int, Query> queries_;  // by number, in order of arrival
   std::map<std::string, int> query_numbers_;
   std::map<std::string, Part> parts_;
   int next_query_ = 0;
-  std::map<std::uint64_t, Millis> condemned_;  // subjects of queries that fell servers, and since when
+  std::map<std::uint64_t, Millis>
+      rejected_subjects_;  // subjects of queries that fell servers, and since when
   std::deque<std::pair<Millis, double>> taken_;
   double taken_in_window_ = 0;
   std::deque<Millis> further_;
--- a/src/aggregator/dynamic_config/generation.cpp
+++ b/src/aggregator/dynamic_config/config_generation.cpp
@@ -1,11 +1,11 @@
-#include "aggregator/dynamic_config/generation.hpp"
+#include "aggregator/dynamic_config/config_generation.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <unordered_map>
 
-namespace winchhall::generations {
+namespace winchhall::dynamic_config {
 namespace {
 
 constexpr std::size_t kNameMost = 128;
@@ -16,8 +16,8 @@
   Checker(const Rows& rows, const Bounds& bounds, std::vector<Fault>& faults)
       : rows_(rows), bounds_(bounds), faults_(faults) {}
 
-  std::shared_ptr<Generation> run() {
-    auto g = std::make_shared<Generation>();
+  std::shared_ptr<ConfigGeneration> run() {
+    auto g = std::make_shared<ConfigGeneration>();
     nodes(*g);
     weights(*g);
     ranges(*g);
@@ -34,7 +34,7 @@
            std::all_of(name.begin(), name.end(), [](unsigned char c) { return c > 32 && c < 127; });
   }
 
-  void nodes(Generation& g) {
+  void nodes(ConfigGeneration& g) {
     if (rows_.nodes.empty()) fault(Kind::nodes, 0, "no node: an empty list is never used");
     if (rows_.nodes.size() > bounds_.nodes)
       return fault(Kind::nodes, 0, "more than " + std::to_string(bounds_.nodes) + " nodes");
@@ -54,7 +54,7 @@
         fault(Kind::nodes, row.line,
               "cell " + std::to_string(row.cell) + " is not known, wanted is 0 to " +
                   std::to_string(std::max<long long>(bounds_.cells - 1, 0)));
-      core::Member m;
+      coordination::Member m;
       m.entry.server = row.id;
       m.entry.cell = static_cast<int>(row.cell);
       m.entry.state = row.draining ? winchhall::ServerState::draining : winchhall::ServerState::ready;
@@ -71,7 +71,7 @@
     return all;
   }
 
-  void weights(Generation& g) {
+  void weights(ConfigGeneration& g) {
     if (rows_.weights.empty()) return;
     g.weighted = true;
     std::vector<double> sound;
@@ -84,8 +84,8 @@
       median = *middle;
     }
     std::unordered_map<std::string, long> named;
-    std::unordered_map<std::string, core::Member*> by_id;
-    for (core::Member& m : g.members) by_id[m.entry.server] = &m;
+    std::unordered_map<std::string, coordination::Member*> by_id;
+    for (coordination::Member& m : g.members) by_id[m.entry.server] = &m;
     for (const WeightRow& row : rows_.weights) {
       char value[32];
       std::snprintf(value, sizeof value, "%g", row.weight);
@@ -106,7 +106,7 @@
     }
   }
 
-  void ranges(Generation& g) {
+  void ranges(ConfigGeneration& g) {
     if (rows_.ranges.empty()) return;
     if (rows_.ranges.size() > bounds_.ranges)
       return fault(Kind::ranges, 0, "more than " + std::to_string(bounds_.ranges) + " ranges");
@@ -143,7 +143,7 @@
     fault(Kind::ranges, line, why);
   }
 
-  void tenants(Generation& g) {
+  void tenants(ConfigGeneration& g) {
     if (rows_.tenants.size() > bounds_.tenants)
       return fault(Kind::tenants, 0, "more than " + std::to_string(bounds_.tenants) + " tenants");
     std::unordered_map<std::string, long> names;
@@ -177,15 +177,15 @@
 
 }  // namespace
 
-const core::Member* Generation::member(const std::string& id) const {
-  auto it =
-      std::lower_bound(members.begin(), members.end(), id,
-                       [](const core::Member& m, const std::string& name) { return m.entry.server < name; });
+const coordination::Member* ConfigGeneration::member(const std::string& id) const {
+  auto it = std::lower_bound(
+      members.begin(), members.end(), id,
+      [](const coordination::Member& m, const std::string& name) { return m.entry.server < name; });
   return it != members.end() && it->entry.server == id ? &*it : nullptr;
 }
 
-GenerationPtr check(const Rows& rows, std::uint64_t digest, const Bounds& bounds,
-                    std::vector<Fault>& faults) {
+ConfigGenerationPtr check(const Rows& rows, std::uint64_t digest, const Bounds& bounds,
+                          std::vector<Fault>& faults) {
   auto made = Checker(rows, bounds, faults).run();
   if (!made) return nullptr;
   made->digest = digest;
@@ -199,15 +199,15 @@
   return text;
 }
 
-std::vector<std::string> differences(const Generation& a, const Generation& b) {
+std::vector<std::string> differences(const ConfigGeneration& a, const ConfigGeneration& b) {
   std::vector<std::string> lines;
   auto say = [&](std::string line) {
     if (lines.size() < kLinesMost) lines.push_back(std::move(line));
   };
-  for (const core::Member& m : a.members)
+  for (const coordination::Member& m : a.members)
     if (!b.member(m.entry.server)) say("- node " + m.entry.server + " " + m.endpoint);
-  for (const core::Member& m : b.members) {
-    const core::Member* old = a.member(m.entry.server);
+  for (const coordination::Member& m : b.members) {
+    const coordination::Member* old = a.member(m.entry.server);
     if (!old) {
       say("+ node " + m.entry.server + " " + m.endpoint);
       continue;
@@ -244,4 +244,4 @@
   return lines;
 }
 
-}  // namespace winchhall::generations
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/generation.hpp
+++ b/src/aggregator/dynamic_config/config_generation.hpp
@@ -4,12 +4,12 @@
 #include <memory>
 #include <set>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 #include "aggregator/dynamic_config/digest.hpp"
 #include "aggregator/dynamic_config/rows.hpp"
 #include "aggregator/ranges/map.hpp"
 
-namespace winchhall::generations {
+namespace winchhall::dynamic_config {
 
 struct Bounds {
   std::size_t nodes = 100'000, ranges = 2'000'000, tenants = 10'000;
@@ -25,25 +25,26 @@
   bool operator==(const Tenant&) const = default;
 };
 
-struct Generation {
+struct ConfigGeneration {
   std::uint64_t digest = 0;  // of the bytes of all files: xxHash (XXH3, 64 bits)
   std::map<Kind, std::uint64_t> revisions{};
-  std::vector<core::Member> members{};  // in order of their ids; weights are their `size`
-  bool weighted = false;                // weights were stated
+  std::vector<coordination::Member> members{};  // in order of their ids; weights are their `size`
+  bool weighted = false;                        // weights were stated
   std::optional<ranges::RangeMap> map{};
   std::vector<Tenant> tenants{};
 
-  const core::Member* member(const std::string& id) const;
+  const coordination::Member* member(const std::string& id) const;
 };
-using GenerationPtr = std::shared_ptr<const Generation>;
+using ConfigGenerationPtr = std::shared_ptr<const ConfigGeneration>;
 
 // The generation that these rows make, or every fault that was found (at most kFaultsMost).
 inline constexpr std::size_t kFaultsMost = 50;
-GenerationPtr check(const Rows& rows, std::uint64_t digest, const Bounds& bounds, std::vector<Fault>& faults);
+ConfigGenerationPtr check(const Rows& rows, std::uint64_t digest, const Bounds& bounds,
+                          std::vector<Fault>& faults);
 
 std::string digest_text(std::uint64_t digest);
 
 // What changes from one to the other, a line each, in words; nothing where they are the same.
-std::vector<std::string> differences(const Generation& a, const Generation& b);
+std::vector<std::string> differences(const ConfigGeneration& a, const ConfigGeneration& b);
 
-}  // namespace winchhall::generations
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/settling.hpp
+++ b/src/aggregator/dynamic_config/debouncer.hpp
@@ -5,11 +5,11 @@
 
 #include <limits>
 
-namespace winchhall::generations {
+namespace winchhall::dynamic_config {
 
 using Millis = double;
 
-class Settling {
+class Debouncer {
  public:
   static constexpr Millis kQuiet = 40;     // ms without an event: writers of a set are done in less
   static constexpr Millis kLongest = 400;  // ms from the first event: then it is looked at all the same
@@ -24,19 +24,19 @@
   // What the look found was changed under it, or could not be read as a whole: it counts as an event.
   void disturbed(Millis now) { event(now); }
   // A look begins: whatever is told from now on is a new change.
-  void looking(Millis now) {
+  void on_scan_started(Millis now) {
     first_ = -1;
-    looked_ = now;
+    last_scan_at_ = now;
   }
   // A set that contradicts itself may be half of one: it is looked at once more, soon, without an event.
   void doubtful(Millis now) { again_ = now + kAgain; }
 
   Millis due() const {
-    Millis at = looked_ + kAnyway;
-    if (again_ > looked_ && again_ < at) at = again_;
+    Millis at = last_scan_at_ + kAnyway;
+    if (again_ > last_scan_at_ && again_ < at) at = again_;
     if (first_ >= 0) {
-      Millis settled = last_ + kQuiet < first_ + kLongest ? last_ + kQuiet : first_ + kLongest;
-      if (settled < at) at = settled;
+      Millis quiet_at = last_ + kQuiet < first_ + kLongest ? last_ + kQuiet : first_ + kLongest;
+      if (quiet_at < at) at = quiet_at;
     }
     return at;
   }
@@ -44,7 +44,7 @@
 
  private:
   Millis first_ = -1, last_ = -1, again_ = -1;
-  Millis looked_ = -std::numeric_limits<double>::infinity();
+  Millis last_scan_at_ = -std::numeric_limits<double>::infinity();
 };
 
-}  // namespace winchhall::generations
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/digest.cpp
+++ b/src/aggregator/dynamic_config/digest.cpp
@@ -2,7 +2,7 @@
 
 #include <xxhash.h>
 
-namespace winchhall::generations {
+namespace winchhall::dynamic_config {
 
 std::uint64_t digest_of(const Bytes& bytes) {
   std::uint64_t digest = 0;
@@ -11,4 +11,4 @@
   return digest;
 }
 
-}  // namespace winchhall::generations
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/digest.hpp
+++ b/src/aggregator/dynamic_config/digest.hpp
@@ -6,8 +6,8 @@
 
 #include "aggregator/dynamic_config/rows.hpp"
 
-namespace winchhall::generations {
+namespace winchhall::dynamic_config {
 
 std::uint64_t digest_of(const Bytes& bytes);
 
-}  // namespace winchhall::generations
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/folder.cpp
+++ b/src/aggregator/dynamic_config/folder_watch.cpp
@@ -1,4 +1,4 @@
-#include "aggregator/dynamic_config/folder.hpp"
+#include "aggregator/dynamic_config/folder_watch.hpp"
 
 #include <fcntl.h>
 #include <sys/inotify.h>
@@ -9,10 +9,10 @@
 #include <cstring>
 #include <filesystem>
 
-namespace winchhall::files {
+namespace winchhall::dynamic_config {
 namespace {
 
-using generations::Kind;
+using dynamic_config::Kind;
 
 constexpr std::uint32_t kInside = IN_CLOSE_WRITE | IN_MODIFY | IN_MOVED_TO | IN_MOVED_FROM | IN_CREATE |
                                   IN_DELETE | IN_ATTRIB | IN_DELETE_SELF | IN_MOVE_SELF | IN_ONLYDIR;
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-FolderWatch::FolderWatch(net::Loop& loop, std::string folder, std::function<void()> changed)
+FolderWatch::FolderWatch(event_loop::Loop& loop, std::string folder, std::function<void()> changed)
     : loop_(loop),
       folder_(std::move(folder)),
       changed_(std::move(changed)),
@@ -99,18 +99,19 @@
   if (any) changed_();
 }
 
-Look look_at(const std::string& folder, std::size_t most_bytes) {
-  Look look;
-  net::UniqueFd dir(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+FolderContents read_config_folder(const std::string& folder, std::size_t most_bytes) {
+  FolderContents look;
+  event_loop::UniqueFd dir(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!dir) return look;
   look.there = true;
   std::map<Kind, Stamp> before;
-  for (Kind kind : generations::kKinds) before[kind] = stamp(dir.get(), file_of(kind));
-  for (Kind kind : generations::kKinds) {
+  for (Kind kind : dynamic_config::kKinds) before[kind] = stamp(dir.get(), file_of(kind));
+  for (Kind kind : dynamic_config::kKinds) {
     if (!before[kind].there) continue;
     auto fault = [&](const std::string& what) { look.faults.push_back({kind, 0, what}); };
     // Guards against a name that leads out of the folder, or to what never ends: a pipe is not waited for.
-    net::UniqueFd file(::openat(dir.get(), file_of(kind), O_RDONLY | O_NOFOLLOW | O_NONBLOCK | O_CLOEXEC));
+    event_loop::UniqueFd file(
+        ::openat(dir.get(), file_of(kind), O_RDONLY | O_NOFOLLOW | O_NONBLOCK | O_CLOEXEC));
     struct stat info {};
     if (!file || fstat(file.get(), &info) != 0) {
       if (errno == ENOENT)
@@ -137,7 +138,7 @@
       text.clear();
     }
   }
-  for (Kind kind : generations::kKinds)
+  for (Kind kind : dynamic_config::kKinds)
     if (!(stamp(dir.get(), file_of(kind)) == before[kind])) look.disturbed = true;
   // The folder that the path leads to may be another one by now: then this was the old one's set.
   struct stat opened {
@@ -148,4 +149,4 @@
   return look;
 }
 
-}  // namespace winchhall::files
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/folder.hpp
+++ b/src/aggregator/dynamic_config/folder_watch.hpp
@@ -8,16 +8,16 @@
 #include <vector>
 
 #include "aggregator/dynamic_config/rows.hpp"
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/fd.hpp"
-#include "aggregator/event_loop/loop.hpp"
 
-namespace winchhall::files {
+namespace winchhall::dynamic_config {
 
 // Tells that something may have changed, and never what: a file written, renamed over, removed; the folder,
 // or a symbolic link on the way to it, replaced, gone or back; words lost because there were too many.
 class FolderWatch {
  public:
-  FolderWatch(net::Loop& loop, std::string folder, std::function<void()> changed);
+  FolderWatch(event_loop::Loop& loop, std::string folder, std::function<void()> changed);
   ~FolderWatch();
 
   // Watches what the path leads to by now. To be called before each look: the folder may be another one.
@@ -28,21 +28,21 @@
   void heard();
   void watch(const std::string& path, std::uint32_t events, std::map<int, std::string>& now);
 
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   std::string folder_;
   std::function<void()> changed_;
-  net::UniqueFd fd_;
+  event_loop::UniqueFd fd_;
   std::map<int, std::string> watched_;
 };
 
-struct Look {
-  generations::Bytes bytes{};
-  std::vector<generations::Fault> faults{};  // a file over its bound, or that is none, or can't be read
-  bool disturbed = false;                    // something was written while it was read: look again
-  bool there = false;                        // the folder is
+struct FolderContents {
+  dynamic_config::Bytes bytes{};
+  std::vector<dynamic_config::Fault> faults{};  // a file over its bound, or that is none, or can't be read
+  bool disturbed = false;                       // something was written while it was read: look again
+  bool there = false;                           // the folder is
 };
 
 // Reads the set. Only its own names are opened, inside the folder: no link out of it is followed.
-Look look_at(const std::string& folder, std::size_t most_bytes);
+FolderContents read_config_folder(const std::string& folder, std::size_t most_bytes);
 
-}  // namespace winchhall::files
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/rows.hpp
+++ b/src/aggregator/dynamic_config/rows.hpp
@@ -9,7 +9,7 @@
 
 #include "aggregator/ranges/types.hpp"
 
-namespace winchhall::generations {
+namespace winchhall::dynamic_config {
 
 // The files of a set. Only these names are ever opened; nodes must be there, the others may be.
 enum class Kind { nodes, weights, ranges, tenants };
@@ -60,4 +60,4 @@
   }
 };
 
-}  // namespace winchhall::generations
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/sqlite_store.cpp
+++ b/src/aggregator/dynamic_config/sqlite_store.cpp
@@ -8,15 +8,15 @@
 #include "aggregator/dynamic_config/digest.hpp"
 #include "aggregator/dynamic_config/store.hpp"
 
-namespace winchhall::store {
+namespace winchhall::dynamic_config {
 namespace {
 
-using generations::Kind;
+using dynamic_config::Kind;
 namespace fs = std::filesystem;
 
-constexpr int kSchema = 1;        // of our tables; another one is another version's
-constexpr int kBusy = 500;        // ms to wait for another process that writes
-constexpr int kOrdersKept = 200;  // of those that were carried out
+constexpr int kSchema = 1;               // of our tables; another one is another version's
+constexpr int kBusy = 500;               // ms to wait for another process that writes
+constexpr int kMaxStoredCommands = 200;  // of those that were carried out
 
 struct CloseDb {
   void operator()(sqlite3* db) const { sqlite3_close_v2(db); }
@@ -77,7 +77,7 @@
  public:
   explicit SqliteStore(Db db) : db_(std::move(db)) {}
 
-  bool put(const Kept& k) override {
+  bool put(const StoredSet& k) override {
     if (!run("BEGIN IMMEDIATE")) return false;
     auto part = [&](Kind kind) {
       auto it = k.bytes.find(kind);
@@ -95,29 +95,29 @@
     return false;
   }
 
-  std::optional<Kept> newest_taken() override {
+  std::optional<StoredSet> newest_taken() override {
     Statement select(db_.get(), kSelectTaken);
     while (select.row())
-      if (auto kept = whole(select)) return kept;
+      if (auto stored = whole(select)) return stored;
     return std::nullopt;
   }
 
-  std::optional<Kept> find(std::uint64_t digest) override {
+  std::optional<StoredSet> find(std::uint64_t digest) override {
     Statement select(
         db_.get(),
         "SELECT number, digest, at, verdict, why, nodes, weights, ranges, tenants FROM generation "
         "WHERE digest = ? AND nodes IS NOT NULL ORDER BY number DESC");
     select.text(1, hex(digest));
     while (select.row())
-      if (auto kept = whole(select)) return kept;
+      if (auto stored = whole(select)) return stored;
     return std::nullopt;
   }
 
-  std::vector<Kept> history(int most) override {
+  std::vector<StoredSet> history(int most) override {
     Statement select(db_.get(),
                      "SELECT number, digest, at, verdict, why FROM generation ORDER BY number DESC LIMIT ?");
     select.number(1, most);
-    std::vector<Kept> list;
+    std::vector<StoredSet> list;
     while (select.row()) list.push_back(head(select));
     return list;
   }
@@ -129,10 +129,10 @@
     return std::nullopt;
   }
 
-  std::vector<Order> open_orders() override {
+  std::vector<OperatorCommand> open_orders() override {
     Statement select(db_.get(),
                      "SELECT id, word, digest FROM orders WHERE answer IS NULL ORDER BY id LIMIT 20");
-    std::vector<Order> list;
+    std::vector<OperatorCommand> list;
     while (select.row()) list.push_back({select.number(0), select.bytes(1), unhex(select.bytes(2)), {}});
     return list;
   }
@@ -141,15 +141,15 @@
     Statement update(db_.get(), "UPDATE orders SET answer = ? WHERE id = ?");
     bool ok = update.text(1, words).number(2, id).done();
     if (!ok) fault_ = sqlite3_errmsg(db_.get());
-    Statement(db_.get(), "DELETE FROM orders WHERE id < ?").number(1, id - kOrdersKept).step();
+    Statement(db_.get(), "DELETE FROM orders WHERE id < ?").number(1, id - kMaxStoredCommands).step();
     return ok;
   }
 
-  std::optional<Order> order(std::int64_t id) override {
+  std::optional<OperatorCommand> order(std::int64_t id) override {
     Statement select(db_.get(), "SELECT id, word, digest, answer FROM orders WHERE id = ?");
     select.number(1, id);
     if (!select.row()) return std::nullopt;
-    return Order{select.number(0), select.bytes(1), unhex(select.bytes(2)), select.bytes(3)};
+    return OperatorCommand{select.number(0), select.bytes(1), unhex(select.bytes(2)), select.bytes(3)};
   }
 
   const std::string& fault() const override { return fault_; }
@@ -165,16 +165,16 @@
     return false;
   }
 
-  static Kept head(Statement& s) {
+  static StoredSet head(Statement& s) {
     return {s.number(0), unhex(s.bytes(1)), s.real(2), s.bytes(3), s.bytes(4), {}};
   }
 
   // Nothing where the bytes are not those that were kept: a store that is spoilt in places is used in others.
-  static std::optional<Kept> whole(Statement& s) {
-    Kept k = head(s);
+  static std::optional<StoredSet> whole(Statement& s) {
+    StoredSet k = head(s);
     for (int i = 0; i < 4; ++i)
-      if (!s.null(5 + i)) k.bytes[generations::kKinds[i]] = s.bytes(5 + i);
-    if (generations::digest_of(k.bytes) != k.digest) return std::nullopt;
+      if (!s.null(5 + i)) k.bytes[dynamic_config::kKinds[i]] = s.bytes(5 + i);
+    if (dynamic_config::digest_of(k.bytes) != k.digest) return std::nullopt;
     return k;
   }
 
@@ -189,7 +189,7 @@
     int count = 0;
     while (select.row()) {
       bytes += select.number(1);
-      if (++count > 2 && (count > kKeptMost || bytes > kBytesMost)) {
+      if (++count > 2 && (count > kMaxStoredSets || bytes > kBytesMost)) {
         last = select.number(0);
         break;
       }
@@ -202,9 +202,9 @@
   std::string fault_;
 };
 
-Db try_open(const std::string& path, bool look_only, std::string& why, bool& spoilt) {
+Db try_open(const std::string& path, bool read_only, std::string& why, bool& spoilt) {
   sqlite3* raw = nullptr;
-  int flags = look_only ? SQLITE_OPEN_READWRITE : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
+  int flags = read_only ? SQLITE_OPEN_READWRITE : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   int code = sqlite3_open_v2(path.c_str(), &raw, flags, nullptr);
   Db db(raw);
   auto failed = [&](int with) {
@@ -259,10 +259,11 @@
 }  // namespace
 
 extern "C" __attribute__((visibility("default"))) void winchhall_open_store(const std::string& path,
-                                                                            bool look_only, Opened& opened) {
+                                                                            bool read_only,
+                                                                            OpenedStore& opened) {
   bool spoilt = false;
-  Db db = try_open(path, look_only, opened.why, spoilt);
-  if (!db && spoilt && !look_only) {
+  Db db = try_open(path, read_only, opened.why, spoilt);
+  if (!db && spoilt && !read_only) {
     std::error_code error;
     opened.set_aside = free_name(path);
     fs::rename(path, opened.set_aside, error);
@@ -274,4 +275,4 @@
   opened.store = std::make_unique<SqliteStore>(std::move(db));
 }
 
-}  // namespace winchhall::store
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/store.cpp
+++ b/src/aggregator/dynamic_config/store.cpp
@@ -1,19 +1,19 @@
 #include "aggregator/dynamic_config/store.hpp"
 
-#include "aggregator/app/module.hpp"
+#include "aggregator/app/module_loader.hpp"
 
-namespace winchhall::store {
+namespace winchhall::dynamic_config {
 
-Opened open(const std::string& path, bool look_only) {
-  Opened opened;
+OpenedStore open(const std::string& path, bool read_only) {
+  OpenedStore opened;
   static std::string why;
   static auto opener =
-      reinterpret_cast<Opener>(app::symbol_beside("winchhall_store.so", "winchhall_open_store", why));
+      reinterpret_cast<Opener>(app::load_module_symbol("winchhall_store.so", "winchhall_open_store", why));
   if (!opener)
     opened.why = "no store can be opened: " + why;
   else
-    opener(path, look_only, opened);
+    opener(path, read_only, opened);
   return opened;
 }
 
-}  // namespace winchhall::store
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/store.hpp
+++ b/src/aggregator/dynamic_config/store.hpp
@@ -12,18 +12,18 @@
 
 #include "aggregator/dynamic_config/rows.hpp"
 
-namespace winchhall::store {
+namespace winchhall::dynamic_config {
 
-struct Kept {
+struct StoredSet {
   std::int64_t number = 0;  // in order of keeping
   std::uint64_t digest = 0;
   double at = 0;          // Unix time, ms, for people; order is by number, as clocks step back
   std::string verdict{};  // "taken", "refused", "held"
   std::string why{};
-  generations::Bytes bytes{};  // of what was taken or held
+  dynamic_config::Bytes bytes{};  // of what was taken or held
 };
 
-struct Order {  // an operator's word, left for the running program
+struct OperatorCommand {  // an operator's word, left for the running program
   std::int64_t id = 0;
   std::string word{};  // "accept", "rollback"
   std::uint64_t digest = 0;
@@ -35,31 +35,31 @@
   virtual ~Store() = default;
   // Whole or not at all, also where the process dies in the middle of it. False, and fault() says why, where
   // it could not be kept: a full or read-only disk costs durability and nothing else.
-  virtual bool put(const Kept& kept) = 0;
-  virtual std::optional<Kept> newest_taken() = 0;  // whose bytes still have their digest
-  virtual std::optional<Kept> find(std::uint64_t digest) = 0;
-  virtual std::vector<Kept> history(int most) = 0;  // newest first, without bytes
+  virtual bool put(const StoredSet& stored) = 0;
+  virtual std::optional<StoredSet> newest_taken() = 0;  // whose bytes still have their digest
+  virtual std::optional<StoredSet> find(std::uint64_t digest) = 0;
+  virtual std::vector<StoredSet> history(int most) = 0;  // newest first, without bytes
   virtual std::optional<std::int64_t> leave(const std::string& word, std::uint64_t digest) = 0;
-  virtual std::vector<Order> open_orders() = 0;
+  virtual std::vector<OperatorCommand> open_orders() = 0;
   virtual bool answer(std::int64_t id, const std::string& words) = 0;
-  virtual std::optional<Order> order(std::int64_t id) = 0;
+  virtual std::optional<OperatorCommand> order(std::int64_t id) = 0;
   virtual const std::string& fault() const = 0;
 
-  static constexpr int kKeptMost = 32;                   // sets with their bytes
+  static constexpr int kMaxStoredSets = 32;              // sets with their bytes
   static constexpr std::int64_t kBytesMost = 256 << 20;  // and of them all; the newest two stay in any case
 };
 
-struct Opened {
+struct OpenedStore {
   std::unique_ptr<Store> store{};  // null: none to be had, and why
   std::string why{};
   std::string set_aside{};  // where a spoilt one was put
 };
 
 // Opens or makes the store. One that is spoilt is set aside under a name of its own and a new one begun,
-// unless `look_only`, with which nothing is made or moved.
-Opened open(const std::string& path, bool look_only = false);
+// unless `read_only`, with which nothing is made or moved.
+OpenedStore open(const std::string& path, bool read_only = false);
 
 // What the module offers; called through open() only.
-using Opener = void (*)(const std::string& path, bool look_only, Opened& opened);
+using Opener = void (*)(const std::string& path, bool read_only, OpenedStore& opened);
 
-}  // namespace winchhall::store
+}  // namespace winchhall::dynamic_config
--- a/src/aggregator/event_loop/address.cpp
+++ b/src/aggregator/event_loop/address.cpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
 std::optional<sockaddr_in> parse_address(std::string_view text) {
   std::size_t colon = text.rfind(':');
@@ -22,4 +22,4 @@
   return a;
 }
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/address.hpp
+++ b/src/aggregator/event_loop/address.hpp
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string_view>
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
 // "127.0.0.1:8815"; nothing for what is none. No name is looked up.
 std::optional<sockaddr_in> parse_address(std::string_view host_port);
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/loop.cpp
+++ b/src/aggregator/event_loop/event_loop.cpp
@@ -1,10 +1,10 @@
-#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/event_loop/event_loop.hpp"
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 namespace {
 template <class Clock>
 Millis read() {
@@ -75,4 +75,4 @@
   for (auto& run : std::exchange(deferred_, {})) run();
 }
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/loop.hpp
+++ b/src/aggregator/event_loop/event_loop.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
 using Millis = double;
 using TimerId = std::pair<Millis, std::uint64_t>;
@@ -55,4 +55,4 @@
   std::vector<std::function<void()>> deferred_;
 };
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/fd.hpp
+++ b/src/aggregator/event_loop/fd.hpp
@@ -5,7 +5,7 @@
 
 #include <utility>
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
 class UniqueFd {
  public:
@@ -32,4 +32,4 @@
   int fd_ = -1;
 };
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/lingering.hpp
+++ b/src/aggregator/event_loop/half_closed_connections.hpp
@@ -8,16 +8,16 @@
 
 #include "aggregator/event_loop/stream.hpp"
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
-class Lingering {
+class HalfClosedConnections {
  public:
-  explicit Lingering(Loop& loop) : loop_(loop) {}
-  ~Lingering() {
+  explicit HalfClosedConnections(Loop& loop) : loop_(loop) {}
+  ~HalfClosedConnections() {
     for (auto& [since, stream] : streams_) stream->close();
   }
-  Lingering(const Lingering&) = delete;
-  Lingering& operator=(const Lingering&) = delete;
+  HalfClosedConnections(const HalfClosedConnections&) = delete;
+  HalfClosedConnections& operator=(const HalfClosedConnections&) = delete;
 
   void add(std::shared_ptr<Stream> stream) {
     if (stream && stream->open()) streams_.emplace_back(loop_.now(), std::move(stream));
@@ -46,4 +46,4 @@
   std::deque<std::pair<Millis, std::shared_ptr<Stream>>> streams_;  // since when
 };
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/listener.cpp
+++ b/src/aggregator/event_loop/listener.cpp
@@ -6,9 +6,9 @@
 
 #include "aggregator/event_loop/stream.hpp"
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 namespace {
-constexpr Millis kAcceptPause = 50;  // ms without accepting once descriptors have run out
+constexpr Millis kAcceptRetryDelay = 50;  // ms without accepting once descriptors have run out
 }  // namespace
 
 Listener::Listener(Loop& loop, const sockaddr_in& address, std::function<void(UniqueFd)> accepted,
@@ -37,7 +37,8 @@
       continue;
     }
     // Guards against a busy loop when descriptors run out: the queue stays readable all the while.
-    if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) return pause(kAcceptPause);
+    if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
+      return pause(kAcceptRetryDelay);
     if (errno != EINTR && errno != ECONNABORTED) return;
   }
 }
@@ -64,4 +65,4 @@
   fd_.reset();
 }
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/stream.cpp
+++ b/src/aggregator/event_loop/stream.cpp
@@ -7,12 +7,12 @@
 #include <cerrno>
 #include <system_error>
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 namespace {
-constexpr std::size_t kInMost = 96 * 1024;     // bytes held for an owner that does not take them
-constexpr std::size_t kPiece = 32 * 1024;      // bytes shown to the owner at a time
-constexpr std::size_t kTurnMost = 256 * 1024;  // bytes read in one turn: others come to their turn too
-constexpr std::size_t kKeep = 16 * 1024;       // bytes of an empty buffer that are kept for the next use
+constexpr std::size_t kInMost = 96 * 1024;           // bytes held for an owner that does not take them
+constexpr std::size_t kWriteChunkBytes = 32 * 1024;  // bytes shown to the owner at a time
+constexpr std::size_t kTurnMost = 256 * 1024;        // bytes read in one turn: others come to their turn too
+constexpr std::size_t kKeep = 16 * 1024;  // bytes of an empty buffer that are kept for the next use
 
 // Guards against memory held by connections that were busy once: hundreds of them stand idle.
 void shrink(std::string& buffer) {
@@ -91,7 +91,7 @@
       in_.append(buffer, static_cast<std::size_t>(n));
       taken += static_cast<std::size_t>(n);
       if (!owner_) in_.clear();
-      if (in_.size() >= kPiece) owner_->received(in_);
+      if (in_.size() >= kWriteChunkBytes) owner_->received(in_);
       continue;
     }
     if (n < 0 && errno == EINTR) continue;
@@ -195,4 +195,4 @@
   fd_.reset();
 }
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/stream.hpp
+++ b/src/aggregator/event_loop/stream.hpp
@@ -7,10 +7,10 @@
 #include <string_view>
 
 #include "aggregator/event_loop/address.hpp"
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/fd.hpp"
-#include "aggregator/event_loop/loop.hpp"
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
@@ -36,12 +36,12 @@
 
   void write(std::string_view bytes);
   void close();
-  // Lingering close, the way to end a connection that may still bring something: a close over unread bytes
-  // resets it, and what was written last goes with it. What waits is written within `writing` ms, then the
-  // sending side is shut, and what still comes is read and dropped until the peer's end or for `reading` ms.
-  // The owner hears nothing more and may go.
-  // `rested`: the peer has had all that we wrote; then what still comes is left unread and the connection
-  // reset, which tells the peer at once that nobody has seen it.
+  // HalfClosedConnections close, the way to end a connection that may still bring something: a close over
+  // unread bytes resets it, and what was written last goes with it. What waits is written within `writing`
+  // ms, then the sending side is shut, and what still comes is read and dropped until the peer's end or for
+  // `reading` ms. The owner hears nothing more and may go. `rested`: the peer has had all that we wrote; then
+  // what still comes is left unread and the connection reset, which tells the peer at once that nobody has
+  // seen it.
   void linger(Millis writing, Millis reading, bool rested = false);
   void read_now();    // does not wait for the next turn: what has come by now is shown
   void half_close();  // no more will be written; what the peer sends is still read
@@ -100,4 +100,4 @@
   int port_ = 0;
 };
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/worker.cpp
+++ b/src/aggregator/event_loop/worker.cpp
@@ -7,7 +7,7 @@
 #include <system_error>
 #include <utility>
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
 Worker::Worker(Loop& loop) : loop_(loop), bell_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (!bell_) throw std::system_error(errno, std::generic_category(), "eventfd");
@@ -66,4 +66,4 @@
   for (auto& after : ready) after();
 }
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/worker.hpp
+++ b/src/aggregator/event_loop/worker.hpp
@@ -8,10 +8,10 @@
 #include <mutex>
 #include <thread>
 
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/fd.hpp"
-#include "aggregator/event_loop/loop.hpp"
 
-namespace winchhall::net {
+namespace winchhall::event_loop {
 
 class Worker {
  public:
@@ -40,4 +40,4 @@
   std::thread thread_;
 };
 
-}  // namespace winchhall::net
+}  // namespace winchhall::event_loop
--- a/src/aggregator/flight/flight_pool.cpp
+++ b/src/aggregator/flight/flight_pool.cpp
@@ -12,18 +12,18 @@
 
 namespace winchhall::flight {
 
-using core::AttemptNumber;
-using core::Outcome;
+using coordination::AttemptNumber;
+using coordination::Outcome;
 
 namespace {
 constexpr double kIdleShare = 0.8;
-constexpr net::Millis kSweep = 1000;
+constexpr event_loop::Millis kSweep = 1000;
 constexpr std::size_t kPartMost = 512 * 1024;  // bytes of one part's rows
 }  // namespace
 
 class FlightPool::Connection : public Http2::Handler {
  public:
-  Connection(FlightPool& pool, const core::Order& order)
+  Connection(FlightPool& pool, const coordination::AttemptRequest& order)
       : server_(order.server),
         endpoint_(order.endpoint),
         pool_(pool),
@@ -31,7 +31,7 @@
         used_at_(pool.loop_.now()) {}
 
   bool begin() {
-    auto to = net::parse_address(endpoint_);
+    auto to = event_loop::parse_address(endpoint_);
     if (!to || !http2_.connect(*to)) return false;
     // Guards against a machine that is cut off: its side never comes up, without a sign.
     connect_timer_ = pool_.loop_.at(pool_.loop_.now() + pool_.limits_.connect_timeout, [this] {
@@ -41,12 +41,12 @@
     return true;
   }
 
-  bool takes(const core::Order& o) const {
+  bool takes(const coordination::AttemptRequest& o) const {
     return !retired_ && server_ == o.server && endpoint_ == o.endpoint && http2_.open() &&
            calls_.size() < pool_.limits_.streams;
   }
 
-  void add(const core::Order& o) {
+  void add(const coordination::AttemptRequest& o) {
     PartCommand command;
     command.set_part(o.part);
     command.set_shard(o.shard);
@@ -69,8 +69,7 @@
                     {"content-type", "application/grpc"},
                     {"grpc-timeout", write_timeout(o.until - pool_.loop_.now())}};
     std::int32_t id = http2_.request(headers, frame_message(ticket.SerializeAsString()));
-    if (id < 0)
-      return pool_.exchange_.attempt_ended(o.attempt, {.outcome = Outcome::unsent, .written = false});
+    if (id < 0) return pool_.router_.attempt_ended(o.attempt, {.outcome = Outcome::unsent, .written = false});
     Call& call = calls_[id];
     call.attempt = o.attempt;
     call.sent = pool_.loop_.now();
@@ -87,8 +86,8 @@
     auto it =
         std::find_if(calls_.begin(), calls_.end(), [&](auto& c) { return c.second.attempt == attempt; });
     if (it == calls_.end()) return;
-    silence_.given_up(it->second.sent, pool_.loop_.now());
-    retired_ = retired_ || silence_.silent();
+    unresponsiveness_.on_attempt_abandoned(it->second.sent, pool_.loop_.now());
+    retired_ = retired_ || unresponsiveness_.is_unresponsive();
     http2_.reset(it->first, NGHTTP2_CANCEL);
     calls_.erase(it);
     used_at_ = pool_.loop_.now();
@@ -104,7 +103,7 @@
   bool up_once() const { return up_; }
 
   bool idle() const { return calls_.empty(); }
-  bool idle_since(net::Millis when) const { return idle() && used_at_ <= when; }
+  bool idle_since(event_loop::Millis when) const { return idle() && used_at_ <= when; }
   bool retired() const { return retired_; }
   void retire() { retired_ = true; }
   void close() {
@@ -122,19 +121,19 @@
     for (AttemptNumber attempt : late) {
       pool_.where_.erase(attempt);
       recall(attempt);
-      pool_.exchange_.attempt_ended(attempt, {.outcome = Outcome::unsent, .written = false});
+      pool_.router_.attempt_ended(attempt, {.outcome = Outcome::unsent, .written = false});
     }
   }
 
   void head(std::int32_t id, const Headers& headers) override {
-    silence_.heard(pool_.loop_.now());
+    unresponsiveness_.on_activity(pool_.loop_.now());
     auto it = calls_.find(id);
     if (it == calls_.end()) return;
     for (const auto& header : headers) it->second.headers.push_back(header);
   }
 
   void data(std::int32_t id, std::string_view bytes) override {
-    silence_.heard(pool_.loop_.now());
+    unresponsiveness_.on_activity(pool_.loop_.now());
     auto it = calls_.find(id);
     if (it == calls_.end()) return;
     Call& call = it->second;
@@ -183,7 +182,7 @@
         outcome = !written ? Outcome::unsent : blamed ? Outcome::cancelled : Outcome::error;
       blamed = blamed || written;
       pool_.where_.erase(call.attempt);
-      pool_.exchange_.attempt_ended(call.attempt, {.outcome = outcome, .written = written});
+      pool_.router_.attempt_ended(call.attempt, {.outcome = outcome, .written = written});
     }
     calls_.clear();
     pool_.drop(*this);
@@ -194,7 +193,7 @@
  private:
   struct Call {
     AttemptNumber attempt = 0;
-    net::Millis sent = 0, send_by = 0;
+    event_loop::Millis sent = 0, send_by = 0;
     int shard = 0;
     ranges::Span span;
     Layout layout() const { return span.empty() ? Layout::shards : Layout::spans; }
@@ -205,9 +204,9 @@
     std::vector<ArrowRow> rows;
   };
 
-  core::Result judge(Call& call) const {
-    core::Result r;
-    if (const std::string* load = find_header(call.headers, "node-load")) r.load = platform::read_load(*load);
+  coordination::Result judge(Call& call) const {
+    coordination::Result r;
+    if (const std::string* load = find_header(call.headers, "node-load")) r.load = http::read_load(*load);
     const std::string* status = find_header(call.headers, "grpc-status");
     r.outcome = Outcome::error;
     if (!status) return r;
@@ -231,25 +230,25 @@
     return r;
   }
 
-  void finish(std::map<std::int32_t, Call>::iterator it, core::Result result) {
+  void finish(std::map<std::int32_t, Call>::iterator it, coordination::Result result) {
     AttemptNumber attempt = it->second.attempt;
     calls_.erase(it);
     pool_.where_.erase(attempt);
     used_at_ = pool_.loop_.now();
-    pool_.exchange_.attempt_ended(attempt, std::move(result));
+    pool_.router_.attempt_ended(attempt, std::move(result));
   }
 
   FlightPool& pool_;
   Http2 http2_;
-  net::TimerId connect_timer_{};
+  event_loop::TimerId connect_timer_{};
   std::map<std::int32_t, Call> calls_;
-  net::Millis used_at_;
-  core::Silence silence_;
+  event_loop::Millis used_at_;
+  coordination::UnresponsivenessDetector unresponsiveness_;
   bool retired_ = false, up_ = false;
 };
 
-FlightPool::FlightPool(net::Loop& loop, core::Exchange& exchange, NodeLimits limits)
-    : loop_(loop), exchange_(exchange), limits_(limits) {
+FlightPool::FlightPool(event_loop::Loop& loop, coordination::RequestRouter& router, NodeLimits limits)
+    : loop_(loop), router_(router), limits_(limits) {
   sweep();
 }
 
@@ -258,16 +257,16 @@
   for (auto& c : connections_) c->close();
 }
 
-void FlightPool::launch(const core::Order& order) {
+void FlightPool::launch(const coordination::AttemptRequest& order) {
   Connection* room = nullptr;
   for (auto& c : connections_)
     if (!room && c->takes(order)) room = c.get();
   if (!room) room = open(order);
   if (room) return room->add(order);
-  exchange_.attempt_ended(order.attempt, {.outcome = Outcome::unsent, .written = false});
+  router_.attempt_ended(order.attempt, {.outcome = Outcome::unsent, .written = false});
 }
 
-FlightPool::Connection* FlightPool::open(const core::Order& order) {
+FlightPool::Connection* FlightPool::open(const coordination::AttemptRequest& order) {
   if (connections_.size() >= limits_.connections) {
     auto idle = std::find_if(connections_.begin(), connections_.end(), [](auto& c) { return c->idle(); });
     if (idle == connections_.end()) return nullptr;
@@ -313,7 +312,7 @@
 
 // Flight has no call that asks only for load; answers carry it.
 void FlightPool::probe(const std::string& server, const std::string&) {
-  exchange_.probe_ended(server, Outcome::unsent, 0, {});
+  router_.probe_ended(server, Outcome::unsent, 0, {});
 }
 
 void FlightPool::close_idle(const std::string& server) {
@@ -329,7 +328,7 @@
 }
 
 void FlightPool::sweep() {
-  net::Millis now = loop_.now();
+  event_loop::Millis now = loop_.now();
   auto copy = connections_;
   for (auto& c : copy)
     if (c->idle_since(now - kIdleShare * limits_.idle) || (c->retired() && c->idle())) drop(*c);
--- a/src/aggregator/flight/flight_pool.hpp
+++ b/src/aggregator/flight/flight_pool.hpp
@@ -7,27 +7,27 @@
 #include <unordered_map>
 #include <vector>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 #include "aggregator/event_loop/stream.hpp"
 
 namespace winchhall::flight {
 
 struct NodeLimits {
-  std::size_t streams = 32;           // parts on one connection
-  net::Millis connect_timeout = 250;  // ms
-  net::Millis idle = 30000;           // ms: a connection that stood idle so long may be gone
-  std::size_t connections = 400;      // in all
+  std::size_t streams = 32;                  // parts on one connection
+  event_loop::Millis connect_timeout = 250;  // ms
+  event_loop::Millis idle = 30000;           // ms: a connection that stood idle so long may be gone
+  std::size_t connections = 400;             // in all
 };
 
-class FlightPool final : public core::Carrier {
+class FlightPool final : public coordination::Transport {
  public:
-  FlightPool(net::Loop& loop, core::Exchange& exchange, NodeLimits limits);
+  FlightPool(event_loop::Loop& loop, coordination::RequestRouter& router, NodeLimits limits);
   ~FlightPool();
 
-  void launch(const core::Order& order) override;
+  void launch(const coordination::AttemptRequest& order) override;
   void flush() override;
-  void abandon(core::AttemptNumber attempt) override;
-  bool recall(core::AttemptNumber attempt) override;
+  void abandon(coordination::AttemptNumber attempt) override;
+  bool recall(coordination::AttemptNumber attempt) override;
   void probe(const std::string& server, const std::string& endpoint) override;
   void close_idle(const std::string& server) override;
   void retire(const std::string& server) override;
@@ -36,16 +36,16 @@
 
  private:
   class Connection;
-  Connection* open(const core::Order& order);
+  Connection* open(const coordination::AttemptRequest& order);
   void drop(Connection& connection);
   void sweep();
 
-  net::Loop& loop_;
-  core::Exchange& exchange_;
+  event_loop::Loop& loop_;
+  coordination::RequestRouter& router_;
   NodeLimits limits_;
-  std::unordered_map<core::AttemptNumber, Connection*> where_;
+  std::unordered_map<coordination::AttemptNumber, Connection*> where_;
   std::vector<std::shared_ptr<Connection>> connections_;
-  net::TimerId sweep_{};
+  event_loop::TimerId sweep_{};
 };
 
 }  // namespace winchhall::flight
--- a/src/aggregator/flight/flight_server.cpp
+++ b/src/aggregator/flight/flight_server.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <optional>
 
-#include "aggregator/coordination/check.hpp"
+#include "aggregator/coordination/query_validation.hpp"
 #include "aggregator/flight/arrow.hpp"
 #include "aggregator/flight/grpc.hpp"
 #include "command.pb.h"
@@ -18,10 +18,11 @@
 constexpr char kService[] = "/arrow.flight.protocol.FlightService/";
 constexpr std::size_t kRequestMost = 96 * 1024;  // a command's text is held to 64 KiB like a body elsewhere
 constexpr std::size_t kTextMost = 64 * 1024;
-constexpr net::Millis kFirstCall = 2000;  // ms from connecting to a first call
-constexpr net::Millis kHalfCall = 2000;   // ms from a call's headers to its end
-constexpr net::Millis kSweep = 200;
-constexpr net::Millis kDueSlack = 50;  // ms before its end from which a failed query counts as out of time
+constexpr event_loop::Millis kFirstCall = 2000;  // ms from connecting to a first call
+constexpr event_loop::Millis kHalfCall = 2000;   // ms from a call's headers to its end
+constexpr event_loop::Millis kSweep = 200;
+constexpr event_loop::Millis kDueSlack =
+    50;  // ms before its end from which a failed query counts as out of time
 
 template <class T>
 int index_of(const std::vector<T>& list, const std::string& name) {
@@ -36,7 +37,7 @@
 };
 
 Refusal read_command(const std::string& bytes, const winchhall::Settings& settings, int shards, bool spans,
-                     core::QuerySpec& q) {
+                     coordination::QuerySpec& q) {
   QueryCommand command;
   if (!command.ParseFromString(bytes)) return {Status::invalid_argument, "the command cannot be read"};
   q.query_class = index_of(settings.classes, command.query_class());
@@ -47,7 +48,7 @@
   if (command.has_key()) q.key = command.key();
   q.text = command.text();
   for (const auto& part : command.parts()) {
-    core::QueryPart p{part.shard(), part.weight(), {}};
+    coordination::QueryPart p{part.shard(), part.weight(), {}};
     if (part.has_hint_us()) p.hint = part.hint_us() / 1000;
     q.parts.push_back(p);
   }
@@ -55,7 +56,7 @@
   if (command.has_hint_us()) q.hint = command.hint_us() / 1000;
   if (!q.spans.empty() && !spans)
     return {Status::invalid_argument, "no directory of ranges is followed here, a query names parts"};
-  std::string what = core::unsound(q, shards);
+  std::string what = coordination::unsound(q, shards);
   if (!what.empty()) return {Status::invalid_argument, what};
   return {};
 }
@@ -74,7 +75,7 @@
  public:
   explicit Connection(FlightServer& server)
       : server_(server), http2_(server.loop_, *this, true), began_(server.loop_.now()) {}
-  void begin(net::UniqueFd fd) { http2_.adopt(std::move(fd)); }
+  void begin(event_loop::UniqueFd fd) { http2_.adopt(std::move(fd)); }
   void wind_down() { http2_.shut_down(); }
   bool busy() const { return !calls_.empty() || http2_.unsent() > 0; }
   void close() {
@@ -83,7 +84,7 @@
   }
 
   // Guards against connections without a call, and calls without an end, that crowd out real ones.
-  void check(net::Millis now) {
+  void check(event_loop::Millis now) {
     if (!called_ && now - began_ > kFirstCall) return down();
     std::vector<std::int32_t> late;
     for (auto& [id, call] : calls_)
@@ -131,15 +132,15 @@
   struct Call {
     Headers headers;
     std::string in, id;
-    net::Millis arrived = 0, due = 0;
-    core::QueryNumber query = 0;
+    event_loop::Millis arrived = 0, due = 0;
+    coordination::QueryNumber query = 0;
     bool answered = false;
     Layout layout = Layout::shards;
-    net::TimerId timer{};
+    event_loop::TimerId timer{};
   };
 
   void forget(std::map<std::int32_t, Call>::iterator it) {
-    if (it->second.query != 0) server_.exchange_.withdraw(it->second.query);
+    if (it->second.query != 0) server_.router_.withdraw(it->second.query);
     server_.loop_.cancel(it->second.timer);
     server_.live_ids_.erase(it->second.id);
     calls_.erase(it);
@@ -168,9 +169,9 @@
     wire::FlightDescriptor descriptor;
     if (!descriptor.ParseFromString(message) || descriptor.type() != wire::FlightDescriptor::CMD)
       return refuse(id, call, {Status::invalid_argument, "a descriptor with a command is wanted"});
-    core::QuerySpec spec;
+    coordination::QuerySpec spec;
     Refusal r =
-        read_command(descriptor.cmd(), server_.exchange_.settings(), server_.shards_, server_.spans_, spec);
+        read_command(descriptor.cmd(), server_.router_.settings(), server_.shards_, server_.spans_, spec);
     if (r.status != Status::ok) return refuse(id, call, r);
     Layout layout = spec.spans.empty() ? Layout::shards : Layout::spans;
     if (method == "GetSchema") {
@@ -190,13 +191,12 @@
 
   void run(std::int32_t id, Call& call, const std::string& message) {
     wire::Ticket ticket;
-    core::QuerySpec spec;
+    coordination::QuerySpec spec;
     if (!ticket.ParseFromString(message)) return refuse(id, call, {Status::invalid_argument, "no ticket"});
     Refusal r =
-        read_command(ticket.ticket(), server_.exchange_.settings(), server_.shards_, server_.spans_, spec);
+        read_command(ticket.ticket(), server_.router_.settings(), server_.shards_, server_.spans_, spec);
     if (r.status != Status::ok) return refuse(id, call, r);
-    double timeout =
-        server_.exchange_.settings().classes[static_cast<std::size_t>(spec.query_class)].deadline;
+    double timeout = server_.router_.settings().classes[static_cast<std::size_t>(spec.query_class)].deadline;
     if (const std::string* text = find_header(call.headers, "grpc-timeout")) {
       auto read = read_timeout(*text);
       if (!read) return refuse(id, call, {Status::invalid_argument, "grpc-timeout"});
@@ -204,41 +204,41 @@
       timeout = *read;
     }
     const std::string* named = find_header(call.headers, "x-request-id");
-    spec.id = named ? *named : server_.fresh_id();
-    if (!core::fit_name(spec.id)) return refuse(id, call, {Status::invalid_argument, "x-request-id"});
+    spec.id = named ? *named : server_.next_id();
+    if (!coordination::fit_name(spec.id)) return refuse(id, call, {Status::invalid_argument, "x-request-id"});
     if (!server_.live_ids_.insert(spec.id).second)
       return refuse(id, call, {Status::already_exists, "a query of that name is running"});
     call.id = spec.id;
     call.layout = spec.spans.empty() ? Layout::shards : Layout::spans;
-    spec.give_up_at = call.due = core::due(call.arrived, timeout);
+    spec.give_up_at = call.due = coordination::due(call.arrived, timeout);
     // A client that does not take its answer is let go when its time is up.
     call.timer = server_.loop_.at(call.arrived + timeout, [this, id] {
       http2_.reset(id, NGHTTP2_CANCEL);
       http2_.pump();
     });
-    call.query = server_.exchange_.submit(std::move(spec), [this, id](core::Verdict v) {
+    call.query = server_.router_.submit(std::move(spec), [this, id](coordination::QueryResult v) {
       auto it = calls_.find(id);
       if (it != calls_.end()) answer(id, it->second, v);
     });
   }
 
-  void answer(std::int32_t id, Call& call, const core::Verdict& v) {
+  void answer(std::int32_t id, Call& call, const coordination::QueryResult& v) {
     call.query = 0;
-    if (v.kind == core::Verdict::Kind::refused)
+    if (v.kind == coordination::QueryResult::Kind::refused)
       return respond(
           id, call, "",
           status_trailers(Status::unavailable, v.why.empty() ? "refused, try again" : v.why, v.retry_after));
-    if (v.kind == core::Verdict::Kind::unfit)
+    if (v.kind == coordination::QueryResult::Kind::invalid)
       return respond(id, call, "", status_trailers(Status::invalid_argument, v.why));
-    if (v.kind == core::Verdict::Kind::failed) {
+    if (v.kind == coordination::QueryResult::Kind::failed) {
       bool late = server_.loop_.now() >= call.due - kDueSlack;
       return respond(id, call, "",
                      late ? status_trailers(Status::deadline_exceeded, "out of time")
                           : status_trailers(Status::internal, "the query failed"));
     }
-    std::string exact = v.whole ? "true" : "false", share = std::to_string(v.share);
+    std::string exact = v.complete ? "true" : "false", share = std::to_string(v.share);
     std::vector<ArrowRow> rows;
-    for (const core::Row& row : v.rows)
+    for (const coordination::PartialResult& row : v.rows)
       for (const std::string& value : row.values)
         rows.push_back({row.shard, value, row.span,
                         call.layout == Layout::spans ? ranges::text_of(row.revision) : std::string()});
@@ -264,21 +264,22 @@
 
   FlightServer& server_;
   Http2 http2_;
-  net::Millis began_;
+  event_loop::Millis began_;
   bool called_ = false;
   std::map<std::int32_t, Call> calls_;
 };
 
-FlightServer::FlightServer(net::Loop& loop, core::Exchange& exchange, const sockaddr_in& address, int shards,
-                           std::uint64_t seed, std::size_t connections, bool spans, bool shared)
+FlightServer::FlightServer(event_loop::Loop& loop, coordination::RequestRouter& router,
+                           const sockaddr_in& address, int shards, std::uint64_t seed,
+                           std::size_t connections, bool spans, bool shared)
     : loop_(loop),
-      exchange_(exchange),
+      router_(router),
       shards_(shards),
       spans_(spans),
       seed_(seed),
       most_(connections),
       listener_(
-          loop, address, [this](net::UniqueFd fd) { accept(std::move(fd)); }, shared) {
+          loop, address, [this](event_loop::UniqueFd fd) { accept(std::move(fd)); }, shared) {
   sweep();
 }
 
@@ -293,7 +294,7 @@
   for (auto& c : connections_) c->close();
 }
 
-void FlightServer::accept(net::UniqueFd fd) {
+void FlightServer::accept(event_loop::UniqueFd fd) {
   if (connections_.size() >= most_ || winding_down_) return;  // closed again: within our descriptors
   auto c = std::make_shared<Connection>(*this);
   connections_.insert(c);
@@ -305,7 +306,7 @@
   if (connections_.erase(c) > 0) loop_.destroy_later(std::move(c));
 }
 
-std::string FlightServer::fresh_id() { return "f" + std::to_string(seed_) + "-" + std::to_string(++count_); }
+std::string FlightServer::next_id() { return "f" + std::to_string(seed_) + "-" + std::to_string(++count_); }
 
 void FlightServer::wind_down() {
   winding_down_ = true;
--- a/src/aggregator/flight/flight_server.hpp
+++ b/src/aggregator/flight/flight_server.hpp
@@ -7,15 +7,16 @@
 #include <set>
 #include <string>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 #include "aggregator/event_loop/stream.hpp"
 
 namespace winchhall::flight {
 
 class FlightServer {
  public:
-  FlightServer(net::Loop& loop, core::Exchange& exchange, const sockaddr_in& address, int shards,
-               std::uint64_t seed, std::size_t connections, bool spans = false, bool shared = false);
+  FlightServer(event_loop::Loop& loop, coordination::RequestRouter& router, const sockaddr_in& address,
+               int shards, std::uint64_t seed, std::size_t connections, bool spans = false,
+               bool shared = false);
   ~FlightServer();
 
   void wind_down();                             // calls that are here are finished, no new ones are taken
@@ -27,13 +28,13 @@
 
  private:
   class Connection;
-  void accept(net::UniqueFd fd);
+  void accept(event_loop::UniqueFd fd);
   void drop(Connection& connection);
   void sweep();
-  std::string fresh_id();
+  std::string next_id();
 
-  net::Loop& loop_;
-  core::Exchange& exchange_;
+  event_loop::Loop& loop_;
+  coordination::RequestRouter& router_;
   int shards_;
   bool spans_;  // a directory of ranges is followed: queries may name accounts
   std::uint64_t seed_, count_ = 0;
@@ -41,8 +42,8 @@
   bool winding_down_ = false;
   std::set<std::shared_ptr<Connection>> connections_;
   std::set<std::string> live_ids_;
-  net::TimerId sweep_{};
-  net::Listener listener_;
+  event_loop::TimerId sweep_{};
+  event_loop::Listener listener_;
 };
 
 }  // namespace winchhall::flight
--- a/src/aggregator/flight/grpc.cpp
+++ b/src/aggregator/flight/grpc.cpp
@@ -94,10 +94,10 @@
   if (!message.empty()) list.emplace_back("grpc-message", message);  // our own words: plain ASCII
   if (retry_after_ms > 0) {
     RetryInfo advice;
-    auto whole = static_cast<std::int64_t>(retry_after_ms / 1000);
-    advice.mutable_retry_delay()->set_seconds(whole);
+    auto complete = static_cast<std::int64_t>(retry_after_ms / 1000);
+    advice.mutable_retry_delay()->set_seconds(complete);
     advice.mutable_retry_delay()->set_nanos(static_cast<std::int32_t>(
-        std::llround((retry_after_ms - 1000.0 * static_cast<double>(whole)) * 1e6)));
+        std::llround((retry_after_ms - 1000.0 * static_cast<double>(complete)) * 1e6)));
     RpcStatus details;
     details.set_code(code);
     details.set_message(message);
--- a/src/aggregator/flight/http2.cpp
+++ b/src/aggregator/flight/http2.cpp
@@ -28,7 +28,7 @@
   return nullptr;
 }
 
-Http2::Http2(net::Loop& loop, Handler& handler, bool server)
+Http2::Http2(event_loop::Loop& loop, Handler& handler, bool server)
     : loop_(loop), handler_(handler), server_(server) {
   nghttp2_session_callbacks* calls = nullptr;
   nghttp2_session_callbacks_new(&calls);
@@ -86,14 +86,14 @@
   nghttp2_session_del(session_);
 }
 
-void Http2::adopt(net::UniqueFd fd) {
-  stream_ = net::Stream::adopt(loop_, std::move(fd), *this);
+void Http2::adopt(event_loop::UniqueFd fd) {
+  stream_ = event_loop::Stream::adopt(loop_, std::move(fd), *this);
   pump();
 }
 
 bool Http2::connect(const sockaddr_in& to) {
   int error = 0;
-  stream_ = net::Stream::connect(loop_, to, *this, error);
+  stream_ = event_loop::Stream::connect(loop_, to, *this, error);
   return static_cast<bool>(stream_);
 }
 
@@ -146,7 +146,7 @@
       !nghttp2_session_want_write(session_)) {
     spoilt_ = true;  // where calls are still out: the codec gave the session up over what it read
     stream_->close();
-    loop_.defer([this, alive = std::weak_ptr<net::Stream>(stream_)] {
+    loop_.defer([this, alive = std::weak_ptr<event_loop::Stream>(stream_)] {
       if (alive.lock()) ended();
     });
   }
--- a/src/aggregator/flight/http2.hpp
+++ b/src/aggregator/flight/http2.hpp
@@ -17,7 +17,7 @@
 using Headers = std::vector<std::pair<std::string, std::string>>;
 const std::string* find_header(const Headers& headers, std::string_view name);
 
-class Http2 : public net::Stream::Owner {
+class Http2 : public event_loop::Stream::Owner {
  public:
   class Handler {
    public:
@@ -34,12 +34,12 @@
     ~Handler() = default;
   };
 
-  Http2(net::Loop& loop, Handler& handler, bool server);
+  Http2(event_loop::Loop& loop, Handler& handler, bool server);
   ~Http2();
   Http2(const Http2&) = delete;
   Http2& operator=(const Http2&) = delete;
 
-  void adopt(net::UniqueFd fd);
+  void adopt(event_loop::UniqueFd fd);
   bool connect(const sockaddr_in& to);
   void close();
   bool open() const { return stream_ && stream_->open(); }
@@ -72,11 +72,11 @@
   nghttp2_data_provider provider();
   void fail();
 
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   Handler& handler_;
   bool server_;
   nghttp2_session* session_ = nullptr;
-  std::shared_ptr<net::Stream> stream_;
+  std::shared_ptr<event_loop::Stream> stream_;
   std::map<std::int32_t, Sending> sending_;
   std::map<std::int32_t, Headers> gathering_;
   bool pumping_ = false, over_ = false, spoilt_ = false;
