--- a/src/aggregator/hot_restart/pairing.cpp
+++ b/src/aggregator/hot_restart/process_registry.cpp
@@ -1,65 +1,65 @@
-#include "aggregator/hot_restart/pairing.hpp"
+#include "aggregator/hot_restart/process_registry.hpp"
 
 #include <algorithm>
 
-namespace winchhall::takeover {
+namespace winchhall::hot_restart {
 
-void Pairing::saw(const std::vector<State>& states, Millis now) {
-  std::map<Who, Known> next;
+void ProcessRegistry::saw(const std::vector<State>& states, Millis now) {
+  std::map<ProcessId, Known> next;
   for (const State& s : states) {
-    if (s.name != name_ || s.who == own_) continue;
-    auto it = known_.find(s.who);
+    if (s.name != name_ || s.id == own_) continue;
+    auto it = known_.find(s.id);
     bool changed = it == known_.end() || it->second.state.number != s.number;
-    next[s.who] = {s, changed ? now : it->second.changed_at};
+    next[s.id] = {s, changed ? now : it->second.changed_at};
   }
   known_ = std::move(next);
 }
 
-int Pairing::others(Millis now) const {
+int ProcessRegistry::others(Millis now) const {
   return static_cast<int>(
       std::count_if(known_.begin(), known_.end(), [&](auto& k) { return live(k.second, now); }));
 }
 
-bool Pairing::predecessor(Millis now) const {
+bool ProcessRegistry::predecessor(Millis now) const {
   return std::any_of(known_.begin(), known_.end(),
                      [&](auto& k) { return k.first < own_ && live(k.second, now); });
 }
 
-bool Pairing::successor(Millis now) const {
+bool ProcessRegistry::successor(Millis now) const {
   return std::any_of(known_.begin(), known_.end(), [&](auto& k) {
     return own_ < k.first && k.second.state.listens && live(k.second, now);
   });
 }
 
-int Pairing::listening(Millis now) const {
+int ProcessRegistry::listening(Millis now) const {
   return static_cast<int>(std::count_if(
       known_.begin(), known_.end(), [&](auto& k) { return k.second.state.listens && live(k.second, now); }));
 }
 
-bool Pairing::may_begin(Millis now) const {
-  if (now >= born_ + kAnswerWithin) return true;
+bool ProcessRegistry::may_begin(Millis now) const {
+  if (now >= started_at_ + kAnswerWithin) return true;
   return std::all_of(known_.begin(), known_.end(), [&](auto& k) {
-    const auto& heard = k.second.state.heard_of;
+    const auto& heard = k.second.state.known_processes;
     return own_ < k.first || std::find(heard.begin(), heard.end(), own_) != heard.end();
   });
 }
 
-std::vector<Who> Pairing::heard_of() const {
-  std::vector<Who> list;
-  for (const auto& [who, known] : known_) list.push_back(who);
+std::vector<ProcessId> ProcessRegistry::known_processes() const {
+  std::vector<ProcessId> list;
+  for (const auto& [id, known] : known_) list.push_back(id);
   return list;
 }
 
-std::vector<Who> Pairing::expired(Millis now) const {
-  std::vector<Who> list;
-  for (const auto& [who, known] : known_)
-    if (!live(known, now)) list.push_back(who);
+std::vector<ProcessId> ProcessRegistry::expired(Millis now) const {
+  std::vector<ProcessId> list;
+  for (const auto& [id, known] : known_)
+    if (!live(known, now)) list.push_back(id);
   return list;
 }
 
-const State* Pairing::latest_list() const {
+const State* ProcessRegistry::latest_list() const {
   const State* best = nullptr;
-  for (const auto& [who, known] : known_)
+  for (const auto& [id, known] : known_)
     if (!known.state.members.empty() && (!best || known.state.revision >= best->revision))
       best = &known.state;
   return best;
@@ -72,4 +72,4 @@
   return s;
 }
 
-}  // namespace winchhall::takeover
+}  // namespace winchhall::hot_restart
--- a/src/aggregator/hot_restart/pairing.hpp
+++ b/src/aggregator/hot_restart/process_registry.hpp
@@ -6,15 +6,16 @@
 #include <map>
 #include <vector>
 
-#include "aggregator/hot_restart/state.hpp"
+#include "aggregator/hot_restart/process_state.hpp"
 
-namespace winchhall::takeover {
+namespace winchhall::hot_restart {
 
 using Millis = double;
 
-class Pairing {
+class ProcessRegistry {
  public:
-  Pairing(std::string name, Who own, Millis now) : name_(std::move(name)), own_(own), born_(now) {}
+  ProcessRegistry(std::string name, ProcessId own, Millis now)
+      : name_(std::move(name)), own_(own), started_at_(now) {}
 
   // All states that are there now, whole ones of this name; a process whose state was there and isn't has
   // left.
@@ -28,8 +29,8 @@
   // May this process begin: those before it have heard of it, or had the time to.
   bool may_begin(Millis now) const;
   // Whom this one has heard of, to be told to them.
-  std::vector<Who> heard_of() const;
-  std::vector<Who> expired(Millis now) const;  // those whose word holds no longer: their files may go
+  std::vector<ProcessId> known_processes() const;
+  std::vector<ProcessId> expired(Millis now) const;  // those whose word holds no longer: their files may go
   // The latest list that another one has; null where none has one.
   const State* latest_list() const;
 
@@ -44,12 +45,12 @@
   bool live(const Known& known, Millis now) const { return now < known.changed_at + kExpires; }
 
   std::string name_;
-  Who own_;
-  Millis born_;
-  std::map<Who, Known> known_;
+  ProcessId own_;
+  Millis started_at_;
+  std::map<ProcessId, Known> known_;
 };
 
 // What one of so many processes of one aggregator may spend: together they come to no more than one.
 winchhall::Settings share_of(winchhall::Settings settings, int processes);
 
-}  // namespace winchhall::takeover
+}  // namespace winchhall::hot_restart
--- a/src/aggregator/hot_restart/state.cpp
+++ b/src/aggregator/hot_restart/process_state.cpp
@@ -1,4 +1,4 @@
-#include "aggregator/hot_restart/state.hpp"
+#include "aggregator/hot_restart/process_state.hpp"
 
 #include <xxhash.h>
 
@@ -6,7 +6,9 @@
 
 #include "state.pb.h"
 
-namespace winchhall::takeover {
+namespace winchhall::hot_restart {
+namespace wire = winchhall::takeover::wire;  // the package that the files were written with
+
 namespace {
 
 constexpr char kMark[] = "WHSTATE1";  // its last sign is the version of the form around the state
@@ -14,8 +16,8 @@
 
 std::uint64_t checksum(std::string_view body) { return XXH3_64bits(body.data(), body.size()); }
 
-Who read(const wire::Who& who) { return {who.started_ms(), who.pid()}; }
-void write(const Who& from, wire::Who& to) {
+ProcessId read(const wire::Who& id) { return {id.started_ms(), id.pid()}; }
+void write(const ProcessId& from, wire::Who& to) {
   to.set_started_ms(from.started);
   to.set_pid(from.pid);
 }
@@ -25,13 +27,13 @@
 std::string encode(const State& state) {
   wire::State w;
   w.set_name(state.name);
-  write(state.who, *w.mutable_who());
+  write(state.id, *w.mutable_who());
   w.set_number(state.number);
   w.set_phase(state.phase);
   w.set_listens(state.listens);
-  for (const Who& who : state.heard_of) write(who, *w.add_heard_of());
+  for (const ProcessId& id : state.known_processes) write(id, *w.add_heard_of());
   w.set_revision(state.revision);
-  for (const core::Member& m : state.members) {
+  for (const coordination::Member& m : state.members) {
     wire::Server& s = *w.add_servers();
     s.set_id(m.entry.server);
     s.set_endpoint(m.endpoint);
@@ -67,21 +69,21 @@
   }
   State s;
   s.name = w.name();
-  s.who = read(w.who());
+  s.id = read(w.who());
   s.number = w.number();
   s.phase = w.phase();
   s.listens = w.listens();
-  for (const auto& who : w.heard_of()) s.heard_of.push_back(read(who));
+  for (const auto& id : w.heard_of()) s.known_processes.push_back(read(id));
   s.revision = w.revision();
   for (const auto& server : w.servers()) {
-    core::Member m;
+    coordination::Member m;
     m.entry.server = server.id();
     m.entry.cell = server.cell();
     m.entry.size = std::isfinite(server.size()) && server.size() > 0 ? server.size() : 1;
     int state = server.state();
     m.entry.state = state == 0   ? winchhall::ServerState::ready
                     : state == 1 ? winchhall::ServerState::draining
-                                 : winchhall::ServerState::gone;
+                                 : winchhall::ServerState::removed;
     if (server.start_known()) m.entry.started = server.started_ms();
     m.endpoint = server.endpoint();
     s.members.push_back(std::move(m));
@@ -89,4 +91,4 @@
   return s;
 }
 
-}  // namespace winchhall::takeover
+}  // namespace winchhall::hot_restart
--- a/src/aggregator/hot_restart/state.hpp
+++ b/src/aggregator/hot_restart/process_state.hpp
@@ -6,26 +6,26 @@
 #include <string>
 #include <vector>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
-namespace winchhall::takeover {
+namespace winchhall::hot_restart {
 
 // One process. Later ones are greater; started is in ms of Unix time.
-struct Who {
+struct ProcessId {
   std::int64_t started = 0, pid = 0;
-  auto operator<=>(const Who&) const = default;
+  auto operator<=>(const ProcessId&) const = default;
   std::string text() const { return std::to_string(started) + "-" + std::to_string(pid); }
 };
 
 struct State {
   std::string name{};
-  Who who{};
+  ProcessId id{};
   std::uint64_t number = 0;  // one more with each writing
   std::string phase{};
   bool listens = false;
-  std::vector<Who> heard_of{};
+  std::vector<ProcessId> known_processes{};
   long long revision = 0;
-  std::vector<core::Member> members{};
+  std::vector<coordination::Member> members{};
 };
 
 constexpr std::size_t kStateMost =
@@ -37,4 +37,4 @@
 // Nothing, and why, where the bytes are no whole state of a version that is known here.
 std::optional<State> decode(const std::string& bytes, std::string& why);
 
-}  // namespace winchhall::takeover
+}  // namespace winchhall::hot_restart
--- a/src/aggregator/hot_restart/folder.cpp
+++ b/src/aggregator/hot_restart/state_folder.cpp
@@ -1,10 +1,10 @@
-#include "aggregator/hot_restart/folder.hpp"
+#include "aggregator/hot_restart/state_folder.hpp"
 
 #include <filesystem>
 #include <fstream>
 #include <sstream>
 
-namespace winchhall::takeover {
+namespace winchhall::hot_restart {
 
 namespace fs = std::filesystem;
 
@@ -17,27 +17,27 @@
 
 bool Folder::leave(const State& state) {
   if (!works()) return false;
-  std::string file = file_of(state.who), fresh = file + ".new", bytes = encode(state);
+  std::string file = file_of(state.id), is_new = file + ".new", bytes = encode(state);
   {
-    std::ofstream out(fresh, std::ios::binary | std::ios::trunc);
+    std::ofstream out(is_new, std::ios::binary | std::ios::trunc);
     out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     // Guards against a full disk: what is not there whole must not take the old one's place.
     if (!out.flush()) return false;
   }
   std::error_code error;
-  fs::rename(fresh, file, error);
+  fs::rename(is_new, file, error);
   return !error;
 }
 
-void Folder::remove(const Who& who) {
+void Folder::remove(const ProcessId& id) {
   if (!works()) return;
   std::error_code error;
-  fs::remove(file_of(who), error);
-  fs::remove(file_of(who) + ".new", error);
+  fs::remove(file_of(id), error);
+  fs::remove(file_of(id) + ".new", error);
 }
 
-Folder::Found Folder::look() const {
-  Found found;
+Folder::FolderScan Folder::scan() const {
+  FolderScan found;
   if (!works()) return found;
   std::error_code error;
   for (auto it = fs::directory_iterator(path_, error); !error && it != fs::directory_iterator();
@@ -67,4 +67,4 @@
   return found;
 }
 
-}  // namespace winchhall::takeover
+}  // namespace winchhall::hot_restart
--- a/src/aggregator/hot_restart/folder.hpp
+++ b/src/aggregator/hot_restart/state_folder.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "aggregator/hot_restart/state.hpp"
+#include "aggregator/hot_restart/process_state.hpp"
 
-namespace winchhall::takeover {
+namespace winchhall::hot_restart {
 
 class Folder {
  public:
@@ -18,17 +18,17 @@
 
   // False where the folder can't be written to.
   bool leave(const State& state);
-  void remove(const Who& who);  // this process leaves in order
+  void remove(const ProcessId& id);  // this process leaves in order
 
-  struct Found {
+  struct FolderScan {
     std::vector<State> states{};
     std::vector<std::string> set_aside{};  // files that are no state, renamed, and why
   };
-  Found look() const;
+  FolderScan scan() const;
 
  private:
-  std::string file_of(const Who& who) const { return path_ + "/" + who.text() + ".state"; }
+  std::string file_of(const ProcessId& id) const { return path_ + "/" + id.text() + ".state"; }
   std::string path_;
 };
 
-}  // namespace winchhall::takeover
+}  // namespace winchhall::hot_restart
--- a/src/aggregator/http/frames.cpp
+++ b/src/aggregator/http/frames.cpp
@@ -5,13 +5,13 @@
 #include <cstdlib>
 #include <cstring>
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
-std::string make_frame(char letter, std::string_view rest) {
+std::string make_frame(char message, std::string_view rest) {
   std::uint32_t length = static_cast<std::uint32_t>(rest.size() + 1);
   std::string frame;
   for (int shift = 0; shift < 32; shift += 8) frame.push_back(static_cast<char>((length >> shift) & 0xff));
-  frame.push_back(letter);
+  frame.push_back(message);
   return frame.append(rest);
 }
 
@@ -35,7 +35,7 @@
   return line.append("\n").append(text);
 }
 
-std::string span_lines(std::string_view part, const core::Order& o, long long wait_ms) {
+std::string span_lines(std::string_view part, const coordination::AttemptRequest& o, long long wait_ms) {
   std::string line(part);
   line += " " + std::to_string(o.range) + " d=" + std::to_string(wait_ms) +
           ",from=" + std::to_string(o.span.from) + ",to=" + std::to_string(o.span.to) +
@@ -43,8 +43,8 @@
   return line.append("\n").append(*o.text);
 }
 
-core::Load read_load(std::string_view report) {
-  core::Load load;
+coordination::Load read_load(std::string_view report) {
+  coordination::Load load;
   while (!report.empty()) {
     std::size_t comma = std::min(report.find(','), report.size());
     std::string_view item = report.substr(0, comma);
@@ -107,4 +107,4 @@
   return a;
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/frames.hpp
+++ b/src/aggregator/http/frames.hpp
@@ -6,37 +6,37 @@
 #include <string>
 #include <string_view>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
 constexpr std::size_t kLineMost = 4 * 1024;  // an answer's first line
 // A value goes into one of our bodies, so no sound frame is longer.
 constexpr std::size_t kFrameMost = 64 * 1024 + kLineMost;
 
 struct Frame {
-  char letter = 0;
+  char message = 0;
   std::string rest{};
 };
 
 struct PartAnswer {  // the rest of an `O` frame
   std::string part{};
   int end = 0;
-  core::Load load{};
+  coordination::Load load{};
   std::string value{};
 };
 
 constexpr int kNotMine = 421;  // an END of its own for parts of spans: the node has not what was asked for
 
-std::string make_frame(char letter, std::string_view rest);
+std::string make_frame(char message, std::string_view rest);
 // Takes one frame from the front of `in` where it is whole. Sets `bad` for a length no frame has, and for one
 // that can't become any: what comes of it is not waited for, nor held.
 std::optional<Frame> take_frame(std::string& in, bool& bad);
 std::string part_lines(std::string_view part, int shard, long long wait_ms, std::string_view text);
 // The same for a part of a span: the range's id in the shard's place, the interval and the revision in the
 // list.
-std::string span_lines(std::string_view part, const core::Order& order, long long wait_ms);
+std::string span_lines(std::string_view part, const coordination::AttemptRequest& order, long long wait_ms);
 std::optional<PartAnswer> read_answer(const std::string& rest);
-core::Load read_load(std::string_view report);
+coordination::Load read_load(std::string_view report);
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/http.cpp
+++ b/src/aggregator/http/http.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-namespace winchhall::platform {
+namespace winchhall::http {
 namespace {
 
 bool token_char(char c) {
@@ -199,4 +199,4 @@
     fail(400);
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/http.hpp
+++ b/src/aggregator/http/http.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
 constexpr std::size_t kBodyMost = 64 * 1024;             // by the protocol
 constexpr std::size_t kSpansBodyMost = 4 * 1024 * 1024;  // of an answer to spans, which the platform has not
@@ -66,4 +66,4 @@
 std::string lower(std::string_view text);
 std::string_view trim(std::string_view text);
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/client_front.cpp
+++ b/src/aggregator/http/http_server.cpp
@@ -1,31 +1,37 @@
-#include "aggregator/http/client_front.hpp"
+#include "aggregator/http/http_server.hpp"
 
 #include <spdlog/spdlog.h>
 
-namespace winchhall::platform {
+namespace winchhall::http {
 namespace {
-constexpr net::Millis kFirstRequest = 2000;  // ms from connecting to the end of the first request
-constexpr net::Millis kHalfRequest = 2000;   // ms for the rest of a later one, from its first byte
-constexpr net::Millis kSlowReader = 15000;   // ms for a client to take its answer
-constexpr net::Millis kStandIdle = 120000;   // ms between requests where there is room ...
-constexpr net::Millis kMayClose = 2000;      // ... and where it is getting short
-constexpr net::Millis kSpare = 250;          // ms idle: in the way of a newcomer where room is short
-constexpr net::Millis kLinger = 1000;  // ms from our end of a connection to the client's, while more comes
+constexpr event_loop::Millis kFirstRequest = 2000;  // ms from connecting to the end of the first request
+constexpr event_loop::Millis kHalfRequest = 2000;   // ms for the rest of a later one, from its first byte
+constexpr event_loop::Millis kSlowReader = 15000;   // ms for a client to take its answer
+constexpr event_loop::Millis kStandIdle = 120000;   // ms between requests where there is room ...
+constexpr event_loop::Millis kMayClose = 2000;      // ... and where it is getting short
+constexpr event_loop::Millis kReservedDescriptors =
+    250;  // ms idle: in the way of a newcomer where room is short
+constexpr event_loop::Millis kLinger =
+    1000;  // ms from our end of a connection to the client's, while more comes
 // Bytes behind a request that is open, from which on all of it is dropped: one whole request fits. Guards
 // against a client that sends much at once and goes: its end stands behind what nobody reads.
 constexpr std::size_t kBehindMost = kHeadMost + kBodyMost;
-constexpr net::Millis kFresh = 100;  // ms in which a request may still be on its way behind a connection
-constexpr net::Millis kSweep = 200;
-constexpr net::Millis kCrowded = 5;          // ms without accepting while every connection has a query open
-constexpr net::Millis kListedEvery = 10000;  // ms, and of a flood of bad requests ...
-constexpr int kListedMost = 40;              // ... so many are listed in that time, the others counted
+constexpr event_loop::Millis kNewConnectionTime =
+    100;  // ms in which a request may still be on its way behind a connection
+constexpr event_loop::Millis kSweep = 200;
+constexpr event_loop::Millis kCrowded = 5;  // ms without accepting while every connection has a query open
+constexpr event_loop::Millis kListedEvery = 10000;  // ms, and of a flood of bad requests ...
+constexpr int kListedMost = 40;                     // ... so many are listed in that time, the others counted
 }  // namespace
 
-class ClientFront::Connection : public net::Stream::Owner, public std::enable_shared_from_this<Connection> {
+class HttpServer::Connection : public event_loop::Stream::Owner,
+                               public std::enable_shared_from_this<Connection> {
  public:
-  explicit Connection(ClientFront& front)
+  explicit Connection(HttpServer& front)
       : front_(front), since_(front.loop_.now()), due_(since_ + kFirstRequest) {}
-  void begin(net::UniqueFd fd) { stream_ = net::Stream::adopt(front_.loop_, std::move(fd), *this); }
+  void begin(event_loop::UniqueFd fd) {
+    stream_ = event_loop::Stream::adopt(front_.loop_, std::move(fd), *this);
+  }
   // Guards against real clients crowded out by silent ones: a request that came with its connection counts
   // before the next connection is taken.
   void look() { stream_->read_now(); }
@@ -37,16 +43,16 @@
       if (overrun_) in.clear();
       return;
     }
-    bool fresh = !parser_.begun();
+    bool is_new = !parser_.begun();
     parser_.feed(in);
-    if (fresh && parser_.begun()) {
+    if (is_new && parser_.begun()) {
       since_ = front_.loop_.now();
       // From the first byte and from no later one, or a trickle would last for ever.
       if (asked_) due_ = since_ + kHalfRequest;
     }
     if (parser_.failed()) {
       in.clear();
-      return turn_away(parser_.error(), "what cannot be read");
+      return reject_client(parser_.error(), "what cannot be read");
     }
     if (!parser_.done()) {
       const std::string* expect = parser_.message().header("expect");
@@ -67,7 +73,7 @@
     if (query_ == 0 && !parser_.begun()) since_ = front_.loop_.now();
   }
   void ended() override {
-    if (query_ != 0) front_.exchange_.withdraw(query_);
+    if (query_ != 0) front_.router_.withdraw(query_);
     release();
     front_.drop(*this);
   }
@@ -75,32 +81,32 @@
   // Between requests. One that has not asked yet is about to, or goes when its time for that is over.
   bool used_and_idle() const { return asked_ && query_ == 0 && !parser_.begun() && stream_->unsent() == 0; }
   // Which goes first where another one needs the place; 0: none of it.
-  int worth_shedding(net::Millis now, bool full) const {
+  int is_worth_shedding(event_loop::Millis now, bool full) const {
     if (query_ != 0 || stream_->unsent() > 0) return 0;
-    if (!asked_) return now - since_ > kFresh ? 3 : full ? 1 : 0;
-    return parser_.begun() || (!full && now - since_ < kSpare) ? 0 : 2;
+    if (!asked_) return now - since_ > kNewConnectionTime ? 3 : full ? 1 : 0;
+    return parser_.begun() || (!full && now - since_ < kReservedDescriptors) ? 0 : 2;
   }
-  void check(net::Millis now) {
+  void check(event_loop::Millis now) {
     if (query_ != 0) return;
     if (stream_->unsent() > 0 || (asked_ && !parser_.begun())) {
       if (now - since_ > (stream_->unsent() > 0 ? kSlowReader : front_.stand_idle())) front_.end(*this);
     } else if (now > due_) {
       if (!parser_.begun()) return front_.end(*this);
-      turn_away(408, "a request that does not end");
+      reject_client(408, "a request that does not end");
     }
   }
-  net::Millis since() const { return since_; }
+  event_loop::Millis since() const { return since_; }
   void close() {
-    if (query_ != 0) front_.exchange_.withdraw(query_);
+    if (query_ != 0) front_.router_.withdraw(query_);
     release();
     stream_->close();
   }
   // Nothing is owed any more, or what is owed is written.
-  std::shared_ptr<net::Stream> linger() {
+  std::shared_ptr<event_loop::Stream> linger() {
     // Guards against clients that use a connection which we have ended before they look at it: a request that
     // is read and dropped is theirs no more, one that is not read they send again.
     bool rested = query_ == 0 && !parser_.begun() && stream_->unsent() == 0 &&
-                  (!asked_ || front_.loop_.now() - since_ >= kSpare);
+                  (!asked_ || front_.loop_.now() - since_ >= kReservedDescriptors);
     stream_->linger(kSlowReader, kLinger, rested);
     return stream_;
   }
@@ -127,14 +133,14 @@
       return reply(error_answer(d.status, d.status == 405 ? "Allow: POST\r\n" : "", d.wrong, keep), keep);
     }
     id_ = d.query.id;
-    query_ = front_.exchange_.submit(std::move(d.query), [this, keep](core::Verdict v) {
+    query_ = front_.router_.submit(std::move(d.query), [this, keep](coordination::QueryResult v) {
       release();
       bool still = keep && !overrun_ && !front_.last_answers_;
-      reply(verdict_answer(v, still), still);
+      reply(query_response(v, still), still);
     });
   }
 
-  void turn_away(int status, const char* why) {
+  void reject_client(int status, const char* why) {
     front_.list_bad(status, why);
     reply(error_answer(status, "", why, false), false);
   }
@@ -151,20 +157,21 @@
     keep ? stream_->show_again() : front_.end(*this);
   }
 
-  ClientFront& front_;
-  std::shared_ptr<net::Stream> stream_;
+  HttpServer& front_;
+  std::shared_ptr<event_loop::Stream> stream_;
   HttpParser parser_{HttpParser::Mode::request};
-  core::QueryNumber query_ = 0;
+  coordination::QueryNumber query_ = 0;
   std::string id_;
-  net::Millis since_;  // of the state it is in
-  net::Millis due_;    // when the request that is awaited or half there must be whole
+  event_loop::Millis since_;  // of the state it is in
+  event_loop::Millis due_;    // when the request that is awaited or half there must be whole
   bool asked_ = false, continued_ = false, overrun_ = false;
 };
 
-ClientFront::ClientFront(net::Loop& loop, core::Exchange& exchange, const sockaddr_in& address,
-                         ClientNames names, std::size_t connections, std::function<bool()> ready, Shared)
+HttpServer::HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router,
+                       const sockaddr_in& address, ClientNames names, std::size_t connections,
+                       std::function<bool()> ready, Shared)
     : loop_(loop),
-      exchange_(exchange),
+      router_(router),
       names_(names),
       most_(connections),
       ready_(std::move(ready)),
@@ -173,25 +180,26 @@
   sweep();
 }
 
-ClientFront::ClientFront(net::Loop& loop, core::Exchange& exchange, const sockaddr_in& address,
-                         ClientNames names, std::size_t connections, std::function<bool()> ready)
-    : ClientFront(loop, exchange, address, names, connections, std::move(ready), Shared{}) {
+HttpServer::HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router,
+                       const sockaddr_in& address, ClientNames names, std::size_t connections,
+                       std::function<bool()> ready)
+    : HttpServer(loop, router, address, names, connections, std::move(ready), Shared{}) {
   shared_ = false;
   listen();
 }
 
-void ClientFront::listen() {
+void HttpServer::listen() {
   if (listener_) return;
-  listener_ = std::make_unique<net::Listener>(
-      loop_, address_, [this](net::UniqueFd fd) { accept(std::move(fd)); }, shared_);
+  listener_ = std::make_unique<event_loop::Listener>(
+      loop_, address_, [this](event_loop::UniqueFd fd) { accept(std::move(fd)); }, shared_);
 }
 
-ClientFront::~ClientFront() {
+HttpServer::~HttpServer() {
   loop_.cancel(sweep_);
   for (auto& c : connections_) c->close();
 }
 
-void ClientFront::accept(net::UniqueFd fd) {
+void HttpServer::accept(event_loop::UniqueFd fd) {
   auto c = std::make_shared<Connection>(*this);
   c->begin(std::move(fd));
   connections_.insert(c);
@@ -199,12 +207,12 @@
   // Within our descriptors: one that only stands there may be closed between requests; else no more are
   // taken.
   bool full = connections() >= most_;
-  if (full || connections_.size() > roomy()) shed(full);
+  if (full || connections_.size() > roomy()) reject_over_capacity(full);
   // What was shed lingers for a moment, and holds its descriptor until then.
   if (connections() >= most_ && listener_) listener_->pause(kCrowded);
 }
 
-void ClientFront::stop_listening() {
+void HttpServer::stop_listening() {
   if (listener_) listener_->accept_now();
   listener_.reset();
 }
@@ -212,40 +220,40 @@
 // Guards against clients that ask once and hold their connection for good: clients have a share of
 // descriptors as we have, and once those hold all of it no other finds a connection, though we could take
 // more.
-net::Millis ClientFront::stand_idle() const {
+event_loop::Millis HttpServer::stand_idle() const {
   return connections_.size() > roomy() / 2 ? kMayClose : kStandIdle;
 }
 
 // What lingers first, then those that never asked, then the one idle for longest.
-void ClientFront::shed(bool full) {
-  net::Millis now = loop_.now();
+void HttpServer::reject_over_capacity(bool full) {
+  event_loop::Millis now = loop_.now();
   // Guards against clients that rest on after our end: what lingers for them gives no newcomer a place.
-  lingering_.close_oldest();
+  half_closed_.close_oldest();
   std::shared_ptr<Connection> best;
   int most = 0;
   for (const auto& c : connections_) {
-    int worth = c->worth_shedding(now, full);
-    if (worth > most || (worth > 0 && worth == most && c->since() < best->since())) {
+    int value = c->is_worth_shedding(now, full);
+    if (value > most || (value > 0 && value == most && c->since() < best->since())) {
       best = c;
-      most = worth;
+      most = value;
     }
   }
   if (best) end(*best);
 }
 
 // Guards against an answer that is lost with its connection, and a request that crosses the end of one.
-void ClientFront::end(Connection& connection) {
+void HttpServer::end(Connection& connection) {
   auto c = connection.shared_from_this();
   if (connections_.erase(c) == 0) return;
-  lingering_.add(c->linger());
+  half_closed_.add(c->linger());
   loop_.destroy_later(std::move(c));
 }
 
-void ClientFront::list_bad(int status, const std::string& why) {
+void HttpServer::list_bad(int status, const std::string& why) {
   if (bad_++ < kListedMost) spdlog::warn("request answered with {}: {}", status, why);
 }
 
-void ClientFront::drop(Connection& connection) {
+void HttpServer::drop(Connection& connection) {
   auto c = connection.shared_from_this();
   if (connections_.erase(c) == 0) return;
   c->close();
@@ -253,7 +261,7 @@
 }
 
 // Guards against a request that crosses the closing: what has come by now is read and answered first.
-void ClientFront::close_idle() {
+void HttpServer::close_idle() {
   auto copy = connections_;
   for (const auto& c : copy)
     if (c->used_and_idle()) c->look();
@@ -261,10 +269,10 @@
     if (c->used_and_idle()) end(*c);
 }
 
-bool ClientFront::busy() const { return connections() > 0; }
+bool HttpServer::busy() const { return connections() > 0; }
 
-void ClientFront::sweep() {
-  net::Millis now = loop_.now();
+void HttpServer::sweep() {
+  event_loop::Millis now = loop_.now();
   auto copy = connections_;
   for (const auto& c : copy) c->check(now);
   if (now >= listed_at_ + kListedEvery) {
@@ -275,4 +283,4 @@
   sweep_ = loop_.at(now + kSweep, [this] { sweep(); });
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/leaf_connection.cpp
+++ b/src/aggregator/http/leaf_connection.cpp
@@ -5,33 +5,34 @@
 #include <algorithm>
 #include <cmath>
 
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
-using core::AttemptNumber;
-using core::Outcome;
+using coordination::AttemptNumber;
+using coordination::Outcome;
 
 namespace {
-constexpr net::Millis kWholeFrame = 250;   // ms from a frame's first byte until it must be there whole
+constexpr event_loop::Millis kWholeFrame = 250;  // ms from a frame's first byte until it must be there whole
 constexpr std::size_t kGivenUpMost = 256;  // names remembered of given-up parts before a connection retires
 constexpr double kLateShare =
     0.2;  // of the connect timeout: one that is not up by then gets another beside it
-constexpr net::Millis kLinger = 250;  // ms to a leaf's own end of a connection, once we have ended ours
+constexpr event_loop::Millis kLinger =
+    250;  // ms to a leaf's own end of a connection, once we have ended ours
 }  // namespace
 
 LeafPool::Connection::Connection(LeafPool& pool, std::string server, std::string endpoint)
     : server_(std::move(server)), endpoint_(std::move(endpoint)), pool_(pool), used_at_(pool.loop_.now()) {}
 
 bool LeafPool::Connection::begin() {
-  auto to = net::parse_address(endpoint_);
+  auto to = event_loop::parse_address(endpoint_);
   int error = 0;
-  if (to) stream_ = net::Stream::connect(pool_.loop_, *to, *this, error);
+  if (to) stream_ = event_loop::Stream::connect(pool_.loop_, *to, *this, error);
   if (!stream_) {
     spdlog::warn("no socket for {} at {}: errno {}", server_, endpoint_, error);
     return false;
   }
-  net::Millis now = pool_.loop_.now();
+  event_loop::Millis now = pool_.loop_.now();
   late_timer_ = pool_.loop_.at(now + kLateShare * pool_.limits_.connect_timeout, [this] { late(); });
   // Guards against a machine that is cut off: its side of the connection never comes up, without a sign.
   connect_timer_ = pool_.loop_.at(now + pool_.limits_.connect_timeout, [this] {
@@ -47,7 +48,7 @@
 // at once. What comes up first takes what waits.
 void LeafPool::Connection::late() {
   late_timer_ = {};
-  if (!waiting_.empty()) pool_.open_beside(*this);
+  if (!waiting_.empty()) pool_.open_additional(*this);
 }
 
 void LeafPool::Connection::connected() {
@@ -58,7 +59,7 @@
 }
 
 void LeafPool::Connection::add(Call call) {
-  for (const core::Order& o : call) {
+  for (const coordination::AttemptRequest& o : call) {
     live_[o.attempt] = {o.part, 0, 0, !o.span.empty()};
     by_part_[o.part] = o.attempt;
     pool_.where_[o.attempt] = this;
@@ -72,7 +73,7 @@
   std::vector<Call> calls(std::make_move_iterator(waiting_.begin()), std::make_move_iterator(waiting_.end()));
   waiting_.clear();
   for (const Call& call : calls)
-    for (const core::Order& o : call) {
+    for (const coordination::AttemptRequest& o : call) {
       live_.erase(o.attempt);
       by_part_.erase(o.part);
       pool_.where_.erase(o.attempt);
@@ -84,8 +85,8 @@
   auto it = live_.find(attempt);
   if (it == live_.end() || recall(attempt)) return;
   by_part_[it->second.part] = 0;  // its answer may still come, and means nothing then
-  silence_.given_up(it->second.written_at, pool_.loop_.now());
-  if (silence_.silent() && !std::exchange(retired_, true))
+  unresponsiveness_.on_attempt_abandoned(it->second.written_at, pool_.loop_.now());
+  if (unresponsiveness_.is_unresponsive() && !std::exchange(retired_, true))
     spdlog::debug("a connection to {} is silent, not used again", server_);
   // Guards against names kept for ever: not every leaf answers what was given up.
   if (by_part_.size() - live_.size() > kGivenUpMost) retired_ = true;
@@ -110,35 +111,37 @@
 }
 
 void LeafPool::Connection::close() {
-  for (net::TimerId* timer : {&connect_timer_, &late_timer_, &frame_timer_}) pool_.loop_.cancel(*timer);
+  for (event_loop::TimerId* timer : {&connect_timer_, &late_timer_, &frame_timer_})
+    pool_.loop_.cancel(*timer);
   if (stream_) stream_->close();
 }
 
-std::shared_ptr<net::Stream> LeafPool::Connection::linger() {
-  for (net::TimerId* timer : {&connect_timer_, &late_timer_, &frame_timer_}) pool_.loop_.cancel(*timer);
+std::shared_ptr<event_loop::Stream> LeafPool::Connection::linger() {
+  for (event_loop::TimerId* timer : {&connect_timer_, &late_timer_, &frame_timer_})
+    pool_.loop_.cancel(*timer);
   if (stream_) stream_->linger(kLinger, kLinger);
   return stream_;
 }
 
 void LeafPool::Connection::received(std::string& in) {
-  silence_.heard(pool_.loop_.now());
+  unresponsiveness_.on_activity(pool_.loop_.now());
   bool bad = false;
   while (auto frame = take_frame(in, bad)) {
     pool_.loop_.cancel(frame_timer_);
     used_at_ = pool_.loop_.now();
-    if (frame->letter == 'O') {
+    if (frame->message == 'O') {
       auto answer = read_answer(frame->rest);
-      if (!answer || (answer->end == kNotMine && !(pool_.limits_.spans && asked_for_span(answer->part))))
+      if (!answer || (answer->end == kNotMine && !(pool_.limits_.spans && requests_span(answer->part))))
         return refuse("an answer that cannot be read", frame->rest.substr(0, frame->rest.find(' ')));
       // Guards against waiting for an answer that has come under another name: the leaf sends no second.
       if (!take(*answer) && !idle()) return refuse("an answer to nothing that it was asked");
-    } else if ((frame->letter == 'U' || frame->letter == 'I') && !probes_.empty()) {
+    } else if ((frame->message == 'U' || frame->message == 'I') && !probes_.empty()) {
       bool ok = frame->rest.substr(0, 3) != "500";
-      pool_.exchange_.probe_ended(server_, ok ? Outcome::ok : Outcome::error, used_at_ - probes_.front(),
-                                  read_load(frame->rest));
+      pool_.router_.probe_ended(server_, ok ? Outcome::ok : Outcome::error, used_at_ - probes_.front(),
+                                read_load(frame->rest));
       probes_.pop_front();
     } else {
-      if (frame->letter == 'Z') return complain(frame->rest);
+      if (frame->message == 'Z') return complain(frame->rest);
       return refuse("a frame of no known kind");
     }
   }
@@ -150,7 +153,7 @@
   }
   // Guards against a length that does not fit: the rest never comes, and what follows would be taken for it.
   if (in.empty()) pool_.loop_.cancel(frame_timer_);
-  if (!in.empty() && frame_timer_ == net::TimerId{})
+  if (!in.empty() && frame_timer_ == event_loop::TimerId{})
     frame_timer_ = pool_.loop_.at(pool_.loop_.now() + kWholeFrame, [this] {
       frame_timer_ = {};
       refuse("a frame that does not end");
@@ -168,15 +171,15 @@
   for (const auto& [attempt, state] : std::exchange(live_, {})) {
     bool written = state.frame_end > 0 && state.frame_end <= stream_->flushed();
     pool_.where_.erase(attempt);
-    pool_.exchange_.attempt_ended(attempt,
-                                  {.outcome = written ? Outcome::reset : unwritten, .written = written});
+    pool_.router_.attempt_ended(attempt,
+                                {.outcome = written ? Outcome::reset : unwritten, .written = written});
   }
-  for (net::Millis sent : std::exchange(probes_, {}))
-    pool_.exchange_.probe_ended(server_, Outcome::reset, pool_.loop_.now() - sent, {});
+  for (event_loop::Millis sent : std::exchange(probes_, {}))
+    pool_.router_.probe_ended(server_, Outcome::reset, pool_.loop_.now() - sent, {});
   pool_.drop(*this);
 }
 
-bool LeafPool::Connection::asked_for_span(const std::string& part) const {
+bool LeafPool::Connection::requests_span(const std::string& part) const {
   auto it = by_part_.find(part);
   if (it == by_part_.end() || it->second == 0) return true;  // given up: nothing is taken from it
   return live_.at(it->second).span;
@@ -188,21 +191,21 @@
   while (stream_->usable() && !stream_->connecting() && !waiting_.empty() && stream_->unsent() == 0) {
     Call call = std::move(waiting_.front());
     waiting_.pop_front();
-    net::Millis now = pool_.loop_.now();
+    event_loop::Millis now = pool_.loop_.now();
     // Guards against a part that was chosen in time and is written too late: a repeat outside its window, or
     // one for a server that may drain by now.
-    for (const core::Order& o : call)
+    for (const coordination::AttemptRequest& o : call)
       if (now > o.send_by) not_sent(o);
     std::erase_if(call, [&](const auto& o) { return now > o.send_by; });
     if (call.empty()) continue;
     std::string lines;
-    for (const core::Order& o : call) {
+    for (const coordination::AttemptRequest& o : call) {
       double wait = std::max(1.0, std::floor(o.until - now));
       lines += o.span.empty() ? part_lines(o.part, o.shard, static_cast<long long>(wait), *o.text)
                               : span_lines(o.part, o, static_cast<long long>(wait));
     }
     std::string frame = make_frame('D', lines);
-    for (const core::Order& o : call) {
+    for (const coordination::AttemptRequest& o : call) {
       live_[o.attempt].frame_end = stream_->queued() + frame.size();
       live_[o.attempt].written_at = now;
     }
@@ -210,11 +213,11 @@
   }
 }
 
-void LeafPool::Connection::not_sent(const core::Order& order) {
+void LeafPool::Connection::not_sent(const coordination::AttemptRequest& order) {
   live_.erase(order.attempt);
   by_part_.erase(order.part);
   pool_.where_.erase(order.attempt);
-  pool_.exchange_.attempt_ended(order.attempt, {.outcome = Outcome::unsent, .written = false});
+  pool_.router_.attempt_ended(order.attempt, {.outcome = Outcome::unsent, .written = false});
 }
 
 // False if nothing of that name is out here.
@@ -226,7 +229,7 @@
   if (attempt == 0) return true;
   live_.erase(attempt);
   pool_.where_.erase(attempt);
-  core::Result r;
+  coordination::Result r;
   r.outcome = answer.end == 200        ? Outcome::ok
               : answer.end == 503      ? Outcome::full
               : answer.end == kNotMine ? Outcome::not_mine
@@ -235,7 +238,7 @@
     r.denial = std::make_shared<const ranges::NotMine>(read_denial(answer.value));
   if (r.outcome == Outcome::ok) r.values.push_back(std::move(answer.value));
   r.load = answer.load;
-  pool_.exchange_.attempt_ended(attempt, std::move(r));
+  pool_.router_.attempt_ended(attempt, std::move(r));
   return true;
 }
 
@@ -252,11 +255,11 @@
     if (spoilt == 0 && written) spoilt = attempt;
     Outcome outcome = !written ? Outcome::unsent : attempt == spoilt ? Outcome::error : Outcome::cancelled;
     pool_.where_.erase(attempt);
-    pool_.exchange_.attempt_ended(attempt, {.outcome = outcome, .written = written});
+    pool_.router_.attempt_ended(attempt, {.outcome = outcome, .written = written});
   }
-  for (net::Millis sent : std::exchange(probes_, {}))
-    pool_.exchange_.probe_ended(server_, Outcome::error, pool_.loop_.now() - sent, {});
+  for (event_loop::Millis sent : std::exchange(probes_, {}))
+    pool_.router_.probe_ended(server_, Outcome::error, pool_.loop_.now() - sent, {});
   pool_.drop(*this);
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/leaf_pool.cpp
+++ b/src/aggregator/http/leaf_pool.cpp
@@ -6,19 +6,19 @@
 
 #include "aggregator/http/leaf_connection.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
-using core::AttemptNumber;
-using core::Outcome;
+using coordination::AttemptNumber;
+using coordination::Outcome;
 
 namespace {
-constexpr double kIdleShare = 0.8;        // of the leaf's idle time: we close first
-constexpr net::Millis kSweep = 1000;      // ms between looks for idle connections
+constexpr double kIdleShare = 0.8;           // of the leaf's idle time: we close first
+constexpr event_loop::Millis kSweep = 1000;  // ms between looks for idle connections
 constexpr std::size_t kComingUpMost = 3;  // connections to one server that come up at once, beside late ones
 }  // namespace
 
-LeafPool::LeafPool(net::Loop& loop, core::Exchange& exchange, LeafLimits limits)
-    : loop_(loop), exchange_(exchange), limits_(limits) {
+LeafPool::LeafPool(event_loop::Loop& loop, coordination::RequestRouter& router, LeafLimits limits)
+    : loop_(loop), router_(router), limits_(limits) {
   sweep();
 }
 
@@ -27,7 +27,7 @@
   for (auto& c : connections_) c->close();
 }
 
-void LeafPool::launch(const core::Order& order) { gathered_[order.server].push_back(order); }
+void LeafPool::launch(const coordination::AttemptRequest& order) { gathered_[order.server].push_back(order); }
 
 void LeafPool::flush() {
   for (auto& [server, orders] : std::exchange(gathered_, {})) {
@@ -44,13 +44,13 @@
   if (!c) c = open(call.front().server, call.front().endpoint);
   if (c) return c->add(std::move(call));
   // Out of descriptors, or of the connections we allow ourselves: nothing was sent.
-  for (const core::Order& o : call)
-    exchange_.attempt_ended(o.attempt, {.outcome = Outcome::unsent, .written = false});
+  for (const coordination::AttemptRequest& o : call)
+    router_.attempt_ended(o.attempt, {.outcome = Outcome::unsent, .written = false});
 }
 
 // One that is up before one that still comes up; of those the fullest that has room: spare connections fall
 // idle and close.
-LeafPool::Connection* LeafPool::room(const core::Order& first, std::size_t parts) {
+LeafPool::Connection* LeafPool::room(const coordination::AttemptRequest& first, std::size_t parts) {
   for (;;) {
     Connection* best = nullptr;
     for (auto& c : connections_)
@@ -66,7 +66,7 @@
 }
 
 LeafPool::Connection* LeafPool::open(const std::string& server, const std::string& endpoint) {
-  if (connections() >= limits_.connections && !lingering_.close_oldest()) {
+  if (connections() >= limits_.connections && !half_closed_.close_oldest()) {
     auto idle = std::find_if(connections_.begin(), connections_.end(), [](auto& c) { return c->idle(); });
     if (idle == connections_.end()) return nullptr;
     drop(**idle);
@@ -83,7 +83,7 @@
   });
 }
 
-void LeafPool::open_beside(Connection& late) {
+void LeafPool::open_additional(Connection& late) {
   auto coming = std::count_if(connections_.begin(), connections_.end(), [&](const auto& c) {
     return c->goes_to(late.server(), late.endpoint()) && !c->up();
   });
@@ -98,8 +98,9 @@
   for (auto& c : copy) {
     if (c.get() == &first || c->up() || !c->goes_to(first.server(), first.endpoint())) continue;
     for (Call& call : c->take_waiting()) {
-      bool fits = std::all_of(call.begin(), call.end(),
-                              [&](const core::Order& o) { return first.takes(o, call.size()); });
+      bool fits = std::all_of(call.begin(), call.end(), [&](const coordination::AttemptRequest& o) {
+        return first.takes(o, call.size());
+      });
       (fits ? first : *c).add(std::move(call));
     }
     if (c->idle()) drop(*c);  // nothing needs it any more
@@ -111,7 +112,7 @@
       std::find_if(connections_.begin(), connections_.end(), [&](auto& c) { return c.get() == &connection; });
   if (it == connections_.end()) return;
   connection.retire();
-  lingering_.add(connection.linger());
+  half_closed_.add(connection.linger());
   loop_.destroy_later(std::move(*it));
   connections_.erase(it);
 }
@@ -138,11 +139,11 @@
 }
 
 void LeafPool::probe(const std::string& server, const std::string& endpoint) {
-  core::Order any{.server = server, .endpoint = endpoint};
+  coordination::AttemptRequest any{.server = server, .endpoint = endpoint};
   Connection* c = room(any, 0);
   if (!c) c = open(server, endpoint);
   if (c) return c->probe();
-  exchange_.probe_ended(server, Outcome::unsent, 0, {});
+  router_.probe_ended(server, Outcome::unsent, 0, {});
 }
 
 void LeafPool::close_idle(const std::string& server) {
@@ -159,11 +160,11 @@
 
 // A leaf closes what stood idle for its time; a part written from then on would end as a reset.
 void LeafPool::sweep() {
-  net::Millis now = loop_.now();
+  event_loop::Millis now = loop_.now();
   auto copy = connections_;
   for (auto& c : copy)
     if (c->idle_since(now - kIdleShare * limits_.idle) || (c->retired() && c->idle())) drop(*c);
   sweep_ = loop_.at(now + kSweep, [this] { sweep(); });
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/range_directory.cpp
+++ b/src/aggregator/http/range_directory.cpp
@@ -5,25 +5,25 @@
 #include <algorithm>
 
 #include "aggregator/http/http.hpp"
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 namespace {
 using ranges::Taken;
-constexpr net::Millis kFirstAnswer = 3000;           // ms from the question to the first line
-constexpr net::Millis kLook = 500;                   // ms between looks for silence
+constexpr event_loop::Millis kFirstAnswer = 3000;    // ms from the question to the first line
+constexpr event_loop::Millis kPollInterval = 500;    // ms between looks for silence
 constexpr std::size_t kLineMost = 16 * 1024 * 1024;  // bytes: a page of ranges; a longer line is a mistake
 }  // namespace
 
-class RangeDirectory::Watch : public net::Stream::Owner {
+class RangeDirectory::Watch : public event_loop::Stream::Owner {
  public:
   explicit Watch(RangeDirectory& owner) : owner_(owner), parser_(HttpParser::Mode::streamed) {}
 
   bool begin(std::string target) {
     target_ = std::move(target);
-    auto to = net::parse_address(owner_.address_);
+    auto to = event_loop::parse_address(owner_.address_);
     int error = 0;
-    if (to) stream_ = net::Stream::connect(owner_.loop_, *to, *this, error);
+    if (to) stream_ = event_loop::Stream::connect(owner_.loop_, *to, *this, error);
     expect(owner_.limits_.connect_timeout, "no connection in time");
     return static_cast<bool>(stream_);
   }
@@ -57,7 +57,7 @@
   void ended() override { owner_.over("the connection broke"); }
 
  private:
-  void expect(net::Millis within, const char* what) {
+  void expect(event_loop::Millis within, const char* what) {
     owner_.loop_.cancel(timer_);
     timer_ = owner_.loop_.at(owner_.loop_.now() + within, [this, what] {
       timer_ = {};
@@ -67,16 +67,16 @@
 
   RangeDirectory& owner_;
   HttpParser parser_;
-  std::shared_ptr<net::Stream> stream_;
+  std::shared_ptr<event_loop::Stream> stream_;
   std::string target_;
   std::size_t searched_ = 0;  // of the body, that has no end of a line
-  net::TimerId timer_{};
+  event_loop::TimerId timer_{};
 };
 
-RangeDirectory::RangeDirectory(net::Loop& loop, core::Exchange& exchange, std::string address, Limits limits,
-                               std::uint64_t seed)
+RangeDirectory::RangeDirectory(event_loop::Loop& loop, coordination::RequestRouter& router,
+                               std::string address, Limits limits, std::uint64_t seed)
     : loop_(loop),
-      exchange_(exchange),
+      router_(router),
       address_(std::move(address)),
       limits_(limits),
       follower_(limits.ranges),
@@ -101,7 +101,7 @@
   ++figures_.asked;
   std::string target = "/v1/ranges?watch=1";
   ranges::Revision held = follower_.map().revision();
-  if (!follower_.wants_whole())
+  if (!follower_.needs_full_map())
     target += "&incarnation=" + std::to_string(held.incarnation) + "&after=" + std::to_string(held.number);
   follower_.opened(loop_.now());
   watch_ = std::make_shared<Watch>(*this);
@@ -130,7 +130,7 @@
     ++figures_.taken;
     spdlog::debug("ranges revision {}: {} ranges, {} changes", ranges::text_of(told), follower_.map().size(),
                   changes);
-    exchange_.remap(follower_.map());
+    router_.update_ranges(follower_.map());
   } else if (taken != Taken::nothing && taken != Taken::page) {
     ++figures_.refused;
     spdlog::warn("ranges refused ({}), the old map stays: {}", name_of(taken), follower_.fault());
@@ -152,7 +152,7 @@
 
 void RangeDirectory::tick() {
   loop_.cancel(tick_);
-  net::Millis now = loop_.now();
+  event_loop::Millis now = loop_.now();
   if (watch_ && follower_.silent(now)) return over("silent");
   if (watch_ && follower_.wants_reopen()) {
     watch_->close();
@@ -160,7 +160,7 @@
     follower_.reopening(now, chance());
   }
   if (!watch_ && now >= follower_.ask_at()) ask();
-  tick_ = loop_.at(watch_ ? now + kLook : std::max(now + 1, follower_.ask_at()), [this] { tick(); });
+  tick_ = loop_.at(watch_ ? now + kPollInterval : std::max(now + 1, follower_.ask_at()), [this] { tick(); });
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/range_directory.hpp
+++ b/src/aggregator/http/range_directory.hpp
@@ -10,20 +10,20 @@
 #include <memory>
 #include <string>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 #include "aggregator/event_loop/stream.hpp"
 #include "aggregator/ranges/follower.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
-class RangeDirectory final : public core::RangeSource {
+class RangeDirectory final : public coordination::RangeSource {
  public:
   struct Limits {
-    std::size_t ranges = 2'000'000;      // held at most
-    net::Millis connect_timeout = 1000;  // ms
+    std::size_t ranges = 2'000'000;             // held at most
+    event_loop::Millis connect_timeout = 1000;  // ms
   };
-  RangeDirectory(net::Loop& loop, core::Exchange& exchange, std::string address, Limits limits,
-                 std::uint64_t seed);
+  RangeDirectory(event_loop::Loop& loop, coordination::RequestRouter& router, std::string address,
+                 Limits limits, std::uint64_t seed);
   ~RangeDirectory();
 
   void start();
@@ -43,15 +43,15 @@
   void tick();
   double chance();
 
-  net::Loop& loop_;
-  core::Exchange& exchange_;
+  event_loop::Loop& loop_;
+  coordination::RequestRouter& router_;
   std::string address_;
   Limits limits_;
   ranges::Follower follower_;
   std::uint64_t seed_;
   std::shared_ptr<Watch> watch_;
-  net::TimerId tick_{};
+  event_loop::TimerId tick_{};
   Figures figures_;
 };
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/range_words.cpp
+++ b/src/aggregator/http/range_protocol.cpp
@@ -1,10 +1,10 @@
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace winchhall::platform {
+namespace winchhall::http {
 namespace {
 
 using namespace ranges;
@@ -22,7 +22,7 @@
   return *it;
 }
 
-std::uint64_t whole(const json& row, const char* key) {
+std::uint64_t complete(const json& row, const char* key) {
   const json& v = member(row, key);
   // 2^53 itself is the end of the last range.
   if (!v.is_number_integer() || v.get<std::int64_t>() < 0 || v.get<std::uint64_t>() > kKeyEnd)
@@ -74,8 +74,8 @@
 
 Range read_range(const json& row) {
   Range r;
-  r.id = whole(row, "id");
-  r.span = {whole(row, "from"), whole(row, "to")};
+  r.id = complete(row, "id");
+  r.span = {complete(row, "from"), complete(row, "to")};
   r.weight = row.contains("weight") ? number(row, "weight") : 1;
   r.holders = std::make_shared<const Holders>(read_holders(list(row, "holders")));
   return r;
@@ -83,16 +83,16 @@
 
 Change read_change(const json& row) {
   std::string op = text(row, "op");
-  Target target{whole(row, "range"), whole(row, "from")};
+  Target target{complete(row, "range"), complete(row, "from")};
   if (op == "split")
     return Split{target,
-                 whole(row, "at"),
-                 whole(row, "left"),
-                 whole(row, "right"),
+                 complete(row, "at"),
+                 complete(row, "left"),
+                 complete(row, "right"),
                  number(row, "left_weight"),
                  number(row, "right_weight")};
   if (op == "merge") {
-    Merge m{target, {whole(row, "with"), whole(row, "with_from")}, whole(row, "merged"), {}};
+    Merge m{target, {complete(row, "with"), complete(row, "with_from")}, complete(row, "merged"), {}};
     if (row.contains("holders")) m.holders = read_holders(list(row, "holders"));
     return m;
   }
@@ -154,7 +154,7 @@
   std::string where;
   try {
     json from = json::parse(words);
-    u.revision = {whole(from, "incarnation"), whole(from, "revision")};
+    u.revision = {complete(from, "incarnation"), complete(from, "revision")};
     u.complete = from.contains("ranges");
     u.more = from.contains("more") && from["more"].is_boolean() && from["more"].get<bool>();
     const json& rows = list(from, u.complete ? "ranges" : "changes");
@@ -186,7 +186,7 @@
   NotMine denial;
   try {
     json from = json::parse(words);
-    denial.revision = {whole(from, "incarnation"), whole(from, "revision")};
+    denial.revision = {complete(from, "incarnation"), complete(from, "revision")};
     if (from.contains("successors"))
       for (const json& row : list(from, "successors")) {
         Range r = read_range(row);
@@ -206,4 +206,4 @@
   return all.dump();
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/range_words.hpp
+++ b/src/aggregator/http/range_protocol.hpp
@@ -16,7 +16,7 @@
 #include "aggregator/ranges/follower.hpp"
 #include "aggregator/ranges/replan.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
 // Nothing, and what is wrong and where, for a text that is no such line.
 std::optional<ranges::Update> read_update(const std::string& text, std::string& fault);
@@ -26,4 +26,4 @@
 ranges::NotMine read_denial(const std::string& text);
 std::string write_denial(const ranges::NotMine& denial);
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/request.cpp
+++ b/src/aggregator/http/request.cpp
@@ -5,12 +5,12 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "aggregator/coordination/check.hpp"
+#include "aggregator/coordination/query_validation.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 namespace {
 
-using core::Millis;
+using coordination::Millis;
 using nlohmann::json;
 
 constexpr Millis kTimeoutMost = 24 * 3600e3;  // no client waits a day: a longer time is a mistake
@@ -52,7 +52,7 @@
 }
 
 // Empty, or what is wrong with the body.
-std::string read_spans(const json& from, bool served, core::QuerySpec& q) {
+std::string read_spans(const json& from, bool served, coordination::QuerySpec& q) {
   if (!served) return "'spans': no directory of ranges is followed here, a query names parts";
   if (from.contains("parts")) return "both 'parts' and 'spans'";
   if (!from["spans"].is_array()) return "'spans' is no list";
@@ -68,7 +68,7 @@
   return "";
 }
 
-std::string read_body(const std::string& body, bool spans, core::QuerySpec& q) {
+std::string read_body(const std::string& body, bool spans, coordination::QuerySpec& q) {
   json from = json::parse(body, nullptr, false);
   if (!from.is_object()) return "body: a JSON object is wanted";
   if (from.contains("expr") && !from["expr"].is_string()) return "body: 'expr' is no text";
@@ -81,7 +81,7 @@
     if (!row.contains("w") || !row["w"].is_number()) return "body: a part without a 'w' that is a number";
     std::int64_t shard = row["id"].get<std::int64_t>();
     if (shard < 0 || shard > 1'000'000'000) return "body: a part's id " + std::to_string(shard);
-    core::QueryPart p{static_cast<int>(shard), row["w"].get<double>(), {}};
+    coordination::QueryPart p{static_cast<int>(shard), row["w"].get<double>(), {}};
     if (row.contains("hint") && row["hint"].is_number()) p.hint = row["hint"].get<double>() / 1000;
     q.parts.push_back(p);
   }
@@ -100,14 +100,14 @@
   path.remove_prefix(1);
   path = path.substr(0, path.find('/'));
   Decoded d;
-  core::QuerySpec& q = d.query;
+  coordination::QuerySpec& q = d.query;
   q.query_class = index_of(names.settings.classes, std::string(path));
   if (q.query_class < 0)
     return wrong(404, "no such class: '" + std::string(path.substr(0, kShown)) + "', known are " +
                           names_of(names.settings.classes));
   if (m.method != "POST") return wrong(405, "method " + m.method.substr(0, kShown) + ", wanted is POST");
   const std::string* id = m.header("x-request-id");
-  if (!id || !core::fit_name(*id))
+  if (!id || !coordination::fit_name(*id))
     return wrong(400, "X-Request-ID: wanted are 1 to 128 signs, none of them a space");
   q.id = *id;
   if (const std::string* tenant = m.header("x-tenant-id"))
@@ -120,7 +120,7 @@
     timeout = *read;
   }
   // The client counts from its sending: what the way took and takes is not ours to use.
-  q.give_up_at = core::due(arrived, timeout);
+  q.give_up_at = coordination::due(arrived, timeout);
   const std::string* retried = m.header("x-retried");
   q.repeat = retried && *retried == "1";
   while (!query.empty()) {
@@ -130,7 +130,7 @@
     query.remove_prefix(item.size());
   }
   if (std::string what = read_body(m.body, names.spans, q); !what.empty()) return wrong(400, what);
-  if (std::string what = core::unsound(q, names.shards); !what.empty()) return wrong(400, what);
+  if (std::string what = coordination::unsound(q, names.shards); !what.empty()) return wrong(400, what);
   return d;
 }
 
@@ -155,8 +155,8 @@
   return http_answer(status, headers + "Content-Type: application/json\r\n", body, keep);
 }
 
-std::string verdict_answer(const core::Verdict& v, bool keep) {
-  using Kind = core::Verdict::Kind;
+std::string query_response(const coordination::QueryResult& v, bool keep) {
+  using Kind = coordination::QueryResult::Kind;
   auto why = [&](const char* otherwise) { return v.why.empty() ? otherwise : v.why; };
   if (v.kind == Kind::refused) {
     char advice[64] = "";
@@ -165,11 +165,11 @@
     return error_answer(503, advice, why("refused: too much is asked just now, or servers are missing"),
                         keep);
   }
-  if (v.kind == Kind::unfit) return error_answer(400, "", why("cannot be asked"), keep);
+  if (v.kind == Kind::invalid) return error_answer(400, "", why("cannot be asked"), keep);
   if (v.kind == Kind::failed) return error_answer(500, "", why("failed: not enough came in in time"), keep);
   json rows = json::array();
   bool spans = false;
-  for (const core::Row& row : v.rows)
+  for (const coordination::PartialResult& row : v.rows)
     for (const std::string& value : row.values) {
       if (row.span.empty()) {
         rows.push_back({{"id", row.shard}, {"data", value}});
@@ -181,12 +181,12 @@
                       {"rev", ranges::text_of(row.revision)},
                       {"data", value}});
     }
-  std::string body = json{{"exact", v.whole}, {"rows", std::move(rows)}}.dump(-1, ' ', false,
-                                                                              json::error_handler_t::replace);
+  std::string body = json{{"exact", v.complete}, {"rows", std::move(rows)}}.dump(
+      -1, ' ', false, json::error_handler_t::replace);
   // The protocol's limit on bodies; a cut answer would be none. Spans are no part of that protocol.
   if (body.size() > (spans ? kSpansBodyMost : kBodyMost))
     return error_answer(500, "", "the answer is larger than a body may be", keep);
   return http_answer(200, "Content-Type: application/json\r\n", body, keep);
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/http/request.hpp
+++ b/src/aggregator/http/request.hpp
@@ -3,10 +3,10 @@
 
 #include <string>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 #include "aggregator/http/http.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
 struct ClientNames {  // what a request may name, from the settings
   const winchhall::Settings& settings;
@@ -17,14 +17,14 @@
 struct Decoded {
   int status = 200;  // else what the request is answered with
   std::string wrong{};
-  core::QuerySpec query{};
+  coordination::QuerySpec query{};
 };
 
-Decoded decode_query(const HttpMessage& message, const ClientNames& names, core::Millis arrived);
+Decoded decode_query(const HttpMessage& message, const ClientNames& names, coordination::Millis arrived);
 
 std::string http_answer(int status, const std::string& headers, const std::string& body, bool keep);
 // The same with a body that says what was wrong: {"error":"..."}.
 std::string error_answer(int status, const std::string& headers, const std::string& why, bool keep);
-std::string verdict_answer(const core::Verdict& verdict, bool keep);
+std::string query_response(const coordination::QueryResult& result, bool keep);
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/membership/discovery.cpp
+++ b/src/aggregator/membership/discovery.cpp
@@ -2,25 +2,25 @@
 
 #include <spdlog/spdlog.h>
 
-#include "aggregator/membership/members.hpp"
+#include "aggregator/membership/member_list.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 namespace {
 using winchhall::CallEnd;
 using Kind = winchhall::ServerList::Kind;
 // ms until a call's first line: a call waits in its turn for 2 s at the most before the service fails it.
-constexpr net::Millis kFirstAnswer = 2200;
+constexpr event_loop::Millis kFirstAnswer = 2200;
 constexpr std::size_t kLineMost = 4 * 1024 * 1024;
 }  // namespace
 
-class Discovery::Call : public net::Stream::Owner, public std::enable_shared_from_this<Call> {
+class Discovery::Call : public event_loop::Stream::Owner, public std::enable_shared_from_this<Call> {
  public:
   Call(Discovery& owner, bool watch) : owner_(owner), watch_(watch), parser_(HttpParser::Mode::streamed) {}
 
   bool begin() {
-    auto to = net::parse_address(owner_.address_);
+    auto to = event_loop::parse_address(owner_.address_);
     int error = 0;
-    if (to) stream_ = net::Stream::connect(owner_.loop_, *to, *this, error);
+    if (to) stream_ = event_loop::Stream::connect(owner_.loop_, *to, *this, error);
     expect(owner_.connect_timeout_);
     return static_cast<bool>(stream_);
   }
@@ -61,11 +61,11 @@
   void read_watch(std::string& body) {
     cutter_.feed(std::exchange(body, {}));
     std::string object;
-    for (ObjectCutter::Piece piece;
-         stream_->open() && (piece = cutter_.next(object)) != ObjectCutter::Piece::none;) {
-      if (piece == ObjectCutter::Piece::bad) return owner_.over(*this, "what is no list");
-      owner_.exchange_.list_heard();
-      if (!answered_ || piece == ObjectCutter::Piece::object) owner_.told(*this, object);
+    for (JsonObjectSplitter::Token token;
+         stream_->open() && (token = cutter_.next(object)) != JsonObjectSplitter::Token::none;) {
+      if (token == JsonObjectSplitter::Token::bad) return owner_.over(*this, "what is no list");
+      owner_.router_.on_list_keepalive();
+      if (!answered_ || token == JsonObjectSplitter::Token::object) owner_.on_update(*this, object);
       // From here on the module minds the watch: it knows when silence is one.
       if (stream_->open()) owner_.loop_.cancel(timer_);
     }
@@ -75,10 +75,10 @@
     finish("the watch ended");
   }
   void finish(const std::string& how) {
-    if (!watch_ && parser_.done()) owner_.told(*this, whole_ + parser_.message().body);
+    if (!watch_ && parser_.done()) owner_.on_update(*this, whole_ + parser_.message().body);
     owner_.over(*this, watch_ || !answered_ ? how : "");
   }
-  void expect(net::Millis within) {
+  void expect(event_loop::Millis within) {
     owner_.loop_.cancel(timer_);
     timer_ = owner_.loop_.at(owner_.loop_.now() + within, [this] {
       owner_.over(*this, "silent for " + std::to_string(static_cast<int>(timed_)) + " ms");
@@ -89,20 +89,20 @@
   Discovery& owner_;
   bool watch_;
   HttpParser parser_;
-  std::shared_ptr<net::Stream> stream_;
+  std::shared_ptr<event_loop::Stream> stream_;
   std::string whole_;
-  ObjectCutter cutter_;
-  net::TimerId timer_{};
-  net::Millis timed_ = 0, begun_at_ = owner_.loop_.now();
+  JsonObjectSplitter cutter_;
+  event_loop::TimerId timer_{};
+  event_loop::Millis timed_ = 0, begun_at_ = owner_.loop_.now();
   bool asked_ = false, refused_ = false, ended_ = false;
 
   friend class Discovery;
 };
 
-Discovery::Discovery(net::Loop& loop, core::Exchange& exchange, std::string address, long long revision,
-                     net::Millis connect_timeout)
+Discovery::Discovery(event_loop::Loop& loop, coordination::RequestRouter& router, std::string address,
+                     long long revision, event_loop::Millis connect_timeout)
     : loop_(loop),
-      exchange_(exchange),
+      router_(router),
       address_(std::move(address)),
       revision_(revision),
       connect_timeout_(4 * connect_timeout) {}
@@ -126,7 +126,7 @@
 }
 
 void Discovery::watch(bool on) {
-  wanted_ = on;
+  watch_wanted_ = on;
   if (!on) return stop(watching_);
   // A call without an answer yet is this call too.
   if (watching_ && !watching_->answered_) return;
@@ -142,7 +142,7 @@
   if (address == address_) return;
   address_ = address;
   stop(watching_);
-  if (wanted_) exchange_.list_moved();
+  if (watch_wanted_) router_.on_list_service_moved();
   if (fetching_) start(fetching_, false);
 }
 
@@ -152,18 +152,18 @@
 void Discovery::over(Call& call, const std::string& why) {
   auto& slot = call.watch_call() ? watching_ : fetching_;
   if (slot.get() != &call) return;
-  net::Millis lasted = loop_.now() - call.begun_at_;
+  event_loop::Millis lasted = loop_.now() - call.begun_at_;
   CallEnd end = call.ended_     ? CallEnd::ended
                 : call.asked_   ? CallEnd::failed
                 : call.refused_ ? CallEnd::refused
-                                : CallEnd::silent;
+                                : CallEnd::unresponsive;
   stop(slot);
   if (why.empty()) return;
   spdlog::warn("discovery call failed: {}, after {:.0f} ms", why, lasted);
-  exchange_.list(Kind::failed, {}, end);
+  router_.list(Kind::failed, {}, end);
 }
 
-void Discovery::told(Call& call, const std::string& text) {
+void Discovery::on_update(Call& call, const std::string& text) {
   MemberList list;
   if (!trim(text).empty()) {
     auto read = read_members(text);
@@ -174,8 +174,7 @@
                  list.complete ? "servers, whole list" : "changes");
   }
   call.answered_ = true;
-  exchange_.list(list.complete ? Kind::complete : Kind::changes, list.members, CallEnd::failed,
-                 list.revision);
+  router_.list(list.complete ? Kind::complete : Kind::changes, list.members, CallEnd::failed, list.revision);
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/membership/discovery.hpp
+++ b/src/aggregator/membership/discovery.hpp
@@ -4,16 +4,16 @@
 #include <memory>
 #include <string>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 #include "aggregator/event_loop/stream.hpp"
 #include "aggregator/http/http.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
-class Discovery final : public core::MembershipSource {
+class Discovery final : public coordination::MembershipSource {
  public:
-  Discovery(net::Loop& loop, core::Exchange& exchange, std::string address, long long revision,
-            net::Millis connect_timeout);
+  Discovery(event_loop::Loop& loop, coordination::RequestRouter& router, std::string address,
+            long long revision, event_loop::Millis connect_timeout);
   ~Discovery();
 
   void watch(bool on) override;
@@ -26,15 +26,15 @@
   void start(std::shared_ptr<Call>& slot, bool watch);
   void stop(std::shared_ptr<Call>& slot);
   void over(Call& call, const std::string& why);  // empty: it ended as it should
-  void told(Call& call, const std::string& text);
+  void on_update(Call& call, const std::string& text);
 
-  net::Loop& loop_;
-  core::Exchange& exchange_;
+  event_loop::Loop& loop_;
+  coordination::RequestRouter& router_;
   std::string address_;
   long long revision_;
-  net::Millis connect_timeout_;
-  bool wanted_ = false;  // a watch, whether or not one is open just now
+  event_loop::Millis connect_timeout_;
+  bool watch_wanted_ = false;  // a watch, whether or not one is open just now
   std::shared_ptr<Call> watching_, fetching_;
 };
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/membership/members.cpp
+++ b/src/aggregator/membership/member_list.cpp
@@ -1,13 +1,13 @@
-#include "aggregator/membership/members.hpp"
+#include "aggregator/membership/member_list.hpp"
 
 #include <nlohmann/json.hpp>
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
 using nlohmann::json;
 using winchhall::ServerState;
 
-ObjectCutter::Piece ObjectCutter::next(std::string& object) {
+JsonObjectSplitter::Token JsonObjectSplitter::next(std::string& object) {
   object.clear();
   for (; at_ < held_.size(); ++at_) {
     char c = held_[at_];
@@ -18,7 +18,7 @@
       ++depth_;
     } else if (c == '}' || c == ']') {
       if (--depth_ > 0) continue;
-      if (depth_ < 0) return Piece::bad;
+      if (depth_ < 0) return Token::bad;
       std::size_t end = at_ + 1;
       // The line's end belongs to its object: it is no empty line.
       if (held_.compare(end, 2, "\r\n") == 0)
@@ -28,18 +28,18 @@
       object = held_.substr(0, end);
       held_.erase(0, end);
       at_ = 0;
-      return Piece::object;
+      return Token::object;
     } else if (depth_ > 0) {
       in_text_ = c == '"';
     } else if (c == '\n') {
       held_.erase(0, at_ + 1);
       at_ = 0;
-      return Piece::empty_line;
+      return Token::empty_line;
     } else if (c != ' ' && c != '\t' && c != '\r') {
-      return Piece::bad;
+      return Token::bad;
     }
   }
-  return Piece::none;
+  return Token::none;
 }
 
 std::optional<MemberList> read_members(const std::string& text) {
@@ -51,14 +51,14 @@
     list.complete = from.value("complete", false);
     if (!from.contains("members")) return std::nullopt;
     for (const json& row : from.at("members")) {
-      core::Member m;
+      coordination::Member m;
       m.entry.server = row.at("id").get<std::string>();
       m.endpoint = row.value("host_port", "");
       m.entry.cell = row.value("cell", 0);
       m.entry.size = row.value("size", 1.0);
       std::string phase = row.value("phase", "ready");
       m.entry.state = phase == "draining" ? ServerState::draining
-                      : phase == "gone"   ? ServerState::gone
+                      : phase == "gone"   ? ServerState::removed
                                           : ServerState::ready;
       double started = row.value("up_since_ms", 0.0);
       if (started > 0) m.entry.started = started;
@@ -70,4 +70,4 @@
   return list;
 }
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/membership/members.hpp
+++ b/src/aggregator/membership/member_list.hpp
@@ -5,23 +5,23 @@
 #include <string>
 #include <vector>
 
-#include "aggregator/coordination/exchange.hpp"
+#include "aggregator/coordination/request_router.hpp"
 
-namespace winchhall::platform {
+namespace winchhall::http {
 
 struct MemberList {
   long long revision = 0;
   bool complete = false;
-  std::vector<core::Member> members{};
+  std::vector<coordination::Member> members{};
 };
 
 // Cuts what a watch writes into JSON objects, whether each is a line or is indented over several, and the
 // empty lines between them. Nothing is read of an object but where it ends.
-class ObjectCutter {
+class JsonObjectSplitter {
  public:
-  enum class Piece { none, empty_line, object, bad };
+  enum class Token { none, empty_line, object, bad };
   void feed(std::string text) { held_ += text; }
-  Piece next(std::string& object);  // none: not a whole piece is there; bad: what can't begin an object
+  Token next(std::string& object);  // none: not a whole piece is there; bad: what can't begin an object
   std::size_t held() const { return held_.size(); }
 
  private:
@@ -34,4 +34,4 @@
 // Nothing if the text is no such list.
 std::optional<MemberList> read_members(const std::string& text);
 
-}  // namespace winchhall::platform
+}  // namespace winchhall::http
--- a/src/aggregator/ranges/coverage.cpp
+++ b/src/aggregator/ranges/coverage.cpp
@@ -30,7 +30,7 @@
   if (span.empty() || !asked_.contains(span) || in_.overlaps(span)) return false;
   in_.add(span);
   out_.remove(span);
-  in_share_ = whole() ? 1 : in_share_ + share(span);
+  in_share_ = complete() ? 1 : in_share_ + share(span);
   return true;
 }
 
--- a/src/aggregator/ranges/coverage.hpp
+++ b/src/aggregator/ranges/coverage.hpp
@@ -21,7 +21,7 @@
   Coverage() = default;
   explicit Coverage(std::vector<Piece> pieces);  // disjoint, in any order
 
-  // The share of the whole query that the span is, by density; what lies outside the query counts nothing.
+  // The share of the complete query that the span is, by density; what lies outside the query counts nothing.
   double share(const Span& span) const;
 
   void sent(const Span& span) { out_.add(span); }
@@ -31,7 +31,7 @@
   // after a child's or a duplicate, and one that reaches outside the query. The first that covers wins.
   bool take(const Span& span);
 
-  bool whole() const { return in_ == asked_; }
+  bool complete() const { return in_ == asked_; }
   double in_share() const { return in_share_; }
   const SpanSet& in() const { return in_; }
   const SpanSet& out() const { return out_; }
--- a/src/aggregator/ranges/follower.cpp
+++ b/src/aggregator/ranges/follower.cpp
@@ -17,21 +17,21 @@
   // A gap can be mended by asking for what is missing; an impossible change only by the whole map, which the
   // directory gives to whom it can't give changes. Either way the watch that told it is of no more use.
   if (why == Taken::gap || why == Taken::impossible) reopen_ = refused_ = true;
-  if (why == Taken::impossible) need_whole_ = true;
+  if (why == Taken::impossible) needs_full_map_ = true;
   return why;
 }
 
 Taken Follower::take(Update update, Millis now) {
-  heard_at_ = now;
+  last_keepalive_at_ = now;
   fault_.clear();
   const Revision held = map_.revision(), told = update.revision;
   if (!map_.empty() && told < held) {
     bool older_begin = told.incarnation < held.incarnation;
     std::string what = older_begin ? "an older incarnation, " : "an older revision, ";
-    need_whole_ = need_whole_ || (!older_begin && update.complete);
+    needs_full_map_ = needs_full_map_ || (!older_begin && update.complete);
     return refuse(Taken::stale, what + text_of(told) + " where " + text_of(held) + " is held");
   }
-  if (update.complete) return whole(update);
+  if (update.complete) return complete(update);
   if (map_.empty() || told.incarnation != held.incarnation)
     return refuse(Taken::gap,
                   "changes of incarnation " + std::to_string(told.incarnation) + " without its whole map");
@@ -39,7 +39,8 @@
   if (told.number < count) return refuse(Taken::impossible, "more changes than revisions");
   std::uint64_t base = told.number - count;
   if (told == held) return Taken::nothing;
-  if (need_whole_) return refuse(Taken::gap, "changes of a directory that went back, without its whole map");
+  if (needs_full_map_)
+    return refuse(Taken::gap, "changes of a directory that went back, without its whole map");
   if (base > held.number)
     return refuse(Taken::gap,
                   "changes from " + std::to_string(base) + " on, where " + text_of(held) + " is held");
@@ -59,7 +60,7 @@
   return Taken::taken;
 }
 
-Taken Follower::whole(Update& update) {
+Taken Follower::complete(Update& update) {
   if (update.revision == map_.revision() && !map_.empty() && pages_.empty() && !update.more)
     return Taken::nothing;
   if (!pages_.empty() && pages_of_ != update.revision) pages_.clear();  // another one has begun
@@ -78,14 +79,14 @@
   wait_ = 0;
   if (update.revision == map_.revision()) return Taken::nothing;
   map_ = std::move(*made);
-  need_whole_ = false;
+  needs_full_map_ = false;
   return Taken::taken;
 }
 
 void Follower::opened(Millis now) {
   watching_ = true;
   reopen_ = refused_ = false;
-  heard_at_ = now;
+  last_keepalive_at_ = now;
   pages_.clear();
 }
 
@@ -94,14 +95,14 @@
   watching_ = reopen_ = false;
   pages_.clear();
   wait_ = wait_ > 0 ? std::min(2 * wait_, kLongestWait) : kFirstWait;
-  ask_at_ = now + wait_ * (0.5 + 0.5 * chance);
+  next_request_at_ = now + wait_ * (0.5 + 0.5 * chance);
 }
 
 void Follower::reopening(Millis now, double chance) {
   bool refused = std::exchange(refused_, false);
   if (refused) return broke(now, chance);
   watching_ = reopen_ = false;
-  ask_at_ = now;
+  next_request_at_ = now;
 }
 
 void Follower::refresh(Millis now) {
@@ -110,7 +111,7 @@
   if (watching_)
     reopen_ = true;
   else
-    ask_at_ = std::min(ask_at_, now);
+    next_request_at_ = std::min(next_request_at_, now);
 }
 
 }  // namespace winchhall::ranges
--- a/src/aggregator/ranges/follower.hpp
+++ b/src/aggregator/ranges/follower.hpp
@@ -43,28 +43,28 @@
 
   // What became of the watch, and when to open one.
   void opened(Millis now);
-  void heard(Millis now) { heard_at_ = now; }
+  void heard(Millis now) { last_keepalive_at_ = now; }
   void broke(Millis now, double chance);  // chance in [0, 1): spreads the return of many
   void refresh(Millis now);               // a node is ahead of us: ask now, if that wasn't done just before
   // Where wants_reopen(), its owner ends the watch and says so here.
   void reopening(Millis now, double chance);
   bool watching() const { return watching_; }
-  bool silent(Millis now) const { return watching_ && now - heard_at_ > kSilence; }
+  bool silent(Millis now) const { return watching_ && now - last_keepalive_at_ > kResponseTimeout; }
   // Ask again from then on, where no watch is open: for changes after the revision held, or for the whole
   // map.
-  Millis ask_at() const { return ask_at_; }
-  bool wants_whole() const { return map_.empty() || need_whole_; }
+  Millis ask_at() const { return next_request_at_; }
+  bool needs_full_map() const { return map_.empty() || needs_full_map_; }
   bool wants_reopen() const { return reopen_; }  // the watch that is open tells less than there is
   Millis stale_since() const { return watching_ ? -1 : broken_at_; }
 
-  static constexpr Millis kSilence = 5000;      // ms: a line comes every 2 s, so two are missing
-  static constexpr Millis kFirstWait = 50;      // ms: after a first break
-  static constexpr Millis kLongestWait = 5000;  // ms: doubling ends there; a directory is back within it
-  static constexpr Millis kRefreshEvery = 100;  // ms: a burst of nodes that are ahead is one question
+  static constexpr Millis kResponseTimeout = 5000;  // ms: a line comes every 2 s, so two are missing
+  static constexpr Millis kFirstWait = 50;          // ms: after a first break
+  static constexpr Millis kLongestWait = 5000;      // ms: doubling ends there; a directory is back within it
+  static constexpr Millis kRefreshEvery = 100;      // ms: a burst of nodes that are ahead is one question
 
  private:
   Taken refuse(Taken why, std::string text);
-  Taken whole(Update& update);
+  Taken complete(Update& update);
 
   std::size_t most_;
   RangeMap map_;
@@ -74,8 +74,8 @@
   bool watching_ = false, reopen_ = false, refused_ = false;
   // The directory told the same incarnation with an older revision, or what can't be: it may have lost
   // changes that we hold and now number others alike. Only a whole map that is newer is believed then.
-  bool need_whole_ = false;
-  Millis ask_at_ = 0, wait_ = 0, heard_at_ = 0, refreshed_at_ = -1e18, broken_at_ = 0;
+  bool needs_full_map_ = false;
+  Millis next_request_at_ = 0, wait_ = 0, last_keepalive_at_ = 0, refreshed_at_ = -1e18, broken_at_ = 0;
 };
 
 }  // namespace winchhall::ranges
--- a/src/aggregator/ranges/replan.cpp
+++ b/src/aggregator/ranges/replan.cpp
@@ -73,14 +73,14 @@
   // Where the map has moved on since the part was planned, that is the answer, whatever the node says.
   if (map.revision() > old.revision) {
     Decision d = decide(map, coverage, part);
-    a.ask_directory = word.revision > map.revision();
+    a.refresh_directory = word.revision > map.revision();
     if (d.kind != Decision::Kind::keep) {
       a.decision = std::move(d);
       return a;
     }
   }
   if (word.revision < map.revision()) return a;  // behind: it will hear of it soon
-  a.ask_directory = true;                        // ahead, or of our revision and yet of another mind
+  a.refresh_directory = true;                    // ahead, or of our revision and yet of another mind
   if (word.revision == map.revision() || word.successors.empty()) return a;
   auto next = word.successors;
   std::sort(next.begin(), next.end(),
--- a/src/aggregator/ranges/replan.hpp
+++ b/src/aggregator/ranges/replan.hpp
@@ -41,7 +41,7 @@
 };
 
 struct Answer {
-  bool ask_directory = false;          // the node knows more than we do, or contradicts the map
+  bool refresh_directory = false;      // the node knows more than we do, or contradicts the map
   std::optional<Decision> decision{};  // nothing: the part waits a moment, then another holder is asked
 };
 
--- a/testbed/checker.cpp
+++ b/testbed/checker.cpp
@@ -26,7 +26,7 @@
 void Checker::asked(const Asked& asked, Millis now) {
   open_[asked.id] = {asked, now, {}, false, 0};
   ++figures_.asked;
-  figures_.worth_asked += classes_.at(asked.query_class).worth;
+  figures_.value_requested += classes_.at(asked.query_class).value;
 }
 
 void Checker::arrived(const Node::Arrival& a) {
@@ -124,9 +124,9 @@
   if (in < c.floor - kShareSlack)
     broke("least share", "query " + id + " holds " + std::to_string(in) + " of " + std::to_string(c.floor));
   ++(r.whole ? figures_.whole : figures_.partial);
-  figures_.late += took > c.aim;
-  double worth = c.worth * (r.whole ? 1 : c.partial_worth * in);
-  figures_.worth_earned += worth * (took <= c.aim ? 1 : c.late_worth);
+  figures_.late += took > c.latency_target;
+  double value = c.value * (r.whole ? 1 : c.partial_value * in);
+  figures_.value_earned += value * (took <= c.latency_target ? 1 : c.late_value);
 }
 
 // However its ranges were split and merged: no account was asked for more often than a part may be.
--- a/testbed/checker.hpp
+++ b/testbed/checker.hpp
@@ -14,8 +14,8 @@
 
 struct ClassRule {
   std::string name{};
-  double floor = 1, worth = 1, partial_worth = 0, late_worth = 0.3;
-  Millis aim = 0, give_up = 0;
+  double floor = 1, value = 1, partial_value = 0, late_value = 0.3;
+  Millis latency_target = 0, give_up = 0;
 };
 
 class Checker {
@@ -33,9 +33,9 @@
   struct Figures {
     std::size_t asked = 0, whole = 0, partial = 0, refused = 0, failed = 0, broken = 0, excused = 0, late = 0;
     std::size_t rows_right = 0, rows_wrong = 0, rows_doubled = 0, rows_missing = 0, rows_foreign = 0;
-    double worth_asked = 0, worth_earned = 0;
+    double value_requested = 0, value_earned = 0;
     Histogram latency{};
-    double service() const { return worth_asked > 0 ? worth_earned / worth_asked : 1; }
+    double service() const { return value_requested > 0 ? value_earned / value_requested : 1; }
   };
   const Figures& figures() const { return figures_; }
   std::size_t parts_arrived() const { return parts_; }
--- a/testbed/clients.cpp
+++ b/testbed/clients.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 constexpr std::size_t kStreams = 40;  // calls at once on a Flight connection
-sockaddr_in loopback(int port) { return *net::parse_address("127.0.0.1:" + std::to_string(port)); }
+sockaddr_in loopback(int port) { return *event_loop::parse_address("127.0.0.1:" + std::to_string(port)); }
 }  // namespace
 
 std::string http_request(const Asked& a) {
@@ -31,7 +31,7 @@
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-Reply read_http_reply(const platform::HttpMessage& m) {
+Reply read_http_reply(const http::HttpMessage& m) {
   Reply r;
   json from = json::parse(m.body, nullptr, false);
   if (from.is_object() && from.contains("error")) r.error = from["error"].dump();
@@ -57,12 +57,13 @@
 
 // ---- HTTP
 
-class HttpClients::Connection : public net::Stream::Owner, public std::enable_shared_from_this<Connection> {
+class HttpClients::Connection : public event_loop::Stream::Owner,
+                                public std::enable_shared_from_this<Connection> {
  public:
   explicit Connection(HttpClients& owner) : owner_(owner) {}
   bool begin(int port) {
     int error = 0;
-    stream_ = net::Stream::connect(owner_.loop_, loopback(port), *this, error);
+    stream_ = event_loop::Stream::connect(owner_.loop_, loopback(port), *this, error);
     return static_cast<bool>(stream_);
   }
   void close() {
@@ -106,8 +107,8 @@
     owner_.loop_.destroy_later(std::move(self));
   }
   HttpClients& owner_;
-  std::shared_ptr<net::Stream> stream_;
-  platform::HttpParser parser_{platform::HttpParser::Mode::streamed};
+  std::shared_ptr<event_loop::Stream> stream_;
+  http::HttpParser parser_{http::HttpParser::Mode::streamed};
   Told told_;
 };
 
--- a/testbed/clients.hpp
+++ b/testbed/clients.hpp
@@ -11,7 +11,7 @@
 #include "aggregator/event_loop/stream.hpp"
 #include "aggregator/flight/http2.hpp"
 #include "aggregator/http/http.hpp"
-#include "testbed/truth.hpp"
+#include "testbed/reference_model.hpp"
 
 namespace winchhall::testbed {
 
@@ -37,7 +37,7 @@
 
 class HttpClients {
  public:
-  HttpClients(net::Loop& loop, std::function<int()> port) : loop_(loop), port_(std::move(port)) {}
+  HttpClients(event_loop::Loop& loop, std::function<int()> port) : loop_(loop), port_(std::move(port)) {}
   ~HttpClients();
   // Called back once; what comes twice on a connection counts in extra().
   void ask(const Asked& asked, Told told) { ask(http_request(asked), std::move(told)); }
@@ -47,7 +47,7 @@
 
  private:
   class Connection;
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   std::function<int()> port_;
   std::vector<std::shared_ptr<Connection>> all_, idle_;
   std::size_t extra_ = 0;
@@ -55,19 +55,19 @@
 
 class FlightClients {
  public:
-  FlightClients(net::Loop& loop, std::function<int()> port) : loop_(loop), port_(std::move(port)) {}
+  FlightClients(event_loop::Loop& loop, std::function<int()> port) : loop_(loop), port_(std::move(port)) {}
   ~FlightClients();
   void ask(const Asked& asked, Told told);
   std::size_t extra() const { return extra_; }
 
  private:
   class Connection;
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   std::function<int()> port_;
   std::vector<std::shared_ptr<Connection>> all_;
   std::size_t extra_ = 0;
 };
 
-Reply read_http_reply(const platform::HttpMessage& message);
+Reply read_http_reply(const http::HttpMessage& message);
 
 }  // namespace winchhall::testbed
--- a/testbed/rewriter.cpp
+++ b/testbed/config_file_writer.cpp
@@ -1,4 +1,4 @@
-#include "testbed/rewriter.hpp"
+#include "testbed/config_file_writer.hpp"
 
 #include <algorithm>
 #include <fstream>
--- a/testbed/rewriter.hpp
+++ b/testbed/config_file_writer.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "testbed/random.hpp"
-#include "testbed/world.hpp"
+#include "testbed/simulated_deployment.hpp"
 
 namespace winchhall::testbed {
 
--- a/testbed/directory.cpp
+++ b/testbed/directory.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 
 namespace winchhall::testbed {
 namespace {
@@ -21,7 +21,7 @@
 }
 }  // namespace
 
-Directory::Directory(net::Loop& loop, World& world)
+Directory::Directory(event_loop::Loop& loop, World& world)
     : loop_(loop), world_(world), http_(loop, [this](auto& c, const auto& m) { asked(c, m); }) {
   beat();
 }
@@ -41,11 +41,11 @@
     ranges::Update u{map.revision(), true, at + kPage < all.size(), {}, {}};
     u.ranges.assign(all.begin() + static_cast<long>(at),
                     all.begin() + static_cast<long>(std::min(all.size(), at + kPage)));
-    c.line(platform::write_update(u));
+    c.line(http::write_update(u));
   }
 }
 
-void Directory::asked(HttpStandIn::Connection& c, const platform::HttpMessage& m) {
+void Directory::asked(HttpStandIn::Connection& c, const http::HttpMessage& m) {
   ++counts_.asked;
   bool watch = m.target.find("watch=1") != std::string::npos;
   c.begin_lines();
@@ -55,7 +55,7 @@
       incarnation && after && *incarnation == map.revision().incarnation && loop_.now() >= older_until_;
   auto changes = known ? world_.changes_after(*after) : std::nullopt;
   if (changes)
-    c.line(platform::write_update({map.revision(), false, false, {}, std::move(*changes)}));
+    c.line(http::write_update({map.revision(), false, false, {}, std::move(*changes)}));
   else
     whole(c, map);
   if (watch) watches_.push_back({c.weak_from_this(), map.revision()});
@@ -77,7 +77,7 @@
     if (lost) continue;
     ++counts_.words;
     std::string text;
-    if (changes) text = platform::write_update({now, false, false, {}, std::move(*changes)});
+    if (changes) text = http::write_update({now, false, false, {}, std::move(*changes)});
     if (!changes) {
       if (auto c = w.connection.lock()) whole(*c, world_.map());
     } else if (delay_ <= 0) {
@@ -104,7 +104,7 @@
   break_watches();
 }
 
-Roster::Roster(net::Loop& loop, bool flight)
+Roster::Roster(event_loop::Loop& loop, bool flight)
     : loop_(loop), flight_(flight), http_(loop, [this](auto& c, const auto& m) {
         bool watch = m.target.find("watch=1") != std::string::npos;
         if (!watch) return c.answer(200, whole());
--- a/testbed/directory.hpp
+++ b/testbed/directory.hpp
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "testbed/http_stand_in.hpp"
-#include "testbed/world.hpp"
+#include "testbed/simulated_deployment.hpp"
 
 namespace winchhall::testbed {
 
 class Directory {
  public:
-  Directory(net::Loop& loop, World& world);
+  Directory(event_loop::Loop& loop, World& world);
   ~Directory();
   std::string address() const { return http_.address(); }
 
@@ -37,18 +37,18 @@
     std::weak_ptr<HttpStandIn::Connection> connection;
     ranges::Revision told;
   };
-  void asked(HttpStandIn::Connection& connection, const platform::HttpMessage& message);
+  void asked(HttpStandIn::Connection& connection, const http::HttpMessage& message);
   void whole(HttpStandIn::Connection& connection, const ranges::RangeMap& map);
   void beat();
 
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   World& world_;
   HttpStandIn http_;
   std::vector<Watch> watches_;
   Millis delay_ = 0, older_ = 0, older_until_ = 0;
   bool skip_ = false;
   Counts counts_;
-  net::TimerId beat_{};
+  event_loop::TimerId beat_{};
 };
 
 struct RosterEntry {
@@ -61,7 +61,7 @@
 
 class Roster {
  public:
-  explicit Roster(net::Loop& loop, bool flight);
+  explicit Roster(event_loop::Loop& loop, bool flight);
   ~Roster();
   std::string address() const { return http_.address(); }
   void set(const RosterEntry& entry);           // told to all that watch
@@ -71,13 +71,13 @@
  private:
   std::string row(const RosterEntry& entry) const;
   void beat();
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   bool flight_;
   HttpStandIn http_;
   std::map<std::string, RosterEntry> entries_;
   std::map<std::string, Millis> told_at_;
   long long revision_ = 1;
-  net::TimerId beat_{};
+  event_loop::TimerId beat_{};
 };
 
 }  // namespace winchhall::testbed
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -63,14 +63,14 @@
   json services = json::array(), need = json::array(), floor = json::array(), partial = json::array();
   for (const ClassRule& c : classes()) {
     services.push_back({{"name", c.name},
-                        {"objective", c.aim},
+                        {"objective", c.latency_target},
                         {"hard_limit", c.give_up},
-                        {"gain", c.worth},
-                        {"late_share", c.late_worth},
+                        {"gain", c.value},
+                        {"late_share", c.late_value},
                         {"semantics", "free"}});
     need.push_back(1);
     floor.push_back(c.floor);
-    partial.push_back(c.partial_worth);
+    partial.push_back(c.partial_value);
   }
   const NodeOptions& n = options_.node;
   return json{{"name", "lab-" + std::to_string(i)},
@@ -108,8 +108,8 @@
                 {"rules",
                  {{"must_ask_in", 10000},
                   {"drain_grace", kDrainGrace},
-                  {"cold", n.cold_time},
-                  {"cold_from", n.cold_share},
+                  {"cold", n.warm_up_time},
+                  {"cold_from", n.warm_up_initial_share},
                   {"fall", n.fall_time},
                   {"fall_multiple", n.fall_multiple}}},
                 {"report", {{"how", "inline"}, {"fields", json::array({"busy_reqs"})}}}}}}
--- a/testbed/fleet.hpp
+++ b/testbed/fleet.hpp
@@ -11,8 +11,8 @@
 #include "testbed/directory.hpp"
 #include "testbed/node.hpp"
 #include "testbed/process.hpp"
-#include "testbed/truth.hpp"
-#include "testbed/world.hpp"
+#include "testbed/reference_model.hpp"
+#include "testbed/simulated_deployment.hpp"
 
 namespace winchhall::testbed {
 
@@ -51,7 +51,7 @@
   void kill_node(std::size_t node);
   void return_node(std::size_t node);
 
-  net::Loop& loop() { return loop_; }
+  event_loop::Loop& loop() { return loop_; }
   World& world() { return world_; }
   Directory& directory() { return directory_; }
   Checker& checker() { return checker_; }
@@ -81,7 +81,7 @@
   void drained_send(const Node::Arrival& arrival);
 
   FleetOptions options_;
-  net::Loop loop_;
+  event_loop::Loop loop_;
   Truth truth_;
   World world_;
   Directory directory_;
--- a/testbed/http_stand_in.cpp
+++ b/testbed/http_stand_in.cpp
@@ -31,14 +31,15 @@
   parser_.feed(in);
   if (parser_.failed()) return cut();
   if (!parser_.done()) return;
-  platform::HttpMessage message = std::move(parser_.message());
+  http::HttpMessage message = std::move(parser_.message());
   parser_.reset();
   owner_.handler_(*this, message);
 }
 
 void HttpStandIn::Connection::ended() { owner_.drop(*this); }
 
-HttpStandIn::HttpStandIn(net::Loop& loop, Handler handler) : loop_(loop), handler_(std::move(handler)) {
+HttpStandIn::HttpStandIn(event_loop::Loop& loop, Handler handler)
+    : loop_(loop), handler_(std::move(handler)) {
   come_back();
 }
 
@@ -46,11 +47,11 @@
 
 void HttpStandIn::come_back() {
   if (listener_) return;
-  auto at = *net::parse_address("127.0.0.1:" + std::to_string(port_));
-  listener_ = std::make_unique<net::Listener>(loop_, at, [this](net::UniqueFd fd) {
+  auto at = *event_loop::parse_address("127.0.0.1:" + std::to_string(port_));
+  listener_ = std::make_unique<event_loop::Listener>(loop_, at, [this](event_loop::UniqueFd fd) {
     auto c = std::make_shared<Connection>(*this);
     connections_.insert(c);
-    c->stream_ = net::Stream::adopt(loop_, std::move(fd), *c);
+    c->stream_ = event_loop::Stream::adopt(loop_, std::move(fd), *c);
   });
   port_ = listener_->port();
 }
--- a/testbed/http_stand_in.hpp
+++ b/testbed/http_stand_in.hpp
@@ -14,7 +14,7 @@
 
 class HttpStandIn {
  public:
-  class Connection : public net::Stream::Owner, public std::enable_shared_from_this<Connection> {
+  class Connection : public event_loop::Stream::Owner, public std::enable_shared_from_this<Connection> {
    public:
     explicit Connection(HttpStandIn& owner) : owner_(owner) {}
     void answer(int status, const std::string& body);
@@ -30,13 +30,13 @@
    private:
     friend class HttpStandIn;
     HttpStandIn& owner_;
-    std::shared_ptr<net::Stream> stream_;
-    platform::HttpParser parser_{platform::HttpParser::Mode::request};
+    std::shared_ptr<event_loop::Stream> stream_;
+    http::HttpParser parser_{http::HttpParser::Mode::request};
     bool streaming_ = false;
   };
-  using Handler = std::function<void(Connection&, const platform::HttpMessage&)>;
+  using Handler = std::function<void(Connection&, const http::HttpMessage&)>;
 
-  HttpStandIn(net::Loop& loop, Handler handler);
+  HttpStandIn(event_loop::Loop& loop, Handler handler);
   ~HttpStandIn();
   int port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
@@ -46,9 +46,9 @@
 
  private:
   void drop(Connection& connection);
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   Handler handler_;
-  std::unique_ptr<net::Listener> listener_;
+  std::unique_ptr<event_loop::Listener> listener_;
   int port_ = 0;
   std::set<std::shared_ptr<Connection>> connections_;
 };
--- a/testbed/moving_ranges.cpp
+++ b/testbed/moving_ranges.cpp
@@ -104,7 +104,7 @@
   options.world.moves = 10;
   Fleet fleet(options);
   fleet.begin();
-  net::Loop& loop = fleet.loop();
+  event_loop::Loop& loop = fleet.loop();
   Millis begin = loop.now(), length = 1000 * o.common.seconds, end = begin + length;
   Faults faults(fleet, o.common.seed, begin, length);
   faults.plan(o.faults);
--- a/testbed/node.cpp
+++ b/testbed/node.cpp
@@ -7,7 +7,7 @@
 #include "aggregator/flight/arrow.hpp"
 #include "aggregator/flight/grpc.hpp"
 #include "aggregator/http/frames.hpp"
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 #include "command.pb.h"
 #include "flight.pb.h"
 
@@ -25,24 +25,26 @@
   return n;
 }
 
-net::Millis now_of(net::Loop& loop) { return loop.now(); }
+event_loop::Millis now_of(event_loop::Loop& loop) { return loop.now(); }
 }  // namespace
 
 // ---- Frames
 
-class Node::FrameSide : public net::Stream::Owner, public std::enable_shared_from_this<FrameSide> {
+class Node::FrameSide : public event_loop::Stream::Owner, public std::enable_shared_from_this<FrameSide> {
  public:
   explicit FrameSide(Node& node) : node_(node) {}
-  void begin(net::UniqueFd fd) { stream_ = net::Stream::adopt(node_.loop_, std::move(fd), *this); }
+  void begin(event_loop::UniqueFd fd) {
+    stream_ = event_loop::Stream::adopt(node_.loop_, std::move(fd), *this);
+  }
   void close() { stream_->close(); }
 
   void received(std::string& in) override {
     bool bad = false;
-    while (auto frame = platform::take_frame(in, bad)) {
-      if (frame->letter == 'K') cancel(frame->rest);
-      if (frame->letter == 'U' || frame->letter == 'I')
-        stream_->write(platform::make_frame(frame->letter, node_.load()));
-      if (frame->letter == 'D') calls(frame->rest);
+    while (auto frame = http::take_frame(in, bad)) {
+      if (frame->message == 'K') cancel(frame->rest);
+      if (frame->message == 'U' || frame->message == 'I')
+        stream_->write(http::make_frame(frame->message, node_.load()));
+      if (frame->message == 'D') calls(frame->rest);
     }
     if (bad) ended();
   }
@@ -86,7 +88,7 @@
         auto self = weak.lock();
         if (!self || !self->stream_->open()) return;
         self->jobs_.erase(part);
-        self->stream_->write(platform::make_frame(
+        self->stream_->write(http::make_frame(
             'O', part + " " + std::to_string(end) + " 1 " + self->node_.load() + "\n" + value));
       };
       node_.take(job);
@@ -94,7 +96,7 @@
   }
 
   Node& node_;
-  std::shared_ptr<net::Stream> stream_;
+  std::shared_ptr<event_loop::Stream> stream_;
   std::map<std::string, JobPtr> jobs_;
 };
 
@@ -103,7 +105,7 @@
 class Node::FlightSide : public flight::Http2::Handler, public std::enable_shared_from_this<FlightSide> {
  public:
   explicit FlightSide(Node& node) : node_(node), http2_(node.loop_, *this, true) {}
-  void begin(net::UniqueFd fd) { http2_.adopt(std::move(fd)); }
+  void begin(event_loop::UniqueFd fd) { http2_.adopt(std::move(fd)); }
   void close() { http2_.close(); }
 
   void head(std::int32_t id, const Headers& headers) override { calls_[id].headers = headers; }
@@ -163,10 +165,10 @@
     if (!calls_.count(id) || !http2_.open()) return;
     calls_[id].job = nullptr;  // answered: its end is no cancelling
     using flight::Status;
-    Headers trailers = flight::status_trailers(end == 200                  ? Status::ok
-                                               : end == 503                ? Status::unavailable
-                                               : end == platform::kNotMine ? Status::failed_precondition
-                                                                           : Status::internal,
+    Headers trailers = flight::status_trailers(end == 200              ? Status::ok
+                                               : end == 503            ? Status::unavailable
+                                               : end == http::kNotMine ? Status::failed_precondition
+                                                                       : Status::internal,
                                                "");
     trailers.emplace_back("node-load", node_.load());
     std::string body;
@@ -178,7 +180,7 @@
       body = data_message(flight::schema_message(flight::Layout::spans)) +
              data_message(flight::batch_message({row}, flight::Layout::spans));
     }
-    if (end == platform::kNotMine) flight::add_denial(trailers, platform::read_denial(value));
+    if (end == http::kNotMine) flight::add_denial(trailers, http::read_denial(value));
     http2_.respond(id, {{":status", "200"}, {"content-type", "application/grpc"}}, body, trailers);
     http2_.pump();
   }
@@ -190,7 +192,7 @@
 
 // ---- The node itself
 
-Node::Node(net::Loop& loop, std::size_t number, const NodeOptions& options, const World& world,
+Node::Node(event_loop::Loop& loop, std::size_t number, const NodeOptions& options, const World& world,
            const Truth& truth, std::uint64_t seed, Heard heard)
     : loop_(loop),
       number_(number),
@@ -208,13 +210,13 @@
 std::string Node::flight_address() const { return "127.0.0.1:" + std::to_string(flight_port_); }
 
 void Node::listen() {
-  auto at = [](int port) { return *net::parse_address("127.0.0.1:" + std::to_string(port)); };
-  frames_ = std::make_unique<net::Listener>(loop_, at(frames_port_), [this](net::UniqueFd fd) {
+  auto at = [](int port) { return *event_loop::parse_address("127.0.0.1:" + std::to_string(port)); };
+  frames_ = std::make_unique<event_loop::Listener>(loop_, at(frames_port_), [this](event_loop::UniqueFd fd) {
     auto side = std::make_shared<FrameSide>(*this);
     frame_sides_.insert(side);
     side->begin(std::move(fd));
   });
-  flight_ = std::make_unique<net::Listener>(loop_, at(flight_port_), [this](net::UniqueFd fd) {
+  flight_ = std::make_unique<event_loop::Listener>(loop_, at(flight_port_), [this](event_loop::UniqueFd fd) {
     auto side = std::make_shared<FlightSide>(*this);
     flight_sides_.insert(side);
     side->begin(std::move(fd));
@@ -224,8 +226,9 @@
 }
 
 double Node::capacity(Millis now) const {
-  double warm = up_since_ <= 0 ? 1 : std::min(1.0, (now - up_since_) / options_.cold_time);
-  return static_cast<double>(options_.cores) * (options_.cold_share + (1 - options_.cold_share) * warm);
+  double warm = up_since_ <= 0 ? 1 : std::min(1.0, (now - up_since_) / options_.warm_up_time);
+  return static_cast<double>(options_.cores) *
+         (options_.warm_up_initial_share + (1 - options_.warm_up_initial_share) * warm);
 }
 
 void Node::take(JobPtr job) {
@@ -234,7 +237,7 @@
   ++counts_.asked;
   heard_(job->part);
   job->work = random_.between(options_.work_least, options_.work_most);
-  if (up_since_ > 0 && now - up_since_ < options_.cold_time) {
+  if (up_since_ > 0 && now - up_since_ < options_.warm_up_time) {
     cold_work_.emplace_back(now, job->work);
     while (cold_work_.front().first < now - options_.fall_time) cold_work_.pop_front();
     double sent = 0;
@@ -248,11 +251,11 @@
   }
   if (now < deny_until_) {
     ++counts_.denied;
-    return job->reply(platform::kNotMine, denial(*job));
+    return job->reply(http::kNotMine, denial(*job));
   }
   if (!world_.has_data(number_, job->part.span)) {
     ++counts_.denied;
-    return job->reply(platform::kNotMine, denial(*job));
+    return job->reply(http::kNotMine, denial(*job));
   }
   if (queue_.size() >= options_.waiting) {
     ++counts_.full;
@@ -270,7 +273,7 @@
       words.successors.push_back({p.span, p.id, {}, *p.holders, 0, {}});
       return true;
     });
-  return platform::write_denial(words);
+  return http::write_denial(words);
 }
 
 void Node::pump() {
@@ -306,7 +309,7 @@
       job->reply(200, truth_.rows(job->part.span, job->part.text));
     } else {
       ++counts_.denied;
-      job->reply(platform::kNotMine, denial(*job));
+      job->reply(http::kNotMine, denial(*job));
     }
   }
   pump();
--- a/testbed/node.hpp
+++ b/testbed/node.hpp
@@ -12,16 +12,16 @@
 
 #include "aggregator/event_loop/stream.hpp"
 #include "testbed/random.hpp"
-#include "testbed/truth.hpp"
-#include "testbed/world.hpp"
+#include "testbed/reference_model.hpp"
+#include "testbed/simulated_deployment.hpp"
 
 namespace winchhall::testbed {
 
 struct NodeOptions {
   std::size_t cores = 2, waiting = 200;
   Millis work_least = 2, work_most = 8;  // of one part
-  double cold_share = 0.23;              // of its capacity when it starts
-  Millis cold_time = 17000;              // until it is warm
+  double warm_up_initial_share = 0.23;   // of its capacity when it starts
+  Millis warm_up_time = 17000;           // until it is warm
   double fall_multiple = 4;              // sent more than this x its capacity of the moment ...
   Millis fall_time = 1000;               // ... within this time, while cold, it falls over
 };
@@ -37,7 +37,7 @@
   };
   using Heard = std::function<void(const Arrival&)>;
 
-  Node(net::Loop& loop, std::size_t number, const NodeOptions& options, const World& world,
+  Node(event_loop::Loop& loop, std::size_t number, const NodeOptions& options, const World& world,
        const Truth& truth, std::uint64_t seed, Heard heard);
   ~Node();
 
@@ -79,14 +79,14 @@
   std::string load() const { return "busy_reqs=" + std::to_string(running_ + queue_.size()); }
   std::string denial(const Job& job) const;
 
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   std::size_t number_;
   NodeOptions options_;
   const World& world_;
   const Truth& truth_;
   Random random_;
   Heard heard_;
-  std::unique_ptr<net::Listener> frames_, flight_;
+  std::unique_ptr<event_loop::Listener> frames_, flight_;
   int frames_port_ = 0, flight_port_ = 0;
   std::set<std::shared_ptr<FrameSide>> frame_sides_;
   std::set<std::shared_ptr<FlightSide>> flight_sides_;
--- a/testbed/operations.cpp
+++ b/testbed/operations.cpp
@@ -370,7 +370,7 @@
   };
   Operations options_;
   Random random_;
-  net::Loop loop_;
+  event_loop::Loop loop_;
   std::string folder_;
   Roster roster_;
   std::vector<std::unique_ptr<PromptLeaf>> leafs_;
--- a/testbed/operations_parts.hpp
+++ b/testbed/operations_parts.hpp
@@ -17,12 +17,12 @@
 using Millis = double;
 
 // One connection: a client's queries one after another, or one call at a door.
-class Line : public net::Stream::Owner {
+class Line : public event_loop::Stream::Owner {
  public:
-  Line(net::Loop& loop, int port) {
+  Line(event_loop::Loop& loop, int port) {
     int error = 0;
-    stream =
-        net::Stream::connect(loop, *net::parse_address("127.0.0.1:" + std::to_string(port)), *this, error);
+    stream = event_loop::Stream::connect(
+        loop, *event_loop::parse_address("127.0.0.1:" + std::to_string(port)), *this, error);
     over = !stream;
   }
   ~Line() {
@@ -30,14 +30,14 @@
   }
   void received(std::string& in) override { text += std::exchange(in, {}); }
   void ended() override { over = true; }
-  std::shared_ptr<net::Stream> stream;
+  std::shared_ptr<event_loop::Stream> stream;
   std::string text;
   bool over = false;
 };
 
 struct Client {
   std::unique_ptr<Line> line;
-  platform::HttpParser parser{platform::HttpParser::Mode::response};
+  http::HttpParser parser{http::HttpParser::Mode::response};
   std::string id;
   Millis asked_at = 0, next_at = 0, idle_since = 0;
   bool waiting = false, resent = false, fresh = false;
--- a/testbed/platform_cost.cpp
+++ b/testbed/platform_cost.cpp
@@ -91,7 +91,7 @@
 };
 
 void measure(const std::string& program, std::size_t queries, Cost& cost) {
-  net::Loop loop;
+  event_loop::Loop loop;
   std::vector<std::unique_ptr<PromptLeaf>> leafs;
   for (int i = 0; i < 12; ++i) leafs.push_back(std::make_unique<PromptLeaf>(loop));
   Process process(loop, program, config(leafs), "");
--- a/testbed/process.cpp
+++ b/testbed/process.cpp
@@ -16,7 +16,8 @@
 void write_file(const std::string& path, const std::string& text) { std::ofstream(path) << text; }
 }  // namespace
 
-Process::Process(net::Loop& loop, std::string program, const std::string& config, const std::string& ops)
+Process::Process(event_loop::Loop& loop, std::string program, const std::string& config,
+                 const std::string& ops)
     : loop_(loop), program_(std::move(program)), has_ops_(!ops.empty()) {
   const char* dir = std::getenv("TMPDIR");
   folder_ = std::string(dir ? dir : "/tmp") + "/winchhall-testbed-XXXXXX";
@@ -53,7 +54,7 @@
     _exit(127);
   }
   ::close(ends[1]);
-  pipe_ = net::UniqueFd(ends[0]);
+  pipe_ = event_loop::UniqueFd(ends[0]);
   fcntl(pipe_.get(), F_SETFL, O_NONBLOCK);
   begin_ = log_.size();
   loop_.add(pipe_.get(), POLLIN, [this](short) {
--- a/testbed/process.hpp
+++ b/testbed/process.hpp
@@ -7,15 +7,15 @@
 #include <functional>
 #include <string>
 
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/fd.hpp"
-#include "aggregator/event_loop/loop.hpp"
 
 namespace winchhall::testbed {
 
 class Process {
  public:
   // `program`: path of winchhall. `config` and `ops` are written to files; `ops` may be empty.
-  Process(net::Loop& loop, std::string program, const std::string& config, const std::string& ops);
+  Process(event_loop::Loop& loop, std::string program, const std::string& config, const std::string& ops);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
@@ -35,12 +35,12 @@
   void operate(const std::string& ops);
 
  private:
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   std::string program_, folder_, log_;
   std::size_t begin_ = 0;
   bool has_ops_;
   pid_t pid_ = 0;
-  net::UniqueFd pipe_;
+  event_loop::UniqueFd pipe_;
 };
 
 }  // namespace winchhall::testbed
--- a/testbed/prompt_leaf.hpp
+++ b/testbed/prompt_leaf.hpp
@@ -14,12 +14,12 @@
 class PromptLeaf {
  public:
   using Heard = std::function<void(const std::string& part)>;
-  explicit PromptLeaf(net::Loop& loop, Heard heard = nullptr)
+  explicit PromptLeaf(event_loop::Loop& loop, Heard heard = nullptr)
       : loop_(loop),
         heard_(std::move(heard)),
-        listener_(loop, *net::parse_address("127.0.0.1:0"), [this](net::UniqueFd fd) {
+        listener_(loop, *event_loop::parse_address("127.0.0.1:0"), [this](event_loop::UniqueFd fd) {
           sides_.push_back(std::make_shared<Side>(*this));
-          sides_.back()->stream = net::Stream::adopt(loop_, std::move(fd), *sides_.back());
+          sides_.back()->stream = event_loop::Stream::adopt(loop_, std::move(fd), *sides_.back());
         }) {}
   ~PromptLeaf() {
     for (auto& side : sides_) side->stream->close();
@@ -27,26 +27,26 @@
   int port() const { return listener_.port(); }
 
  private:
-  struct Side : net::Stream::Owner {
+  struct Side : event_loop::Stream::Owner {
     explicit Side(PromptLeaf& of) : leaf(of) {}
     void received(std::string& in) override {
       bool bad = false;
       std::string out;
-      while (auto frame = platform::take_frame(in, bad)) {
-        if (frame->letter != 'D') continue;
+      while (auto frame = http::take_frame(in, bad)) {
+        if (frame->message != 'D') continue;
         std::string part = frame->rest.substr(0, frame->rest.find(' '));
         if (leaf.heard_) leaf.heard_(part);
-        out += platform::make_frame('O', part + " 200 1 busy_reqs=1\n5be2a07c19f04d63");
+        out += http::make_frame('O', part + " 200 1 busy_reqs=1\n5be2a07c19f04d63");
       }
       stream->write(out);
     }
     void ended() override { stream->close(); }
     PromptLeaf& leaf;
-    std::shared_ptr<net::Stream> stream;
+    std::shared_ptr<event_loop::Stream> stream;
   };
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   Heard heard_;
-  net::Listener listener_;
+  event_loop::Listener listener_;
   std::vector<std::shared_ptr<Side>> sides_;
 };
 
--- a/testbed/truth.cpp
+++ b/testbed/reference_model.cpp
@@ -1,4 +1,4 @@
-#include "testbed/truth.hpp"
+#include "testbed/reference_model.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/testbed/world.cpp
+++ b/testbed/simulated_deployment.cpp
@@ -1,4 +1,4 @@
-#include "testbed/world.hpp"
+#include "testbed/simulated_deployment.hpp"
 
 #include <algorithm>
 #include <stdexcept>
@@ -25,7 +25,7 @@
     r.span = {i * width, i + 1 == options.ranges ? kKeyEnd : (i + 1) * width};
     r.weight = 1;
     Holders holders;
-    // Neighbours share holders, as ranges that were split from one another do.
+    // SiblingProcesses share holders, as ranges that were split from one another do.
     for (std::size_t j = 0; j < kHolders; ++j) {
       std::size_t node = (i * options.nodes / options.ranges + j) % options.nodes;
       holders.push_back({node_name(node), Role::serving});
--- a/testbed/watched_files.cpp
+++ b/testbed/watched_files.cpp
@@ -9,9 +9,9 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
+#include "testbed/config_file_writer.hpp"
 #include "testbed/experiments.hpp"
 #include "testbed/fleet.hpp"
-#include "testbed/rewriter.hpp"
 
 namespace winchhall::testbed {
 namespace {
@@ -62,7 +62,7 @@
     Rewriter rewriter(root, o.common.seed, addresses);
     rewriter.sound(fleet.world(), {});
     fleet.begin();
-    net::Loop& loop = fleet.loop();
+    event_loop::Loop& loop = fleet.loop();
     Millis begin = loop.now(), end = begin + 1000 * o.common.seconds;
     Random load(o.common.seed, 5), plan(o.common.seed, 6);
     std::uint64_t number = 0;
--- a/tests/aggregator/app/operations_integration_test.cpp
+++ b/tests/aggregator/app/operations_integration_test.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <nlohmann/json.hpp>
 
-#include "aggregator/hot_restart/state.hpp"
+#include "aggregator/hot_restart/process_state.hpp"
 #include "tests/aggregator/support/program.hpp"
 
 using namespace winchhall;
@@ -44,19 +44,19 @@
     auto p = start(config());
     p->until([&] { return has(p->log, "phase ready"); });
     // It says so before it listens; the door says yes once clients come here and to nobody else.
-    net::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
+    event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (call(*p, "ready\n").find("ACK ") != 0) REQUIRE(loop.now() < give_up);
     return p;
   }
 
   // Some process has left word of this in its file.
-  bool told(const std::function<bool(const takeover::State&)>& what) const {
+  bool told(const std::function<bool(const hot_restart::State&)>& what) const {
     std::error_code none;
     for (const auto& file : std::filesystem::directory_iterator(path + "/winchhall", none)) {
       if (file.path().extension() != ".state") continue;
       std::ifstream in(file.path());
       std::string bytes((std::istreambuf_iterator<char>(in)), {}), why;
-      if (auto s = takeover::decode(bytes, why); s && what(*s)) return true;
+      if (auto s = hot_restart::decode(bytes, why); s && what(*s)) return true;
     }
     return false;
   }
@@ -73,7 +73,7 @@
     return p.ask(*client, Stage::query("s" + std::to_string(++asked), kTwoParts, query_class, 20000));
   }
 
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf{loop};
   std::string path;
   int port = 0, asked = 0;
@@ -266,7 +266,7 @@
     "an old process that was killed, or stands still, holds no start up; files of strangers are set aside") {
   Site site;
   auto old_one = site.first();
-  old_one->until([&] { return site.told([](const takeover::State& s) { return s.listens; }); });
+  old_one->until([&] { return site.told([](const hot_restart::State& s) { return s.listens; }); });
   REQUIRE(kill(old_one->pid, SIGSTOP) == 0);
   std::ofstream(site.path + "/winchhall/foreign.state") << "not ours";
   auto new_one = site.next();  // it does not answer: begun without its word
@@ -297,7 +297,7 @@
   old_one->until([&] { return has(old_one->log, "discovery revision 9"); });
   discovery.listener.close();  // nobody tells the new one
   c["listen"] = "127.0.0.1:" + std::to_string(site.port);
-  old_one->until([&] { return site.told([](const takeover::State& s) { return s.revision == 9; }); });
+  old_one->until([&] { return site.told([](const hot_restart::State& s) { return s.revision == 9; }); });
   auto new_one = site.start(c);
   new_one->until([&] { return has(new_one->log, "phase ready"); });
   site.leaf.parts.clear();
--- a/tests/aggregator/app/operations_test.cpp
+++ b/tests/aggregator/app/operations_test.cpp
@@ -8,94 +8,99 @@
 #include <string>
 #include <vector>
 
-#include "aggregator/admin/words.hpp"
+#include "aggregator/admin/admin_protocol.hpp"
 #include "aggregator/app/lifecycle.hpp"
 #include "aggregator/app/settings_check.hpp"
-#include "aggregator/coordination/class_table.hpp"
-#include "aggregator/coordination/retuning.hpp"
+#include "aggregator/coordination/class_registry.hpp"
+#include "aggregator/coordination/settings_transition.hpp"
 
 using namespace winchhall;
 using app::Lifecycle;
-using app::Order;
+using app::LifecycleEvent;
 using app::Phase;
 using winchhall::ClassSettings;
-using winchhall::Repeat;
+using winchhall::Idempotency;
 using winchhall::Settings;
 
 TEST_CASE("the phases do what a plain account of the orders says, whatever comes in whatever order") {
   CHECK(rc::check([] {
     Lifecycle life;
-    bool able = false, away = false, predecessor = false, successor = false, leaving = false, stopped = false;
+    bool endpoints_available = false, away = false, predecessor = false, successor = false, leaving = false,
+         stopped = false;
     double now = 0, since = 0;
     auto orders = *rc::gen::container<std::vector<std::pair<int, int>>>(
-        rc::gen::pair(rc::gen::inRange(0, app::kOrders), rc::gen::inRange(0, 1500)));
+        rc::gen::pair(rc::gen::inRange(0, app::kLifecycleEvents), rc::gen::inRange(0, 1500)));
     for (auto [number, passed] : orders) {
       now += passed;
-      Order order = static_cast<Order>(number);
+      LifecycleEvent order = static_cast<LifecycleEvent>(number);
       Lifecycle::Result r = life.give(order, now);
-      bool refused = order == Order::resume && leaving;
-      if (order == Order::emptied && leaving) stopped = true;
-      if ((order == Order::drain || order == Order::terminate) && !leaving && !away) since = now;
-      if (order == Order::drain && !leaving) away = true;
-      if (order == Order::terminate) leaving = true;
-      if (order == Order::resume && !leaving) away = false;
+      bool refused = order == LifecycleEvent::resume && leaving;
+      if (order == LifecycleEvent::drained && leaving) stopped = true;
+      if ((order == LifecycleEvent::drain || order == LifecycleEvent::terminate) && !leaving && !away)
+        since = now;
+      if (order == LifecycleEvent::drain && !leaving) away = true;
+      if (order == LifecycleEvent::terminate) leaving = true;
+      if (order == LifecycleEvent::resume && !leaving) away = false;
       if (!leaving) {
-        able |= order == Order::able;
-        predecessor |= order == Order::predecessor;
-        successor |= order == Order::successor;
-        if (order == Order::alone) predecessor = successor = false;
+        endpoints_available |= order == LifecycleEvent::endpoints_available;
+        predecessor |= order == LifecycleEvent::predecessor;
+        successor |= order == LifecycleEvent::successor;
+        if (order == LifecycleEvent::alone) predecessor = successor = false;
       }
       RC_ASSERT(r.taken == !refused);
-      RC_ASSERT(std::string(r.word) != "");
-      RC_ASSERT(life.admits() == (able && !away && !leaving));
+      RC_ASSERT(std::string(r.message) != "");
+      RC_ASSERT(life.admits() == (endpoints_available && !away && !leaving));
       RC_ASSERT(life.drains() == (away || leaving));
       RC_ASSERT(life.closes_idle(now) == ((away || leaving) && now - since >= 500));
-      RC_ASSERT(life.closes_door(now) == (leaving && now - since >= 1000));
+      RC_ASSERT(life.closes_listener(now) == (leaving && now - since >= 1000));
       RC_ASSERT((life.phase() == Phase::Stopped) == stopped);
-      RC_ASSERT((life.phase() == Phase::HandingOver) == (able && successor && !away && !leaving));
-      RC_ASSERT((life.phase() == Phase::TakingOver) == (!able && predecessor && !away && !leaving));
+      RC_ASSERT((life.phase() == Phase::HandingOver) ==
+                (endpoints_available && successor && !away && !leaving));
+      RC_ASSERT((life.phase() == Phase::TakingOver) ==
+                (!endpoints_available && predecessor && !away && !leaving));
     }
   }));
 }
 
 TEST_CASE("the door takes a word on one line and says of all else what is wrong") {
-  using door::Call;
-  using door::hear;
-  CHECK(hear("ready\n", false).call == Call::ready);
-  CHECK(hear(" drain \r\n", false).call == Call::drain);
-  CHECK(hear("resume\n", true).call == Call::resume);
-  CHECK_FALSE(hear("read", false).whole());
-  CHECK_FALSE(hear("", false).whole());
+  using admin::Command;
+  using admin::parse_line;
+  CHECK(parse_line("ready\n", false).command == Command::ready);
+  CHECK(parse_line(" drain \r\n", false).command == Command::drain);
+  CHECK(parse_line("resume\n", true).command == Command::resume);
+  CHECK_FALSE(parse_line("read", false).complete());
+  CHECK_FALSE(parse_line("", false).complete());
   for (const std::string& bad : {std::string("\n"), std::string("Ready\n"), std::string("ready drain\n"),
                                  std::string("ready\ndrain\n"), std::string("re\0dy\n", 6),
                                  std::string(257, 'x'), std::string(300, 'x') + "\n"}) {
     INFO(bad);
-    CHECK_FALSE(hear(bad, false).call);
-    CHECK(hear(bad, false).whole());
+    CHECK_FALSE(parse_line(bad, false).command);
+    CHECK(parse_line(bad, false).complete());
   }
-  CHECK(hear("ready", true).why == "no whole line");
-  CHECK(door::Answer{true, "two\nlines"}.line() == "ACK two lines\n");
-  CHECK(door::read_answer("NAK leaving for good\r\n")->word == "leaving for good");
-  CHECK(door::read_answer("ACK\n")->yes);
-  for (const char* none : {"", "ACK", "ACKNOWLEDGED\n", "YES\n"}) CHECK_FALSE(door::read_answer(none));
+  CHECK(parse_line("ready", true).why == "no whole line");
+  CHECK(admin::Reply{true, "two\nlines"}.line() == "ACK two lines\n");
+  CHECK(admin::parse_reply("NAK leaving for good\r\n")->message == "leaving for good");
+  CHECK(admin::parse_reply("ACK\n")->accepted);
+  for (const char* none : {"", "ACK", "ACKNOWLEDGED\n", "YES\n"}) CHECK_FALSE(admin::parse_reply(none));
 }
 
 namespace {
 
-ClassSettings of(const std::string& name, double aim = 1000, Repeat repeat = Repeat::safe) {
-  return {.name = name, .repeat = repeat, .aim = aim, .deadline = 2 * aim};
+ClassSettings of(const std::string& name, double latency_target = 1000,
+                 Idempotency repeat = Idempotency::safe) {
+  return {.name = name, .repeat = repeat, .latency_target = latency_target, .deadline = 2 * latency_target};
 }
 
 }  // namespace
 
 TEST_CASE(
     "a class that changes while queries of it are open gets an index of its own, and they keep theirs") {
-  core::ClassTable table({of("a"), of("b")});
+  coordination::ClassTable table({of("a"), of("b")});
   table.opened(0);
   auto c = table.change({of("a", 500), of("b"), of("c")});
   REQUIRE(c.classes.size() == 4);
   CHECK(c.classes[0].name.empty());
-  CHECK(c.classes[0].aim == 1000);
+  CHECK(c.classes[0].latency_target == 1000);
   CHECK(c.classes[1] == of("b"));
   CHECK(c.classes[2] == of("a", 500));
   CHECK(c.classes[3] == of("c"));
@@ -110,7 +115,7 @@
 
 TEST_CASE("whatever settings follow each other, open queries keep their rules and the table stays bounded") {
   CHECK(rc::check([] {
-    core::ClassTable table({of("a"), of("b"), of("c")});
+    coordination::ClassTable table({of("a"), of("b"), of("c")});
     std::vector<ClassSettings> now = {of("a"), of("b"), of("c")};
     std::map<int, std::pair<ClassSettings, int>> open;  // by index: its rules and how many
     int opened = 0;
@@ -121,7 +126,7 @@
         if (now[static_cast<std::size_t>(index)].name.empty()) continue;
         table.opened(index);
         auto [it, fresh] = open.try_emplace(index, now[static_cast<std::size_t>(index)], 0);
-        RC_ASSERT(it->second.first.aim == now[static_cast<std::size_t>(index)].aim);
+        RC_ASSERT(it->second.first.latency_target == now[static_cast<std::size_t>(index)].latency_target);
         ++it->second.second;
         ++opened;
       } else if (what == 1 && !open.empty()) {
@@ -137,7 +142,7 @@
         now = change.classes;
         for (const ClassSettings& f : fresh) RC_ASSERT(std::count(now.begin(), now.end(), f) == 1);
         for (const auto& [index, rules] : open) {
-          RC_ASSERT(now[static_cast<std::size_t>(index)].aim == rules.first.aim);
+          RC_ASSERT(now[static_cast<std::size_t>(index)].latency_target == rules.first.latency_target);
           RC_ASSERT(change.from[static_cast<std::size_t>(index)] >= 0);
           RC_ASSERT(table.name(index) == rules.first.name);
         }
@@ -149,39 +154,39 @@
 
 TEST_CASE("between the order and its settling nothing is done that either settings forbid") {
   Settings old, fresh;
-  old.classes = {of("a", 1000, Repeat::unsafe), of("gone"), of("c")};
+  old.classes = {of("a", 1000, Idempotency::unsafe), of("gone"), of("c")};
   old.max_attempts = 3;
-  fresh.classes = {of("a", 800, Repeat::safe), of("c"), of("new")};
+  fresh.classes = {of("a", 800, Idempotency::safe), of("c"), of("new")};
   fresh.classes[1].need = fresh.classes[1].floor = 0.5;
   fresh.max_attempts = 2;
-  core::Retuning retuning(old);
-  const Settings& both = retuning.order(fresh, 100);
+  coordination::SettingsTransition transition(old);
+  const Settings& both = transition.begin(fresh, 100);
   REQUIRE(both.classes.size() == 4);
-  CHECK(both.classes[0].repeat == Repeat::unsafe);
-  CHECK(both.classes[0].aim == 800);
+  CHECK(both.classes[0].repeat == Idempotency::unsafe);
+  CHECK(both.classes[0].latency_target == 800);
   CHECK(both.classes[1].need == 1);
   CHECK(both.classes[2].name == "new");
   CHECK(both.classes[3].name == "gone");
   CHECK(both.max_attempts == 2);
-  CHECK_FALSE(retuning.settle(1300));  // clients may have sent by the old ones until 1.2 s
-  auto settled = retuning.settle(1700);
+  CHECK_FALSE(transition.complete_if_due(1300));  // clients may have sent by the old ones until 1.2 s
+  auto settled = transition.complete_if_due(1700);
   REQUIRE(settled);
   CHECK(*settled == fresh);
-  CHECK_FALSE(retuning.settle(1e9));
+  CHECK_FALSE(transition.complete_if_due(1e9));
 }
 
 TEST_CASE("a second order before the first has settled is safe under all three, and the last one settles") {
   Settings a, b, c;
   a.classes = {of("x")};
-  b.classes = {of("x", 1000, Repeat::unsafe), of("y")};
+  b.classes = {of("x", 1000, Idempotency::unsafe), of("y")};
   c.classes = {of("x"), of("z")};
-  core::Retuning retuning(a);
-  retuning.order(b, 0);
-  const Settings& both = retuning.order(c, 1000);
+  coordination::SettingsTransition transition(a);
+  transition.begin(b, 0);
+  const Settings& both = transition.begin(c, 1000);
   CHECK(both.classes.size() == 3);
-  CHECK(both.classes[0].repeat == Repeat::unsafe);
-  CHECK_FALSE(retuning.settle(1700));
-  CHECK(*retuning.settle(2600) == c);
+  CHECK(both.classes[0].repeat == Idempotency::unsafe);
+  CHECK_FALSE(transition.complete_if_due(1700));
+  CHECK(*transition.complete_if_due(2600) == c);
 }
 
 TEST_CASE("a configuration that is cut at any byte, lacks any key or has a bad value takes nobody's place") {
@@ -189,14 +194,14 @@
 "settings":{"services":[{"name":"a","objective":100,"hard_limit":200,"semantics":"free"},
 {"name":"b","objective":100,"hard_limit":200,"semantics":"free"}],
 "extra":{"need_by_class":[1,1],"warm_keys":false},"permissions":{"max_attempts":3},"rules":{"cold":1}}})";
-  CHECK(app::unfit_to_replace(sound, sound) == "");
+  CHECK(app::incompatible_setting(sound, sound) == "");
   for (std::size_t cut = 0; cut < sound.size(); ++cut)
-    CHECK_FALSE(app::unfit_to_replace(sound, sound.substr(0, cut)).empty());
+    CHECK_FALSE(app::incompatible_setting(sound, sound.substr(0, cut)).empty());
   auto with = [&](const std::string& piece, const std::string& other) {
     std::string text = sound;
     std::size_t at = text.find(piece);
     REQUIRE(at != std::string::npos);
-    return app::unfit_to_replace(sound, text.replace(at, piece.size(), other));
+    return app::incompatible_setting(sound, text.replace(at, piece.size(), other));
   };
   CHECK(with(",\"warm_keys\":false", "") == "");  // the wire's page lets it be absent
   CHECK(with("\"objective\":100,", "") == "settings.services[0].objective is missing: wanted is a number");
@@ -212,6 +217,6 @@
         "settings.extra.need_by_class has 1 values: wanted is one for each of 2 classes");
   CHECK(with("\"name\":\"b\"", "\"name\":\"a\"").find("another class has it already") != std::string::npos);
   CHECK(with("\"rules\":{\"cold\":1}", "\"rules\":null").find("rules is nothing") != std::string::npos);
-  CHECK(app::unfit_to_replace(sound, "").find("line 1: the file is empty") == 0);
-  CHECK(app::unfit_to_replace(sound, sound.substr(0, 150)).find("line 2") == 0);
+  CHECK(app::incompatible_setting(sound, "").find("line 1: the file is empty") == 0);
+  CHECK(app::incompatible_setting(sound, sound.substr(0, 150)).find("line 2") == 0);
 }
--- a/tests/aggregator/app/program_test.cpp
+++ b/tests/aggregator/app/program_test.cpp
@@ -6,7 +6,7 @@
 using namespace winchhall::testing;
 
 TEST_CASE("it serves, and after SIGTERM finishes what it took and what still arrives, then exits with 0") {
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   Program p(loop, configuration(leaf.listener.port()));
   int port = p.port("listens on port ");
@@ -38,7 +38,7 @@
 }
 
 TEST_CASE("SIGHUP moves discovery by the file, keeps list and drains, and a bad file changes nothing") {
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf(loop), second(loop);
   ScriptedDiscovery first(loop), moved(loop), last(loop);
   int port = leaf.listener.port();
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("out of descriptors it waits, and serves again when clients leave") {
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   Program p(loop, configuration(leaf.listener.port()), "", 24);
   int port = p.port("listens on port ");
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE("the Flight front is off, and an operator's file turns it on") {
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   {
     Program p(loop, configuration(leaf.listener.port()));
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("an operator's file turns moving ranges on; a change while the program drains; SIGHUP meanwhile") {
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   ScriptedDiscovery directory(loop);
   auto tell = [&](const std::string& line) {
@@ -158,7 +158,7 @@
 }
 
 TEST_CASE("an operator's file with faults ends the program with each of them and its line") {
-  net::Loop loop;
+  event_loop::Loop loop;
   Program p(
       loop, configuration(1),
       "<winchhall xmlns=\"urn:winchhall:operator:1\">\n  <flight listen=\"127.0.0.1:0\" nodes=\"smoke\"/>\n"
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE("without an operator's file the XML library is not even loaded") {
-  net::Loop loop;
+  event_loop::Loop loop;
   Program p(loop, configuration(1));
   p.port("listens on port ");
   std::ifstream maps("/proc/" + std::to_string(p.pid) + "/maps");
@@ -233,7 +233,7 @@
 TEST_CASE(
     "nodes from files: followed while it serves, an operator's word, and a return from the store alone") {
   namespace fs = std::filesystem;
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   int port = leaf.listener.port();
   std::string root = temporary("");
@@ -289,7 +289,7 @@
 }
 
 TEST_CASE("on the platform no store is opened and no file is watched") {
-  net::Loop loop;
+  event_loop::Loop loop;
   Program p(loop, configuration(1));
   p.port("listens on port ");
   std::ifstream maps("/proc/" + std::to_string(p.pid) + "/maps");
@@ -301,13 +301,13 @@
     ++threads;
   CHECK(threads == 1);
   for (const auto& entry : std::filesystem::directory_iterator("/proc/" + std::to_string(p.pid) + "/fd")) {
-    std::error_code gone;
-    CHECK(!has(std::filesystem::read_symlink(entry.path(), gone).string(), "inotify"));
+    std::error_code removed;
+    CHECK(!has(std::filesystem::read_symlink(entry.path(), removed).string(), "inotify"));
   }
 }
 
 TEST_CASE("a configuration that cannot be used ends the program with a plain message") {
-  net::Loop loop;
+  event_loop::Loop loop;
   for (const char* text : {"{", "{}", R"({"settings":{"services":[{"name":"a"}]},"listen":"nowhere"})"}) {
     Program p(loop, text);
     CHECK(p.exit_code() == 1);
@@ -316,7 +316,7 @@
 }
 
 TEST_CASE("SIGTERM: half a request gets its answer, a resting client an end in good order, then it exits") {
-  net::Loop loop;
+  event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   Program p(loop, configuration(leaf.listener.port()));
   int port = p.port("listens on port ");
--- a/tests/aggregator/compatibility/stored_data_test.cpp
+++ b/tests/aggregator/compatibility/stored_data_test.cpp
@@ -9,15 +9,15 @@
 #include <string>
 
 #include "aggregator/app/operator_file.hpp"
+#include "aggregator/dynamic_config/config_generation.hpp"
 #include "aggregator/dynamic_config/digest.hpp"
-#include "aggregator/dynamic_config/folder.hpp"
-#include "aggregator/dynamic_config/generation.hpp"
+#include "aggregator/dynamic_config/folder_watch.hpp"
 #include "aggregator/dynamic_config/store.hpp"
-#include "aggregator/hot_restart/folder.hpp"
+#include "aggregator/hot_restart/state_folder.hpp"
 #include "tests/compatibility/program_run.hpp"
 
 using namespace winchhall;
-using generations::Kind;
+using dynamic_config::Kind;
 namespace fs = std::filesystem;
 
 namespace {
@@ -48,25 +48,25 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-generations::Bytes recorded_files() {
-  generations::Bytes bytes;
-  for (const Kind kind : generations::kKinds) {
-    bytes[kind] = read_file(kData / "files" / generations::file_of(kind));
+dynamic_config::Bytes recorded_files() {
+  dynamic_config::Bytes bytes;
+  for (const Kind kind : dynamic_config::kKinds) {
+    bytes[kind] = read_file(kData / "files" / dynamic_config::file_of(kind));
   }
   return bytes;
 }
 
-void check_state(const takeover::State& state) {
+void check_state(const hot_restart::State& state) {
   CHECK(state.name == "aggregator-a");
-  CHECK(state.who.started == 1700000000001);
-  CHECK(state.who.pid == 4711);
+  CHECK(state.id.started == 1700000000001);
+  CHECK(state.id.pid == 4711);
   CHECK(state.number == 12);
   CHECK(state.phase == "ready");
   CHECK(state.listens);
-  REQUIRE(state.heard_of.size() == 2);
-  CHECK(state.heard_of[0].started == 1700000000002);
-  CHECK(state.heard_of[0].pid == 4712);
-  CHECK(state.heard_of[1].started == 1600000000003);
+  REQUIRE(state.known_processes.size() == 2);
+  CHECK(state.known_processes[0].started == 1700000000002);
+  CHECK(state.known_processes[0].pid == 4712);
+  CHECK(state.known_processes[1].started == 1600000000003);
   CHECK(state.revision == 41);
   REQUIRE(state.members.size() == 2);
   const auto& first = state.members[0];
@@ -87,7 +87,7 @@
 
 TEST_CASE("the store of an earlier revision is opened with its sets, verdicts and orders") {
   const DataCopy copy;
-  const store::Opened opened = store::open(copy.path("store.db"));
+  const dynamic_config::OpenedStore opened = dynamic_config::open(copy.path("store.db"));
   REQUIRE_MESSAGE(opened.store, opened.why);
   CHECK(opened.set_aside.empty());
   const auto history = opened.store->history(10);
@@ -123,7 +123,7 @@
   CHECK(open[0].word == "rollback");
   CHECK(open[0].digest == kTakenDigest);
 
-  store::Kept next;
+  dynamic_config::StoredSet next;
   next.digest = 7;
   next.verdict = "refused";
   CHECK(opened.store->put(next));
@@ -143,40 +143,41 @@
 TEST_CASE("the state that a process of an earlier revision left is read, and written the same") {
   const std::string recorded = read_file(kData / kStateFile);
   std::string why;
-  const auto state = takeover::decode(recorded, why);
+  const auto state = hot_restart::decode(recorded, why);
   REQUIRE_MESSAGE(state, why);
   check_state(*state);
-  CHECK(takeover::encode(*state) == recorded);
+  CHECK(hot_restart::encode(*state) == recorded);
 }
 
 TEST_CASE("the state of an earlier revision is found in the folder of its aggregator") {
   const DataCopy copy;
   fs::create_directory(copy.root / "winchhall");
   fs::copy(kData / kStateFile, copy.root / "winchhall" / kStateFile);
-  takeover::Folder folder(copy.root.string());
-  const auto found = folder.look();
+  hot_restart::Folder folder(copy.root.string());
+  const auto found = folder.scan();
   CHECK(found.set_aside.empty());
   REQUIRE(found.states.size() == 1);
   check_state(found.states[0]);
-  folder.remove(found.states[0].who);
+  folder.remove(found.states[0].id);
   CHECK_FALSE(fs::exists(copy.root / "winchhall" / kStateFile));
 }
 
 TEST_CASE("operators' files of an earlier revision are read with the same digest and values") {
   const DataCopy copy;
-  const files::Look look = files::look_at(copy.path("files"), kMostBytes);
+  const dynamic_config::FolderContents look =
+      dynamic_config::read_config_folder(copy.path("files"), kMostBytes);
   CHECK(look.there);
   CHECK(look.faults.empty());
   CHECK(look.bytes == recorded_files());
-  CHECK(generations::digest_of(look.bytes) == kTakenDigest);
+  CHECK(dynamic_config::digest_of(look.bytes) == kTakenDigest);
 
-  generations::Rows rows;
-  std::vector<generations::Fault> faults;
+  dynamic_config::Rows rows;
+  std::vector<dynamic_config::Fault> faults;
   app::read_set(look.bytes, rows, faults);
   REQUIRE(faults.empty());
   CHECK(rows.revisions[Kind::nodes] == 7);
   CHECK(rows.revisions[Kind::ranges] == 12);
-  const auto made = generations::check(rows, kTakenDigest, generations::Bounds{}, faults);
+  const auto made = dynamic_config::check(rows, kTakenDigest, dynamic_config::Bounds{}, faults);
   CHECK(faults.empty());
   REQUIRE(made);
   REQUIRE(made->members.size() == 3);
--- a/tests/aggregator/coordination/request_router_integration_test.cpp
+++ b/tests/aggregator/coordination/request_router_integration_test.cpp
@@ -5,12 +5,12 @@
 
 #include <map>
 
-#include "aggregator/coordination/exchange.hpp"
-#include "tests/aggregator/support/desk.hpp"
+#include "aggregator/coordination/request_router.hpp"
+#include "tests/aggregator/support/router_fixture.hpp"
 
 using namespace winchhall;
-using core::Outcome;
-using core::Verdict;
+using coordination::Outcome;
+using coordination::QueryResult;
 using testing::Desk;
 
 TEST_CASE("servers that stay silent: one final answer, before the client's time is up") {
@@ -18,9 +18,9 @@
   d.ask(0, 800);
   d.pass(3000);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind != Verdict::Kind::answered);
+  CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
   CHECK(d.decided_at < 1800);
-  CHECK(d.exchange.attempts_out() == 0);
+  CHECK(d.router.attempts_out() == 0);
   CHECK(d.out.empty());
 }
 
@@ -49,12 +49,12 @@
   CHECK(d.verdicts.empty());
   d.pass(200);  // the aim is over
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind == Verdict::Kind::answered);
-  CHECK(!d.verdicts[0].whole);
+  CHECK(d.verdicts[0].kind == QueryResult::Kind::answered);
+  CHECK(!d.verdicts[0].complete);
   CHECK(d.verdicts[0].share == doctest::Approx(0.75));
   CHECK(d.verdicts[0].rows.size() == 3);
   CHECK(d.abandoned >= 1);
-  CHECK(d.exchange.attempts_out() == 0);
+  CHECK(d.router.attempts_out() == 0);
 }
 
 TEST_CASE("parts go where less load is reported") {
@@ -62,9 +62,9 @@
   d.ask(0, 5000, 2);  // a part for each of the two servers
   REQUIRE(d.out.size() == 2);
   for (const auto& [n, order] : std::map(d.out)) {
-    core::Result r{.values = {"v"}, .load = {.in_flight = order.server == "a" ? 40.0 : 0.5}};
-    d.exchange.attempt_ended(n, r);
-    d.exchange.run();
+    coordination::Result r{.values = {"v"}, .load = {.in_flight = order.server == "a" ? 40.0 : 0.5}};
+    d.router.attempt_ended(n, r);
+    d.router.run();
   }
   d.out.clear();
   for (int i = 0; i < 5; ++i) d.ask(0, 5000, 2);
@@ -77,9 +77,9 @@
     winchhall::Settings settings = testing::two_classes();
     settings.weights_count = count;
     Desk d(settings);
-    core::Member heavy = testing::member("a", 1, 0);
+    coordination::Member heavy = testing::member("a", 1, 0);
     heavy.entry.size = 4;
-    d.exchange.list(winchhall::ServerList::Kind::changes, {heavy});
+    d.router.list(winchhall::ServerList::Kind::changes, {heavy});
     for (int i = 0; i < 20; ++i) d.ask(0, 5000, 2);
     std::size_t to_heavy = 0;
     for (const auto& [n, order] : d.out) to_heavy += order.server == "a";
@@ -92,14 +92,14 @@
 // have.
 TEST_CASE("the list's revision rises when its members are taken up, not before") {
   Desk d;
-  const std::size_t before = d.exchange.members().size();
-  d.exchange.list(winchhall::ServerList::Kind::changes, {testing::member("c", 1, 0)},
-                  winchhall::CallEnd::failed, 9);
-  CHECK(d.exchange.list_revision() == 0);
-  CHECK(d.exchange.members().size() == before);
-  d.exchange.run();
-  CHECK(d.exchange.list_revision() == 9);
-  CHECK(d.exchange.members().size() == before + 1);
+  const std::size_t before = d.router.members().size();
+  d.router.list(winchhall::ServerList::Kind::changes, {testing::member("c", 1, 0)},
+                winchhall::CallEnd::failed, 9);
+  CHECK(d.router.list_revision() == 0);
+  CHECK(d.router.members().size() == before);
+  d.router.run();
+  CHECK(d.router.list_revision() == 9);
+  CHECK(d.router.members().size() == before + 1);
 }
 
 TEST_CASE("what is over the limit is refused at once, with a time to come back") {
@@ -110,7 +110,7 @@
   CHECK(d.verdicts.empty());
   d.ask(0, 2000);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind == Verdict::Kind::refused);
+  CHECK(d.verdicts[0].kind == QueryResult::Kind::refused);
   CHECK(d.verdicts[0].retry_after == 2000);
   CHECK(d.decided_at == d.now);
 }
@@ -118,11 +118,11 @@
 TEST_CASE("a query that is withdrawn leaves nothing behind and gets no verdict") {
   Desk d;
   d.ask(0, 2000);
-  d.exchange.withdraw(d.last);
-  d.exchange.run();
+  d.router.withdraw(d.last);
+  d.router.run();
   CHECK(d.out.empty());
-  CHECK(d.exchange.attempts_out() == 0);
-  CHECK(d.exchange.open_queries() == 0);
+  CHECK(d.router.attempts_out() == 0);
+  CHECK(d.router.open_queries() == 0);
   d.pass(3000);
   CHECK(d.verdicts.empty());
 }
@@ -134,8 +134,8 @@
     // Each round all servers are new; the old ones are gone for longer than anything is owed on their
     // account.
     std::string a = "a" + std::to_string(round), b = "b" + std::to_string(round);
-    d.exchange.list(winchhall::ServerList::Kind::complete,
-                    {testing::member(a, 1, 0), testing::member(b, 2, 1)});
+    d.router.list(winchhall::ServerList::Kind::complete,
+                  {testing::member(a, 1, 0), testing::member(b, 2, 1)});
     for (int i = 0; i < 10; ++i) {
       d.ask(0, 2000, 2);
       for (const auto& [n, order] : std::map(d.out)) d.end(n, Outcome::ok);
@@ -143,8 +143,8 @@
     }
     d.verdicts.clear();
     d.now += 20000;
-    d.exchange.run();
-    CHECK(d.exchange.known_servers() == 2);
+    d.router.run();
+    CHECK(d.router.known_servers() == 2);
     if (round == 300) before = mallinfo2().uordblks;
   }
   CHECK(mallinfo2().uordblks < before + 20000);  // under a sanitizer both are 0
--- a/tests/aggregator/decision/coordinator_choice_test.cpp
+++ b/tests/aggregator/decision/coordinator_choice_test.cpp
@@ -136,7 +136,7 @@
   EXPECT_TRUE(d.of<AnswerQuery>().empty());
   d.ended("q/1", s1, Outcome::ok);
   ASSERT_EQ(d.of<AnswerQuery>().size(), 1u);
-  EXPECT_TRUE(d.of<AnswerQuery>()[0].whole);
+  EXPECT_TRUE(d.of<AnswerQuery>()[0].complete);
   d.pass(4000);
   EXPECT_TRUE(d.of<AnswerQuery>().empty() && d.of<FailQuery>().empty() && d.of<SendPart>().empty());
 }
@@ -166,7 +166,7 @@
     }
   }
   ASSERT_EQ(answers, 1u);
-  EXPECT_TRUE(d.of<AnswerQuery>()[0].whole);
+  EXPECT_TRUE(d.of<AnswerQuery>()[0].complete);
 }
 
 TEST(Answer, NobodyToAskStillEndsInTime) {
@@ -190,13 +190,13 @@
   auto again = d.of<SendPart>()[0];
   d.ended(again.part, again.server, Outcome::ok, again.part == sends[1].part ? 1 : 0);
   ASSERT_EQ(d.of<AnswerQuery>().size(), 1u);
-  EXPECT_TRUE(d.of<AnswerQuery>()[0].whole);
+  EXPECT_TRUE(d.of<AnswerQuery>()[0].complete);
 }
 
 TEST(Answer, PartialNearTheAimNeverUnderTheFloorNorMarkedWhole) {
   Settings s = plain_settings();
   s.classes[0].floor = 0.5;
-  s.classes[0].partial_worth = 0.9;
+  s.classes[0].partial_value = 0.9;
   for (int in = 0; in < 4; ++in) {
     Driver d(s);
     d.servers({"a", "b"});
@@ -207,7 +207,7 @@
     d.pass(1000);
     ASSERT_EQ(d.of<AnswerQuery>().size(), in >= 2 ? 1u : 0u) << in;
     if (in >= 2) {
-      EXPECT_FALSE(d.of<AnswerQuery>()[0].whole);
+      EXPECT_FALSE(d.of<AnswerQuery>()[0].complete);
     } else {
       EXPECT_EQ(d.of<FailQuery>().size() + d.of<RefuseQuery>().size(), 1u);
     }
@@ -226,7 +226,7 @@
   ASSERT_EQ(d.sent_to("q/x"), "a");
   d.ended("q/x", "a", Outcome::ok);
   ASSERT_EQ(d.of<AnswerQuery>().size(), 1u);
-  EXPECT_TRUE(d.of<AnswerQuery>()[0].whole);
+  EXPECT_TRUE(d.of<AnswerQuery>()[0].complete);
 }
 
 }  // namespace
--- a/tests/aggregator/decision/coordinator_health_test.cpp
+++ b/tests/aggregator/decision/coordinator_health_test.cpp
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "tests/aggregator/decision/driver.hpp"
-#include "tests/aggregator/support/teach.hpp"
+#include "tests/aggregator/support/router_setup.hpp"
 
 namespace winchhall::testing {
 namespace {
 
-TEST(Health, AServerThatErrsIsSetAsideThoughItsSumIsLeast) {
+TEST(ServerHealth, AServerThatErrsIsSetAsideThoughItsSumIsLeast) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   for (int i = 0, errors = 0; i < 20 && errors < 2; ++i) {
@@ -31,7 +31,7 @@
   EXPECT_NE(d.sent_to("trial/0"), d.sent_to("trial/1"));
 }
 
-TEST(Health, ErrorsOfOneClassAreNotForgivenForAnothersSuccesses) {
+TEST(ServerHealth, ErrorsOfOneClassAreNotForgivenForAnothersSuccesses) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   Driver d(s);
@@ -55,7 +55,7 @@
   }
 }
 
-TEST(Health, AQueryThatFellsServersIsStoppedAndRemembered) {
+TEST(ServerHealth, AQueryThatFellsServersIsStoppedAndRemembered) {
   Settings s = plain_settings(3);
   Driver d(s);
   std::vector<std::string> names;
@@ -91,7 +91,7 @@
   EXPECT_EQ(d.of<SendPart>().size(), 3u);
 }
 
-TEST(Health, ABystanderOfACrashGoesOnOnePartAtATimeAndIsCleared) {
+TEST(ServerHealth, ABystanderOfACrashGoesOnOnePartAtATimeAndIsCleared) {
   Driver d(plain_settings(3));
   d.servers({"a", "b", "c", "d"});
   d.query("q", {10, 10, 10, 10});
@@ -107,7 +107,7 @@
   EXPECT_TRUE(d.of<FailQuery>().empty());
 }
 
-TEST(Health, AServerThatFailsAtOnceRanksBehindSilentOnes) {
+TEST(ServerHealth, AServerThatFailsAtOnceRanksBehindSilentOnes) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   for (int i = 0, errors = 0; errors < 2; ++i) {
@@ -125,7 +125,7 @@
   EXPECT_EQ(d.sent_to("next/0"), "b");
 }
 
-TEST(Health, AFurtherAttemptWaitsWhileAllFailAtOnce) {
+TEST(ServerHealth, AFurtherAttemptWaitsWhileAllFailAtOnce) {
   Driver d(plain_settings(4));
   d.servers({"a"});
   d.query("q", {10});
@@ -137,7 +137,7 @@
   EXPECT_EQ(d.of<SendPart>().size(), 1u);
 }
 
-TEST(Health, WhenAllReplicasLookBadTheLeastSumDecides) {
+TEST(ServerHealth, WhenAllReplicasLookBadTheLeastSumDecides) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   d.query("q", {10, 10});
@@ -148,7 +148,7 @@
   EXPECT_EQ(d.of<SendPart>().size(), 1u);
 }
 
-TEST(Health, AnOverdueAttemptAtASilentServerIsMoved) {
+TEST(ServerHealth, AnOverdueAttemptAtASilentServerIsMoved) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   teach(d, 20, 100);
@@ -161,7 +161,7 @@
   EXPECT_NE(d.of<SendPart>()[0].server, first);
 }
 
-TEST(Health, ACutConnectionOfALivingServerCondemnsNobody) {
+TEST(ServerHealth, ACutConnectionOfALivingServerCondemnsNobody) {
   // Servers go on answering right after connections broke: later breaks are cuts, and a query under which
   // several broke is neither ended nor made to wait.
   Driver d(plain_settings(5));
@@ -189,7 +189,7 @@
   }
 }
 
-TEST(Health, AServerThatSwallowsOneClassIsAvoidedForThatClassOnly) {
+TEST(ServerHealth, AServerThatSwallowsOneClassIsAvoidedForThatClassOnly) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   Driver d(s);
@@ -216,7 +216,7 @@
 
 TEST(Overload, WhatCannotBeInTimeIsRefusedBeforeItIsSent) {
   Settings s = plain_settings();
-  s.retry_after_heard = true;
+  s.honors_retry_after = true;
   s.max_retry_after = 400;
   Driver d(s);
   d.servers({"a"});
@@ -265,7 +265,7 @@
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].floor = 0.6;
-  s.classes[1].partial_worth = 0.9;
+  s.classes[1].partial_value = 0.9;
   Driver d(s);
   d.servers({"a"});
   for (int round = 0; round < 5; ++round) {
@@ -293,7 +293,7 @@
   EXPECT_EQ(d.of<SendPart>()[0].part, "pressed/0");
   d.ended("pressed/0", "a", Outcome::ok);
   ASSERT_EQ(d.of<AnswerQuery>().size(), 1u);
-  EXPECT_FALSE(d.of<AnswerQuery>()[0].whole);
+  EXPECT_FALSE(d.of<AnswerQuery>()[0].complete);
 }
 
 }  // namespace
--- a/tests/aggregator/decision/coordinator_rules_test.cpp
+++ b/tests/aggregator/decision/coordinator_rules_test.cpp
@@ -11,7 +11,7 @@
 TEST(Rules, AnUnsafePartThatMayHaveRunIsNotRepeatedNorRefused) {
   for (Outcome outcome : {Outcome::error, Outcome::reset, Outcome::timeout, Outcome::cancelled}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = Repeat::unsafe;
+    s.classes[0].repeat = Idempotency::unsafe;
     Driver d(s);
     d.servers({"a", "b"});
     d.query("q", {10});
@@ -25,7 +25,7 @@
 TEST(Rules, AnUnsafePartProvenNotRunIsRepeated) {
   for (Outcome outcome : {Outcome::full, Outcome::connect_failed, Outcome::unsent}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = Repeat::unsafe;
+    s.classes[0].repeat = Idempotency::unsafe;
     Driver d(s);
     d.servers({"a", "b"});
     d.query("q", {10});
@@ -39,8 +39,8 @@
 TEST(Rules, AKeyedPartIsRepeatedOnlyWithinItsWindow) {
   for (Millis after : {100.0, 300.0}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = Repeat::keyed;
-    s.classes[0].repeat_window = 200;
+    s.classes[0].repeat = Idempotency::keyed;
+    s.classes[0].idempotency_window = 200;
     s.may_cancel = false;
     Driver d(s);
     d.servers({"a", "b"});
@@ -64,7 +64,7 @@
 }
 
 TEST(Rules, NothingNewToADrainingOrGoneServer) {
-  for (ServerState state : {ServerState::draining, ServerState::gone}) {
+  for (ServerState state : {ServerState::draining, ServerState::removed}) {
     Driver d(plain_settings());
     d.servers({"a", "b"});
     d.change(Driver::entry("a", state));
@@ -109,7 +109,7 @@
   s.budget_free = 2;
   s.budget_share = 0.1;
   s.budget_window = 500;
-  s.classes[0].aim = 900;
+  s.classes[0].latency_target = 900;
   Driver d(s);
   d.servers({"a", "b"});
   d.query("q", {1, 1, 1, 1, 1, 1, 1, 1, 1});  // ten taken: 2 + 1 further attempts
@@ -129,7 +129,7 @@
 TEST(List, AnAskedForListIsWatchedFromTheStartAndAgainAfterFailures) {
   Settings s = plain_settings();
   s.list_on_request = true;
-  s.must_ask_in = 10000;
+  s.max_poll_interval = 10000;
   Driver d(s);
   EXPECT_EQ(d.of<WatchList>().size(), 1u);
   for (int i = 0; i < 5; ++i) {
--- a/tests/aggregator/decision/coordinator_sparse_test.cpp
+++ b/tests/aggregator/decision/coordinator_sparse_test.cpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "tests/aggregator/decision/driver.hpp"
-#include "tests/aggregator/support/teach.hpp"
+#include "tests/aggregator/support/router_setup.hpp"
 
 namespace winchhall::testing {
 namespace {
@@ -77,7 +77,7 @@
   Settings s = plain_settings();
   s.brokers = 100;
   s.list_on_request = true;
-  s.must_ask_in = 10000;
+  s.max_poll_interval = 10000;
   std::vector<int> calls(60);
   for (int broker = 0; broker < s.brokers; ++broker) {
     Driver d(s, 500 + static_cast<std::uint64_t>(broker));
@@ -124,7 +124,7 @@
   EXPECT_NE(copies[0].server, first[0].server);
   d.ended("q/0", copies[0].server, Outcome::ok, 1);
   ASSERT_EQ(d.of<AnswerQuery>().size(), 1u);
-  EXPECT_TRUE(d.of<AnswerQuery>()[0].whole);
+  EXPECT_TRUE(d.of<AnswerQuery>()[0].complete);
   auto cancelled = d.of<CancelAttempt>();
   ASSERT_EQ(cancelled.size(), 1u);
   EXPECT_EQ(cancelled[0].attempt, 0);
--- a/tests/aggregator/decision/driver.hpp
+++ b/tests/aggregator/decision/driver.hpp
@@ -14,14 +14,14 @@
   Settings s;
   ClassSettings c;
   c.name = "any";
-  c.aim = 1000;
+  c.latency_target = 1000;
   c.deadline = 3000;
   s.classes.push_back(c);
   s.tick = 1;
   s.max_attempts = servers_per_shard_attempts;
   s.may_cancel = true;
-  s.cold_time = 10000;
-  s.cold_share = 0.25;
+  s.warm_up_time = 10000;
+  s.warm_up_initial_share = 0.25;
   s.fall_multiple = 2;
   s.fall_time = 1000;
   return s;
--- a/tests/aggregator/decision/rules_test.cpp
+++ b/tests/aggregator/decision/rules_test.cpp
@@ -22,14 +22,14 @@
   std::string out_at;  // server of the attempt that is out, or empty
   int attempts = 0;
   bool may_have_run = false;
-  Millis first_maybe = 0;
+  Millis first_possible_run = 0;
 };
 
 struct QuerySeen {
   int query_class = 0;
   Millis give_up_at = 0;
   int answers = 0;
-  bool ended = false, first_whole = true;
+  bool ended = false, first_step_complete = true;
 };
 
 struct Pending {
@@ -173,7 +173,7 @@
     bool never = o == Outcome::full || o == Outcome::connect_failed || o == Outcome::unsent;
     if (!never && !part.may_have_run) {
       part.may_have_run = true;
-      part.first_maybe = p.sent;
+      part.first_possible_run = p.sent;
     }
     if (o == Outcome::ok) part.done = true;
     AttemptEnded e;
@@ -247,9 +247,9 @@
     ASSERT_LT(p.attempts, set_.max_attempts);
     ASSERT_GT(s.timeout, 0);
     if (p.may_have_run) {
-      ASSERT_NE(c.repeat, Repeat::unsafe);
-      if (c.repeat == Repeat::keyed) {
-        ASSERT_LE(driver_.now, p.first_maybe + c.repeat_window);
+      ASSERT_NE(c.repeat, Idempotency::unsafe);
+      if (c.repeat == Idempotency::keyed) {
+        ASSERT_LE(driver_.now, p.first_possible_run + c.idempotency_window);
       }
     }
     if (auto it = told_away_.find(s.server); it != told_away_.end()) {
@@ -264,11 +264,12 @@
       ASSERT_LE(double(further_.size()), set_.budget_free + set_.budget_share * taken);
     }
     if (auto it = started_.find(s.server); it != started_.end() && told_cold_.at(s.server) <= driver_.now &&
-                                           driver_.now - it->second < set_.cold_time) {
+                                           driver_.now - it->second < set_.warm_up_time) {
       auto& cold = cold_sent_[s.server];
       cold.push_back(driver_.now);
       while (cold.front() < driver_.now - set_.fall_time) cold.pop_front();
-      double share = set_.cold_share + (1 - set_.cold_share) * (driver_.now - it->second) / set_.cold_time;
+      double share = set_.warm_up_initial_share +
+                     (1 - set_.warm_up_initial_share) * (driver_.now - it->second) / set_.warm_up_time;
       // Hints run from 1 to 150, so that a part counts for at least the mean less its wander: 40.
       ASSERT_LE(40.0 * double(cold.size()), set_.fall_multiple * share * set_.fall_time / set_.brokers);
     }
@@ -286,7 +287,7 @@
   void refused(const std::string& id) {
     for (auto it = parts_.lower_bound(id + "/"); it != parts_.end() && it->second.query == id; ++it)
       if (const PartSeen& p = it->second;
-          set_.classes[queries_.at(id).query_class].repeat == Repeat::unsafe) {
+          set_.classes[queries_.at(id).query_class].repeat == Idempotency::unsafe) {
         ASSERT_FALSE(p.may_have_run || !p.out_at.empty()) << "refused what may have run";
       }
     final_answer(id, "refuse");
@@ -301,11 +302,11 @@
       if (const PartSeen& p = it->second; p.step_two == two && p.done) in += p.weight;
     double need = two ? 1.0 : c.need;
     ASSERT_GE(in + 1e-4, std::min(c.floor, need));
-    if (a.whole) {
+    if (a.complete) {
       ASSERT_GE(in + 1e-4, need);
-      ASSERT_TRUE(q.first_whole);
+      ASSERT_TRUE(q.first_step_complete);
     }
-    if (!two) q.first_whole = a.whole;
+    if (!two) q.first_step_complete = a.complete;
     ++q.answers;
     if (!two && c.second_step_parts > 0) {
       PartSpec p{a.query + "/second", draw(set_.cells), 1.0, 20.0};
@@ -338,7 +339,7 @@
 
 Settings kind_of_site(int kind) {
   Settings s = plain_settings(kind == 2 ? 2 : 4);
-  s.classes[0].aim = 400;
+  s.classes[0].latency_target = 400;
   s.cells = kind == 3 ? 4 : 2;
   s.reach = kind == 3 ? 2 : 1;
   s.tick = 5;
@@ -347,19 +348,19 @@
   s.report_fields = {ReportField::queued};
   s.drain_grace = 100;
   s.brokers = 2;
-  s.cold_time = 3000;
+  s.warm_up_time = 3000;
   ClassSettings partial = s.classes[0];
   partial.floor = 0.4;
-  partial.partial_worth = 0.9;
+  partial.partial_value = 0.9;
   partial.need = kind == 1 ? 0.7 : 1;
   s.classes.push_back(partial);
   ClassSettings unsafe = s.classes[0];
-  unsafe.repeat = Repeat::unsafe;
-  unsafe.late_worth = 0.3;
+  unsafe.repeat = Idempotency::unsafe;
+  unsafe.late_value = 0.3;
   s.classes.push_back(unsafe);
   ClassSettings keyed = s.classes[0];
-  keyed.repeat = Repeat::keyed;
-  keyed.repeat_window = 150;
+  keyed.repeat = Idempotency::keyed;
+  keyed.idempotency_window = 150;
   s.classes.push_back(keyed);
   ClassSettings stepped = partial;
   stepped.second_step_parts = 1;
@@ -372,7 +373,7 @@
   }
   if (kind == 3) {
     s.list_on_request = true;
-    s.must_ask_in = 10000;
+    s.max_poll_interval = 10000;
   }
   return s;
 }
--- a/tests/aggregator/decision/cold_fleet_test.cpp
+++ b/tests/aggregator/decision/warm_up_test.cpp
@@ -20,14 +20,14 @@
 
 Settings site(int brokers) {
   Settings s;
-  s.classes.push_back({.name = "a", .aim = 3000, .deadline = 8000, .late_worth = 0.3});
+  s.classes.push_back({.name = "a", .latency_target = 3000, .deadline = 8000, .late_value = 0.3});
   s.brokers = brokers;
   s.tick = 1;
   s.max_attempts = 3;
   s.may_cancel = true;
   s.drain_grace = 2000;
-  s.cold_share = 0.23;
-  s.cold_time = 17000;
+  s.warm_up_initial_share = 0.23;
+  s.warm_up_time = 17000;
   s.fall_multiple = 4;
   s.fall_time = 1000;
   return s;
@@ -106,7 +106,7 @@
   void play(double per_second, Millis work) {
     double due = 0;
     const int brokers = settings.brokers;
-    for (Millis now = 10; now < started + settings.cold_time + 1000; now += 10) {
+    for (Millis now = 10; now < started + settings.warm_up_time + 1000; now += 10) {
       if (now == started)
         for (int i = 0; i < brokers; ++i) hand(i, now, with_cold());
       while (!out.empty() && out.begin()->first <= now) {
@@ -138,10 +138,11 @@
   double most(Millis work) const {
     double worst = 0;
     std::size_t from = 0;
-    for (std::size_t to = 0; to < cold.size() && cold[to] - started < settings.cold_time; ++to) {
+    for (std::size_t to = 0; to < cold.size() && cold[to] - started < settings.warm_up_time; ++to) {
       while (cold[to] - cold[from] > settings.fall_time) ++from;
-      double age = (cold[from] - started) / settings.cold_time;
-      double n = settings.fall_multiple * (settings.cold_share + (1 - settings.cold_share) * age) *
+      double age = (cold[from] - started) / settings.warm_up_time;
+      double n = settings.fall_multiple *
+                 (settings.warm_up_initial_share + (1 - settings.warm_up_initial_share) * age) *
                  settings.fall_time / work;
       worst = std::max(worst, static_cast<double>(to - from + 1) / (n + 2 * std::sqrt(n) + 2));
     }
@@ -164,10 +165,10 @@
 TEST_CASE("by an overdue list nothing goes out but to a server within the grace of a part that it took") {
   Settings s = site(1);
   s.list_on_request = true;
-  s.must_ask_in = 10000;
+  s.max_poll_interval = 10000;
   Coordinator module(s, 3, 0);
   module.start();
-  module.handle(0, ListHeard{});
+  module.handle(0, ListKeepalive{});
   module.handle(0, list({{"a", std::nullopt}}));
   int number = 0, attempt = 0;
   auto sends = [&](Millis now) {
@@ -186,7 +187,7 @@
   REQUIRE(second.size() == 1);
   took(second[0], 8510);
   CHECK(sends(10450).empty());  // nothing says since 8,500 that it does not
-  module.handle(10500, ListHeard{});
+  module.handle(10500, ListKeepalive{});
   module.handle(10500, list({{"a", std::nullopt}}));
   CHECK(sends(10600).size() == 1);
 }
@@ -205,7 +206,8 @@
   Settings other = s;
   other.max_attempts = 1;
   other.classes[0].name.clear();  // of open queries only
-  other.classes.push_back({.name = "a", .repeat = Repeat::unsafe, .aim = 3000, .deadline = 8000});
+  other.classes.push_back(
+      {.name = "a", .repeat = Idempotency::unsafe, .latency_target = 3000, .deadline = 8000});
   module.handle(20, SettingsChanged{other, {0, 0}});
   auto ended = [&](const std::string& part, int attempt, Millis now) {
     return module.handle(now, AttemptEnded{part, attempt, "a", Outcome::full, 5, false, {}});
--- a/tests/aggregator/dynamic_config/generations_test.cpp
+++ b/tests/aggregator/dynamic_config/config_generation_manager_test.cpp
@@ -1,16 +1,17 @@
 // Sets of files, without a file: checks, the keeper's verdicts, when to look, and random histories of it all
 // against a plain model.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include "aggregator/dynamic_config/config_generation_manager.hpp"
+
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
 #include <limits>
 #include <random>
 
-#include "aggregator/dynamic_config/keeper.hpp"
-#include "aggregator/dynamic_config/settling.hpp"
+#include "aggregator/dynamic_config/debouncer.hpp"
 
-using namespace winchhall::generations;
+using namespace winchhall::dynamic_config;
 using winchhall::ranges::kKeyEnd;
 using winchhall::ranges::Role;
 
@@ -116,42 +117,42 @@
 }
 
 TEST_CASE("taken, the same again, refused with what was in use kept, back and forth") {
-  Keeper k;
-  CHECK(k.found(nodes(4), 1, {}, 0).verdict == Verdict::taken);
+  ConfigGenerationManager k;
+  CHECK(k.evaluate(nodes(4), 1, {}, 0).verdict == ValidationOutcome::taken);
   CHECK(k.number() == 1);
-  CHECK(k.found(nodes(4), 1, {}, 10).verdict == Verdict::same);
+  CHECK(k.evaluate(nodes(4), 1, {}, 10).verdict == ValidationOutcome::same);
   CHECK(k.number() == 1);
-  auto refused = k.found(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 20);
-  CHECK(refused.verdict == Verdict::refused);
+  auto refused = k.evaluate(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 20);
+  CHECK(refused.verdict == ValidationOutcome::refused);
   CHECK(refused.faults[0].text() == "nodes.xml:3: half a file");
   CHECK(refused.doubtful);
   CHECK(k.current()->members.size() == 4);
   // It stays as it is: told once. It changes back: nothing to take.
-  CHECK(k.found(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 30).verdict == Verdict::same);
-  CHECK(k.found(nodes(4), 1, {}, 40).verdict == Verdict::same);
-  CHECK(k.found(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 50).verdict == Verdict::refused);
+  CHECK(k.evaluate(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 30).verdict == ValidationOutcome::same);
+  CHECK(k.evaluate(nodes(4), 1, {}, 40).verdict == ValidationOutcome::same);
+  CHECK(k.evaluate(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 50).verdict == ValidationOutcome::refused);
   CHECK(k.history().size() == 3);
 }
 
 TEST_CASE("a revision that goes back is refused") {
-  Keeper k;
+  ConfigGenerationManager k;
   Rows r = nodes(4);
   r.revisions[Kind::nodes] = 7;
-  CHECK(k.found(r, 1, {}, 0).verdict == Verdict::taken);
+  CHECK(k.evaluate(r, 1, {}, 0).verdict == ValidationOutcome::taken);
   r.revisions[Kind::nodes] = 6;
-  auto f = k.found(r, 2, {}, 10);
-  CHECK(f.verdict == Verdict::refused);
+  auto f = k.evaluate(r, 2, {}, 10);
+  CHECK(f.verdict == ValidationOutcome::refused);
   CHECK(f.faults[0].what == "revision 6 goes back, 7 is in use");
   r.revisions[Kind::nodes] = 0;  // not stated
-  CHECK(k.found(r, 3, {}, 20).verdict == Verdict::taken);
+  CHECK(k.evaluate(r, 3, {}, 20).verdict == ValidationOutcome::taken);
 }
 
 TEST_CASE("a set that takes away too much waits for an operator's word") {
-  Keeper k;
-  k.found(nodes(8), 1, {}, 0);
-  CHECK(k.found(nodes(6), 2, {}, 10).verdict == Verdict::taken);  // a quarter
-  auto f = k.found(nodes(3), 3, {}, 20);
-  CHECK(f.verdict == Verdict::held);
+  ConfigGenerationManager k;
+  k.evaluate(nodes(8), 1, {}, 0);
+  CHECK(k.evaluate(nodes(6), 2, {}, 10).verdict == ValidationOutcome::taken);  // a quarter
+  auto f = k.evaluate(nodes(3), 3, {}, 20);
+  CHECK(f.verdict == ValidationOutcome::held);
   CHECK(f.why == "it drops 3 of 6 nodes, more than 25%");
   CHECK(k.current()->members.size() == 6);
   CHECK_FALSE(k.accept(99, 30));
@@ -161,63 +162,64 @@
     CHECK_FALSE(k.accept(3, 40));
   }
   SUBCASE("withdrawn by another set") {
-    CHECK(k.found(nodes(5), 4, {}, 30).verdict == Verdict::taken);
+    CHECK(k.evaluate(nodes(5), 4, {}, 30).verdict == ValidationOutcome::taken);
     CHECK_FALSE(k.accept(3, 40));
   }
   SUBCASE("back to what is in use") {
-    CHECK(k.found(nodes(6), 2, {}, 30).verdict == Verdict::same);
+    CHECK(k.evaluate(nodes(6), 2, {}, 30).verdict == ValidationOutcome::same);
     CHECK_FALSE(k.held());
   }
 }
 
 TEST_CASE("ranges that lose every holder they had, or the map as a whole, wait as well") {
-  Keeper k;
-  k.found(with_ranges(nodes(4), {{"n0", "n1"}, {"n1", "n2"}}), 1, {}, 0);
-  CHECK(k.found(with_ranges(nodes(4), {{"n1", "n3"}, {"n2"}}), 2, {}, 10).verdict == Verdict::taken);
-  auto f = k.found(with_ranges(nodes(4), {{"n0"}, {"n2"}}), 3, {}, 20);
-  CHECK(f.verdict == Verdict::held);
+  ConfigGenerationManager k;
+  k.evaluate(with_ranges(nodes(4), {{"n0", "n1"}, {"n1", "n2"}}), 1, {}, 0);
+  CHECK(k.evaluate(with_ranges(nodes(4), {{"n1", "n3"}, {"n2"}}), 2, {}, 10).verdict ==
+        ValidationOutcome::taken);
+  auto f = k.evaluate(with_ranges(nodes(4), {{"n0"}, {"n2"}}), 3, {}, 20);
+  CHECK(f.verdict == ValidationOutcome::held);
   CHECK(says(f.why, "has none of the holders it had"));
-  CHECK(k.found(nodes(4), 4, {}, 30).verdict == Verdict::held);
+  CHECK(k.evaluate(nodes(4), 4, {}, 30).verdict == ValidationOutcome::held);
 }
 
 TEST_CASE("a node that is dropped drains for its time, then it is gone; one that is named again is back") {
-  Keeper k;
-  k.found(nodes(8), 1, {}, 0);
-  k.found(nodes(7), 2, {}, 1000);
+  ConfigGenerationManager k;
+  k.evaluate(nodes(8), 1, {}, 0);
+  k.evaluate(nodes(7), 2, {}, 1000);
   auto list = k.members(1000);
   REQUIRE(list.size() == 8);
   CHECK(list[7].entry.server == "n7");
   CHECK(list[7].entry.state == winchhall::ServerState::draining);
-  CHECK(k.next_gone() == 11000);
+  CHECK(k.next_removal() == 11000);
   CHECK(k.members(10999).size() == 8);
   CHECK(k.members(11000).size() == 7);
-  k.found(nodes(6), 3, {}, 12000);
+  k.evaluate(nodes(6), 3, {}, 12000);
   CHECK(k.members(12001).size() == 7);
-  k.found(nodes(7), 4, {}, 13000);
+  k.evaluate(nodes(7), 4, {}, 13000);
   list = k.members(13001);
   REQUIRE(list.size() == 7);
   CHECK(list[6].entry.state == winchhall::ServerState::ready);
 }
 
 TEST_CASE("a rollback holds until the files change") {
-  Keeper k;
-  k.found(nodes(8), 1, {}, 0);
-  GenerationPtr old = k.current();
-  k.found(nodes(7), 2, {}, 10);
+  ConfigGenerationManager k;
+  k.evaluate(nodes(8), 1, {}, 0);
+  ConfigGenerationPtr old = k.current();
+  k.evaluate(nodes(7), 2, {}, 10);
   CHECK(k.rollback(old, 20));
   CHECK(k.current()->members.size() == 8);
-  CHECK(k.found(nodes(7), 2, {}, 30).verdict == Verdict::same);  // the files still say so
+  CHECK(k.evaluate(nodes(7), 2, {}, 30).verdict == ValidationOutcome::same);  // the files still say so
   CHECK(k.current()->members.size() == 8);
-  CHECK(k.found(nodes(9), 3, {}, 40).verdict == Verdict::taken);
+  CHECK(k.evaluate(nodes(9), 3, {}, 40).verdict == ValidationOutcome::taken);
   CHECK_FALSE(k.rollback(k.current(), 50));
 }
 
 TEST_CASE("maps of later generations are later revisions, also after a rollback") {
-  Keeper k;
-  k.found(with_ranges(nodes(4), {{"n0"}, {"n1"}}), 1, {}, 0);
+  ConfigGenerationManager k;
+  k.evaluate(with_ranges(nodes(4), {{"n0"}, {"n1"}}), 1, {}, 0);
   auto first = k.map()->revision();
-  GenerationPtr old = k.current();
-  k.found(with_ranges(nodes(4), {{"n0", "n2"}, {"n1"}}), 2, {}, 10);
+  ConfigGenerationPtr old = k.current();
+  k.evaluate(with_ranges(nodes(4), {{"n0", "n2"}, {"n1"}}), 2, {}, 10);
   auto second = k.map()->revision();
   k.rollback(old, 20);
   CHECK(first < second);
@@ -225,20 +227,20 @@
 }
 
 TEST_CASE("a burst is one look; a busy writer can't put it off for ever; silence is looked at now and then") {
-  Settling s;
-  s.looking(0);
-  CHECK(s.due() == Settling::kAnyway);
+  Debouncer s;
+  s.on_scan_started(0);
+  CHECK(s.due() == Debouncer::kAnyway);
   s.event(1000);
-  CHECK(s.due() == 1000 + Settling::kQuiet);
+  CHECK(s.due() == 1000 + Debouncer::kQuiet);
   for (Millis t = 1000; t < 3000; t += 10) s.event(t);
-  CHECK(s.due() == 1000 + Settling::kLongest);
-  s.looking(1400);
-  CHECK(s.due() == 1400 + Settling::kAnyway);
+  CHECK(s.due() == 1000 + Debouncer::kLongest);
+  s.on_scan_started(1400);
+  CHECK(s.due() == 1400 + Debouncer::kAnyway);
   s.event(1401);  // while it was looked at
-  CHECK(s.due() == 1401 + Settling::kQuiet);
-  s.looking(1441);
+  CHECK(s.due() == 1401 + Debouncer::kQuiet);
+  s.on_scan_started(1441);
   s.doubtful(1441);
-  CHECK(s.due() == 1441 + Settling::kAgain);
+  CHECK(s.due() == 1441 + Debouncer::kAgain);
 }
 
 TEST_CASE("differences are told by line") {
@@ -265,7 +267,7 @@
 // that was sound as a whole, and every member of it, or one that drains, is what members() tells.
 TEST_CASE("random histories: what is in use is always one whole set") {
   CHECK(rc::check([](const std::vector<std::uint32_t>& steps) {
-    Keeper k;
+    ConfigGenerationManager k;
     std::map<std::uint64_t, std::size_t> sound;  // digest: nodes
     Millis now = 0;
     std::uint64_t before = 0;
@@ -279,9 +281,9 @@
       if (spoilt) rows.nodes[dice() % count].address = "127.0.0.1:9000";
       spoilt = spoilt && check(rows, digest, {}, *std::make_unique<std::vector<Fault>>()) == nullptr;
       if (!spoilt) sound[digest] = count;
-      Found f = k.found(rows, digest, {}, now);
+      ValidationResult f = k.evaluate(rows, digest, {}, now);
       if (dice() % 4 == 0 && k.held()) RC_ASSERT(k.accept(k.held()->digest, now));
-      RC_ASSERT(!(spoilt && f.verdict == Verdict::taken));
+      RC_ASSERT(!(spoilt && f.verdict == ValidationOutcome::taken));
       RC_ASSERT(k.number() >= before);
       before = k.number();
       if (!k.current()) continue;
--- a/tests/aggregator/dynamic_config/files_integration_test.cpp
+++ b/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
@@ -9,8 +9,8 @@
 #include <fstream>
 
 #include "aggregator/app/operator_file.hpp"
-#include "aggregator/dynamic_config/files_source.hpp"
-#include "tests/aggregator/support/desk.hpp"
+#include "aggregator/dynamic_config/file_config_source.hpp"
+#include "tests/aggregator/support/router_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -54,42 +54,44 @@
 
 struct FilesStage {
   explicit FilesStage(const Folder& folder, std::size_t most = 1 << 20)
-      : exchange(
+      : router(
             two_classes(), 7, [this] { return loop.now(); }, [](const std::string&) {}),
-        source(loop, exchange, options(folder, most)) {
+        source(loop, router, options(folder, most)) {
     spdlog::set_level(spdlog::level::off);
-    exchange.attach(nobody, source, &source);
-    exchange.start({});
+    router.attach(nobody, source, &source);
+    router.start({});
     source.start();
   }
-  static files::FilesOptions options(const Folder& folder, std::size_t most) {
-    files::FilesOptions o;
+  static dynamic_config::FileConfigOptions options(const Folder& folder, std::size_t most) {
+    dynamic_config::FileConfigOptions o;
     o.folder = folder.path;
     o.most_bytes = most;
     o.read = app::read_set;
     return o;
   }
   void until(const std::function<bool()>& done) {
-    net::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
+    event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop.turn(10);
-      exchange.run();
+      router.run();
       REQUIRE(loop.now() < give_up);
     }
   }
-  std::size_t in_use() { return source.keeper().current() ? source.keeper().current()->members.size() : 0; }
+  std::size_t in_use() {
+    return source.generation_manager().current() ? source.generation_manager().current()->members.size() : 0;
+  }
   void until_used(std::size_t nodes) {
     until([&] { return in_use() == nodes; });
   }
   void until_refused(std::uint64_t times) {
     until([&] { return source.figures().refused >= times; });
   }
-  std::string last_reason() { return source.keeper().history().back().why; }
+  std::string last_reason() { return source.generation_manager().history().back().why; }
 
-  net::Loop loop;
-  core::Exchange exchange;
+  event_loop::Loop loop;
+  coordination::RequestRouter router;
   Nobody nobody;
-  files::FilesSource source;
+  dynamic_config::FileConfigSource source;
 };
 
 }  // namespace
@@ -99,7 +101,7 @@
   f.write("nodes.xml", Folder::nodes(8));
   FilesStage s(f);
   s.until_used(8);
-  CHECK(s.exchange.known_servers() == 8);
+  CHECK(s.router.known_servers() == 8);
   f.write("nodes.xml", Folder::nodes(9));
   s.until_used(9);
   f.rename_over("nodes.xml", Folder::nodes(10));
@@ -141,11 +143,11 @@
   f.write("ranges.xml", Folder::ranges({"n0", "n1"}));
   FilesStage s(f);
   s.until_used(8);
-  CHECK(s.exchange.map().size() == 2);
+  CHECK(s.router.map().size() == 2);
   f.write("ranges.xml", Folder::ranges({"n0", "n1", "n8"}));
   s.until_refused(1);
   CHECK(has(s.last_reason(), "holder 'n8' of range 2 is not in nodes.xml"));
-  CHECK(s.exchange.map().size() == 2);
+  CHECK(s.router.map().size() == 2);
   f.write("nodes.xml", Folder::nodes(9));
   // What range 2 had before were n1's keys: an operator's word is wanted where no holder stays.
   s.until([&] { return s.source.figures().held + s.source.figures().taken >= 2; });
@@ -156,15 +158,15 @@
   f.write("nodes.xml", Folder::nodes(8));
   FilesStage s(f);
   s.until_used(8);
-  auto number = s.source.keeper().number();
-  auto looks = s.source.figures().looks;
+  auto number = s.source.generation_manager().number();
+  auto looks = s.source.figures().scans;
   f.write("nodes.xml", Folder::nodes(8));
-  s.until([&] { return s.source.figures().looks > looks; });
-  looks = s.source.figures().looks;
+  s.until([&] { return s.source.figures().scans > looks; });
+  looks = s.source.figures().scans;
   f.write("nodes.xml", Folder::nodes(9));
   f.write("nodes.xml", Folder::nodes(8));
-  s.until([&] { return s.source.figures().looks > looks; });
-  CHECK(s.source.keeper().number() == number);
+  s.until([&] { return s.source.figures().scans > looks; });
+  CHECK(s.source.generation_manager().number() == number);
 }
 
 TEST_CASE("a folder that vanishes leaves what is in use, and is followed when it is back") {
@@ -173,8 +175,8 @@
   FilesStage s(f);
   s.until_used(8);
   fs::remove_all(f.path);
-  auto looks = s.source.figures().looks;
-  s.until([&] { return s.source.figures().looks > looks; });
+  auto looks = s.source.figures().scans;
+  s.until([&] { return s.source.figures().scans > looks; });
   CHECK(s.in_use() == 8);
   fs::create_directory(f.path);
   f.write("nodes.xml", Folder::nodes(9));
@@ -219,10 +221,10 @@
   f.write("nodes.xml", Folder::nodes(7));
   s.until_used(7);
   bool draining = false;
-  for (const auto& m : s.source.keeper().members(s.loop.now()))
+  for (const auto& m : s.source.generation_manager().members(s.loop.now()))
     if (m.entry.server == "n7") draining = m.entry.state == winchhall::ServerState::draining;
   CHECK(draining);
-  CHECK(s.exchange.known_servers() == 8);  // until it is gone, what it has may be answered
+  CHECK(s.router.known_servers() == 8);  // until it is gone, what it has may be answered
 }
 
 TEST_CASE(
@@ -240,10 +242,10 @@
     else
       f.rename_over("nodes.xml", text);
     s.loop.turn(1);
-    s.exchange.run();
+    s.router.run();
     std::size_t now = s.in_use();
     CHECK((now >= 20 && now <= 22));
-    CHECK(s.exchange.known_servers() >= now);
+    CHECK(s.router.known_servers() >= now);
   }
   f.rename_over("nodes.xml", Folder::nodes(23));
   s.until_used(23);
--- a/tests/aggregator/dynamic_config/store_integration_test.cpp
+++ b/tests/aggregator/dynamic_config/store_integration_test.cpp
@@ -17,8 +17,8 @@
 #include "aggregator/dynamic_config/store.hpp"
 
 using namespace winchhall;
-using generations::Kind;
-using store::Kept;
+using dynamic_config::Kind;
+using dynamic_config::StoredSet;
 namespace fs = std::filesystem;
 
 namespace {
@@ -35,18 +35,18 @@
   fs::path root, path;
 };
 
-Kept kept(int number, std::size_t size = 2000, const std::string& verdict = "taken") {
-  Kept k;
+StoredSet kept(int number, std::size_t size = 2000, const std::string& verdict = "taken") {
+  StoredSet k;
   k.bytes[Kind::nodes] = std::string(size, static_cast<char>('a' + number % 26)) + std::to_string(number);
   k.bytes[Kind::ranges] = "ranges of " + std::to_string(number);
-  k.digest = generations::digest_of(k.bytes);
+  k.digest = dynamic_config::digest_of(k.bytes);
   k.verdict = verdict;
   k.at = number;
   return k;
 }
 
-store::Opened opened(const Place& p) {
-  auto o = store::open(p.path);
+dynamic_config::OpenedStore opened(const Place& p) {
+  auto o = dynamic_config::open(p.path);
   REQUIRE_MESSAGE(o.store, o.why);
   return o;
 }
@@ -60,7 +60,7 @@
     CHECK_FALSE(o.store->newest_taken());
     CHECK(o.store->put(kept(1)));
     CHECK(o.store->put(kept(2)));
-    Kept refused = kept(3, 10, "refused");
+    StoredSet refused = kept(3, 10, "refused");
     refused.bytes.clear();
     CHECK(o.store->put(refused));
     CHECK(o.store->put(kept(4, 10, "held")));
@@ -79,18 +79,18 @@
   Place p;
   auto o = opened(p);
   for (int i = 0; i < 60; ++i) {
-    Kept k = kept(i);
+    StoredSet k = kept(i);
     k.at = -i;
     CHECK(o.store->put(k));
   }
-  CHECK(o.store->history(1000).size() == store::Store::kKeptMost);
+  CHECK(o.store->history(1000).size() == dynamic_config::Store::kMaxStoredSets);
   CHECK(o.store->newest_taken()->digest == kept(59).digest);
 }
 
 TEST_CASE("an operator's word is left, found, answered and read") {
   Place p;
   auto program = opened(p);
-  auto tool = store::open(p.path, true);
+  auto tool = dynamic_config::open(p.path, true);
   REQUIRE(tool.store);
   auto id = tool.store->leave("accept", 77);
   REQUIRE(id);
@@ -124,14 +124,14 @@
         file.seekp(static_cast<long>(dice() % size));
       for (int i = 0; i < 4000; ++i) file.put(static_cast<char>(dice()));
     }
-    auto seen = store::open(p.path, true);
+    auto seen = dynamic_config::open(p.path, true);
     CHECK(seen.set_aside.empty());
     seen.store.reset();
-    auto o = store::open(p.path);
+    auto o = dynamic_config::open(p.path);
     REQUIRE_MESSAGE(o.store, o.why);
     if (!o.set_aside.empty()) CHECK(fs::exists(o.set_aside));
     // Whatever is found is a set that was kept; noise is never taken for one.
-    if (auto found = o.store->newest_taken()) CHECK(generations::digest_of(found->bytes) == found->digest);
+    if (auto found = o.store->newest_taken()) CHECK(dynamic_config::digest_of(found->bytes) == found->digest);
     CHECK(o.store->put(kept(100)));
     CHECK(o.store->newest_taken()->digest == kept(100).digest);
   }
@@ -144,7 +144,7 @@
   file.seekp(60);  // user_version in SQLite's header, most significant byte first
   for (char c : {0, 0, 0, 9}) file.put(c);
   file.close();
-  auto o = store::open(p.path);
+  auto o = dynamic_config::open(p.path);
   CHECK_FALSE(o.store);
   CHECK(o.why.find("later version (9)") != std::string::npos);
   CHECK(o.set_aside.empty());
@@ -160,7 +160,7 @@
     signal(SIGXFSZ, SIG_IGN);
     rlimit limit{100'000, 100'000};
     setrlimit(RLIMIT_FSIZE, &limit);
-    auto full = store::open(p.path);
+    auto full = dynamic_config::open(p.path);
     bool failed = full.store && !full.store->put(kept(2, 3'000'000)) && !full.store->fault().empty();
     bool still = failed && full.store->newest_taken() && full.store->newest_taken()->digest == kept(1).digest;
     _exit(still ? 0 : 1);
@@ -199,7 +199,7 @@
     REQUIRE(pipe(ends) == 0);
     pid_t child = fork();
     if (child == 0) {
-      auto o = store::open(p.path);
+      auto o = dynamic_config::open(p.path);
       if (!o.store) _exit(3);
       for (int i = number;; ++i) {
         if (!o.store->put(kept(i, 1000 + static_cast<std::size_t>(i % 50) * 400))) _exit(4);
@@ -219,7 +219,7 @@
     auto found = o.store->newest_taken();
     if (acknowledged >= 0) REQUIRE(found);
     if (!found) continue;
-    CHECK(generations::digest_of(found->bytes) == found->digest);
+    CHECK(dynamic_config::digest_of(found->bytes) == found->digest);
     CHECK(found->at >= acknowledged);
     number = static_cast<int>(found->at) + 1;
   }
--- a/tests/aggregator/flight/flight_stage.hpp
+++ b/tests/aggregator/flight/flight_fixture.hpp
@@ -7,7 +7,7 @@
 #include "aggregator/flight/grpc.hpp"
 #include "command.pb.h"
 #include "flight.pb.h"
-#include "tests/aggregator/support/stage.hpp"
+#include "tests/aggregator/support/program_fixture.hpp"
 
 namespace winchhall::flight::testing {
 
@@ -25,7 +25,7 @@
 class StandIn {
  public:
   struct Side : Http2::Handler {
-    Side(StandIn& node, net::Loop& loop) : owner(node), http2(loop, *this, true) {}
+    Side(StandIn& node, event_loop::Loop& loop) : owner(node), http2(loop, *this, true) {}
     void head(std::int32_t id, const Headers& headers) override { heads[id] = headers; }
     void data(std::int32_t id, std::string_view bytes) override { in[id].append(bytes); }
     void peer_done(std::int32_t id) override {
@@ -55,8 +55,8 @@
     std::string text;
   };
 
-  explicit StandIn(net::Loop& loop)
-      : listener(loop, loopback(0), [this, &loop](net::UniqueFd fd) {
+  explicit StandIn(event_loop::Loop& loop)
+      : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
           sides.push_back(std::make_shared<Side>(*this, loop));
           sides.back()->http2.adopt(std::move(fd));
         }) {}
@@ -75,7 +75,7 @@
     reply(p, rows(p.shard), trailers);
   }
 
-  net::Listener listener;
+  event_loop::Listener listener;
   std::vector<std::shared_ptr<Side>> sides;
   std::vector<Part> asked;
   std::function<void(const Part&)> on_part = [](const Part& p) { answer(p); };
@@ -96,16 +96,16 @@
 // The Flight side of a stage: nodes over Flight, the Flight front, and an analyst's client.
 struct FlightStage : Http2::Handler {
   explicit FlightStage(winchhall::Settings settings = two_classes())
-      : exchange(
+      : router(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
-        pool(loop, exchange, {}),
-        front(loop, exchange, loopback(0), 16, 9, 20),
+        pool(loop, router, {}),
+        front(loop, router, loopback(0), 16, 9, 20),
         client(loop, *this, false) {
     spdlog::set_level(spdlog::level::off);
-    exchange.attach(pool, none);
+    router.attach(pool, none);
   }
-  void begin(const std::vector<core::Member>& members) {
-    exchange.start(members);
+  void begin(const std::vector<coordination::Member>& members) {
+    router.start(members);
     REQUIRE(client.connect(loopback(front.port())));
   }
   void head(std::int32_t id, const Headers& headers) override {
@@ -120,10 +120,10 @@
   void down() override { lost = true; }
 
   void until(const std::function<bool()>& done) {
-    net::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
+    event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
-      loop.turn(std::clamp(exchange.next_due() - loop.now(), 0.0, 20.0));
-      exchange.run();
+      loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+      router.run();
       REQUIRE(loop.now() < give_up);
     }
   }
@@ -179,8 +179,8 @@
     return rows;
   }
 
-  net::Loop loop;
-  core::Exchange exchange;
+  event_loop::Loop loop;
+  coordination::RequestRouter router;
   NoDiscovery none;
   FlightPool pool;
   FlightServer front;
--- a/tests/aggregator/flight/flight_integration_test.cpp
+++ b/tests/aggregator/flight/flight_integration_test.cpp
@@ -1,6 +1,6 @@
 // Stories of the Flight front and of Flight calls to nodes, against a stand-in node and a client written
 // here.
-#include "tests/aggregator/flight/flight_stage.hpp"
+#include "tests/aggregator/flight/flight_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::flight;
@@ -59,7 +59,7 @@
     CHECK(FlightStage::read(got) == std::vector<ArrowRow>{{1, "v1"}, {2, "v2"}, {3, "v3"}, {4, "v4"}});
   }
   CHECK(!breaks.asked.empty());
-  s.until([&] { return s.exchange.attempts_out() == 0; });
+  s.until([&] { return s.router.attempts_out() == 0; });
 }
 
 TEST_CASE("a client that cancels: its parts are cancelled at the nodes and nothing is kept") {
@@ -73,7 +73,7 @@
   };
   s.begin({member("a", node.listener.port(), 0)});
   std::int32_t id = s.get(FlightStage::command({1, 2}));
-  s.until([&] { return node.asked.size() == 2 && s.exchange.attempts_out() == 1; });
+  s.until([&] { return node.asked.size() == 2 && s.router.attempts_out() == 1; });
   if (drops) {
     s.client.close();
   } else {
@@ -81,9 +81,8 @@
     s.client.pump();
   }
   s.until([&] { return node.cancelled == 1; });
-  s.until(
-      [&] { return s.exchange.open_queries() == 0 && s.exchange.attempts_out() == 0 && !s.front.busy(); });
-  CHECK(s.exchange.figures()[0].withdrawn == 1);
+  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_out() == 0 && !s.front.busy(); });
+  CHECK(s.router.figures()[0].withdrawn == 1);
   if (drops) CHECK(s.front.connections() == 0);
 }
 
@@ -109,7 +108,7 @@
   // Its words are made by the codec once, on a connection to nowhere that is then replayed by hand.
   std::string words;
   std::vector<std::shared_ptr<Peer>> ears;
-  net::Listener tap(s.loop, loopback(0), [&](net::UniqueFd fd) {
+  event_loop::Listener tap(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
     auto ear = std::make_shared<Peer>(s.loop);
     ears.push_back(ear);
     ear->heard = [&words](std::string& in) { words += std::exchange(in, {}); };
@@ -130,7 +129,7 @@
   std::size_t size = 0;
   s.until([&] { return std::exchange(size, words.size()) == words.size(); });
   raw.stream->write(words);
-  s.until([&] { return s.exchange.figures()[0].whole == 1; });
+  s.until([&] { return s.router.figures()[0].complete == 1; });
   CHECK(s.front.busy());
   s.until([&] { return !s.front.busy(); });
 }
@@ -156,7 +155,7 @@
   SUBCASE("out of time") {
     // The deadline is the grpc-timeout of the call: a silent node does not hold the answer back.
     CHECK(s.finish(hold("1S")).status() == static_cast<int>(Status::deadline_exceeded));
-    CHECK(s.exchange.figures()[0].failed == 1);
+    CHECK(s.router.figures()[0].failed == 1);
     s.until([&] { return node.cancelled == 2; });
   }
   SUBCASE("bad input") {
@@ -258,7 +257,7 @@
   FlightStage s(patient());
   StandIn sound(s.loop);
   std::vector<std::shared_ptr<Peer>> called;
-  net::Listener mad(s.loop, loopback(0), [&](net::UniqueFd fd) {
+  event_loop::Listener mad(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
     called.push_back(std::make_shared<Peer>(s.loop));
     called.back()->heard = [peer = called.back().get()](std::string& in) {
       // Only once the part is there: a ticket names it.
@@ -277,8 +276,8 @@
   FlightStage s;
   StandIn a(s.loop), b(s.loop);
   s.begin({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
-  s.exchange.list(winchhall::ServerList::Kind::changes,
-                  {member("a", a.listener.port(), 0, winchhall::ServerState::draining)});
+  s.router.list(winchhall::ServerList::Kind::changes,
+                {member("a", a.listener.port(), 0, winchhall::ServerState::draining)});
   for (int i = 0; i < 5; ++i) CHECK(s.finish(s.get(FlightStage::command({1, 2}))).status() == 0);
   CHECK(a.asked.empty());
   b.on_part = [](const StandIn::Part&) {};
@@ -368,13 +367,13 @@
   CHECK(std::count_if(http.begin(), http.end(), [](auto& v) { return v.rfind("partial", 0) == 0; }) > 0);
   CHECK(std::count(http.begin(), http.end(), "none") > 0);
   for (std::size_t c = 0; c < 2; ++c) {
-    const core::Figures &x = h.exchange.figures()[c], &y = f.exchange.figures()[c];
+    const coordination::Figures &x = h.router.figures()[c], &y = f.router.figures()[c];
     CHECK(x.taken == y.taken);
-    CHECK(x.whole == y.whole);
+    CHECK(x.complete == y.complete);
     CHECK(x.partial == y.partial);
     CHECK(x.refused == y.refused);
     CHECK(x.failed == y.failed);
-    CHECK(x.worth_asked == y.worth_asked);
-    CHECK(x.worth_earned == doctest::Approx(y.worth_earned));
+    CHECK(x.value_requested == y.value_requested);
+    CHECK(x.value_earned == doctest::Approx(y.value_earned));
   }
 }
--- a/tests/aggregator/hot_restart/hot_restart_test.cpp
+++ b/tests/aggregator/hot_restart/hot_restart_test.cpp
@@ -7,10 +7,10 @@
 #include <filesystem>
 #include <fstream>
 
-#include "aggregator/hot_restart/folder.hpp"
-#include "aggregator/hot_restart/pairing.hpp"
+#include "aggregator/hot_restart/process_registry.hpp"
+#include "aggregator/hot_restart/state_folder.hpp"
 
-using namespace winchhall::takeover;
+using namespace winchhall::hot_restart;
 namespace fs = std::filesystem;
 
 namespace {
@@ -18,12 +18,12 @@
 State state(std::int64_t started, std::uint64_t number = 1, bool listens = true) {
   State s;
   s.name = "n0";
-  s.who = {started, 7};
+  s.id = {started, 7};
   s.number = number;
   s.phase = "ready";
   s.listens = listens;
   s.revision = 41;
-  winchhall::core::Member m;
+  winchhall::coordination::Member m;
   m.entry = {"s-1", 3, 1.5, winchhall::ServerState::draining, 123.25};
   m.endpoint = "127.0.0.1:9";
   s.members.push_back(m);
@@ -40,12 +40,12 @@
 
 TEST_CASE("a state is read as it was written, and cut at any length or spoilt at any byte it is none") {
   State s = state(1000);
-  s.heard_of = {{5, 6}, {7, 8}};
+  s.known_processes = {{5, 6}, {7, 8}};
   std::string bytes = encode(s), why;
   auto read = decode(bytes, why);
   REQUIRE(read);
-  CHECK(read->who == s.who);
-  CHECK(read->heard_of == s.heard_of);
+  CHECK(read->id == s.id);
+  CHECK(read->known_processes == s.known_processes);
   CHECK(read->revision == 41);
   CHECK(read->members[0].entry.started == 123.25);
   CHECK(read->members[0].entry.state == winchhall::ServerState::draining);
@@ -77,27 +77,27 @@
   std::ofstream(dir + "cut.state") << encode(state(3000)).substr(0, 30);
   std::ofstream(dir + "4000-1.state.new") << "half";
   fs::create_directory(dir + "folder.state");
-  auto found = folder.look();
+  auto found = folder.scan();
   CHECK(found.states.size() == 2);
   CHECK(found.set_aside.size() == 2);
   CHECK(fs::exists(dir + "foreign.state.set-aside"));
   CHECK(fs::exists(dir + "4000-1.state.new"));
-  CHECK(folder.look().set_aside.empty());
+  CHECK(folder.scan().set_aside.empty());
   folder.remove({1000, 7});
-  CHECK(folder.look().states.size() == 1);
+  CHECK(folder.scan().states.size() == 1);
   CHECK_FALSE(Folder("").works());
   CHECK_FALSE(Folder(scratch.path + "/none/at/all").works());
 }
 
 TEST_CASE("one begins when those before it have heard of it, and without them in a second and a half") {
-  Pairing p("n0", {2000, 1}, 0);
+  ProcessRegistry p("n0", {2000, 1}, 0);
   CHECK(p.may_begin(0));
   State predecessor = state(1000);
   p.saw({predecessor}, 0);
   CHECK(p.predecessor(0));
   CHECK_FALSE(p.may_begin(100));
   CHECK(p.may_begin(1500));
-  predecessor.heard_of = {{2000, 1}};
+  predecessor.known_processes = {{2000, 1}};
   ++predecessor.number;
   p.saw({predecessor}, 200);
   CHECK(p.may_begin(200));
@@ -113,7 +113,7 @@
 
 TEST_CASE(
     "a word that does not change expires; a file that is gone is gone at once; other names count nothing") {
-  Pairing p("n0", {2000, 1}, 0);
+  ProcessRegistry p("n0", {2000, 1}, 0);
   State predecessor = state(1000), foreign = state(500);
   foreign.name = "n1";
   p.saw({predecessor, foreign}, 0);
@@ -121,7 +121,7 @@
   p.saw({predecessor, foreign}, 9000);
   CHECK(p.others(9999) == 1);
   CHECK(p.others(10000) == 0);
-  CHECK(p.expired(10000) == std::vector<Who>{{1000, 7}});
+  CHECK(p.expired(10000) == std::vector<ProcessId>{{1000, 7}});
   ++predecessor.number;  // it had only been stopped
   p.saw({predecessor}, 11000);
   CHECK(p.others(11000) == 1);
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE("the later list is taken, of whoever has one") {
-  Pairing p("n0", {9000, 1}, 0);
+  ProcessRegistry p("n0", {9000, 1}, 0);
   CHECK(p.latest_list() == nullptr);
   State a = state(1000), b = state(2000), none = state(3000);
   a.revision = 50;
@@ -158,12 +158,12 @@
     "two that look at each other's words at any times: the new one never begins unknown while the old one "
     "looks") {
   CHECK(rc::check([] {
-    Pairing old_one("n0", {1000, 1}, 0);
+    ProcessRegistry old_one("n0", {1000, 1}, 0);
     double born = *rc::gen::inRange(0, 1000);
-    Pairing new_one("n0", {2000, 2}, born);
+    ProcessRegistry new_one("n0", {2000, 2}, born);
     State a = state(1000), b = state(2000, 1, false);
-    a.who = {1000, 1};
-    b.who = {2000, 2};
+    a.id = {1000, 1};
+    b.id = {2000, 2};
     // The old one writes and looks every half second from some moment on, the new one every tenth.
     double next_old = *rc::gen::inRange(0, 500), next_new = born;
     new_one.saw({a}, born);
@@ -172,7 +172,7 @@
       if (now >= next_old) {
         next_old += 500;
         ++a.number;
-        a.heard_of = old_one.heard_of();
+        a.known_processes = old_one.known_processes();
         if (now >= born) old_one.saw({b}, now);
         bool knows = old_one.others(now) == 1;
         if (knows && !old_knows) next_old = now;  // who has just come is told at once
