--- a/tests/aggregator/http/client_integration_test.cpp
+++ b/tests/aggregator/http/client_integration_test.cpp
@@ -1,5 +1,5 @@
 // Stories of the platform's front and its clients. Each guards against one failure.
-#include "tests/aggregator/support/stage.hpp"
+#include "tests/aggregator/support/program_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -10,7 +10,7 @@
   leaf.on_part = [&](const ScriptedLeaf::Part& p) {
     CHECK(p.text == "c41e77d0");
     std::string frame =
-        platform::make_frame('O', p.id + " 200 7 inflight=2,util=0.5\nv" + std::to_string(p.shard));
+        http::make_frame('O', p.id + " 200 7 inflight=2,util=0.5\nv" + std::to_string(p.shard));
     for (char c : frame) p.from->stream->write({&c, 1});
   };
   s.begin({member("a", leaf.listener.port(), 0)});
@@ -105,7 +105,7 @@
   auto trickle = s.dial(), client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "\"exact\":true"));
   CHECK(s.front.connections() <= 100);
-  net::Millis written = 0;
+  event_loop::Millis written = 0;
   s.until([&] {
     // Slowly enough that its head does not grow too long before its time is up.
     if (!trickle->over && s.loop.now() > written + 50) {
@@ -129,7 +129,7 @@
     holders.push_back(s.dial());
     CHECK(has(s.ask(*holders.back(), Stage::query("q" + std::to_string(i), R"({"id":1,"w":1})")), "200 OK"));
   }
-  net::Millis asked = s.loop.now();
+  event_loop::Millis asked = s.loop.now();
   s.until([&] { return s.loop.now() > asked + 300; });  // all are idle for that long
   for (int i = 0; i < 20; ++i) {
     holders.push_back(s.dial());
@@ -146,7 +146,7 @@
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
   // It reads nothing before it has sent all it has.
-  net::UniqueFd client(::socket(AF_INET, SOCK_STREAM, 0));
+  event_loop::UniqueFd client(::socket(AF_INET, SOCK_STREAM, 0));
   sockaddr_in to = loopback(s.front.port());
   REQUIRE(::connect(client.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
   std::string all = "POST /lookup HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + std::string(2 << 20, 'x');
@@ -190,7 +190,7 @@
   s.until([&] { return leaf.parts.size() == 2; });
   client->stream->close();
   s.until([&] { return leaf.given_up.size() == 2; });
-  s.until([&] { return s.exchange.open_queries() == 0 && s.exchange.attempts_out() == 0; });
-  CHECK(s.exchange.figures()[0].withdrawn == 1);
+  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_out() == 0; });
+  CHECK(s.router.figures()[0].withdrawn == 1);
   CHECK(s.front.connections() == 0);
 }
--- a/tests/aggregator/http/leaf_integration_test.cpp
+++ b/tests/aggregator/http/leaf_integration_test.cpp
@@ -1,5 +1,5 @@
 // Stories of the platform's leafs and the connections to them. Each guards against one failure.
-#include "tests/aggregator/support/stage.hpp"
+#include "tests/aggregator/support/program_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -22,16 +22,16 @@
   auto client = s.dial();
   for (int i = 0; i < 6; ++i)
     CHECK(has(s.ask(*client, Stage::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
-  s.until([&] { return s.exchange.attempts_out() == 0; });
-  CHECK(s.exchange.figures()[0].whole == 6);
-  CHECK(s.exchange.figures()[0].attempts > 12);
+  s.until([&] { return s.router.attempts_out() == 0; });
+  CHECK(s.router.figures()[0].complete == 6);
+  CHECK(s.router.figures()[0].attempts > 12);
 }
 
 TEST_CASE("each way an attempt ends is told as the protocol's table has it") {
-  CHECK(platform::read_answer("x.1 200 5 -\nvalue")->value == "value");
-  CHECK(platform::read_answer("x.1 503 5 inflight=9\n")->load.in_flight == 9);
-  CHECK(!platform::read_answer("x.1 999 5 -\n"));
-  CHECK(!platform::read_answer("x.1 200 5 -"));
+  CHECK(http::read_answer("x.1 200 5 -\nvalue")->value == "value");
+  CHECK(http::read_answer("x.1 503 5 inflight=9\n")->load.in_flight == 9);
+  CHECK(!http::read_answer("x.1 999 5 -\n"));
+  CHECK(!http::read_answer("x.1 200 5 -"));
   // A leaf that turns parts away, or errs, is left for the other replica.
   for (int end : {503, 500}) {
     Stage s;
@@ -45,12 +45,12 @@
 }
 
 TEST_CASE("a load report is read under the settings' names, and under those of the protocol's example") {
-  CHECK(platform::read_answer("x.1 200 5 busy_reqs=4.774\nv")->load.in_flight == 4.774);
-  CHECK(platform::read_answer("x.1 200 5 util=0.61,inflight=7\nv")->load.in_flight == 7);
-  CHECK(platform::read_load("pending=2,svc_ms=8.5").queued == 2);
-  CHECK(platform::read_load("pending=2,svc_ms=8.5").service_ms == 8.5);
-  CHECK(!platform::read_load("-").in_flight);
-  CHECK(!platform::read_load("busy_reqs=,busy_reqs=x,=3,,").in_flight);
+  CHECK(http::read_answer("x.1 200 5 busy_reqs=4.774\nv")->load.in_flight == 4.774);
+  CHECK(http::read_answer("x.1 200 5 util=0.61,inflight=7\nv")->load.in_flight == 7);
+  CHECK(http::read_load("pending=2,svc_ms=8.5").queued == 2);
+  CHECK(http::read_load("pending=2,svc_ms=8.5").service_ms == 8.5);
+  CHECK(!http::read_load("-").in_flight);
+  CHECK(!http::read_load("busy_reqs=,busy_reqs=x,=3,,").in_flight);
 }
 
 TEST_CASE("a leaf that speaks nonsense loses its connection and nothing else") {
@@ -59,9 +59,9 @@
   std::string words;
   SUBCASE("length nought") { words = std::string(8, '\0'); }
   SUBCASE("length of gigabytes") { words = "\xff\xff\xff\x7fO"; }
-  SUBCASE("unknown letter") { words = platform::make_frame('Q', "?"); }
-  SUBCASE("complaint") { words = platform::make_frame('Z', "no such frame"); }
-  SUBCASE("unreadable answer") { words = platform::make_frame('O', "only words"); }
+  SUBCASE("unknown letter") { words = http::make_frame('Q', "?"); }
+  SUBCASE("complaint") { words = http::make_frame('Z', "no such frame"); }
+  SUBCASE("unreadable answer") { words = http::make_frame('O', "only words"); }
   mad.on_part = [&](const ScriptedLeaf::Part& p) { p.from->stream->write(words); };
   s.begin({member("a", mad.listener.port(), 0), member("b", sound.listener.port(), 1)});
   auto client = s.dial();
@@ -73,7 +73,7 @@
   Stage s(patient());
   ScriptedLeaf a(s.loop), b(s.loop);
   auto framed = [](const ScriptedLeaf::Part& p, const std::string& rest) {
-    p.from->stream->write(platform::make_frame('O', rest));
+    p.from->stream->write(http::make_frame('O', rest));
   };
   std::function<void(const ScriptedLeaf::Part&)> spoil;
   SUBCASE("another id") {
@@ -115,7 +115,7 @@
   CHECK(has(s.answer(*client), "\"exact\":true"));
   CHECK(a.peers.size() == 2);
   a.on_part = b.on_part = [](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, 200, "-"); };
-  s.exchange.list(winchhall::ServerList::Kind::changes, {member("b", b.listener.port(), 1)});
+  s.router.list(winchhall::ServerList::Kind::changes, {member("b", b.listener.port(), 1)});
   for (int i = 0; i < 20; ++i)
     s.ask(*client, Stage::query("r" + std::to_string(i), kTwoParts, "lookup", 50000));
   CHECK(a.parts.size() > 10);
@@ -135,7 +135,7 @@
   SUBCASE("no report") { report = "%%%"; }
   SUBCASE("a report that is no number") { report = "busy_reqs=nan,pending=-3"; }
   leaf.on_part = [&](const ScriptedLeaf::Part& p) {
-    std::string good = platform::make_frame('O', p.id + " 200 7 " + report + "\nv");
+    std::string good = http::make_frame('O', p.id + " 200 7 " + report + "\nv");
     p.from->stream->write(good + (behind == "copy" ? good : behind));
   };
   s.begin({member("a", leaf.listener.port(), 0)});
@@ -144,8 +144,8 @@
     CHECK(has(s.ask(*client, Stage::query("q" + std::to_string(i), R"({"id":1,"w":1})", "lookup", 50000)),
               "\"exact\":true"));
   CHECK(leaf.parts.size() == 4);
-  CHECK(!platform::read_load("busy_reqs=nan,pending=-3,svc_ms=inf").in_flight);
-  CHECK(!platform::read_load("busy_reqs=nan,pending=-3,svc_ms=inf").queued);
+  CHECK(!http::read_load("busy_reqs=nan,pending=-3,svc_ms=inf").in_flight);
+  CHECK(!http::read_load("busy_reqs=nan,pending=-3,svc_ms=inf").queued);
 }
 
 TEST_CASE("connections to a server that is gone are closed, and one of a new name is called") {
@@ -157,14 +157,14 @@
   bool named = false;
   SUBCASE("not in the whole list") {}
   SUBCASE("named as gone") { named = true; }
-  auto gone = member("a", old.listener.port(), 0, ServerState::gone);
+  auto removed = member("a", old.listener.port(), 0, ServerState::removed);
   auto next = member("b", fresh.listener.port(), 0);
   if (named)
-    s.exchange.list(winchhall::ServerList::Kind::changes, {gone, next});
+    s.router.list(winchhall::ServerList::Kind::changes, {removed, next});
   else
-    s.exchange.list(winchhall::ServerList::Kind::complete, {next});
+    s.router.list(winchhall::ServerList::Kind::complete, {next});
   s.until([&] { return old.peers[0]->over; });
-  CHECK(s.exchange.known_servers() == 1);
+  CHECK(s.router.known_servers() == 1);
   CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
   CHECK(fresh.parts.size() == 2);
 }
@@ -200,7 +200,7 @@
 
 TEST_CASE("a connection that falls silent is left, and its leaf is called on a new one") {
   winchhall::Settings settings = patient();
-  settings.classes[0].aim = 400;  // patience is half of it
+  settings.classes[0].latency_target = 400;  // patience is half of it
   Stage s(settings);
   ScriptedLeaf leaf(s.loop), other(s.loop);
   s.begin({member("a", leaf.listener.port(), 0), member("b", other.listener.port(), 1)});
@@ -212,7 +212,7 @@
   other.on_part = [](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, 200, "-"); };
   int asked = 0;
   // The leaf is set aside for a while, and then tried with a part.
-  net::Millis give_up = s.loop.now() + 30000;  // only ends a test that fails
+  event_loop::Millis give_up = s.loop.now() + 30000;  // only ends a test that fails
   while (leaf.peers.size() < 2 && s.loop.now() < give_up)
     s.ask(*client, Stage::query("q" + std::to_string(++asked), kTwoParts, "lookup", 50000));
   CHECK(leaf.peers.size() == 2);
@@ -221,12 +221,12 @@
 TEST_CASE("a machine that came back is called on new connections") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
-  core::Member m = member("a", leaf.listener.port(), 0);
+  coordination::Member m = member("a", leaf.listener.port(), 0);
   s.begin({m});
   auto client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "200 OK"));
   m.entry.started = 1000.0;
-  s.exchange.list(winchhall::ServerList::Kind::changes, {m});
+  s.router.list(winchhall::ServerList::Kind::changes, {m});
   s.until([&] { return leaf.peers[0]->over; });
   CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
   CHECK(leaf.peers.size() == 2);
--- a/tests/aggregator/membership/discovery_integration_test.cpp
+++ b/tests/aggregator/membership/discovery_integration_test.cpp
@@ -1,6 +1,6 @@
 // Stories of the platform's discovery. Each guards against one failure.
-#include "aggregator/membership/members.hpp"
-#include "tests/aggregator/support/stage.hpp"
+#include "aggregator/membership/member_list.hpp"
+#include "tests/aggregator/support/program_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -9,13 +9,13 @@
 TEST_CASE("discovery that fails is asked again, the list is kept, and a drain is obeyed") {
   winchhall::Settings settings = two_classes();
   settings.list_on_request = true;
-  settings.must_ask_in = 1000;
+  settings.max_poll_interval = 1000;
   Stage s(settings);
   ScriptedLeaf a(s.loop), b(s.loop);
   int calls = 0;
   std::string after;
   std::vector<std::shared_ptr<Peer>> watchers;
-  net::Listener service(s.loop, loopback(0), [&](net::UniqueFd fd) {
+  event_loop::Listener service(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
     auto peer = std::make_shared<Peer>(s.loop);
     watchers.push_back(peer);
     Peer* raw = peer.get();
@@ -39,13 +39,13 @@
     };
     peer->adopt(std::move(fd));
   });
-  platform::Discovery discovery(s.loop, s.exchange, "127.0.0.1:" + std::to_string(service.port()), 5, 250);
-  s.exchange.attach(s.pool, discovery);
+  http::Discovery discovery(s.loop, s.router, "127.0.0.1:" + std::to_string(service.port()), 5, 250);
+  s.router.attach(s.pool, discovery);
   s.begin({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
   auto client = s.dial();
   s.until([&] { return calls >= 2; });
   CHECK(has(s.ask(*client, Stage::query("kept", kTwoParts)), "\"exact\":true"));
-  s.until([&] { return s.exchange.lists_told() >= 4; });  // the cached one, two failures, the drain
+  s.until([&] { return s.router.lists_delivered() >= 4; });  // the cached one, two failures, the drain
   CHECK(has(after, "GET /v1/endpoints?watch=1&after=5 "));
   std::size_t at_drain = a.parts.size();
   for (int i = 0; i < 10; ++i)
@@ -54,13 +54,13 @@
 }
 
 TEST_CASE("a list that cannot be read changes nothing") {
-  CHECK(!platform::read_members("{"));
-  CHECK(!platform::read_members("[]"));
-  CHECK(!platform::read_members(R"({"revision":1})"));
-  CHECK(!platform::read_members(R"({"revision":1,"members":[{"cell":"x"}]})"));
-  auto list = platform::read_members(
+  CHECK(!http::read_members("{"));
+  CHECK(!http::read_members("[]"));
+  CHECK(!http::read_members(R"({"revision":1})"));
+  CHECK(!http::read_members(R"({"revision":1,"members":[{"cell":"x"}]})"));
+  auto list = http::read_members(
       R"({"revision":3,"complete":true,"members":[{"id":"s","host_port":"h:1","cell":2,"phase":"gone","up_since_ms":8}]})");
   REQUIRE(list);
-  CHECK(list->members[0].entry.state == ServerState::gone);
+  CHECK(list->members[0].entry.state == ServerState::removed);
   CHECK(list->members[0].entry.started == 8.0);
 }
--- a/tests/aggregator/membership/list_integration_test.cpp
+++ b/tests/aggregator/membership/endpoint_list_integration_test.cpp
@@ -2,7 +2,7 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <sys/socket.h>
 
-#include "tests/aggregator/support/desk.hpp"
+#include "tests/aggregator/support/router_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -11,17 +11,17 @@
 
 // Discovery at the other end of one call: what it writes and how it ends is the test's.
 struct Call {
-  Call() : listener(loop, loopback(0), [this](net::UniqueFd accepted) { fd = std::move(accepted); }) {
+  Call() : listener(loop, loopback(0), [this](event_loop::UniqueFd accepted) { fd = std::move(accepted); }) {
     spdlog::set_level(spdlog::level::off);
-    exchange.attach(nobody, none);
-    discovery = std::make_unique<platform::Discovery>(loop, exchange,
-                                                      "127.0.0.1:" + std::to_string(listener.port()), 0, 250);
+    router.attach(nobody, none);
+    discovery = std::make_unique<http::Discovery>(loop, router,
+                                                  "127.0.0.1:" + std::to_string(listener.port()), 0, 250);
   }
   void until(const std::function<bool()>& done) {
-    net::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
+    event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop.turn(20);
-      exchange.run();
+      router.run();
       REQUIRE(loop.now() < give_up);
     }
   }
@@ -38,13 +38,14 @@
     ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     fd.reset();
   }
-  net::Loop loop;
-  core::Exchange exchange{two_classes(), 3, [this] { return loop.now(); }, [](const std::string&) {}};
+  event_loop::Loop loop;
+  coordination::RequestRouter router{two_classes(), 3, [this] { return loop.now(); },
+                                     [](const std::string&) {}};
   Nobody nobody;
   NoDiscovery none;
-  net::UniqueFd fd;
-  net::Listener listener;
-  std::unique_ptr<platform::Discovery> discovery;
+  event_loop::UniqueFd fd;
+  event_loop::Listener listener;
+  std::unique_ptr<http::Discovery> discovery;
 };
 
 const char kList[] =
@@ -58,13 +59,13 @@
   c.discovery->fetch();
   c.until([&] { return static_cast<bool>(c.fd); });
   c.write(std::string("HTTP/1.1 200 OK\r\n\r\n") + kList);
-  std::size_t told = c.exchange.lists_told();
+  std::size_t told = c.router.lists_delivered();
   bool resets = false;
   SUBCASE("reset") { resets = true; }
   SUBCASE("end") {}
   resets ? c.reset() : c.fd.reset();
-  c.until([&] { return c.exchange.lists_told() > told; });
-  CHECK(c.exchange.known_servers() == (resets ? 0 : 1));
+  c.until([&] { return c.router.lists_delivered() > told; });
+  CHECK(c.router.known_servers() == (resets ? 0 : 1));
 }
 
 TEST_CASE("half an object of a watch is no news, whether it is reset or ended behind it") {
@@ -75,8 +76,8 @@
   bool resets = false;
   SUBCASE("reset") { resets = true; }
   SUBCASE("end") {}
-  std::size_t told = c.exchange.lists_told();
+  std::size_t told = c.router.lists_delivered();
   resets ? c.reset() : c.fd.reset();
-  c.until([&] { return c.exchange.lists_told() > told; });  // that the call failed
-  CHECK(c.exchange.known_servers() == 0);
+  c.until([&] { return c.router.lists_delivered() > told; });  // that the call failed
+  CHECK(c.router.known_servers() == 0);
 }
--- a/tests/aggregator/membership/fleet_test.cpp
+++ b/tests/aggregator/membership/quota_reservation_test.cpp
@@ -1,6 +1,8 @@
 // Escrowed shares: the cases one by one, and random histories of many instances whose clocks run at their own
 // rates, with loans lost, late and repeated, against the one sum that must hold.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include "aggregator/membership/quota_reservation.hpp"
+
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -8,18 +10,16 @@
 #include <queue>
 #include <stdexcept>
 
-#include "aggregator/membership/escrow.hpp"
-
-using namespace winchhall::fleet;
+using namespace winchhall::membership;
 
 namespace {
-EscrowSettings settings(double bound, int fleet) {
+QuotaReservationSettings settings(double bound, int fleet) {
   return {.bound = bound, .fleet = fleet, .window = 1000, .lease = 2000, .drift = 0.01};
 }
 }  // namespace
 
 TEST_CASE("an instance spends its own share without asking, and no more in a window") {
-  Escrow e(settings(30, 3));
+  QuotaReservation e(settings(30, 3));
   CHECK(e.own_share() == doctest::Approx(10));
   CHECK(e.spend(0, 6));
   CHECK(e.spend(500, 4));
@@ -29,8 +29,8 @@
 }
 
 TEST_CASE("a loan moves share from a lender to a borrower, once, and only while its lease lasts") {
-  Escrow lender(settings(20, 2)), borrower(settings(20, 2));
-  Ask a = borrower.ask(0, 8);
+  QuotaReservation lender(settings(20, 2)), borrower(settings(20, 2));
+  ReservationRequest a = borrower.request(0, 8);
   auto loan = lender.lend(5, a);
   REQUIRE(loan);
   CHECK(loan->amount == doctest::Approx(8));
@@ -44,8 +44,8 @@
 }
 
 TEST_CASE("a loan that comes after its lease is dropped, and what was lent is lost to both until it ends") {
-  Escrow lender(settings(20, 2)), borrower(settings(20, 2));
-  Ask a = borrower.ask(0, 5);
+  QuotaReservation lender(settings(20, 2)), borrower(settings(20, 2));
+  ReservationRequest a = borrower.request(0, 5);
   auto loan = lender.lend(1990, a);
   REQUIRE(loan);
   CHECK(borrower.take(1990, *loan) == 0);  // 2000 less the drift's part has passed
@@ -54,32 +54,32 @@
 }
 
 TEST_CASE("only the own share is lent, never a loan held") {
-  Escrow a(settings(20, 2)), b(settings(20, 2)), c(settings(20, 2));
-  auto loan = a.lend(0, b.ask(0, 10));
+  QuotaReservation a(settings(20, 2)), b(settings(20, 2)), c(settings(20, 2));
+  auto loan = a.lend(0, b.request(0, 10));
   REQUIRE(loan);
   CHECK(b.take(1, *loan) == doctest::Approx(10));
   CHECK(b.free(1) == doctest::Approx(20));
-  auto again = b.lend(2, c.ask(2, 20));
+  auto again = b.lend(2, c.request(2, 20));
   REQUIRE(again);
   CHECK(again->amount == doctest::Approx(10));
-  CHECK_FALSE(a.lend(3, c.ask(3, 1)));
+  CHECK_FALSE(a.lend(3, c.request(3, 1)));
 }
 
 TEST_CASE("settings that cannot hold are refused") {
-  CHECK_THROWS_AS(Escrow(settings(-1, 3)), std::invalid_argument);
-  CHECK_THROWS_AS(Escrow(settings(10, 0)), std::invalid_argument);
-  EscrowSettings s = settings(10, 2);
+  CHECK_THROWS_AS(QuotaReservation(settings(-1, 3)), std::invalid_argument);
+  CHECK_THROWS_AS(QuotaReservation(settings(10, 0)), std::invalid_argument);
+  QuotaReservationSettings s = settings(10, 2);
   s.drift = 0.5;
-  CHECK_THROWS_AS(Escrow{s}, std::invalid_argument);
+  CHECK_THROWS_AS(QuotaReservation{s}, std::invalid_argument);
 }
 
 // Real time is the reference; instance i reads rate[i] * t + offset[i], rates within the drift.
 TEST_CASE("in any window of real time the fleet spends at most the bound, whatever becomes of the loans") {
   CHECK(rc::check("histories of spends and loans", [] {
     int n = *rc::gen::inRange(2, 7);
-    EscrowSettings s = settings(*rc::gen::inRange(1, 50), n);
+    QuotaReservationSettings s = settings(*rc::gen::inRange(1, 50), n);
     std::vector<double> rate, offset;
-    std::vector<Escrow> fleet;
+    std::vector<QuotaReservation> fleet;
     for (int i = 0; i < n; ++i) {
       rate.push_back(1 + s.drift * (*rc::gen::inRange(-1000, 1001) / 1000.0));
       offset.push_back(*rc::gen::inRange(0, 100000));
@@ -90,8 +90,8 @@
       double at;
       int to, from;
       bool is_ask;
-      Ask ask;
-      Loan loan;
+      ReservationRequest request;
+      Reservation loan;
       bool operator>(const Message& o) const { return at > o.at; }
     };
     std::priority_queue<Message, std::vector<Message>, std::greater<>> wire;
@@ -108,7 +108,7 @@
           fleet[m.to].take(now, m.loan);
           continue;
         }
-        if (auto loan = fleet[m.to].lend(now, m.ask)) {
+        if (auto loan = fleet[m.to].lend(now, m.request)) {
           int copies = *rc::gen::inRange(0, 3);  // lost, once, or twice
           for (int k = 0; k < copies; ++k)
             wire.push({m.at + *rc::gen::inRange(0, 5000), m.from, m.to, false, {}, *loan});
@@ -117,7 +117,7 @@
       int i = *rc::gen::inRange(0, n);
       if (*rc::gen::inRange(0, 3) == 0) {
         int j = (i + *rc::gen::inRange(1, n)) % n;
-        Ask a = fleet[i].ask(clock(i, t), *rc::gen::inRange(1, 30));
+        ReservationRequest a = fleet[i].request(clock(i, t), *rc::gen::inRange(1, 30));
         wire.push({t + *rc::gen::inRange(0, 3000), j, i, true, a, {}});
       } else {
         double amount = *rc::gen::inRange(1, 20);
--- a/tests/aggregator/ranges/changes_test.cpp
+++ b/tests/aggregator/ranges/changes_test.cpp
@@ -137,11 +137,11 @@
   CHECK(c.in_share() == doctest::Approx(1.0 / 3));
   CHECK(c.take({100, 200}));
   CHECK_FALSE(c.take({100, 150}));  // a child, after its parent
-  CHECK_FALSE(c.whole());
+  CHECK_FALSE(c.complete());
   CHECK(c.to_ask().spans() == std::vector<Span>{{200, 300}});
   CHECK_FALSE(c.take({200, 301}));  // reaches outside the query
   CHECK(c.take({200, 300}));
-  CHECK(c.whole());
+  CHECK(c.complete());
   CHECK(c.in_share() == 1);
 }
 
@@ -167,13 +167,13 @@
   Plan p = planned(map, {{0, 100}});
   OpenPart part{0, false, p.parts[0]};
   auto behind = not_mine(map, p.coverage, part, {{1, 3}, {}});
-  CHECK_FALSE(behind.ask_directory);
+  CHECK_FALSE(behind.refresh_directory);
   CHECK_FALSE(behind.decision);
   auto ahead = not_mine(map, p.coverage, part, {{1, 6}, {}});
-  CHECK(ahead.ask_directory);
+  CHECK(ahead.refresh_directory);
   CHECK_FALSE(ahead.decision);
   auto later_begin = not_mine(map, p.coverage, part, {{2, 1}, {}});
-  CHECK(later_begin.ask_directory);
+  CHECK(later_begin.refresh_directory);
   SUBCASE("successors that cover the part are used") {
     NotMine word{{1, 6}, {{{0, 60}, 8, {}, held({"c"}), 0, {}}, {{60, 100}, 9, {}, held({"d"}), 0, {}}}};
     auto a = not_mine(map, p.coverage, part, word);
@@ -192,13 +192,13 @@
         {{{0, 100}, 8, {}, nullptr, 0, {}}}};
     for (const auto& bad : bads) {
       auto a = not_mine(map, p.coverage, part, {{1, 6}, bad});
-      CHECK(a.ask_directory);
+      CHECK(a.refresh_directory);
       CHECK_FALSE(a.decision);
     }
   }
   SUBCASE("a node and a directory of one revision that contradict each other: the directory's word holds") {
     auto a = not_mine(map, p.coverage, part, {{1, 5}, {{{0, 100}, 8, {}, held({"c"}), 0, {}}}});
-    CHECK(a.ask_directory);
+    CHECK(a.refresh_directory);
     CHECK_FALSE(a.decision);
   }
   SUBCASE("the map has moved on since the part was planned: that is the answer") {
--- a/tests/aggregator/ranges/follower_test.cpp
+++ b/tests/aggregator/ranges/follower_test.cpp
@@ -11,8 +11,8 @@
 
 TEST_CASE("the follower takes changes in order and refuses a gap, what is stale, and what is impossible") {
   Follower f;
-  CHECK(f.wants_whole());
-  auto whole = [&](Revision r) {
+  CHECK(f.needs_full_map());
+  auto complete = [&](Revision r) {
     Update u;
     u.revision = r;
     u.complete = true;
@@ -31,7 +31,7 @@
   f.reopening(1, 0.5);
   CHECK(f.ask_at() > 1);  // not at once: a directory that speaks nonsense is not asked without end
   f.opened(50);
-  CHECK(f.take(whole({3, 7}), 50) == Taken::taken);
+  CHECK(f.take(complete({3, 7}), 50) == Taken::taken);
   CHECK(f.take(changes({3, 8}, {Weigh{{0, 0}, 2}}), 51) == Taken::taken);
   CHECK(f.map().revision() == Revision{3, 8});
   CHECK(f.take(changes({3, 8}, {Weigh{{0, 0}, 2}}), 52) == Taken::nothing);
@@ -42,18 +42,18 @@
   CHECK(f.map().find(0).weight == 3);
   f.reopening(54, 0.5);
   f.opened(60);
-  CHECK(f.take(whole({2, 99}), 61) == Taken::stale);
+  CHECK(f.take(complete({2, 99}), 61) == Taken::stale);
   CHECK(f.fault().find("older incarnation") != std::string::npos);
   CHECK(f.map().revision() == Revision{3, 9});
   // One change of a line is impossible: none of the line is taken.
   CHECK(f.take(changes({3, 11}, {Weigh{{0, 0}, 5}, Remove{{0, 0}, "zz"}}), 62) == Taken::impossible);
   CHECK(f.map().find(0).weight == 3);
-  CHECK(f.wants_whole());
+  CHECK(f.needs_full_map());
   f.reopening(62, 0.5);
   f.opened(200);
-  CHECK(f.take(whole({3, 11}), 201) == Taken::taken);
-  CHECK_FALSE(f.wants_whole());
-  CHECK(f.take(whole({4, 1}), 202) == Taken::taken);
+  CHECK(f.take(complete({3, 11}), 201) == Taken::taken);
+  CHECK_FALSE(f.needs_full_map());
+  CHECK(f.take(complete({4, 1}), 202) == Taken::taken);
 }
 
 TEST_CASE("a directory that comes back with an older revision is not believed until it is newer and whole") {
@@ -114,8 +114,8 @@
   f.refresh(1000);
   CHECK(f.ask_at() == 1000);
   f.opened(1000);
-  CHECK_FALSE(f.silent(1000 + Follower::kSilence));
-  CHECK(f.silent(1001 + Follower::kSilence));
+  CHECK_FALSE(f.silent(1000 + Follower::kResponseTimeout));
+  CHECK(f.silent(1001 + Follower::kResponseTimeout));
   f.refresh(1050);  // a burst is one question
   CHECK_FALSE(f.wants_reopen());
   f.refresh(1200);
--- a/tests/aggregator/ranges/histories_test.cpp
+++ b/tests/aggregator/ranges/histories_test.cpp
@@ -182,7 +182,7 @@
       open.pop_back();
     }
     for (Key k = 0; k < kKeys; ++k) RC_ASSERT(counted[k] == (k >= from && k < to ? 1 : 0));
-    RC_ASSERT(p.coverage.whole());
+    RC_ASSERT(p.coverage.complete());
     RC_ASSERT(p.coverage.in_share() == 1);
   }));
 }
@@ -197,7 +197,7 @@
       now += 10;
       RangeMap held = follower.map();
       Update u;
-      bool whole = d.one_in(4);
+      bool complete = d.one_in(4);
       std::uint64_t from = truth.revision().number;
       for (std::size_t i = d.below(4); i > 0; --i) {
         Plain model = plain(truth);
@@ -210,15 +210,15 @@
         u.changes.push_back(change);
       }
       u.revision = truth.revision();
-      if (whole) {
+      if (complete) {
         u.complete = true;
         u.changes.clear();
         u.ranges = truth.all();
       }
       bool lost = d.one_in(4);  // this word doesn't arrive
       bool bent = d.one_in(5);
-      if (bent && whole) u.ranges.erase(u.ranges.begin() + static_cast<long>(d.below(u.ranges.size())));
-      if (bent && !whole) u.changes.push_back(Weigh{{77'777, 1}, 1});
+      if (bent && complete) u.ranges.erase(u.ranges.begin() + static_cast<long>(d.below(u.ranges.size())));
+      if (bent && !complete) u.changes.push_back(Weigh{{77'777, 1}, 1});
       if (lost) continue;
       Taken taken = follower.take(u, now);
       if (taken == Taken::taken) {
--- a/tests/aggregator/ranges/spans_directory_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_directory_integration_test.cpp
@@ -1,9 +1,9 @@
 // The watch of the directory of ranges.
 #include "aggregator/http/range_directory.hpp"
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 #include "aggregator/ranges/change.hpp"
 #include "tests/aggregator/ranges/spans_fixture.hpp"
-#include "tests/aggregator/support/desk.hpp"
+#include "tests/aggregator/support/router_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -14,17 +14,17 @@
 
 struct DirectoryStage {
   DirectoryStage()
-      : exchange(
+      : router(
             two_classes(), 7, [this] { return loop.now(); }, [](const std::string&) {}),
-        listener(std::make_unique<net::Listener>(loop, loopback(0),
-                                                 [this](net::UniqueFd fd) { accept(std::move(fd)); })),
+        listener(std::make_unique<event_loop::Listener>(
+            loop, loopback(0), [this](event_loop::UniqueFd fd) { accept(std::move(fd)); })),
         port(listener->port()),
-        directory(loop, exchange, "127.0.0.1:" + std::to_string(port), {1000, 1000}, 5) {
+        directory(loop, router, "127.0.0.1:" + std::to_string(port), {1000, 1000}, 5) {
     spdlog::set_level(spdlog::level::off);
-    exchange.attach(nobody, none);
+    router.attach(nobody, none);
     directory.start();
   }
-  void accept(net::UniqueFd fd) {
+  void accept(event_loop::UniqueFd fd) {
     peers.push_back(std::make_shared<Peer>(loop));
     Peer* raw = peers.back().get();
     raw->heard = [this, raw](std::string& in) {
@@ -40,32 +40,32 @@
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
     peers.back()->stream->write(size + line + "\n\r\n");
   }
-  void say(const RangeMap& map) { say(platform::write_update({map.revision(), true, false, map.all(), {}})); }
+  void say(const RangeMap& map) { say(http::write_update({map.revision(), true, false, map.all(), {}})); }
   void say(Revision revision, std::vector<Change> changes) {
-    say(platform::write_update({revision, false, false, {}, std::move(changes)}));
+    say(http::write_update({revision, false, false, {}, std::move(changes)}));
   }
   void until(const std::function<bool()>& done) {
-    net::Millis give_up = loop.now() + 60000;
+    event_loop::Millis give_up = loop.now() + 60000;
     while (!done()) {
       loop.turn(20);
-      exchange.run();
+      router.run();
       REQUIRE(loop.now() < give_up);
     }
   }
   void until_asked(std::size_t times) {
     until([&] { return asked.size() >= times; });
   }
-  Revision revision() const { return exchange.map().revision(); }
+  Revision revision() const { return router.map().revision(); }
 
-  net::Loop loop;
-  core::Exchange exchange;
+  event_loop::Loop loop;
+  coordination::RequestRouter router;
   Nobody nobody;
   NoDiscovery none;
   std::vector<std::shared_ptr<Peer>> peers;
   std::vector<std::string> asked;
-  std::unique_ptr<net::Listener> listener;
+  std::unique_ptr<event_loop::Listener> listener;
   int port;
-  platform::RangeDirectory directory;
+  http::RangeDirectory directory;
 };
 
 }  // namespace
@@ -104,7 +104,7 @@
   DirectoryStage s;
   s.until_asked(1);
   s.say(four());
-  s.until([&] { return !s.exchange.map().empty(); });
+  s.until([&] { return !s.router.map().empty(); });
   s.say("{\"incarnation\":1,\"revision\":6,\"changes\":[{\"op\":\"frob\"}]}");
   s.until_asked(2);
   CHECK(s.directory.figures().refused == 1);
@@ -115,8 +115,8 @@
   std::size_t broken = s.directory.figures().broken;
   s.until([&] { return s.directory.figures().broken >= broken + 2; });
   CHECK(s.revision() == Revision{1, 5});
-  s.listener = std::make_unique<net::Listener>(s.loop, loopback(s.port),
-                                               [&](net::UniqueFd fd) { s.accept(std::move(fd)); });
+  s.listener = std::make_unique<event_loop::Listener>(
+      s.loop, loopback(s.port), [&](event_loop::UniqueFd fd) { s.accept(std::move(fd)); });
   s.until_asked(3);
   s.say({1, 6}, {kSplitFirst});
   s.until([&] { return s.revision() == Revision{1, 6}; });
@@ -128,11 +128,11 @@
   std::vector<Range> many;
   for (std::size_t i = 0; i < 1001; ++i)
     many.push_back({i, {i, i == 1000 ? kKeyEnd : i + 1}, 1, held({"a"})});
-  s.say(platform::write_update({{1, 1}, true, false, many, {}}));
+  s.say(http::write_update({{1, 1}, true, false, many, {}}));
   s.until_asked(2);
-  CHECK(s.exchange.map().empty());
+  CHECK(s.router.map().empty());
   s.say(four());
-  s.until([&] { return !s.exchange.map().empty(); });
+  s.until([&] { return !s.router.map().empty(); });
   s.directory.refresh();
   s.until_asked(3);
   CHECK(s.asked[2] == "GET /v1/ranges?watch=1&incarnation=1&after=5 HTTP/1.1");
--- a/tests/aggregator/ranges/spans_moves_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_moves_integration_test.cpp
@@ -2,23 +2,23 @@
 // causes one of the hard cases of docs/ranges.md.
 #include "aggregator/ranges/change.hpp"
 #include "tests/aggregator/ranges/spans_fixture.hpp"
-#include "tests/aggregator/support/desk.hpp"
+#include "tests/aggregator/support/router_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
 using namespace winchhall::ranges;
 using namespace winchhall::ranges::testing;
-using core::Outcome;
-using core::Verdict;
+using coordination::Outcome;
+using coordination::QueryResult;
 
 TEST_CASE("spans are cut into parts by the map, and rows name interval and revision") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 5000, {{50, 250}});
   REQUIRE(d.out.size() == 3);
   for (const auto& [n, order] : std::map(d.out)) d.end(n, Outcome::ok, text_of(order.span));
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].whole);
+  CHECK(d.verdicts[0].complete);
   CHECK(d.verdicts[0].share == 1);
   REQUIRE(d.verdicts[0].rows.size() == 3);
   CHECK(d.verdicts[0].rows[0].span == Span{50, 100});
@@ -31,45 +31,45 @@
   Desk d;
   d.ask_spans(0, 5000, {{50, 250}});
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind == Verdict::Kind::refused);
+  CHECK(d.verdicts[0].kind == QueryResult::Kind::refused);
   CHECK(d.verdicts[0].retry_after > 0);
   CHECK(d.verdicts[0].why.find("no map") != std::string::npos);
   CHECK(d.decided_at == d.now);
-  CHECK(d.exchange.open_queries() == 0);
+  CHECK(d.router.open_queries() == 0);
 }
 
 TEST_CASE("a range splits while its part is out: the old holder's answer counts, under its old revision") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 5000, {{0, 100}});
   auto first = d.out_for({0, 100});
-  d.remap(after(four(), kSplitFirst));
+  d.update_ranges(after(four(), kSplitFirst));
   CHECK(d.out.size() == 1);  // nothing is sent beside it
-  CHECK(d.exchange.moves().held_back == 1);
+  CHECK(d.router.moves().on_hold == 1);
   d.end(first, Outcome::ok, "all of it");
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].whole);
+  CHECK(d.verdicts[0].complete);
   REQUIRE(d.verdicts[0].rows.size() == 1);
   CHECK(d.verdicts[0].rows[0].revision == Revision{1, 5});
 }
 
 TEST_CASE("it fails after the split: its children are asked, with the attempts that are left") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   d.end(d.out_for({0, 100}), Outcome::error);  // 1
-  d.remap(after(four(), kSplitFirst));
+  d.update_ranges(after(four(), kSplitFirst));
   d.end(d.out_for({0, 100}), Outcome::error);  // 2
   REQUIRE(d.is_out({0, 40}));
   REQUIRE(d.is_out({40, 100}));
   // Again while its children are out.
   RangeMap twice = after_all(four(), {kSplitFirst, Split{{4, 0}, 10, 6, 7, 1, 1}});
-  d.remap(twice);
+  d.update_ranges(twice);
   SUBCASE("both come in") {
     d.end(d.out_for({0, 40}), Outcome::ok);
     d.end(d.out_for({40, 100}), Outcome::ok);
     REQUIRE(d.verdicts.size() == 1);
-    CHECK(d.verdicts[0].whole);
+    CHECK(d.verdicts[0].complete);
     CHECK(d.verdicts[0].rows.size() == 2);
   }
   SUBCASE("one fails: it has no fourth attempt, however it is split") {
@@ -77,16 +77,16 @@
     CHECK_FALSE(d.is_out({0, 10}));
     CHECK_FALSE(d.is_out({10, 40}));
     REQUIRE(d.verdicts.size() == 1);
-    CHECK(d.verdicts[0].kind != Verdict::Kind::answered);
+    CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
   }
 }
 
 TEST_CASE("an answer to a parent that was given up comes after its children's and is in no verdict") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   auto parent = d.out_for({0, 100});
-  d.remap(after(four(), kSplitFirst));
+  d.update_ranges(after(four(), kSplitFirst));
   d.pass(1500);  // its patience is over
   REQUIRE(d.is_out({0, 40}));
   d.end(d.out_for({0, 40}), Outcome::ok, "child");
@@ -103,9 +103,9 @@
 TEST_CASE("a merge while both halves are out; a failed half is asked of the merged range's holders") {
   Desk d;
   RangeMap map = four();
-  d.remap(map);
+  d.update_ranges(map);
   d.ask_spans(0, 20000, {{0, 200}});
-  d.remap(after(map, Merge{{0, 0}, {1, 100}, 4, {{"b", Role::serving}}}));
+  d.update_ranges(after(map, Merge{{0, 0}, {1, 100}, 4, {{"b", Role::serving}}}));
   CHECK(d.out.size() == 2);
   auto left = d.out_for({0, 100});
   d.end(left, Outcome::error);
@@ -113,33 +113,33 @@
   d.end(d.out_for({0, 100}), Outcome::ok);
   d.end(d.out_for({100, 200}), Outcome::ok);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].whole);
+  CHECK(d.verdicts[0].complete);
 }
 
 TEST_CASE("split, merge and split of one range within one query") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   RangeMap map = four();
   for (const Change& c :
        std::vector<Change>{kSplitFirst, Merge{{4, 0}, {5, 40}, 6, {}}, Split{{6, 0}, 70, 7, 8, 1, 1}}) {
     map = after(map, c);
-    d.remap(map);
+    d.update_ranges(map);
   }
   d.end(d.out_for({0, 100}), Outcome::reset);
   d.end(d.out_for({0, 70}), Outcome::ok);
   d.end(d.out_for({70, 100}), Outcome::ok);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].whole);
+  CHECK(d.verdicts[0].complete);
 }
 
 TEST_CASE("a split that is merged back before the attempt ends lets the part go on") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   RangeMap map = after(four(), kSplitFirst);
-  d.remap(map);
-  d.remap(after(map, Merge{{4, 0}, {5, 40}, 6, {}}));
+  d.update_ranges(map);
+  d.update_ranges(after(map, Merge{{4, 0}, {5, 40}, 6, {}}));
   d.end(d.out_for({0, 100}), Outcome::error);
   d.end(d.out_for({0, 100}), Outcome::ok);
   REQUIRE(d.verdicts.size() == 1);
@@ -148,11 +148,11 @@
 TEST_CASE(
     "a move leaves one sound holder, which pauses: one final answer in time, and no other node is asked") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 1500, {{0, 100}});
   auto first = d.out_for({0, 100});
   std::string was = d.out.at(first).server, other = was == "a" ? "b" : "a";
-  d.remap(after(four(), Remove{{0, 0}, was}));
+  d.update_ranges(after(four(), Remove{{0, 0}, was}));
   d.end(first, Outcome::connect_failed);
   CHECK(d.out.at(d.out_for({0, 100})).server == other);
   std::size_t asked = 0;
@@ -164,30 +164,30 @@
     }
   }
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind != Verdict::Kind::answered);
+  CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
   CHECK(d.decided_at < 1000 + 1500);
 }
 
 TEST_CASE("the only holder that is left starts cold: it is not pushed over") {
   winchhall::Settings s = two_classes();
-  s.cold_time = 10000;
-  s.cold_share = 0.25;
+  s.warm_up_time = 10000;
+  s.warm_up_initial_share = 0.25;
   s.fall_multiple = 4;
   s.fall_time = 1000;
   Desk d(s);
   d.pass(1200);  // so long after our own start that what others sent before it is over
-  core::Member cold = member("c", 3, 0);
+  coordination::Member cold = member("c", 3, 0);
   cold.entry.started = d.now;
-  d.exchange.list(winchhall::ServerList::Kind::changes, {cold});
-  d.exchange.run();
+  d.router.list(winchhall::ServerList::Kind::changes, {cold});
+  d.router.run();
   std::string why;
   RangeMap map = *RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"c"})}}, why);
-  d.remap(map);
+  d.update_ranges(map);
   for (int i = 0; i < 40; ++i)
-    d.exchange.submit(
+    d.router.submit(
         {.id = "w" + std::to_string(i), .give_up_at = d.now + 8000, .spans = {{0, 100}}, .hint = 100.0},
-        [](Verdict) {});
-  d.exchange.run();
+        [](QueryResult) {});
+  d.router.run();
   // 4 x a quarter of a core for a second, less what is kept back: 800 ms of work at the most.
   CHECK(d.out.size() <= 8);
   CHECK(d.out.size() >= 1);
@@ -201,11 +201,11 @@
                                    {1, {100, 200}, 4, held({"a", "b"})},
                                    {2, {200, kKeyEnd}, 1, held({"a", "b"})}},
                                   why);
-  d.remap(map);
+  d.update_ranges(map);
   d.ask_spans(1, 6000, {{0, 200}});
   REQUIRE(d.out.size() == 2);
   // The first range becomes light, and is split; what was asked for stays what it was.
-  d.remap(after_all(map, {Weigh{{0, 0}, 0.1}, Split{{0, 0}, 50, 3, 4, 0.05, 0.05}}));
+  d.update_ranges(after_all(map, {Weigh{{0, 0}, 0.1}, Split{{0, 0}, 50, 3, 4, 0.05, 0.05}}));
   d.end(d.out_for({100, 200}), Outcome::ok);
   d.pass(400);  // past the aim, with 40%
   CHECK(d.verdicts.empty());
@@ -213,7 +213,7 @@
   d.end(d.out_for({0, 50}), Outcome::ok);
   d.pass(50);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind == Verdict::Kind::answered);
-  CHECK_FALSE(d.verdicts[0].whole);
+  CHECK(d.verdicts[0].kind == QueryResult::Kind::answered);
+  CHECK_FALSE(d.verdicts[0].complete);
   CHECK(d.verdicts[0].share == doctest::Approx(0.7));
 }
--- a/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
@@ -2,18 +2,18 @@
 // late. Each story causes one of the hard cases of docs/ranges.md.
 #include "aggregator/ranges/change.hpp"
 #include "tests/aggregator/ranges/spans_fixture.hpp"
-#include "tests/aggregator/support/desk.hpp"
+#include "tests/aggregator/support/router_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
 using namespace winchhall::ranges;
 using namespace winchhall::ranges::testing;
-using core::Outcome;
-using core::Verdict;
+using coordination::Outcome;
+using coordination::QueryResult;
 
 TEST_CASE("a node that says not mine for ever costs three attempts, and its query is refused at once then") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   int attempts = 0;
   for (int i = 0; i < 100 && d.verdicts.empty(); ++i) {
@@ -25,15 +25,15 @@
   }
   CHECK(attempts == 3);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind == Verdict::Kind::refused);
+  CHECK(d.verdicts[0].kind == QueryResult::Kind::refused);
   CHECK(d.verdicts[0].retry_after > 0);
-  CHECK(d.exchange.moves().denied == 3);
+  CHECK(d.router.moves().denied == 3);
 }
 
 TEST_CASE("a node behind is given a moment: the other holder is asked first, itself later") {
   Desk d;
   std::string why;
-  d.remap(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"a"})}}, why));
+  d.update_ranges(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"a"})}}, why));
   d.ask_spans(0, 20000, {{0, 100}});
   d.deny(d.out.begin()->first, {{1, 4}, {}});
   CHECK(d.out.empty());  // the only holder isn't asked again at once
@@ -44,13 +44,13 @@
 
 TEST_CASE("a node ahead: the directory is asked at once, and no further attempt is spent before its word") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   d.deny(d.out_for({0, 100}), {{1, 6}, {}});
   CHECK(d.refreshed == 1);
   CHECK(d.out.empty());
   SUBCASE("its word comes") {
-    d.remap(after(four(), kSplitFirst));
+    d.update_ranges(after(four(), kSplitFirst));
     CHECK(d.is_out({0, 40}));
     CHECK(d.is_out({40, 100}));
   }
@@ -64,7 +64,7 @@
 
 TEST_CASE("a node ahead that names successors: they are asked at once; ones that don't cover are not") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   auto part = d.out_for({0, 100});
   SUBCASE("covering") {
@@ -92,9 +92,9 @@
 
 TEST_CASE("not mine for a part whose range was split while it was out: its children are asked, not itself") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
-  d.remap(after(four(), kSplitFirst));
+  d.update_ranges(after(four(), kSplitFirst));
   d.deny(d.out_for({0, 100}), {{1, 6}, {}});
   CHECK_FALSE(d.is_out({0, 100}));
   CHECK(d.is_out({0, 40}));
@@ -103,18 +103,18 @@
 
 TEST_CASE("two holders that disagree on the revision, and one has it: it is answered") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   d.ask_spans(0, 20000, {{0, 100}});
   d.deny(d.out_for({0, 100}), {{1, 3}, {}});
   d.end(d.out_for({0, 100}), Outcome::ok);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].whole);
+  CHECK(d.verdicts[0].complete);
 }
 
 TEST_CASE("a sliver of a range is asked for like any part: without it nothing is whole") {
   Desk d;
   std::string why;
-  d.remap(*RangeMap::build(
+  d.update_ranges(*RangeMap::build(
       {1, 1}, {{0, {0, 1'000'000}, 1, held({"a", "b"})}, {1, {1'000'000, kKeyEnd}, 1e-9, held({"a", "b"})}},
       why));
   d.ask_spans(0, 5000, {{0, 1'000'010}});
@@ -123,20 +123,20 @@
   CHECK(d.verdicts.empty());
   d.end(d.out_for({1'000'000, 1'000'010}), Outcome::ok);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].whole);
+  CHECK(d.verdicts[0].complete);
 }
 
 TEST_CASE("a map that comes between a query's planning and the module's hearing of it, in either order") {
   Desk d;
-  d.remap(four());
+  d.update_ranges(four());
   bool map_first = false;
   SUBCASE("the query first") {}
   SUBCASE("the map first") { map_first = true; }
-  if (map_first) d.exchange.remap(after(four(), kSplitFirst));
-  d.exchange.submit({.id = "x", .give_up_at = d.now + 5000, .spans = {{0, 100}}},
-                    [&](Verdict v) { d.verdicts.push_back(v); });
-  if (!map_first) d.exchange.remap(after(four(), kSplitFirst));
-  d.exchange.run();
+  if (map_first) d.router.update_ranges(after(four(), kSplitFirst));
+  d.router.submit({.id = "x", .give_up_at = d.now + 5000, .spans = {{0, 100}}},
+                  [&](QueryResult v) { d.verdicts.push_back(v); });
+  if (!map_first) d.router.update_ranges(after(four(), kSplitFirst));
+  d.router.run();
   // Never a parent and its children beside each other, and never more than three attempts for an account.
   int at_zero = 0;
   for (int round = 0; round < 4 && d.verdicts.empty(); ++round) {
@@ -152,21 +152,21 @@
   }
   CHECK(at_zero <= 3);
   REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind != Verdict::Kind::answered);
-  CHECK(d.exchange.moves().dropped == 0);
+  CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
+  CHECK(d.router.moves().dropped == 0);
 }
 
 TEST_CASE("many reshuffles under many queries: one verdict each, every account once, nothing left behind") {
   Desk d;
   RangeMap map = four();
-  d.remap(map);
+  d.update_ranges(map);
   std::uint64_t dice = 42;
   auto below = [&](std::uint64_t n) {  // Knuth's MMIX constants
     dice = dice * 6364136223846793005ULL + 1442695040888963407ULL;
     return (dice >> 33) % n;
   };
   for (int round = 0; round < 600; ++round) {
-    if (d.exchange.open_queries() < 6) d.ask_spans(0, 4000, {{below(150), 151 + below(149)}});
+    if (d.router.open_queries() < 6) d.ask_spans(0, 4000, {{below(150), 151 + below(149)}});
     Place p = map.find(below(300));
     if (below(2) == 0 && p.span.size() > 4 && p.span.to <= 300)
       map = after(
@@ -175,7 +175,7 @@
               {p.id, p.span.from}, p.span.from + p.span.size() / 2, map.next_id(), map.next_id() + 1, 1, 1});
     else if (p.span.to < 300)
       map = after(map, Merge{{p.id, p.span.from}, {map.find(p.span.to).id, p.span.to}, map.next_id(), {}});
-    d.remap(map);
+    d.update_ranges(map);
     for (const auto& [n, order] : std::map(d.out)) {
       std::uint64_t what = below(8);
       if (what < 3) d.end(n, Outcome::ok, text_of(order.span));
@@ -186,18 +186,18 @@
   }
   d.pass(6000);
   CHECK(d.verdicts.size() == static_cast<std::size_t>(d.asked));
-  CHECK(d.exchange.open_queries() == 0);
-  CHECK(d.exchange.attempts_out() == 0);
-  std::size_t whole = 0;
-  for (const Verdict& v : d.verdicts) {
+  CHECK(d.router.open_queries() == 0);
+  CHECK(d.router.attempts_out() == 0);
+  std::size_t complete = 0;
+  for (const QueryResult& v : d.verdicts) {
     SpanSet seen;
     for (const auto& row : v.rows) {
       CHECK_FALSE(seen.overlaps(row.span));
       CHECK(row.values[0] == text_of(row.span));
       seen.add(row.span);
     }
-    whole += v.whole;
-    if (v.whole) CHECK(seen.spans().size() == 1);
+    complete += v.complete;
+    if (v.complete) CHECK(seen.spans().size() == 1);
   }
-  CHECK(whole > d.verdicts.size() / 4);
+  CHECK(complete > d.verdicts.size() / 4);
 }
--- a/tests/aggregator/ranges/spans_wire_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_wire_integration_test.cpp
@@ -3,12 +3,12 @@
 #include "aggregator/flight/flight_pool.hpp"
 #include "aggregator/flight/flight_server.hpp"
 #include "aggregator/flight/grpc.hpp"
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 #include "aggregator/ranges/change.hpp"
 #include "command.pb.h"
 #include "flight.pb.h"
 #include "tests/aggregator/ranges/spans_fixture.hpp"
-#include "tests/aggregator/support/desk.hpp"
+#include "tests/aggregator/support/router_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -20,18 +20,18 @@
 // Platform's fronts and carriers with spans on, and a directory whose word is the test's.
 struct SpanStage {
   explicit SpanStage(winchhall::Settings settings = patient())
-      : exchange(
+      : router(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
-        pool(loop, exchange, {1, 32, 250, 30000, 50, true}),
-        front(loop, exchange, loopback(0), {exchange.settings(), 16, true}, 100, [] { return true; }) {
+        pool(loop, router, {1, 32, 250, 30000, 50, true}),
+        front(loop, router, loopback(0), {router.settings(), 16, true}, 100, [] { return true; }) {
     spdlog::set_level(spdlog::level::off);
-    exchange.attach(pool, none);
+    router.attach(pool, none);
   }
   void until(const std::function<bool()>& done) {
-    net::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
+    event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
-      loop.turn(std::clamp(exchange.next_due() - loop.now(), 0.0, 20.0));
-      exchange.run();
+      loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+      router.run();
       REQUIRE(loop.now() < give_up);
     }
   }
@@ -44,28 +44,28 @@
     return "POST /lookup HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id +
            "\r\nX-Timeout: 60000m\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  net::Loop loop;
-  core::Exchange exchange;
+  event_loop::Loop loop;
+  coordination::RequestRouter router;
   NoDiscovery none;
-  platform::LeafPool pool;
-  platform::ClientFront front;
+  http::LeafPool pool;
+  http::HttpServer front;
 };
 
 // A leaf whose frames the test reads as they are.
 struct RawLeaf {
-  explicit RawLeaf(net::Loop& loop)
-      : listener(loop, loopback(0), [this, &loop](net::UniqueFd fd) {
+  explicit RawLeaf(event_loop::Loop& loop)
+      : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
           peers.push_back(std::make_shared<Peer>(loop));
           Peer* raw = peers.back().get();
           raw->heard = [this, raw](std::string& in) {
             bool bad = false;
-            while (auto frame = platform::take_frame(in, bad)) on_frame(*raw, *frame);
+            while (auto frame = http::take_frame(in, bad)) on_frame(*raw, *frame);
           };
           raw->adopt(std::move(fd));
         }) {}
-  net::Listener listener;
+  event_loop::Listener listener;
   std::vector<std::shared_ptr<Peer>> peers;
-  std::function<void(Peer&, const platform::Frame&)> on_frame;
+  std::function<void(Peer&, const http::Frame&)> on_frame;
 };
 
 }  // namespace
@@ -74,19 +74,19 @@
   SpanStage s;
   RawLeaf a(s.loop), b(s.loop);
   std::vector<std::string> asked;
-  auto serve = [&](Peer& from, const platform::Frame& f) {
-    if (f.letter != 'D') return;
+  auto serve = [&](Peer& from, const http::Frame& f) {
+    if (f.message != 'D') return;
     asked.push_back(f.rest);
     std::string part = f.rest.substr(0, f.rest.find(' '));
-    std::string words = platform::write_denial(
+    std::string words = http::write_denial(
         {{1, 6}, {{{0, 40}, 8, {}, held({"a"}), 0, {}}, {{40, 100}, 9, {}, held({"b"}), 0, {}}}});
-    bool whole = has(f.rest, "from=0,to=100,");
-    from.stream->write(platform::make_frame(
-        'O', part + (whole ? " 421 1 busy_reqs=1\n" + words : " 200 1 busy_reqs=1\nrows of " + part)));
+    bool complete = has(f.rest, "from=0,to=100,");
+    from.stream->write(http::make_frame(
+        'O', part + (complete ? " 421 1 busy_reqs=1\n" + words : " 200 1 busy_reqs=1\nrows of " + part)));
   };
   a.on_frame = b.on_frame = serve;
-  s.exchange.start({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
-  s.exchange.remap(four());
+  s.router.start({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
+  s.router.update_ranges(four());
   auto client = s.dial();
   client->stream->write(SpanStage::request(R"({"spans":[{"from":0,"to":100}],"expr":"c41e","hint":9000})"));
   s.until([&] { return has(client->text, "\r\n\r\n{\"exact\""); });
@@ -100,7 +100,7 @@
 
 TEST_CASE("errors say in their body what was wrong, and spans are wrong where no directory is followed") {
   SpanStage s;
-  s.exchange.remap(four());
+  s.router.update_ranges(four());
   auto client = s.dial();
   auto wrong = [&](const std::string& request, const std::string& status, const std::string& words) {
     client->text.clear();
@@ -133,15 +133,15 @@
   Stage s(patient());
   RawLeaf leaf(s.loop);
   std::string frames;
-  leaf.on_frame = [&](Peer& from, const platform::Frame& f) {
+  leaf.on_frame = [&](Peer& from, const http::Frame& f) {
     // The time to wait differs from run to run; it is the only thing that does.
     std::string rest = f.rest;
     if (std::size_t d = rest.find("d="); d != std::string::npos)
       rest.replace(d, rest.find(' ', d) - d, "d=N");
-    frames += f.letter + rest + "\n--\n";
-    if (f.letter != 'D') return;
+    frames += f.message + rest + "\n--\n";
+    if (f.message != 'D') return;
     std::string part = f.rest.substr(0, f.rest.find(' '));
-    from.stream->write(platform::make_frame('O', part + " 200 1840277719 inflight=7,util=0.61\n5be2a07c"));
+    from.stream->write(http::make_frame('O', part + " 200 1840277719 inflight=7,util=0.61\n5be2a07c"));
   };
   s.begin({member("a", leaf.listener.port(), 0)});
   auto client = s.dial();
@@ -152,9 +152,9 @@
   CHECK(s.ask(*client, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") ==
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   // An end that only parts of spans can have is no answer here.
-  leaf.on_frame = [&](Peer& from, const platform::Frame& f) {
-    if (f.letter != 'D') return;
-    from.stream->write(platform::make_frame('O', f.rest.substr(0, f.rest.find(' ')) + " 421 1 -\n{}"));
+  leaf.on_frame = [&](Peer& from, const http::Frame& f) {
+    if (f.message != 'D') return;
+    from.stream->write(http::make_frame('O', f.rest.substr(0, f.rest.find(' ')) + " 421 1 -\n{}"));
   };
   client->stream->write(Stage::query("9b20", kTwoParts));
   s.until([&] { return leaf.peers.front()->over; });
@@ -162,8 +162,8 @@
 
 TEST_CASE("spans over Flight, to nodes over Flight: schema, interval, not mine, rows") {
   struct Node : flight::Http2::Handler {
-    explicit Node(net::Loop& loop)
-        : listener(loop, loopback(0), [this, &loop](net::UniqueFd fd) {
+    explicit Node(event_loop::Loop& loop)
+        : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
             http2 = std::make_unique<flight::Http2>(loop, *this, true);
             http2->adopt(std::move(fd));
           }) {}
@@ -203,14 +203,14 @@
     }
     void closed(std::int32_t, std::uint32_t) override {}
     void down() override {}
-    net::Listener listener;
+    event_loop::Listener listener;
     std::unique_ptr<flight::Http2> http2;
     std::map<std::int32_t, std::string> in;
     std::vector<PartCommand> asked;
     bool bent = false;
   };
   struct Client : flight::Http2::Handler {
-    explicit Client(net::Loop& loop) : http2(loop, *this, false) {}
+    explicit Client(event_loop::Loop& loop) : http2(loop, *this, false) {}
     void head(std::int32_t, const flight::Headers& h) override {
       headers.insert(headers.end(), h.begin(), h.end());
     }
@@ -223,18 +223,18 @@
     std::string in;
     bool done = false;
   };
-  net::Loop loop;
+  event_loop::Loop loop;
   spdlog::set_level(spdlog::level::off);
-  core::Exchange exchange(
+  coordination::RequestRouter router(
       patient(), 7, [&] { return loop.now(); }, [](const std::string&) {});
-  flight::FlightPool pool(loop, exchange, {});
+  flight::FlightPool pool(loop, router, {});
   NoDiscovery none;
-  exchange.attach(pool, none);
-  flight::FlightServer front(loop, exchange, loopback(0), 16, 9, 20, true);
+  router.attach(pool, none);
+  flight::FlightServer front(loop, router, loopback(0), 16, 9, 20, true);
   Node node(loop);
-  exchange.start({member("a", node.listener.port(), 0)});
+  router.start({member("a", node.listener.port(), 0)});
   std::string why;
-  exchange.remap(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"a"})}}, why));
+  router.update_ranges(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"a"})}}, why));
   Client client(loop);
   REQUIRE(client.http2.connect(loopback(front.port())));
   QueryCommand command;
@@ -255,10 +255,10 @@
   client.http2.pump();
   SUBCASE("rows of the interval that was asked for") {}
   SUBCASE("rows of another interval are no answer") { node.bent = true; }
-  net::Millis give_up = loop.now() + 60000;
+  event_loop::Millis give_up = loop.now() + 60000;
   while (!client.done) {
-    loop.turn(std::clamp(exchange.next_due() - loop.now(), 0.0, 20.0));
-    exchange.run();
+    loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+    router.run();
     REQUIRE(loop.now() < give_up);
   }
   REQUIRE(node.asked.size() >= 3);
--- a/tests/aggregator/support/late_door.hpp
+++ b/tests/aggregator/support/admin_server_fixture.hpp
@@ -3,7 +3,7 @@
 
 #include <sys/socket.h>
 
-#include "tests/aggregator/support/stage.hpp"
+#include "tests/aggregator/support/program_fixture.hpp"
 
 namespace winchhall::testing {
 
@@ -26,14 +26,14 @@
       ::connect(plugs_.back().get(), reinterpret_cast<const sockaddr*>(&at_), sizeof at_);
     }
   }
-  net::UniqueFd accept() {
-    return net::UniqueFd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  event_loop::UniqueFd accept() {
+    return event_loop::UniqueFd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   }
 
  private:
-  net::UniqueFd fd_;
+  event_loop::UniqueFd fd_;
   sockaddr_in at_{};
-  std::vector<net::UniqueFd> plugs_;
+  std::vector<event_loop::UniqueFd> plugs_;
 };
 
 }  // namespace winchhall::testing
--- a/tests/aggregator/support/program.hpp
+++ b/tests/aggregator/support/program.hpp
@@ -10,7 +10,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "tests/aggregator/support/stage.hpp"
+#include "tests/aggregator/support/program_fixture.hpp"
 
 namespace winchhall::testing {
 
@@ -40,7 +40,7 @@
 
 class Program {
  public:
-  Program(net::Loop& loop, const std::string& config, const std::string& flight = "", rlim_t files = 0,
+  Program(event_loop::Loop& loop, const std::string& config, const std::string& flight = "", rlim_t files = 0,
           const std::string& discovery = "", const std::string& folder = "")
       : loop_(loop), config_(temporary(config)), flight_(flight.empty() ? "" : temporary(flight)) {
     int ends[2];
@@ -63,7 +63,7 @@
       _exit(127);
     }
     close(ends[1]);
-    log_ = net::UniqueFd(ends[0]);
+    log_ = event_loop::UniqueFd(ends[0]);
     fcntl(log_.get(), F_SETFL, O_NONBLOCK);
     loop_.add(log_.get(), POLLIN, [this](short) {
       char buffer[4096];
@@ -82,7 +82,7 @@
     if (!flight_.empty()) unlink(flight_.c_str());
   }
   void until(const std::function<bool()>& done) {
-    net::Millis give_up = loop_.now() + 60000;  // only ends a test that hangs
+    event_loop::Millis give_up = loop_.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop_.turn(20);
       INFO(log);
@@ -125,9 +125,9 @@
   std::string log;
 
  private:
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
   std::string config_, flight_;
-  net::UniqueFd log_;
+  event_loop::UniqueFd log_;
 };
 
 inline const char kReady[] = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
--- a/tests/aggregator/support/stage.hpp
+++ b/tests/aggregator/support/program_fixture.hpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "aggregator/coordination/exchange.hpp"
-#include "aggregator/event_loop/loop.hpp"
+#include "aggregator/coordination/request_router.hpp"
+#include "aggregator/event_loop/event_loop.hpp"
 #include "aggregator/event_loop/stream.hpp"
-#include "aggregator/http/client_front.hpp"
 #include "aggregator/http/frames.hpp"
+#include "aggregator/http/http_server.hpp"
 #include "aggregator/http/leaf_pool.hpp"
 #include "aggregator/membership/discovery.hpp"
 
@@ -23,13 +23,13 @@
 
 inline winchhall::Settings two_classes() {
   winchhall::Settings s;
-  s.classes.push_back({.name = "lookup", .aim = 2000, .deadline = 8000, .late_worth = 0.3});
+  s.classes.push_back({.name = "lookup", .latency_target = 2000, .deadline = 8000, .late_value = 0.3});
   s.classes.push_back({.name = "report",
-                       .aim = 300,
+                       .latency_target = 300,
                        .deadline = 8000,
-                       .late_worth = 0.3,
+                       .late_value = 0.3,
                        .floor = 0.5,
-                       .partial_worth = 0.9});
+                       .partial_value = 0.9});
   s.tenants.push_back({.name = "acme"});
   s.cells = 2;
   s.reach = 2;
@@ -37,7 +37,7 @@
   s.max_attempts = 3;
   s.may_cancel = true;
   s.max_open = 125;
-  s.retry_after_heard = true;
+  s.honors_retry_after = true;
   s.max_retry_after = 2000;
   s.reports = true;
   s.report_fields = {winchhall::ReportField::in_flight};
@@ -48,17 +48,19 @@
 inline winchhall::Settings patient() {
   winchhall::Settings s = two_classes();
   for (auto& c : s.classes) {
-    c.aim = 30000;
+    c.latency_target = 30000;
     c.deadline = 60000;
   }
   return s;
 }
 
-inline sockaddr_in loopback(int port) { return *net::parse_address("127.0.0.1:" + std::to_string(port)); }
+inline sockaddr_in loopback(int port) {
+  return *event_loop::parse_address("127.0.0.1:" + std::to_string(port));
+}
 
-inline core::Member member(const std::string& id, int port, int cell,
-                           winchhall::ServerState state = winchhall::ServerState::ready) {
-  core::Member m;
+inline coordination::Member member(const std::string& id, int port, int cell,
+                                   winchhall::ServerState state = winchhall::ServerState::ready) {
+  coordination::Member m;
   m.entry.server = id;
   m.entry.cell = cell;
   m.entry.state = state;
@@ -67,13 +69,13 @@
 }
 
 // One side of a connection whose bytes a script reads and writes.
-class Peer : public net::Stream::Owner {
+class Peer : public event_loop::Stream::Owner {
  public:
-  explicit Peer(net::Loop& loop) : loop_(loop) {}
-  void adopt(net::UniqueFd fd) { stream = net::Stream::adopt(loop_, std::move(fd), *this); }
+  explicit Peer(event_loop::Loop& loop) : loop_(loop) {}
+  void adopt(event_loop::UniqueFd fd) { stream = event_loop::Stream::adopt(loop_, std::move(fd), *this); }
   void dial(int port) {
     int error = 0;
-    stream = net::Stream::connect(loop_, loopback(port), *this, error);
+    stream = event_loop::Stream::connect(loop_, loopback(port), *this, error);
     REQUIRE(stream);
   }
   void received(std::string& in) override {
@@ -82,13 +84,13 @@
   }
   void ended() override { over = true; }
 
-  std::shared_ptr<net::Stream> stream;
+  std::shared_ptr<event_loop::Stream> stream;
   std::function<void(std::string&)> heard;
   std::string text;
   bool over = false;
 
  private:
-  net::Loop& loop_;
+  event_loop::Loop& loop_;
 };
 
 // A leaf on frames. By default each part is answered with `v` and its shard.
@@ -100,10 +102,10 @@
     int shard;
   };
 
-  explicit ScriptedLeaf(net::Loop& loop)
-      : listener(loop, loopback(0), [this, &loop](net::UniqueFd fd) { take(loop, std::move(fd)); }) {}
+  explicit ScriptedLeaf(event_loop::Loop& loop)
+      : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) { take(loop, std::move(fd)); }) {}
 
-  void take(net::Loop& loop, net::UniqueFd fd) {
+  void take(event_loop::Loop& loop, event_loop::UniqueFd fd) {
     auto peer = std::make_shared<Peer>(loop);
     Peer* raw = peer.get();
     peer->heard = [this, raw](std::string& in) { read(raw, in); };
@@ -114,10 +116,10 @@
   static void answer(const Part& p, int end = 200, const std::string& report = "inflight=1") {
     std::string value = end == 200 ? "v" + std::to_string(p.shard) : "";
     p.from->stream->write(
-        platform::make_frame('O', p.id + " " + std::to_string(end) + " 7 " + report + "\n" + value));
+        http::make_frame('O', p.id + " " + std::to_string(end) + " 7 " + report + "\n" + value));
   }
 
-  net::Listener listener;
+  event_loop::Listener listener;
   std::vector<std::shared_ptr<Peer>> peers;
   std::function<void(const Part&)> on_part = [](const Part& p) { answer(p); };
   std::vector<Part> parts;
@@ -127,9 +129,9 @@
  private:
   void read(Peer* from, std::string& in) {
     bool bad = false;
-    while (auto frame = platform::take_frame(in, bad)) {
-      if (frame->letter == 'K') given_up.push_back(frame->rest);
-      if (frame->letter != 'D') continue;
+    while (auto frame = http::take_frame(in, bad)) {
+      if (frame->message == 'K') given_up.push_back(frame->rest);
+      if (frame->message != 'D') continue;
       ++frames;
       for (std::string rest = frame->rest; !rest.empty();) {
         std::size_t line = rest.find('\n');
@@ -151,8 +153,8 @@
 // Discovery that opens each watch and tells what the script has it tell.
 class ScriptedDiscovery {
  public:
-  explicit ScriptedDiscovery(net::Loop& loop)
-      : listener(loop, loopback(0), [this, &loop](net::UniqueFd fd) {
+  explicit ScriptedDiscovery(event_loop::Loop& loop)
+      : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
           auto peer = std::make_shared<Peer>(loop);
           Peer* raw = peer.get();
           peer->heard = [this, raw](std::string& in) {
@@ -179,12 +181,12 @@
            "\",\"cell\":0,\"phase\":\"" + phase + "\"}";
   }
 
-  net::Listener listener;
+  event_loop::Listener listener;
   std::vector<std::shared_ptr<Peer>> peers;
   std::vector<std::string> calls;
 };
 
-class NoDiscovery : public core::MembershipSource {
+class NoDiscovery : public coordination::MembershipSource {
  public:
   void watch(bool) override {}
   void fetch() override {}
@@ -193,23 +195,23 @@
 class Stage {
  public:
   explicit Stage(winchhall::Settings settings = two_classes(),
-                 platform::LeafLimits limits = {1, 32, 250, 30000, 50})
-      : exchange(
+                 http::LeafLimits limits = {1, 32, 250, 30000, 50})
+      : router(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
-        pool(loop, exchange, limits),
-        front(loop, exchange, loopback(0), {exchange.settings(), 16}, 100, [] { return true; }) {
+        pool(loop, router, limits),
+        front(loop, router, loopback(0), {router.settings(), 16}, 100, [] { return true; }) {
     spdlog::set_level(spdlog::level::off);
-    exchange.attach(pool, none);
+    router.attach(pool, none);
   }
 
-  void begin(const std::vector<core::Member>& members) { exchange.start(members); }
+  void begin(const std::vector<coordination::Member>& members) { router.start(members); }
 
   // The limit only ends a test that hangs; nothing passes or fails by how long it took.
   void until(const std::function<bool()>& done, const char* what = "") {
-    net::Millis give_up = loop.now() + 60000;
+    event_loop::Millis give_up = loop.now() + 60000;
     while (!done()) {
-      loop.turn(std::clamp(exchange.next_due() - loop.now(), 0.0, 20.0));
-      exchange.run();
+      loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+      router.run();
       INFO(what);
       REQUIRE(loop.now() < give_up);
     }
@@ -247,11 +249,11 @@
            "m\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
 
-  net::Loop loop;
-  core::Exchange exchange;
+  event_loop::Loop loop;
+  coordination::RequestRouter router;
   NoDiscovery none;
-  platform::LeafPool pool;
-  platform::ClientFront front;
+  http::LeafPool pool;
+  http::HttpServer front;
 };
 
 inline const char kTwoParts[] = R"({"id":3,"w":0.5,"hint":9000},{"id":4,"w":0.5})";
--- /dev/null
+++ b/tests/aggregator/support/router_fixture.hpp
@@ -0,0 +1,105 @@
+// A desk for stories about the exchange alone.
+#pragma once
+
+#include <map>
+
+#include "tests/aggregator/support/program_fixture.hpp"
+
+namespace winchhall::testing {
+
+// A carrier for stories in which nothing is sent.
+struct Nobody : coordination::Transport {
+  void launch(const coordination::AttemptRequest&) override {}
+  void flush() override {}
+  void abandon(coordination::AttemptNumber) override {}
+  bool recall(coordination::AttemptNumber) override { return false; }
+  void probe(const std::string&, const std::string&) override {}
+  void close_idle(const std::string&) override {}
+  void retire(const std::string&) override {}
+};
+
+// The exchange by itself, on a clock that the test sets; the test is carrier, roster and directory of ranges.
+struct Desk : coordination::Transport, coordination::MembershipSource, coordination::RangeSource {
+  explicit Desk(winchhall::Settings settings = two_classes())
+      : router(
+            std::move(settings), 3, [this] { return now; }, [](const std::string&) {}) {
+    router.attach(*this, *this, this);
+    router.start({member("a", 1, 0), member("b", 2, 1)});
+  }
+  void launch(const coordination::AttemptRequest& o) override { out[o.attempt] = o; }
+  void flush() override {}
+  void abandon(coordination::AttemptNumber n) override {
+    out.erase(n);
+    ++abandoned;
+  }
+  bool recall(coordination::AttemptNumber) override { return false; }  // all that is launched here is written
+  void probe(const std::string&, const std::string&) override {}
+  void close_idle(const std::string&) override {}
+  void retire(const std::string&) override {}
+  void watch(bool) override {}
+  void fetch() override {}
+  void refresh() override { ++refreshed; }
+
+  void ask(int query_class, coordination::Millis lasts, int parts = 4) {
+    coordination::QuerySpec q{
+        .id = "q" + std::to_string(asked++), .query_class = query_class, .give_up_at = now + lasts};
+    for (int i = 0; i < parts; ++i) q.parts.push_back({i, 1.0 / parts, 10.0});
+    last = router.submit(q, [this](coordination::QueryResult v) {
+      verdicts.push_back(v);
+      decided_at = now;
+    });
+    router.run();
+  }
+  void ask_spans(int query_class, coordination::Millis lasts, std::vector<ranges::Span> spans) {
+    last = router.submit({.id = "q" + std::to_string(asked++),
+                          .query_class = query_class,
+                          .give_up_at = now + lasts,
+                          .spans = std::move(spans)},
+                         [this](coordination::QueryResult v) {
+                           verdicts.push_back(v);
+                           decided_at = now;
+                         });
+    router.run();
+  }
+  void update_ranges(const ranges::RangeMap& map) {
+    router.update_ranges(map);
+    router.run();
+  }
+  // The attempt that is out for this span.
+  coordination::AttemptNumber out_for(const ranges::Span& span) {
+    for (const auto& [n, order] : out)
+      if (order.span == span) return n;
+    FAIL("nothing is out for ", ranges::text_of(span));
+    return 0;
+  }
+  bool is_out(const ranges::Span& span) const {
+    return std::any_of(out.begin(), out.end(), [&](const auto& o) { return o.second.span == span; });
+  }
+  void deny(coordination::AttemptNumber n, ranges::NotMine words) {
+    out.erase(n);
+    coordination::Result r{.outcome = coordination::Outcome::not_mine};
+    r.denial = std::make_shared<const ranges::NotMine>(std::move(words));
+    router.attempt_ended(n, r);
+    router.run();
+  }
+  void end(coordination::AttemptNumber n, coordination::Outcome outcome, const std::string& value = "v") {
+    out.erase(n);
+    coordination::Result r{.outcome = outcome};
+    if (outcome == coordination::Outcome::ok) r.values = {value};
+    router.attempt_ended(n, r);
+    router.run();
+  }
+  void pass(coordination::Millis time) {
+    for (coordination::Millis until = now + time; now < until; now += 5) router.run();
+  }
+
+  coordination::Millis now = 1000;
+  coordination::RequestRouter router;
+  std::map<coordination::AttemptNumber, coordination::AttemptRequest> out;
+  std::vector<coordination::QueryResult> verdicts;
+  coordination::QueryNumber last = 0;
+  coordination::Millis decided_at = 0;
+  int asked = 0, abandoned = 0, refreshed = 0;
+};
+
+}  // namespace winchhall::testing
--- a/tests/fuzz/set_fuzz.cpp
+++ b/tests/fuzz/set_fuzz.cpp
@@ -4,13 +4,13 @@
 #include <cstdlib>
 
 #include "aggregator/app/operator_file.hpp"
-#include "aggregator/dynamic_config/generation.hpp"
+#include "aggregator/dynamic_config/config_generation.hpp"
 
-extern "C" void winchhall_read_set(const winchhall::generations::Bytes&, winchhall::generations::Rows&,
-                                   std::vector<winchhall::generations::Fault>&);
+extern "C" void winchhall_read_set(const winchhall::dynamic_config::Bytes&, winchhall::dynamic_config::Rows&,
+                                   std::vector<winchhall::dynamic_config::Fault>&);
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace winchhall::generations;
+  using namespace winchhall::dynamic_config;
   if (size == 0 || size > 64 * 1024) return 0;
   Bytes bytes;
   bytes[Kind::nodes] =
--- a/tests/fuzz/store_fuzz.cpp
+++ b/tests/fuzz/store_fuzz.cpp
@@ -10,7 +10,7 @@
 #include "aggregator/dynamic_config/digest.hpp"
 #include "aggregator/dynamic_config/store.hpp"
 
-extern "C" void winchhall_open_store(const std::string&, bool, winchhall::store::Opened&);
+extern "C" void winchhall_open_store(const std::string&, bool, winchhall::dynamic_config::OpenedStore&);
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace winchhall;
@@ -21,16 +21,16 @@
   fs::create_directories(folder);
   std::string path = folder / "store.db";
   std::ofstream(path, std::ios::binary).write(reinterpret_cast<const char*>(data), static_cast<long>(size));
-  store::Opened opened;
+  dynamic_config::OpenedStore opened;
   winchhall_open_store(path, false, opened);
   if (opened.store) {
     if (auto kept = opened.store->newest_taken())
-      if (generations::digest_of(kept->bytes) != kept->digest) std::abort();
+      if (dynamic_config::digest_of(kept->bytes) != kept->digest) std::abort();
     opened.store->history(10);
     opened.store->open_orders();
-    store::Kept k;
-    k.bytes[generations::Kind::nodes] = "x";
-    k.digest = generations::digest_of(k.bytes);
+    dynamic_config::StoredSet k;
+    k.bytes[dynamic_config::Kind::nodes] = "x";
+    k.digest = dynamic_config::digest_of(k.bytes);
     k.verdict = "taken";
     opened.store->put(k);
   }
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -2,14 +2,14 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "aggregator/http/range_words.hpp"
+#include "aggregator/http/range_protocol.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace winchhall;
   std::string text(reinterpret_cast<const char*>(data), size);
   std::string fault;
-  platform::read_denial(text);
-  auto update = platform::read_update(text, fault);
+  http::read_denial(text);
+  auto update = http::read_update(text, fault);
   if (!update) {
     if (fault.empty()) std::abort();
     return 0;
