--- a/src/cluster/membership/contact_list.hpp
+++ b/src/cluster/membership/contact_list.hpp
@@ -1,6 +1,5 @@
-// Whom to turn to outside the view: the seeds, and the last peers that left the view because they did not
-// answer. A process that was cut off for long loses its whole view; the peers it knew before may well be
-// alive, also where all seeds are gone.
+// Peers to contact outside the partial view: the seeds, and the last peers that left the view because they
+// did not answer.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +12,23 @@
 
 namespace winchhall::cluster {
 
+// A process that was partitioned for long loses its whole view. The peers that it knew before may still be
+// alive, also where all seeds are gone; therefore they are remembered here.
+//
+// A plain value without I/O, owned by one PeerSampler.
 class ContactList {
  public:
   // `self` is never chosen. At most `capacity` former peers are kept.
   ContactList(Address self, std::size_t capacity) : self_(std::move(self)), capacity_(capacity) {}
 
-  // Internal listeners of the seeds. Earlier seeds are former peers from now on.
+  // Addresses of the internal listeners of the seeds. Earlier seeds become former peers.
   void set_seeds(std::vector<Address> seeds);
-  // A peer of the view that did not answer; the oldest former peer gives way.
+  // Adds a peer of the view that did not answer. Above the capacity, the oldest former peer is dropped. Seeds
+  // are not added.
   void add_former(const Address& peer);
-  // A former peer that is back, or gone for good.
+  // Removes a former peer that answered again, or that is considered dead.
   void remove_former(const Address& peer);
-  // A contact that is not in the view, at random; empty: there is none.
+  // A uniformly random seed or former peer that is not in the view; empty: there is none.
   Address choose(const PartialView& view, const RandomSource& random) const;
 
  private:
--- a/src/cluster/membership/partial_view.cpp
+++ b/src/cluster/membership/partial_view.cpp
@@ -44,7 +44,7 @@
   for (const PeerDescriptor& peer : received) {
     if (refresh_if_known(peer)) continue;
     while (peers_.size() >= capacity_ && next_sent != sent.end()) {
-      std::erase_if(peers_, [&](const PeerDescriptor& held) { return held.address == next_sent->address; });
+      std::erase_if(peers_, [&](const PeerDescriptor& entry) { return entry.address == next_sent->address; });
       ++next_sent;
     }
     if (peers_.size() < capacity_) peers_.push_back(peer);
@@ -61,9 +61,9 @@
 
 bool PartialView::refresh_if_known(const PeerDescriptor& peer) {
   if (peer.address.empty() || peer.address == self_) return true;
-  for (PeerDescriptor& held : peers_) {
-    if (held.address != peer.address) continue;
-    if (is_younger(peer, held)) held = peer;
+  for (PeerDescriptor& entry : peers_) {
+    if (entry.address != peer.address) continue;
+    if (is_younger(peer, entry)) entry = peer;
     return true;
   }
   return false;
--- a/src/cluster/membership/partial_view.hpp
+++ b/src/cluster/membership/partial_view.hpp
@@ -1,13 +1,4 @@
-// The part of a peer sampling protocol that decides, without any I/O: a small view of the peers, whose
-// entries are shuffled with those of others.
-//
-// After Voulgaris, Gavidia and van Steen, "CYCLON: Inexpensive Membership Management for Unstructured P2P
-// Overlays" (2005): a round makes all entries older by one, takes the oldest one out of the view and sends
-// its peer a fresh descriptor of this process and some entries chosen at random; both sides put what they
-// receive into free places first, then in the place of what they sent. Dead peers are never refreshed, so
-// that they become the oldest, are asked, and go. Two additions for groups smaller than the view: a younger
-// descriptor of a known peer replaces the older one, and the peer that answered goes back where there is a
-// free place.
+// The partial view of a peer sampling protocol.
 #pragma once
 
 #include <cstddef>
@@ -20,24 +11,39 @@
 
 namespace winchhall::cluster {
 
-// Uniformly distributed numbers.
+// Uniformly distributed 64-bit numbers.
 using RandomSource = std::function<std::uint64_t()>;
 
+// A small set of peers whose entries are shuffled with those of other processes, so that the views together
+// form a connected random overlay.
+//
+// After Voulgaris, Gavidia and van Steen, "CYCLON: Inexpensive Membership Management for Unstructured P2P
+// Overlays" (2005). A round increments the age of all entries, removes the oldest one from the view and sends
+// its peer a fresh descriptor of this process and some entries chosen at random. Both sides put what they
+// receive into free slots first, then into those of the entries that they sent. Dead peers are never
+// refreshed: they become the oldest entries, are contacted, don't answer, and are gone.
+//
+// Two additions for groups smaller than the view: a younger descriptor of a known peer replaces the older
+// one, and a peer that answered is inserted again where there is a free slot.
+//
+// Invariants: at most `capacity` entries, at most one for each address, none for this process. A plain value
+// without I/O, owned by one PeerSampler.
 class PartialView {
  public:
   // `self` never enters the view.
   PartialView(Address self, std::size_t capacity);
 
+  // Called once a round.
   void increment_ages();
-  // Takes the oldest peer out; none: the view is empty.
+  // Removes the entry with the highest age and returns it; none: the view is empty.
   std::optional<PeerDescriptor> take_oldest();
-  // At most `count` entries chosen at random, each at most once, without that of `receiver`.
+  // Copies of at most `count` entries, chosen at random without repetition; never that of `receiver`.
   std::vector<PeerDescriptor> choose(std::size_t count, const Address& receiver,
                                      const RandomSource& random) const;
-  // Takes in what a peer sent. `sent` went the other way: these entries give way where there is no free
-  // place.
+  // Merges what a peer sent. Entries that were sent to that peer (`sent`) are replaced, in their order, where
+  // there is no free slot; received entries that find no slot are dropped.
   void merge(const std::vector<PeerDescriptor>& received, const std::vector<PeerDescriptor>& sent);
-  // Adds a peer, or makes its entry younger, unless there is no place.
+  // Inserts a peer unless the view is full; a younger descriptor of a known peer replaces the older one.
   void insert_if_space(const PeerDescriptor& peer);
 
   const std::vector<PeerDescriptor>& peers() const { return peers_; }
@@ -46,7 +52,8 @@
 
  private:
   const PeerDescriptor* find(const Address& address) const;
-  // True: the peer is this process, or known already; the younger descriptor is kept.
+  // True if there is nothing to insert: the peer is this process, takes no requests, or has an entry already,
+  // of which the younger descriptor is kept.
   bool refresh_if_known(const PeerDescriptor& peer);
 
   Address self_;
--- a/src/cluster/membership/peer_descriptor.cpp
+++ b/src/cluster/membership/peer_descriptor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kLongestText = 128;
+constexpr std::size_t kMaxTextBytes = 128;
 constexpr unsigned kHighestPort = 65535;
 
 struct RoleName {
@@ -43,7 +43,7 @@
 
 bool is_address(const Address& address) {
   const std::size_t colon = address.rfind(':');
-  if (colon == std::string::npos || address.size() > kLongestText) return false;
+  if (colon == std::string::npos || address.size() > kMaxTextBytes) return false;
   boost::system::error_code error;
   boost::asio::ip::make_address_v4(address.substr(0, colon), error);
   return !error && is_port(std::string_view(address).substr(colon + 1));
@@ -61,9 +61,9 @@
 }
 
 std::optional<PeerDescriptor> from_wire(const wire::PeerDescriptor& descriptor) {
-  const bool fit = is_address(descriptor.address()) && descriptor.zone().size() <= kLongestText &&
-                   descriptor.age() <= kMaxDescriptorAge;
-  if (!fit) return std::nullopt;
+  const bool valid = is_address(descriptor.address()) && descriptor.zone().size() <= kMaxTextBytes &&
+                     descriptor.age() <= kMaxDescriptorAge;
+  if (!valid) return std::nullopt;
   return PeerDescriptor{descriptor.address(), role_of(descriptor.role()), descriptor.zone(),
                         descriptor.age()};
 }
--- a/src/cluster/membership/peer_descriptor.hpp
+++ b/src/cluster/membership/peer_descriptor.hpp
@@ -1,4 +1,4 @@
-// What processes tell each other of a peer when they shuffle their partial views.
+// Descriptors of peers, as processes exchange them in shuffles.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,12 @@
 
 namespace winchhall::cluster {
 
-// Kinds of process that take part. `other`: a kind that this version does not know.
+// Role of a process in the cluster. `other`: one that this version does not know.
 enum class PeerRole { control, agent, worker_agent, other };
 
+// One peer, as it described itself some rounds ago.
 struct PeerDescriptor {
-  Address address;  // internal listener; empty: the process takes no requests
+  Address address;  // of its internal listener; empty: the process takes no requests
   PeerRole role = PeerRole::other;
   std::string zone;
   std::uint32_t age = 0;  // rounds since the peer itself sent this descriptor
@@ -22,15 +23,16 @@
   bool operator==(const PeerDescriptor&) const = default;
 };
 
-// Descriptors older than this are not taken from others: their peer is likely to be gone.
+// Older descriptors are not accepted from others: their peers are likely to be dead. In rounds.
 inline constexpr std::uint32_t kMaxDescriptorAge = 40;
-// No more descriptors than this are read from one message.
+// Descriptors read from one message; further ones are ignored.
 inline constexpr int kMaxDescriptorsRead = 16;
 
 wire::PeerDescriptor to_wire(const PeerDescriptor& descriptor);
-// None: the address is no "ip:port", a text is too long, or the descriptor is too old.
+// None if the descriptor isn't valid: the address is no IPv4 "ip:port", a text is too long, or the age is
+// above kMaxDescriptorAge.
 std::optional<PeerDescriptor> from_wire(const wire::PeerDescriptor& descriptor);
-// The sender and the descriptors of a message that are fit for use, the sender first.
+// The valid descriptors of a message, first that of the sender with age 0.
 std::vector<PeerDescriptor> descriptors_of(const wire::PeerShuffle& shuffle);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/membership/peer_sampler.cpp
+++ b/src/cluster/membership/peer_sampler.cpp
@@ -11,13 +11,14 @@
 constexpr std::size_t kShuffledEntries = 3;  // sent along with the sender's own descriptor
 constexpr std::size_t kFormerPeerCapacity = 16;
 constexpr std::size_t kSampledControlNodeCapacity = 8;
-// Rounds are frequent while the view forms or a peer has failed, and rare otherwise, or while all peers fail:
-// bytes and processor time count.
+// Rounds are frequent while the view forms and after a single failure, and rare once the view is settled or
+// while all peers fail, to save bandwidth and processor time.
 constexpr Millis kUnsettledInterval{1500};
 constexpr Millis kSettledInterval{5000};
-constexpr unsigned kMostDoublings = 3;
+constexpr unsigned kMaxBackoffDoublings = 3;
 constexpr unsigned kFormingRounds = 8;
-// Every so many rounds a contact outside the view is asked: it joins overlays that a partition has separated.
+// Every so many rounds the partner is a contact outside the view, which merges overlays that a partition has
+// separated.
 constexpr unsigned kContactRounds = 8;
 constexpr Millis kShuffleTimeout{1000};
 
@@ -40,13 +41,14 @@
 void PeerSampler::stop() { timer_.reset(); }
 
 Millis PeerSampler::interval() const {
-  if (failures_ > 0) return kUnsettledInterval * (1u << std::min(failures_ - 1, kMostDoublings));
+  if (failures_ > 0) return kUnsettledInterval * (1u << std::min(failures_ - 1, kMaxBackoffDoublings));
   const bool settled = rounds_ >= kFormingRounds && !view_.empty();
   return settled ? kSettledInterval : kUnsettledInterval;
 }
 
 void PeerSampler::schedule_round() {
-  // Between three and five quarters of the interval, so that processes started together don't stay in step.
+  // Jitter: three to five quarters of the interval, so that processes started together don't stay
+  // synchronized.
   const Millis least = interval() * 3 / 4;
   const auto spread = static_cast<std::uint64_t>(interval().count() / 2);
   const Millis jitter(static_cast<std::int64_t>(random_() % (spread + 1)));
@@ -73,7 +75,7 @@
 
 void PeerSampler::shuffle(Exchange exchange) {
   exchange.sent = view_.choose(kShuffledEntries, exchange.partner, random_);
-  runtime_.call(exchange.partner, message(exchange.sent, false), kShuffleTimeout,
+  runtime_.call(exchange.partner, make_message(exchange.sent, false), kShuffleTimeout,
                 [this, alive = alive_, exchange](const CallResult& result) {
                   if (*alive) on_answer(exchange, result);
                 });
@@ -92,18 +94,19 @@
   sampled_control_nodes_.increment_ages();
   sampled_control_nodes_.merge(received);
   notify_control_nodes();
-  const bool introduced = !received.empty() && received.front().address == exchange.partner;
-  if (!introduced) return view_.merge(received, exchange.sent);
+  const bool partner_described = !received.empty() && received.front().address == exchange.partner;
+  if (!partner_described) return view_.merge(received, exchange.sent);
   const PeerDescriptor partner = received.front();
   received.erase(received.begin());
   view_.merge(received, exchange.sent);
   view_.insert_if_space(partner);
 }
 
-// While others answer, a former peer that does not is gone; otherwise this process may be the one cut off.
+// While others answer, a contact that doesn't is considered dead; otherwise this process itself may be
+// partitioned, and the contact is kept.
 void PeerSampler::on_failure(const Exchange& exchange) {
   ++failures_;
-  if (!exchange.contact) return contacts_.add_former(exchange.partner);
+  if (!exchange.from_contacts) return contacts_.add_former(exchange.partner);
   if (!view_.empty()) contacts_.remove_former(exchange.partner);
 }
 
@@ -112,7 +115,7 @@
   const std::vector<PeerDescriptor> received = descriptors_of(request.peer_shuffle());
   const std::vector<PeerDescriptor> sent =
       view_.choose(kShuffledEntries, request.peer_shuffle().from().address(), random_);
-  reply(message(sent, true));
+  reply(make_message(sent, true));
   view_.merge(received, sent);
   sampled_control_nodes_.merge(received);
   notify_control_nodes();
@@ -126,7 +129,7 @@
   if (on_control_nodes_) on_control_nodes_(notified_control_nodes_);
 }
 
-wire::Envelope PeerSampler::message(const std::vector<PeerDescriptor>& sent, bool answer) const {
+wire::Envelope PeerSampler::make_message(const std::vector<PeerDescriptor>& sent, bool answer) const {
   wire::Envelope envelope;
   wire::PeerShuffle& shuffle = *envelope.mutable_peer_shuffle();
   *shuffle.mutable_from() = to_wire(self_);
--- a/src/cluster/membership/sampled_control_nodes.cpp
+++ b/src/cluster/membership/sampled_control_nodes.cpp
@@ -10,10 +10,10 @@
 }
 
 void SampledControlNodes::merge(const std::vector<PeerDescriptor>& received) {
-  for (const PeerDescriptor& peer : received) note(peer);
+  for (const PeerDescriptor& peer : received) merge_one(peer);
 }
 
-void SampledControlNodes::note(const PeerDescriptor& peer) {
+void SampledControlNodes::merge_one(const PeerDescriptor& peer) {
   const auto same = [&](const PeerDescriptor& node) { return node.address == peer.address; };
   const auto known = std::find_if(nodes_.begin(), nodes_.end(), same);
   if (known == nodes_.end()) return add(peer);
--- a/src/cluster/membership/sampled_control_nodes.hpp
+++ b/src/cluster/membership/sampled_control_nodes.hpp
@@ -1,5 +1,4 @@
-// Control nodes that shuffles brought up: a bounded list of candidates to ask. Nothing that must be right
-// rests on it. An entry that no shuffle makes younger goes after a number of rounds.
+// Control nodes found by peer sampling.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +9,27 @@
 
 namespace winchhall::cluster {
 
+// A bounded list of control nodes whose descriptors came with shuffles, youngest descriptors preferred. An
+// entry that no shuffle refreshes is dropped after kMaxDescriptorAge answered rounds.
+//
+// The list holds candidates for contact only: entries may be dead or may not be control nodes any more, and
+// no decision of consensus depends on it. A plain value without I/O, owned by one PeerSampler.
 class SampledControlNodes {
  public:
-  // `self` is never listed.
+  // `self` is never listed. Above `capacity`, the entry with the oldest descriptor is dropped.
   SampledControlNodes(Address self, std::size_t capacity) : self_(std::move(self)), capacity_(capacity) {}
 
-  // Makes all entries older by a round and drops those that are too old.
+  // Increments the age of all entries and drops those above kMaxDescriptorAge. Called once for each shuffle
+  // that was answered, so that a partitioned process keeps its candidates.
   void increment_ages();
-  // Takes in the control nodes among the descriptors; a younger descriptor with another role removes an
-  // entry.
+  // Adds or refreshes the control nodes among the descriptors. A descriptor of the same age or younger that
+  // has another role removes an entry.
   void merge(const std::vector<PeerDescriptor>& received);
-  // By address.
+  // Internal listeners of the entries, sorted.
   std::vector<Address> addresses() const;
 
  private:
-  void note(const PeerDescriptor& peer);
+  void merge_one(const PeerDescriptor& peer);
   void add(const PeerDescriptor& peer);
 
   Address self_;
