--- a/src/cluster/metrics/collectors.hpp
+++ b/src/cluster/metrics/collectors.hpp
@@ -1,4 +1,5 @@
-// Metrics of the parts of a process, gathered when they are asked for.
+// Collectors of the metrics of a process. They read the present values at each scrape, on the event loop, and
+// append families to `families`. Names and labels are an interface: dashboards and alerts use them.
 #pragma once
 
 #include "cluster/control/node_inspection.hpp"
@@ -7,13 +8,14 @@
 
 namespace winchhall::cluster {
 
-// Processor time and memory of this process.
+// Processor time (seconds) and peak resident memory (bytes) of this process. Nothing if the system doesn't
+// tell.
 void collect_process(MetricFamilies& families);
-// Answers and connections of one HTTP server.
+// Responses by status, open connections and open requests of one HTTP server.
 void collect_http(const HttpServer& server, MetricFamilies& families);
-// An agent's link to the control group.
+// An agent's contact with the control group, and the newest configuration version that it knows.
 void collect_agent(bool has_quorum_contact, std::uint64_t configuration_version, MetricFamilies& families);
-// The control group, and the services that this node leads.
+// A control node: contact with the group, configuration version, members, and figures of every service.
 void collect_control(const ControlStatus& status, MetricFamilies& families);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/metrics/control_collector.cpp
+++ b/src/cluster/metrics/control_collector.cpp
@@ -5,78 +5,65 @@
 
 namespace {
 
-using ServiceValue = double (*)(const ServiceStatus&);
+using prometheus::MetricType;
 
 // A family with one sample for each service.
-void collect_services(FamilyBuilder family, const std::vector<ServiceStatus>& services, ServiceValue number,
-                      MetricFamilies& families) {
-  for (const ServiceStatus& service : services) family.add(number(service), {{"service", service.service}});
-  families.push_back(family.build());
-}
+struct ServiceMetric {
+  MetricType type;
+  const char* name;
+  const char* help;
+  std::uint64_t (*value)(const ServiceStatus&);
+};
 
-void collect_group_contact(bool has_quorum_contact, std::uint64_t configuration_version,
-                           MetricFamilies& families) {
-  FamilyBuilder touch = gauge_family("winchhall_in_touch", "1 while a majority of the members answers.");
-  touch.add(has_quorum_contact ? 1 : 0);
-  families.push_back(touch.build());
-  FamilyBuilder version = gauge_family("winchhall_configuration_version", "Newest configuration known.");
-  version.add(static_cast<double>(configuration_version));
-  families.push_back(version.build());
-}
+constexpr ServiceMetric kServiceMetrics[] = {
+    {MetricType::Counter, "winchhall_jobs_accepted_total", "Jobs accepted under the lease held.",
+     [](const ServiceStatus& service) { return service.stats.counters.jobs_accepted; }},
+    {MetricType::Counter, "winchhall_tasks_started_total", "Starts ordered under the lease held.",
+     [](const ServiceStatus& service) { return service.stats.counters.tasks_started; }},
+    {MetricType::Counter, "winchhall_worker_reports_total", "Reports of worker-agents under the lease held.",
+     [](const ServiceStatus& service) { return service.stats.counters.reports; }},
+    {MetricType::Counter, "winchhall_leases_acquired_total", "Times that this node took the lease.",
+     [](const ServiceStatus& service) { return service.leases_acquired; }},
+    {MetricType::Counter, "winchhall_leases_lost_total", "Times that this node lost or released the lease.",
+     [](const ServiceStatus& service) { return service.leases_lost; }},
+    {MetricType::Gauge, "winchhall_lease_held", "1 while this node leads the service.",
+     [](const ServiceStatus& service) { return std::uint64_t{service.leads ? 1u : 0u}; }},
+    {MetricType::Gauge, "winchhall_jobs", "Jobs queued or running.",
+     [](const ServiceStatus& service) { return service.stats.live_jobs; }},
+    {MetricType::Gauge, "winchhall_tasks_waiting", "Tasks that wait for room.",
+     [](const ServiceStatus& service) { return service.stats.waiting_tasks; }},
+    {MetricType::Gauge, "winchhall_tasks_running", "Runs that may exist on a leaf.",
+     [](const ServiceStatus& service) { return service.stats.runs; }},
+    {MetricType::Gauge, "winchhall_leaves", "Leaves known.",
+     [](const ServiceStatus& service) { return service.stats.leaves; }},
+    {MetricType::Gauge, "winchhall_job_answers_waiting", "Job calls whose changes are not durable yet.",
+     [](const ServiceStatus& service) { return service.pending_job_replies; }},
+};
 
-void collect_members(const ControlStatus& status, MetricFamilies& families) {
-  FamilyBuilder members = gauge_family("winchhall_members", "Members of the control group.");
-  members.add(status.members.members_size());
-  families.push_back(members.build());
+void collect_service_metric(const ServiceMetric& metric, const std::vector<ServiceStatus>& services,
+                            MetricFamilies& families) {
+  FamilyBuilder family(metric.name, metric.help, metric.type);
+  for (const ServiceStatus& service : services) {
+    family.add(static_cast<double>(metric.value(service)), {{"service", service.service}});
+  }
+  families.push_back(family.build());
 }
 
-void collect_counters(const std::vector<ServiceStatus>& services, MetricFamilies& families) {
-  collect_services(
-      counter_family("winchhall_jobs_accepted_total", "Jobs accepted under the lease held."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.stats.counters.jobs_accepted); },
-      families);
-  collect_services(
-      counter_family("winchhall_tasks_started_total", "Starts ordered under the lease held."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.stats.counters.tasks_started); },
-      families);
-  collect_services(
-      counter_family("winchhall_worker_reports_total", "Reports of worker-agents under the lease held."),
-      services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.stats.counters.reports); },
-      families);
-  collect_services(
-      counter_family("winchhall_leases_acquired_total", "Times that this node took the lease."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.leases_acquired); }, families);
-  collect_services(
-      counter_family("winchhall_leases_lost_total", "Times that this node lost or released the lease."),
-      services, [](const ServiceStatus& service) { return static_cast<double>(service.leases_lost); },
-      families);
+void collect_gauge(const char* name, const char* help, double value, MetricFamilies& families) {
+  FamilyBuilder family = gauge_family(name, help);
+  family.add(value);
+  families.push_back(family.build());
 }
 
-void collect_gauges(const std::vector<ServiceStatus>& services, MetricFamilies& families) {
-  collect_services(
-      gauge_family("winchhall_lease_held", "1 while this node leads the service."), services,
-      [](const ServiceStatus& service) { return service.leads ? 1.0 : 0.0; }, families);
-  collect_services(
-      gauge_family("winchhall_jobs", "Jobs queued or running."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.stats.live_jobs); }, families);
-  collect_services(
-      gauge_family("winchhall_tasks_waiting", "Tasks that wait for room."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.stats.waiting_tasks); },
-      families);
-  collect_services(
-      gauge_family("winchhall_tasks_running", "Runs that may exist on a leaf."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.stats.runs); }, families);
-  collect_services(
-      gauge_family("winchhall_leaves", "Leaves known."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.stats.leaves); }, families);
-  collect_services(
-      gauge_family("winchhall_job_answers_waiting", "Job calls whose changes are not durable yet."), services,
-      [](const ServiceStatus& service) { return static_cast<double>(service.pending_job_replies); },
-      families);
+void collect_group_contact(bool has_quorum_contact, std::uint64_t configuration_version,
+                           MetricFamilies& families) {
+  collect_gauge("winchhall_in_touch", "1 while a majority of the members answers.",
+                has_quorum_contact ? 1 : 0, families);
+  collect_gauge("winchhall_configuration_version", "Newest configuration known.",
+                static_cast<double>(configuration_version), families);
 }
 
-void collect_ends(const std::vector<ServiceStatus>& services, MetricFamilies& families) {
+void collect_run_ends(const std::vector<ServiceStatus>& services, MetricFamilies& families) {
   FamilyBuilder ends = counter_family("winchhall_task_ends_total", "Ends of runs by kind.");
   for (const ServiceStatus& service : services) {
     for (std::size_t kind = 0; kind < kEndKinds; ++kind) {
@@ -104,10 +91,12 @@
 
 void collect_control(const ControlStatus& status, MetricFamilies& families) {
   collect_group_contact(status.has_quorum_contact, status.configuration_version, families);
-  collect_members(status, families);
-  collect_counters(status.services, families);
-  collect_gauges(status.services, families);
-  collect_ends(status.services, families);
+  collect_gauge("winchhall_members", "Members of the control group.", status.members.members_size(),
+                families);
+  for (const ServiceMetric& metric : kServiceMetrics) {
+    collect_service_metric(metric, status.services, families);
+  }
+  collect_run_ends(status.services, families);
   collect_write_times(status.services, families);
 }
 
--- a/src/cluster/metrics/metric_families.cpp
+++ b/src/cluster/metrics/metric_families.cpp
@@ -9,9 +9,9 @@
 
 constexpr double kMillisPerSecond = 1000;
 
-double upper_bound_s(std::size_t range) {
-  if (range == kDurationBucketBoundsMs.size()) return std::numeric_limits<double>::infinity();
-  return static_cast<double>(kDurationBucketBoundsMs[range]) / kMillisPerSecond;
+double upper_bound_s(std::size_t bucket) {
+  if (bucket == kDurationBucketBoundsMs.size()) return std::numeric_limits<double>::infinity();
+  return static_cast<double>(kDurationBucketBoundsMs[bucket]) / kMillisPerSecond;
 }
 
 }  // namespace
@@ -38,9 +38,9 @@
   metric.histogram.sample_count = durations.count();
   metric.histogram.sample_sum = durations.sum_ms() / kMillisPerSecond;
   std::uint64_t cumulative = 0;
-  for (std::size_t range = 0; range <= kDurationBucketBoundsMs.size(); ++range) {
-    cumulative += durations.bucket_count(range);
-    metric.histogram.bucket.push_back({cumulative, upper_bound_s(range)});
+  for (std::size_t bucket = 0; bucket <= kDurationBucketBoundsMs.size(); ++bucket) {
+    cumulative += durations.bucket_count(bucket);
+    metric.histogram.bucket.push_back({cumulative, upper_bound_s(bucket)});
   }
 }
 
--- a/src/cluster/metrics/metric_families.hpp
+++ b/src/cluster/metrics/metric_families.hpp
@@ -1,4 +1,4 @@
-// Puts together metric families of the Prometheus library from plain numbers.
+// Builds metric families of the Prometheus library from plain numbers, without a registry of counter objects.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -13,15 +13,17 @@
 using MetricFamilies = std::vector<prometheus::MetricFamily>;
 using MetricLabels = std::vector<prometheus::ClientMetric::Label>;
 
-// One family: samples of one name, told apart by their labels.
+// Builds one family: samples of one name that differ by their labels.
 class FamilyBuilder {
  public:
-  // Names follow the Prometheus rules: base units, counters end in `_total`.
+  // Names follow the Prometheus conventions: base units, counters end in `_total`.
   FamilyBuilder(std::string name, std::string help, prometheus::MetricType type);
 
+  // Adds a sample of a counter or gauge.
   void add(double value, MetricLabels labels = {});
-  // Durations, in seconds.
+  // Adds a sample of a histogram, in seconds.
   void add(const DurationHistogram& durations, MetricLabels labels = {});
+  // Returns the family. Called last, once.
   prometheus::MetricFamily build() { return std::move(family_); }
 
  private:
