--- a/src/cluster/control/control_inspection.cpp
+++ b/src/cluster/control/control_inspection.cpp
@@ -1,12 +1,13 @@
 #include "cluster/control/control_inspection.hpp"
 
 #include "cluster/consensus/member_record.hpp"
+#include "cluster/control/service_shard.hpp"
 
 namespace winchhall::cluster {
 
 namespace {
 
-CancelOutcome outcome_of(const wire::Envelope& answer) {
+CancelOutcome cancel_outcome_of(const wire::Envelope& answer) {
   switch (answer.job_reply().outcome()) {
     case wire::JOB_OK:
       return CancelOutcome::canceled;
@@ -46,18 +47,18 @@
   return {LeadershipKind::unknown, {}};
 }
 
-std::vector<ServiceLeader*> ControlInspection::led(const std::string& service) const {
-  std::vector<ServiceLeader*> led;
+std::vector<ServiceLeader*> ControlInspection::active_leaders(const std::string& service) const {
+  std::vector<ServiceLeader*> leaders;
   for (const auto& [name, leader] : services_) {
     if (!leader->leads()) continue;
-    if (service.empty() || service == name) led.push_back(leader.get());
+    if (service.empty() || service == name) leaders.push_back(leader.get());
   }
-  return led;
+  return leaders;
 }
 
 std::vector<ServiceJobs> ControlInspection::jobs(const std::string& service, std::size_t limit) const {
   std::vector<ServiceJobs> jobs;
-  for (const ServiceLeader* leader : led(service)) {
+  for (const ServiceLeader* leader : active_leaders(service)) {
     jobs.push_back({leader->service(), leader->scheduler()->jobs(limit)});
   }
   return jobs;
@@ -71,13 +72,15 @@
 
 std::vector<ServiceLeaves> ControlInspection::leaves(const std::string& service) const {
   std::vector<ServiceLeaves> leaves;
-  for (const ServiceLeader* leader : led(service)) leaves.push_back({leader->service(), leader->leaves()});
+  for (const ServiceLeader* leader : active_leaders(service)) {
+    leaves.push_back({leader->service(), leader->leaves()});
+  }
   return leaves;
 }
 
 ServiceLeader* ControlInspection::find_leader_of_job(const std::string& service,
                                                      const std::string& id) const {
-  for (ServiceLeader* leader : led(service)) {
+  for (ServiceLeader* leader : active_leaders(service)) {
     if (leader->scheduler()->state(id) != wire::JOB_UNKNOWN) return leader;
   }
   return nullptr;
@@ -92,7 +95,7 @@
   request.set_service(leader->service());
   request.set_id(id);
   leader->handle(request,
-                 [done = std::move(done)](const wire::Envelope& answer) { done(outcome_of(answer)); });
+                 [done = std::move(done)](const wire::Envelope& answer) { done(cancel_outcome_of(answer)); });
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/control_inspection.hpp
+++ b/src/cluster/control/control_inspection.hpp
@@ -1,4 +1,4 @@
-// Answers operators' questions from the state of a control node.
+// The operators' view of a running control node.
 #pragma once
 
 #include <map>
@@ -11,8 +11,11 @@
 
 namespace winchhall::cluster {
 
+// By service name.
 using ServiceLeaders = std::map<std::string, std::unique_ptr<ServiceLeader>>;
 
+// Implements NodeInspection by reading the parts of a control node. Owns no state; only `cancel` changes
+// anything, by way of the service's leader, as if an agent had sent the request.
 class ControlInspection : public NodeInspection {
  public:
   // All references outlive the inspection.
@@ -30,8 +33,8 @@
               std::function<void(CancelOutcome)> done) override;
 
  private:
-  // Services led here; `service` empty: all of them.
-  std::vector<ServiceLeader*> led(const std::string& service) const;
+  // The leaders among `services_` that hold their lease; `service` empty: of all services.
+  std::vector<ServiceLeader*> active_leaders(const std::string& service) const;
   ServiceLeader* find_leader_of_job(const std::string& service, const std::string& id) const;
 
   const NodeSettings& settings_;
--- a/src/cluster/control/control_node.cpp
+++ b/src/cluster/control/control_node.cpp
@@ -1,15 +1,18 @@
 #include "cluster/control/control_node.hpp"
 
 #include "cluster/common/log.hpp"
+#include "cluster/control/service_replies.hpp"
+#include "cluster/control/service_shard.hpp"
 
 namespace winchhall::cluster {
 
 namespace {
 
-constexpr Millis kLeaseReleaseDelay{150};  // for the last answers and the release of the leases to leave
+// After the group was left, for the last replies and the release of leases to be sent.
+constexpr Millis kLeaseReleaseDelay{150};
 constexpr Millis kSummaryInterval{5000};
-// After a start, services that were led here or elsewhere find a leader before the configuration is read:
-// reading thousands of routes keeps a small machine busy for as long as an election takes.
+// After a start with stored services, leaders are elected before the configuration is read: parsing thousands
+// of routes keeps a small machine busy for as long as an election takes.
 constexpr Millis kConfigurationReadDelay{400};
 
 }  // namespace
@@ -70,11 +73,11 @@
 
 bool ControlNode::handle(const wire::Envelope& request, const ReplyCallback& reply) {
   if (request.has_job_request()) {
-    handle_job(request.job_request(), reply);
+    handle_job_request(request.job_request(), reply);
     return true;
   }
   if (request.has_worker_report()) {
-    handle_report(request.worker_report(), reply);
+    handle_worker_report(request.worker_report(), reply);
     return true;
   }
   return configuration_.handle(request, reply) || group_.handle(request, reply);
@@ -85,18 +88,14 @@
   return found == services_.end() ? nullptr : found->second.get();
 }
 
-void ControlNode::handle_job(const wire::JobRequest& request, const ReplyCallback& reply) {
+void ControlNode::handle_job_request(const wire::JobRequest& request, const ReplyCallback& reply) {
   if (ServiceLeader* service = find_service(request.service())) return service->handle(request, reply);
-  wire::Envelope answer;
-  answer.mutable_job_reply()->set_outcome(wire::JOB_NOT_LEADER);
-  reply(std::move(answer));
+  reply(job_not_leader_reply(Address()));
 }
 
-void ControlNode::handle_report(const wire::WorkerReport& report, const ReplyCallback& reply) {
+void ControlNode::handle_worker_report(const wire::WorkerReport& report, const ReplyCallback& reply) {
   if (ServiceLeader* service = find_service(report.leaf().service())) return service->handle(report, reply);
-  wire::Envelope answer;
-  answer.mutable_worker_orders();
-  reply(std::move(answer));
+  reply(report_not_leader_reply(Address()));
 }
 
 void ControlNode::shut_down(std::function<void()> done) {
--- a/src/cluster/control/control_node.hpp
+++ b/src/cluster/control/control_node.hpp
@@ -1,5 +1,4 @@
-// The control process: member of the control group, operator's API, leader of services while it holds their
-// leases.
+// The control process: a member of the control group that serves the operator API and leads services.
 #pragma once
 
 #include <memory>
@@ -13,28 +12,40 @@
 
 namespace winchhall::cluster {
 
-// What the configuration service needs of the group on its node.
+// What the configuration service needs of the control group on its node. `group` outlives what is returned.
 ConfigurationDependencies configuration_dependencies_of(ControlGroup& group);
 
+// Puts the parts of a control process together and hands requests to them: the control group (consensus,
+// membership, leases), the configuration service, one leader for each service of the configuration, the
+// operator API.
+//
+// Owns all of these. Parts refer to one another by reference, so that the order of the members matters: the
+// group is destroyed last, as it holds the registers and shards. Single-threaded: all calls come from the
+// event loop.
+//
+// A service is never closed: one that is gone from the configuration keeps its leader until the process ends.
 class ControlNode {
  public:
-  // All references outlive the node.
+  // `runtime` and `store` outlive the node.
   ControlNode(Runtime& runtime, DurableStore& store, const NodeSettings& settings);
 
+  // Joins the group, opens the services whose shards are stored on this node, and begins to follow the
+  // configuration. Called once.
   void start();
-  // Internal listeners of the seeds, after a change of the settings.
+  // Addresses of the internal listeners of the seeds, after a change of the settings.
   void set_seeds(std::vector<Address> seeds) { group_.set_seeds(std::move(seeds)); }
-  // Control nodes that peer sampling brought up: a further source beside seeds and members.
+  // Control nodes found by peer sampling, a source of contacts besides seeds and members.
   void set_sampled_control(std::vector<Address> nodes) { group_.set_sampled_control(std::move(nodes)); }
-  // Requests of other processes.
+  // Handles a request of another process; false: of no kind that this process handles.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
-  // Calls of operators.
+  // Handles a request to the operator API.
   void handle_http(const HttpRequest& request, const HttpReplyCallback& reply) {
     api_.handle(request, reply);
   }
-  // What operators may see.
+  // The operators' view of this node; lives as long as the node.
   const NodeInspection& inspection() const { return inspection_; }
-  // Gives up all leases and answers whoever waits, then calls `done`.
+  // Graceful shutdown: gives up all leases, answers pending requests and leaves the group where it can do
+  // without this member. Calls `done` once, after at most a third of the grace period and kLeaseReleaseDelay.
   void shut_down(std::function<void()> done);
 
  private:
@@ -42,8 +53,8 @@
   void open_services(const Configuration& configuration);
   void watch_configuration();
   ServiceLeader* find_service(const std::string& service);
-  void handle_job(const wire::JobRequest& request, const ReplyCallback& reply);
-  void handle_report(const wire::WorkerReport& report, const ReplyCallback& reply);
+  void handle_job_request(const wire::JobRequest& request, const ReplyCallback& reply);
+  void handle_worker_report(const wire::WorkerReport& report, const ReplyCallback& reply);
   void schedule_summary();
 
   Runtime& runtime_;
--- /dev/null
+++ b/src/cluster/control/job_request_endpoint.cpp
@@ -0,0 +1,107 @@
+#include "cluster/control/job_request_endpoint.hpp"
+
+#include <utility>
+
+#include "cluster/common/log.hpp"
+#include "cluster/control/service_replies.hpp"
+
+namespace winchhall::cluster {
+namespace {
+
+constexpr std::uint32_t kRetryAfterMs = 1000;
+
+wire::JobReply query_reply(const Scheduler& scheduler, const wire::JobRequest& request) {
+  const wire::JobState state = scheduler.state(request.id());
+  wire::JobReply reply;
+  reply.set_outcome(state == wire::JOB_UNKNOWN ? wire::JOB_NOT_FOUND : wire::JOB_OK);
+  reply.set_state(state);
+  return reply;
+}
+
+wire::JobReply count_reply(const Scheduler& scheduler, const wire::JobRequest& request) {
+  wire::JobReply reply;
+  reply.set_outcome(wire::JOB_OK);
+  reply.set_pending(scheduler.pending(request.terms().queue()));
+  return reply;
+}
+
+wire::JobReply unknown_verb_reply() {
+  wire::JobReply reply;
+  reply.set_outcome(wire::JOB_INVALID);
+  reply.set_reason("unknown verb");
+  return reply;
+}
+
+}  // namespace
+
+bool JobRequestEndpoint::handle(Scheduler& scheduler, const wire::JobRequest& request,
+                                const ReplyCallback& reply) {
+  switch (request.verb()) {
+    case wire::JOB_SUBMIT:
+      submit(scheduler, request, reply);
+      return true;
+    case wire::JOB_CANCEL:
+      cancel(scheduler, request, reply);
+      return true;
+    case wire::JOB_QUERY:
+      reply(job_reply_envelope(query_reply(scheduler, request)));
+      return false;
+    case wire::JOB_COUNT:
+      reply(job_reply_envelope(count_reply(scheduler, request)));
+      return false;
+    default:
+      reply(job_reply_envelope(unknown_verb_reply()));
+      return false;
+  }
+}
+
+void JobRequestEndpoint::submit(Scheduler& scheduler, const wire::JobRequest& request,
+                                const ReplyCallback& reply) {
+  const SubmitResult result = scheduler.submit(request.id(), request.spec(), request.terms(), runtime_.now(),
+                                               runtime_.wall_clock_ms());
+  wire::JobReply message;
+  message.set_outcome(result.outcome);
+  message.set_reason(result.reason);
+  if (result.outcome == wire::JOB_REJECTED) message.set_retry_after_ms(kRetryAfterMs);
+  if (log_enabled(LogLevel::debug)) {
+    log_event(LogLevel::debug, "job_submitted",
+              {{"service", service_},
+               {"job", request.id()},
+               {"outcome", static_cast<std::int64_t>(result.outcome)}});
+  }
+  reply_when_durable(result.durable_after, std::move(message), reply);
+}
+
+void JobRequestEndpoint::cancel(Scheduler& scheduler, const wire::JobRequest& request,
+                                const ReplyCallback& reply) {
+  const CancelResult result = scheduler.cancel(request.id(), runtime_.now(), runtime_.wall_clock_ms());
+  wire::JobReply message;
+  message.set_outcome(result.found ? wire::JOB_OK : wire::JOB_NOT_FOUND);
+  reply_when_durable(result.durable_after, std::move(message), reply);
+}
+
+void JobRequestEndpoint::reply_when_durable(ChangeBatchNumber number, wire::JobReply message,
+                                            const ReplyCallback& reply) {
+  if (number == 0) {
+    reply(job_reply_envelope(std::move(message)));
+  } else {
+    pending_.push_back({number, std::move(message), reply});
+  }
+}
+
+void JobRequestEndpoint::release(ChangeBatchNumber durable) {
+  std::vector<PendingJobReply> released;
+  std::erase_if(pending_, [&](PendingJobReply& pending) {
+    if (pending.durable_after > durable) return false;
+    released.push_back(std::move(pending));
+    return true;
+  });
+  for (PendingJobReply& pending : released) pending.reply(job_reply_envelope(std::move(pending.message)));
+}
+
+void JobRequestEndpoint::fail_all(const Address& leader) {
+  const std::vector<PendingJobReply> failed = std::exchange(pending_, {});
+  for (const PendingJobReply& pending : failed) pending.reply(job_in_doubt_reply(leader));
+}
+
+}  // namespace winchhall::cluster
--- /dev/null
+++ b/src/cluster/control/job_request_endpoint.hpp
@@ -0,0 +1,53 @@
+// Answers agents' job requests from a service's scheduler, changes only once they are durable.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "cluster/common/runtime.hpp"
+#include "cluster/scheduler/scheduler.hpp"
+
+namespace winchhall::cluster {
+
+// The job requests of one service while this node leads it.
+//
+// Owns the replies that are held back until the changes of records that they report are durable. The
+// scheduler belongs to the caller, which passes it in only while it holds the lease. Single-threaded.
+//
+// Invariant: a reply of JOB_OK to a submission or cancellation leaves only after its changes are durable on a
+// majority. Where that can't be known any more, the reply is JOB_IN_DOUBT.
+class JobRequestEndpoint {
+ public:
+  // `runtime` outlives the endpoint.
+  JobRequestEndpoint(Runtime& runtime, std::string service)
+      : runtime_(runtime), service_(std::move(service)) {}
+
+  // Carries out a request and replies, now or once `release` is called for its changes. True: the scheduler
+  // may have changed, so that it must plan.
+  bool handle(Scheduler& scheduler, const wire::JobRequest& request, const ReplyCallback& reply);
+  // Sends the replies that wait for changes up to `durable`.
+  void release(ChangeBatchNumber durable);
+  // Sends JOB_IN_DOUBT in place of all replies that are held back. `leader`: address of the new leader;
+  // empty: not known. Called when the lease is lost.
+  void fail_all(const Address& leader);
+
+  std::size_t pending_replies() const { return pending_.size(); }
+
+ private:
+  struct PendingJobReply {
+    ChangeBatchNumber durable_after = 0;
+    wire::JobReply message;
+    ReplyCallback reply;
+  };
+
+  void submit(Scheduler& scheduler, const wire::JobRequest& request, const ReplyCallback& reply);
+  void cancel(Scheduler& scheduler, const wire::JobRequest& request, const ReplyCallback& reply);
+  void reply_when_durable(ChangeBatchNumber number, wire::JobReply message, const ReplyCallback& reply);
+
+  Runtime& runtime_;
+  const std::string service_;
+  std::vector<PendingJobReply> pending_;
+};
+
+}  // namespace winchhall::cluster
