--- /dev/null
+++ b/src/cluster/control/applied_changes.cpp
@@ -0,0 +1,43 @@
+#include "cluster/control/applied_changes.hpp"
+
+#include <algorithm>
+
+namespace winchhall::cluster {
+namespace {
+
+constexpr int kMaxAppliedChanges = 1024;
+// The first change is never dropped: an operator that builds on no version always gets a definite outcome.
+constexpr int kFirstDroppable = 1;
+
+void drop_oldest_changes(wire::ConfigurationRecord& record) {
+  const int excess = record.applied_size() - kMaxAppliedChanges;
+  if (excess <= 0) return;
+  record.set_forgotten_version(record.applied(kFirstDroppable + excess - 1).version());
+  record.mutable_applied()->DeleteSubrange(kFirstDroppable, excess);
+}
+
+}  // namespace
+
+bool was_applied(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
+  return std::any_of(record.applied().begin(), record.applied().end(),
+                     [&](const wire::AppliedChange& earlier) {
+                       return earlier.base() == change.base && earlier.version() == change.version &&
+                              earlier.digest() == change.digest;
+                     });
+}
+
+// An applied change built on a lower version than the one it made, and a dropped one made no version above
+// the newest dropped one. A change on base 0 can only be the first one, which is never dropped.
+bool may_have_been_forgotten(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
+  return change.base > 0 && change.base < change.version && change.version <= record.forgotten_version();
+}
+
+void append_applied_change(const ConfigurationChange& change, wire::ConfigurationRecord& record) {
+  wire::AppliedChange* const applied = record.add_applied();
+  applied->set_base(change.base);
+  applied->set_version(change.version);
+  applied->set_digest(change.digest);
+  drop_oldest_changes(record);
+}
+
+}  // namespace winchhall::cluster
--- a/src/cluster/control/configuration_change.cpp
+++ b/src/cluster/control/configuration_change.cpp
@@ -1,17 +1,17 @@
 #include "cluster/control/configuration_change.hpp"
 
-#include <algorithm>
 #include <boost/uuid/name_generator_sha1.hpp>
 #include <boost/uuid/uuid.hpp>
 #include <charconv>
 
+#include "cluster/control/applied_changes.hpp"
 #include "cluster/control/configuration_snapshots.hpp"
 
 namespace winchhall::cluster {
 namespace {
 
-constexpr int kMaxAppliedChanges = 1024;
-// Patches of a snapshot that are kept in the record: about a hundred changes of a route.
+// Patches kept in the record on top of its snapshot, about a hundred changes of a route. Beyond that, a new
+// snapshot is cheaper than carrying them in every write of the record.
 constexpr std::size_t kMaxPatchBytes = 32u << 10;
 constexpr const char* kPutSource = "Config.Put";
 constexpr const char* kPatchSource = "Config.Patch";
@@ -29,7 +29,8 @@
   return std::string(digest.begin(), digest.end());
 }
 
-leaf::result<std::uint64_t> read_base(ConfigurationChangeKind kind, const std::optional<std::string>& text) {
+leaf::result<std::uint64_t> parse_base_version(ConfigurationChangeKind kind,
+                                               const std::optional<std::string>& text) {
   if (!text) return 0;
   std::uint64_t base = 0;
   const char* const end = text->data() + text->size();
@@ -40,46 +41,22 @@
   return base;
 }
 
-bool was_applied(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
-  return std::any_of(record.applied().begin(), record.applied().end(),
-                     [&](const wire::AppliedChange& earlier) {
-                       return earlier.base() == change.base && earlier.version() == change.version &&
-                              earlier.digest() == change.digest;
-                     });
-}
-
-// True if this change may have been taken so long ago that it is listed no more. What was taken built on an
-// older version than the one it made, and made none above the newest of those that were forgotten. The first
-// change is never forgotten.
-bool may_have_been_forgotten(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
-  return change.base > 0 && change.base < change.version && change.version <= record.forgotten_version();
-}
-
-// The first change is kept: an operator that builds on no version is told for certain.
-void forget_oldest_changes(wire::ConfigurationRecord& record) {
-  constexpr int kFirstForgotten = 1;
-  const int surplus = record.applied_size() - kMaxAppliedChanges;
-  if (surplus <= 0) return;
-  record.set_forgotten_version(record.applied(kFirstForgotten + surplus - 1).version());
-  record.mutable_applied()->DeleteSubrange(kFirstForgotten, surplus);
-}
-
-void append_applied_change(const ConfigurationChange& change, wire::ConfigurationRecord& record) {
-  wire::AppliedChange* const applied = record.add_applied();
-  applied->set_base(change.base);
-  applied->set_version(change.version);
-  applied->set_digest(change.digest);
-  forget_oldest_changes(record);
-}
-
 leaf::result<void> check_version_rises(const ConfigurationChange& change, std::uint64_t current) {
   if (change.version > current) return {};
   return leaf::new_error(InvalidInput{source_of(change.kind), "version", std::to_string(change.version),
                                       "a version above " + std::to_string(current)});
 }
 
-// The text of the configuration that a change makes. A put was checked when it was read, a patch of `base`
-// before.
+// What a patch changes in `base`; nothing for a put, which was checked when it was parsed.
+leaf::result<ConfigurationEdit> check_patch(const ConfigurationChange& change,
+                                            const ConfigurationDocument* base) {
+  if (change.kind == ConfigurationChangeKind::put) return ConfigurationEdit();
+  const ConfigurationDocument empty;
+  return (base == nullptr ? empty : *base).check(change.patch, kPatchSource);
+}
+
+// Text of the complete configuration that a change makes. A patch of an existing configuration was checked
+// with it; a patch of none must make a valid configuration by itself.
 leaf::result<std::string> complete_text(const ConfigurationChange& change, const ConfigurationDocument* base,
                                         const ConfigurationEdit& edit) {
   if (change.kind == ConfigurationChangeKind::put) return change.body;
@@ -90,14 +67,7 @@
   return json;
 }
 
-void add_patch(const ConfigurationChange& change, wire::ConfigurationRecord& record) {
-  wire::ConfigurationPatchEntry& entry = *record.add_patches();
-  entry.set_version(change.version);
-  entry.set_body(change.body);
-}
-
-// Whether a change is added to the record as a patch of its snapshot, which is written anew once patches grow
-// long.
+// Whether a change can be appended to the record as a patch of its snapshot.
 bool fits_as_patch(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
   if (change.kind == ConfigurationChangeKind::put || !record.has_snapshot()) return false;
   std::size_t bytes = change.body.size();
@@ -105,38 +75,48 @@
   return bytes <= kMaxPatchBytes;
 }
 
-leaf::result<ChangeResult> changed(const ConfigurationChange& change,
-                                   const wire::ConfigurationRecord& current,
-                                   const ConfigurationDocument* base, bool snapshots) {
-  BOOST_LEAF_CHECK(check_version_rises(change, current.version()));
-  ConfigurationEdit edit;
-  if (change.kind == ConfigurationChangeKind::patch) {
-    const ConfigurationDocument nothing;
-    BOOST_LEAF_ASSIGN(edit, (base == nullptr ? nothing : *base).check(change.patch, kPatchSource));
+void append_patch(const ConfigurationChange& change, wire::ConfigurationRecord& record) {
+  wire::ConfigurationPatchEntry& entry = *record.add_patches();
+  entry.set_version(change.version);
+  entry.set_body(change.body);
+}
+
+// Puts a complete configuration into the record: as the id of a snapshot, or as text while a member may not
+// read snapshots. A record that names a snapshot shows that all members did once, and records never go back.
+void replace_content(std::uint64_t version, std::string json, bool snapshots_allowed, ChangeResult& result) {
+  wire::ConfigurationRecord& record = *result.record;
+  const bool had_snapshot = record.has_snapshot();
+  record.clear_patches();
+  record.clear_snapshot();
+  record.clear_json();
+  if (!snapshots_allowed && !had_snapshot) {
+    record.set_json(std::move(json));
+    return;
   }
+  *record.mutable_snapshot() = ConfigurationSnapshots::id_of(version, json);
+  result.snapshot = std::move(json);
+}
+
+leaf::result<ChangeResult> make_next_record(const ConfigurationChange& change,
+                                            const wire::ConfigurationRecord& current,
+                                            const ConfigurationDocument* base, bool snapshots_allowed) {
+  BOOST_LEAF_CHECK(check_version_rises(change, current.version()));
+  BOOST_LEAF_AUTO(edit, check_patch(change, base));
   ChangeResult result;
   result.outcome = {ConfigurationOutcomeKind::applied, change.version, {}};
   result.record = current;
   result.record->set_version(change.version);
   append_applied_change(change, *result.record);
   if (fits_as_patch(change, current)) {
-    add_patch(change, *result.record);
+    append_patch(change, *result.record);
     return result;
   }
   BOOST_LEAF_AUTO(json, complete_text(change, base, edit));
-  result.record->clear_patches();
-  result.record->clear_snapshot();
-  result.record->clear_json();
-  if (!snapshots && !current.has_snapshot()) {
-    result.record->set_json(std::move(json));
-    return result;
-  }
-  *result.record->mutable_snapshot() = ConfigurationSnapshots::id_of(change.version, json);
-  result.snapshot = std::move(json);
+  replace_content(change.version, std::move(json), snapshots_allowed, result);
   return result;
 }
 
-ChangeResult refused(const InvalidInput& error) {
+ChangeResult rejected(const InvalidInput& error) {
   return {ConfigurationOutcome{ConfigurationOutcomeKind::invalid, 0, error}, std::nullopt, std::nullopt};
 }
 
@@ -146,7 +126,7 @@
                                                const std::optional<std::string>& base, std::string body) {
   ConfigurationChange change;
   change.kind = kind;
-  BOOST_LEAF_ASSIGN(change.base, read_base(kind, base));
+  BOOST_LEAF_ASSIGN(change.base, parse_base_version(kind, base));
   if (kind == ConfigurationChangeKind::put) {
     BOOST_LEAF_AUTO(configuration, parse_configuration(body, kPutSource));
     change.version = configuration.version;
@@ -170,12 +150,12 @@
 }
 
 ChangeResult apply_change(const ConfigurationChange& change, const wire::ConfigurationRecord& current,
-                          const ConfigurationDocument* base, bool snapshots) {
+                          const ConfigurationDocument* base, bool snapshots_allowed) {
   return leaf::try_handle_all(
-      [&] { return changed(change, current, base, snapshots); },
-      [](const InvalidInput& error) { return refused(error); },
+      [&] { return make_next_record(change, current, base, snapshots_allowed); },
+      [](const InvalidInput& error) { return rejected(error); },
       [&] {
-        return refused(InvalidInput{source_of(change.kind), "body", "", "a readable change"});
+        return rejected(InvalidInput{source_of(change.kind), "body", "", "a readable change"});
       });
 }
 
--- a/src/cluster/control/configuration_change.hpp
+++ b/src/cluster/control/configuration_change.hpp
@@ -1,11 +1,11 @@
-// What a change of the configuration makes of the register "configuration". Pure: the same change applied to
-// the same value always ends the same way, so that it may be tried again on a newer value.
+// An operator's change of the configuration, and what it makes of the record in the register "configuration".
+// Everything here is pure: the same change applied to the same record always ends the same way, so that a
+// change may be retried on a newer record.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
-#include <string_view>
 
 #include "cluster/common/errors.hpp"
 #include "cluster/config/configuration_document.hpp"
@@ -13,15 +13,15 @@
 
 namespace winchhall::cluster {
 
-// A whole configuration, or a change of named items.
+// A complete configuration (Config.Put), or a change of named items (Config.Patch).
 enum class ConfigurationChangeKind { put, patch };
 
 // How a change ended.
 enum class ConfigurationOutcomeKind {
-  applied,      // in force, now or by an earlier try
-  conflict,     // another version is current
-  invalid,      // never in force
-  unavailable,  // no majority answered: it may or may not take effect
+  applied,      // in force and durable, by this attempt or by an earlier one
+  conflict,     // another version is current; the change was never in force
+  invalid,      // the change was never in force
+  unavailable,  // not known: no majority answered in time, or the change is too old to be remembered
 };
 
 struct ConfigurationOutcome {
@@ -30,7 +30,8 @@
   InvalidInput error;         // of an invalid change
 };
 
-// A change as it came from the operator, with everything checked that doesn't depend on what it builds on.
+// A change as it came from the operator. Everything that doesn't depend on the version it builds on was
+// checked.
 struct ConfigurationChange {
   ConfigurationChangeKind kind = ConfigurationChangeKind::put;
   std::uint64_t base = 0;     // version that it builds on
@@ -40,24 +41,28 @@
   ConfigurationPatch patch;   // of a patch
 };
 
-// Reads a change. `base`: text of the base version's header; none: 0. Errors: InvalidInput.
+// Parses a change. `base`: text of the header with the base version; none: 0. Errors: InvalidInput.
 leaf::result<ConfigurationChange> parse_change(ConfigurationChangeKind kind,
                                                const std::optional<std::string>& base, std::string body);
 
 // What a change makes of a record.
 struct ChangeResult {
-  ConfigurationOutcome outcome;
+  ConfigurationOutcome outcome;                     // `applied` holds only once `record` is chosen
   std::optional<wire::ConfigurationRecord> record;  // none: the record stays as it is
-  std::optional<std::string>
-      snapshot;  // text of the record's snapshot, to be chosen before the record; none: it is
+  // Text of the snapshot that `record` names, to be durable on a majority before `record` is proposed; none:
+  // it is.
+  std::optional<std::string> snapshot;
 };
 
-// What is certain of a change without the configuration that it builds on; none: it builds on `current`.
+// The outcome as far as `current` alone decides it: the change was applied before, or builds on another
+// version. None: the change builds on `current`, whose configuration is needed to go on.
 std::optional<ConfigurationOutcome> outcome_independent_of_base(const ConfigurationChange& change,
                                                                 const wire::ConfigurationRecord& current);
-// `base`: the configuration of `current`, on which the change builds; null where there was never one.
-// `snapshots`: all members read records with snapshots.
+
+// Applies a change that builds on `current`. `base`: the configuration of `current`; null where there was
+// never one. `snapshots_allowed`: every member reads records that name snapshots. A change that can't be
+// applied ends as `invalid`.
 ChangeResult apply_change(const ConfigurationChange& change, const wire::ConfigurationRecord& current,
-                          const ConfigurationDocument* base, bool snapshots);
+                          const ConfigurationDocument* base, bool snapshots_allowed);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/configuration_responses.hpp
+++ b/src/cluster/control/configuration_responses.hpp
@@ -1,4 +1,4 @@
-// The operator's API: outcomes of the configuration service as HTTP answers.
+// HTTP responses of the operator API for outcomes of the configuration service.
 #pragma once
 
 #include "cluster/control/configuration_service.hpp"
@@ -6,10 +6,11 @@
 
 namespace winchhall::cluster {
 
-// 200 {"version":n}, 412 {"version":n} with the current version, 400 {"error":{...}} or 503.
+// For a change. Applied: 200 {"version":n}; conflict: 412 {"version":n} with the current version; invalid:
+// 400 {"error":{...}}; unavailable: 503.
 HttpResponse change_response(const ConfigurationOutcome& outcome);
 
-// 200 with the whole configuration, 404 where there is none yet, or 503.
+// For a read. Found: 200 with the complete configuration; missing: 404; unavailable: 503.
 HttpResponse read_response(const ConfigurationRead& read);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/configuration_snapshots.cpp
+++ b/src/cluster/control/configuration_snapshots.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-constexpr std::string_view kPrefix = "configuration/snapshot/";
+constexpr std::string_view kKeyPrefix = "configuration/snapshot/";
 
 boost::uuids::uuid digest_of(const std::string& json) {
   return boost::uuids::name_generator_sha1(boost::uuids::ns::oid())(json);
 }
 
-// "configuration/snapshot/VERSION/DIGEST", the digest in hexadecimal digits.
+// "configuration/snapshot/VERSION/DIGEST", the digest as a UUID. Part of the stored data.
 std::string key_of(const wire::ConfigurationSnapshotId& id) {
   boost::uuids::uuid digest{};
   std::copy_n(id.digest().begin(), std::min(id.digest().size(), digest.size()), digest.begin());
-  return std::string(kPrefix) + std::to_string(id.version()) + "/" + boost::uuids::to_string(digest);
+  return std::string(kKeyPrefix) + std::to_string(id.version()) + "/" + boost::uuids::to_string(digest);
 }
 
-// Version in a key; none: it is no key of a snapshot.
+// The version in a key; none: not the key of a snapshot.
 std::optional<std::uint64_t> version_in(std::string_view key) {
-  if (!key.starts_with(kPrefix)) return std::nullopt;
-  key.remove_prefix(kPrefix.size());
+  if (!key.starts_with(kKeyPrefix)) return std::nullopt;
+  key.remove_prefix(kKeyPrefix.size());
   std::uint64_t version = 0;
   if (std::from_chars(key.data(), key.data() + key.size(), version).ec != std::errc()) return std::nullopt;
   return version;
@@ -48,19 +48,19 @@
 
 void ConfigurationSnapshots::write(const wire::ConfigurationSnapshotId& id, const std::string& json,
                                    Millis timeout, std::function<void(bool)> done) {
-  const RegisterChange fill = [json](const std::string& current) {
+  const RegisterChange set_content = [json](const std::string& current) {
     return current == json ? std::nullopt : std::optional<std::string>(json);
   };
   registers_.update(
-      key_of(id), fill, timeout,
+      key_of(id), set_content, timeout,
       [done = std::move(done)](const std::optional<RegisterValue>& chosen) { done(chosen.has_value()); });
 }
 
 void ConfigurationSnapshots::read(const wire::ConfigurationSnapshotId& id, Millis timeout,
                                   std::function<void(std::optional<std::string>)> done) {
   const std::string key = key_of(id);
-  std::optional<std::string> copy = local_.chosen(key);
-  if (copy && is_content_of(id, *copy)) return done(std::move(copy));
+  std::optional<std::string> replica = local_.chosen(key);
+  if (replica && is_content_of(id, *replica)) return done(std::move(replica));
   const RegisterChange keep = [](const std::string&) { return std::nullopt; };
   registers_.update(key, keep, timeout,
                     [id, done = std::move(done)](const std::optional<RegisterValue>& chosen) {
--- a/src/cluster/control/configuration_state.cpp
+++ b/src/cluster/control/configuration_state.cpp
@@ -28,7 +28,7 @@
   return record.version() == version_ && last_change_of(record) == last_change_;
 }
 
-RecordOutcome ConfigurationState::take(const wire::ConfigurationRecord& record) {
+RecordOutcome ConfigurationState::apply(const wire::ConfigurationRecord& record) {
   if (record.version() <= version_) return RecordOutcome::not_newer;
   if (!record.has_snapshot()) return load_complete(record, record.json());
   if (!extends_current_state(record)) return RecordOutcome::snapshot_needed;
@@ -37,16 +37,16 @@
         for (const wire::ConfigurationPatchEntry& patch : record.patches()) {
           if (patch.version() > version_) BOOST_LEAF_CHECK(apply_patch(patch));
         }
-        note_taken(record);
-        return RecordOutcome::taken;
+        record_applied(record);
+        return RecordOutcome::applied;
       },
       [&] {
-        discard_document();
+        require_snapshot();
         return RecordOutcome::snapshot_needed;
       });
 }
 
-RecordOutcome ConfigurationState::take(const wire::ConfigurationRecord& record, const std::string& json) {
+RecordOutcome ConfigurationState::apply(const wire::ConfigurationRecord& record, const std::string& json) {
   if (record.version() <= version_) return RecordOutcome::not_newer;
   return load_complete(record, json);
 }
@@ -63,13 +63,14 @@
         }
         document_ = std::move(document);
         items_.apply(items_.difference_to_items(record.version(), items_of(document_->configuration())));
-        note_taken(record);
-        return RecordOutcome::taken;
+        record_applied(record);
+        return RecordOutcome::applied;
       },
       [] { return RecordOutcome::unreadable; });
 }
 
-// True if the record has what is here, and patches to it.
+// True if the record consists of the state at hand and patches on top of it: both have the same snapshot, and
+// the version held is the snapshot's or that of one of the record's patches.
 bool ConfigurationState::extends_current_state(const wire::ConfigurationRecord& record) const {
   if (!document_ || !same_snapshot(record.snapshot(), snapshot_)) return false;
   return version_ == snapshot_.version() ||
@@ -86,13 +87,16 @@
   return {};
 }
 
-void ConfigurationState::note_taken(const wire::ConfigurationRecord& record) {
+void ConfigurationState::record_applied(const wire::ConfigurationRecord& record) {
   version_ = record.version();
   last_change_ = last_change_of(record);
   snapshot_ = record.snapshot();
 }
 
-void ConfigurationState::discard_document() {
+// After a patch that could not be applied, document and items may be ahead of the record that was applied
+// last. Without its snapshot's id, no record with a snapshot extends this state: the next one is loaded
+// completely.
+void ConfigurationState::require_snapshot() {
   last_change_.clear();
   snapshot_.Clear();
 }
--- a/src/cluster/control/configuration_watchers.cpp
+++ b/src/cluster/control/configuration_watchers.cpp
@@ -36,7 +36,7 @@
   const Millis wait = std::min(Millis(request.wait_ms()), kMaxWatchDuration);
   Watcher watcher{request, std::move(reply), runtime_.now() + wait};
   const std::uint64_t digest = leaders_digest();
-  if (due(watcher, digest)) return answer(watcher, digest);
+  if (is_due(watcher, digest)) return answer(watcher, digest);
   watchers_.push_back(std::move(watcher));
   if (!check_timer_) schedule_check();
 }
@@ -49,17 +49,17 @@
   for (const Watcher& watcher : open) answer(watcher, digest);
 }
 
-bool ConfigurationWatchers::due(const Watcher& watcher, std::uint64_t digest) const {
+bool ConfigurationWatchers::is_due(const Watcher& watcher, std::uint64_t digest) const {
   return state_.version() > watcher.request.version() || digest != watcher.request.leaders_digest() ||
-         runtime_.now() >= watcher.end;
+         runtime_.now() >= watcher.deadline;
 }
 
 void ConfigurationWatchers::answer(const Watcher& watcher, std::uint64_t digest) const {
   wire::Envelope envelope;
   wire::ConfigurationUpdate& update = *envelope.mutable_configuration_update();
   update.set_version(state_.version());
-  const bool sent_whole = !watcher.request.fetches() && state_.version() > watcher.request.version();
-  if (sent_whole) update.set_configuration(state_.json());
+  const bool send_complete = !watcher.request.fetches() && state_.version() > watcher.request.version();
+  if (send_complete) update.set_configuration(state_.json());
   for (const wire::ShardLeader& leader : group_.leaders()) *update.add_leaders() = leader;
   for (const wire::Member& member : group_.members()) *update.add_members() = member;
   update.set_leaders_digest(digest);
@@ -71,7 +71,7 @@
   if (watchers_.empty()) return;
   const std::uint64_t digest = leaders_digest();
   for (auto watcher = watchers_.begin(); watcher != watchers_.end();) {
-    if (!due(*watcher, digest)) {
+    if (!is_due(*watcher, digest)) {
       ++watcher;
       continue;
     }
--- a/src/cluster/control/inspection_responses.cpp
+++ b/src/cluster/control/inspection_responses.cpp
@@ -111,7 +111,7 @@
           {"report_age_ms", leaf.report_age_ms}};
 }
 
-HttpResponse answer(unsigned status, const json::object& body) {
+HttpResponse serialized_response(unsigned status, const json::object& body) {
   return json_response(status, json::serialize(body));
 }
 
@@ -145,15 +145,15 @@
 HttpResponse status_response(const ControlStatus& status) {
   json::object member_record{{"epoch", status.members.epoch()},
                              {"members", array_of(status.members.members(), member_json)}};
-  return answer(200, {{"node", status.node},
-                      {"zone", status.zone},
-                      {"member_id", status.member_id},
-                      {"votes", status.votes},
-                      {"in_touch", status.has_quorum_contact},
-                      {"configuration_version", status.configuration_version},
-                      {"member_record", std::move(member_record)},
-                      {"leaders", array_of(status.leaders, leader_json)},
-                      {"services", array_of(status.services, service_json)}});
+  return serialized_response(200, {{"node", status.node},
+                                   {"zone", status.zone},
+                                   {"member_id", status.member_id},
+                                   {"votes", status.votes},
+                                   {"in_touch", status.has_quorum_contact},
+                                   {"configuration_version", status.configuration_version},
+                                   {"member_record", std::move(member_record)},
+                                   {"leaders", array_of(status.leaders, leader_json)},
+                                   {"services", array_of(status.services, service_json)}});
 }
 
 HttpResponse jobs_response(const std::vector<ServiceJobs>& services) {
@@ -161,7 +161,7 @@
     return json::object{
         {"service", jobs.service}, {"total", jobs.list.total}, {"jobs", array_of(jobs.list.jobs, job_json)}};
   };
-  return answer(200, {{"services", array_of(services, convert)}});
+  return serialized_response(200, {{"services", array_of(services, convert)}});
 }
 
 HttpResponse job_response(const ServiceJob& job) {
@@ -169,22 +169,26 @@
   body["service"] = job.service;
   body["stages"] = array_of(job.detail.stages, stage_json);
   body["running"] = array_of(job.detail.runs, run_json);
-  return answer(200, body);
+  return serialized_response(200, body);
 }
 
 HttpResponse nodes_response(const std::vector<ServiceLeaves>& services) {
   const auto convert = [](const ServiceLeaves& leaves) {
     return json::object{{"service", leaves.service}, {"nodes", array_of(leaves.leaves, leaf_json)}};
   };
-  return answer(200, {{"services", array_of(services, convert)}});
+  return serialized_response(200, {{"services", array_of(services, convert)}});
+}
+
+HttpResponse job_not_found_response(const std::string& id) {
+  return error_response(404, {"jobs", "id", id, "a job of a service led by this node"});
 }
 
 HttpResponse cancel_response(CancelOutcome outcome, const std::string& id) {
   switch (outcome) {
     case CancelOutcome::canceled:
-      return answer(200, {{"id", id}});
+      return serialized_response(200, {{"id", id}});
     case CancelOutcome::not_found:
-      return error_response(404, {"jobs", "id", id, "a job of a service led by this node"});
+      return job_not_found_response(id);
     case CancelOutcome::unavailable:
       break;
   }
--- a/src/cluster/control/inspection_responses.hpp
+++ b/src/cluster/control/inspection_responses.hpp
@@ -1,4 +1,5 @@
-// The operator's API: views of a control node as JSON. Field names are part of the API.
+// HTTP responses of the operator API for a control node's status, jobs and nodes. Names of JSON fields are
+// part of the API.
 #pragma once
 
 #include "cluster/control/node_inspection.hpp"
@@ -7,20 +8,25 @@
 
 namespace winchhall::cluster {
 
-// Stable name of a kind of end, e.g. "done".
+// Name of a kind of end of a task run, e.g. "done"; "unknown" for kinds of a newer version. The names are
+// part of the API and values of a metric label.
 const char* end_kind_name(wire::EndKind kind);
 
-// 503: this node hears no majority.
+// 503: this node has no contact with a majority, so that what it knows may be out of date.
 HttpResponse no_quorum_contact_response();
+// 200 with the member record, the leaders and the figures of every service.
 HttpResponse status_response(const ControlStatus& status);
-// {"services":[{"service","total","jobs":[...]}]}
+// 200 {"services":[{"service","total","jobs":[...]}]}
 HttpResponse jobs_response(const std::vector<ServiceJobs>& services);
+// 200 with the job, its stages and its task runs.
 HttpResponse job_response(const ServiceJob& job);
-// {"services":[{"service","nodes":[...]}]}
+// 200 {"services":[{"service","nodes":[...]}]}
 HttpResponse nodes_response(const std::vector<ServiceLeaves>& services);
-// 200, 404 or 503.
+// 404: no service that this node leads has such a job.
+HttpResponse job_not_found_response(const std::string& id);
+// Canceled: 200 {"id"}; not found: 404; unavailable: 503.
 HttpResponse cancel_response(CancelOutcome outcome, const std::string& id);
-// 307 to another node.
+// 307 to `target` (path and query) at the operator API of another node ("ip:port").
 HttpResponse redirect_response(const std::string& http_address, const std::string& target);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -19,7 +19,7 @@
   return std::string(header->value());
 }
 
-// Calls about what leaders of services know.
+// True for calls that are answered from the state of service leaders.
 bool requires_service_leader(const OperatorCall& call) {
   switch (call.kind) {
     case OperatorCallKind::list_jobs:
@@ -38,16 +38,17 @@
   const OperatorCall call = parse_operator_call(request);
   if (call.kind == OperatorCallKind::unknown) return reply(json_response(kNotFound, "{}"));
   if (!call.method_allowed) return reply(json_response(kMethodNotAllowed, "{}"));
-  // An empty list or a missing job would be a claim that this node can't make.
-  if (requires_service_leader(call) && !inspection_.has_quorum_contact())
+  // Without contact with a majority another node may lead by now: an empty list or a 404 could be wrong.
+  if (requires_service_leader(call) && !inspection_.has_quorum_contact()) {
     return reply(no_quorum_contact_response());
+  }
   const bool concerns_service = requires_service_leader(call) && !call.service.empty();
   if (concerns_service && respond_if_led_elsewhere(request, call.service, reply)) return;
-  carry_out(call, request, reply);
+  dispatch(call, request, reply);
 }
 
-void OperatorApi::carry_out(const OperatorCall& call, const HttpRequest& request,
-                            const HttpReplyCallback& reply) {
+void OperatorApi::dispatch(const OperatorCall& call, const HttpRequest& request,
+                           const HttpReplyCallback& reply) {
   switch (call.kind) {
     case OperatorCallKind::configuration_get:
     case OperatorCallKind::configuration_put:
@@ -73,21 +74,19 @@
 
 void OperatorApi::handle_configuration(OperatorCallKind kind, const HttpRequest& request,
                                        const HttpReplyCallback& reply) {
-  const auto answer_change = [reply](const ConfigurationOutcome& outcome) {
-    reply(change_response(outcome));
-  };
+  const auto respond = [reply](const ConfigurationOutcome& outcome) { reply(change_response(outcome)); };
   if (kind == OperatorCallKind::configuration_put) {
-    return configuration_.put(base_version(request), request.body(), answer_change);
+    return configuration_.put(base_version(request), request.body(), respond);
   }
   if (kind == OperatorCallKind::configuration_patch) {
-    return configuration_.patch(base_version(request), request.body(), answer_change);
+    return configuration_.patch(base_version(request), request.body(), respond);
   }
   configuration_.get([reply](const ConfigurationRead& read) { reply(read_response(read)); });
 }
 
 void OperatorApi::show_job(const OperatorCall& call, const HttpReplyCallback& reply) const {
   const std::optional<ServiceJob> job = inspection_.job(call.service, call.id);
-  reply(job ? job_response(*job) : cancel_response(CancelOutcome::not_found, call.id));
+  reply(job ? job_response(*job) : job_not_found_response(call.id));
 }
 
 bool OperatorApi::respond_if_led_elsewhere(const HttpRequest& request, const std::string& service,
--- a/src/cluster/control/operator_call.cpp
+++ b/src/cluster/control/operator_call.cpp
@@ -27,31 +27,27 @@
 constexpr std::string_view kJobPrefix = "/v1/jobs/";
 constexpr std::string_view kCancelSuffix = "/cancel";
 
-bool ends_with(std::string_view text, std::string_view suffix) {
-  return text.size() >= suffix.size() && text.substr(text.size() - suffix.size()) == suffix;
-}
-
 void parse_job_path(std::string_view path, http::verb method, OperatorCall& call) {
   std::string_view id = path.substr(kJobPrefix.size());
-  const bool cancels = ends_with(id, kCancelSuffix);
-  if (cancels) id.remove_suffix(kCancelSuffix.size());
+  const bool is_cancel = id.ends_with(kCancelSuffix);
+  if (is_cancel) id.remove_suffix(kCancelSuffix.size());
   if (id.empty() || id.find('/') != std::string_view::npos) return;
   call.id = id;
-  call.kind = cancels ? OperatorCallKind::cancel_job : OperatorCallKind::show_job;
-  call.method_allowed = method == (cancels ? http::verb::post : http::verb::get);
+  call.kind = is_cancel ? OperatorCallKind::cancel_job : OperatorCallKind::show_job;
+  call.method_allowed = method == (is_cancel ? http::verb::post : http::verb::get);
 }
 
-void read_path(std::string_view path, http::verb method, OperatorCall& call) {
+void parse_path(std::string_view path, http::verb method, OperatorCall& call) {
   for (const KnownPath& known : kKnownPaths) {
     if (path != known.path) continue;
     call.kind = known.kind;
     call.method_allowed = method == known.method;
     return;
   }
-  if (path.substr(0, kJobPrefix.size()) == kJobPrefix) parse_job_path(path, method, call);
+  if (path.starts_with(kJobPrefix)) parse_job_path(path, method, call);
 }
 
-void read_parameter(std::string_view name, std::string_view value, OperatorCall& call) {
+void parse_parameter(std::string_view name, std::string_view value, OperatorCall& call) {
   if (name == "service") call.service = value;
   if (name != "limit") return;
   std::size_t limit = 0;
@@ -59,13 +55,13 @@
   if (read.ec == std::errc() && limit > 0) call.limit = std::min(limit, kMaxJobLimit);
 }
 
-void read_query(std::string_view query, OperatorCall& call) {
+void parse_query(std::string_view query, OperatorCall& call) {
   while (!query.empty()) {
     const std::string_view parameter = query.substr(0, query.find('&'));
     query.remove_prefix(std::min(query.size(), parameter.size() + 1));
     const std::size_t equals = parameter.find('=');
     if (equals == std::string_view::npos) continue;
-    read_parameter(parameter.substr(0, equals), parameter.substr(equals + 1), call);
+    parse_parameter(parameter.substr(0, equals), parameter.substr(equals + 1), call);
   }
 }
 
@@ -75,8 +71,8 @@
   const std::string_view target(request.target().data(), request.target().size());
   const std::size_t question = target.find('?');
   OperatorCall call;
-  read_path(target.substr(0, question), request.method(), call);
-  if (question != std::string_view::npos) read_query(target.substr(question + 1), call);
+  parse_path(target.substr(0, question), request.method(), call);
+  if (question != std::string_view::npos) parse_query(target.substr(question + 1), call);
   return call;
 }
 
