--- a/tests/cluster/control/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -1,4 +1,4 @@
-// Operators of a simulated control group, and an independent check of every answer that any of them saw.
+// Simulated operators of a control group, and an independent check of every response that any of them got.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
 };
 using ConfigurationCluster = ControlCluster<ConfigurationNode>;
 
-// One order, as an operator sends it again and again.
+// One change, which an operator retries until the response is definite.
 struct OperatorRequest {
   ConfigurationChangeKind kind = ConfigurationChangeKind::put;
   std::uint64_t base = 0;
@@ -32,13 +32,13 @@
   std::string body;
   bool valid = true;
   // What is known of it so far.
-  bool applied = false;   // acknowledged, or seen in force
+  bool applied = false;   // acknowledged, or read
   bool rejected = false;  // answered with a conflict or as invalid
 };
 
-// Checks answers against what was answered before. Rules: an order is taken or refused, never both; of two
-// orders on one base one is taken; no answer, and no refusal, shows an older state than was known to anyone
-// before the call; what is read is what was sent.
+// Checks each response against the earlier ones. Rules: a change is applied or rejected, never both; of two
+// changes on one base at most one is applied; no response shows an older state than anyone knew before the
+// call; what is read is what was sent.
 class ConfigurationHistory {
  public:
   explicit ConfigurationHistory(ConfigurationCluster& cluster) : cluster_(cluster) {}
@@ -60,14 +60,14 @@
     return request;
   }
 
-  // Sends an order by way of one node. `told` gets the answer, unless it is lost on its way.
+  // Sends a change to one node. `on_response` gets the outcome, unless the response is lost.
   void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double lost,
             std::function<void(ConfigurationOutcomeKind)> on_response = {}) {
     if (!cluster_.running(index)) return;
     ConfigurationService& service = cluster_.extra(index).service;
     const auto done = [this, request, lost, on_response = std::move(on_response),
-                       known = newest_](const ConfigurationOutcome& outcome) {
-      check(*request, outcome, known);
+                       known_version = newest_](const ConfigurationOutcome& outcome) {
+      check(*request, outcome, known_version);
       if (on_response && !cluster_.simulation().chance(lost)) on_response(outcome.kind);
     };
     const std::string base = std::to_string(request->base);
@@ -78,8 +78,8 @@
   void read(std::size_t index, std::function<void(const ConfigurationRead&)> on_response = {}) {
     if (!cluster_.running(index)) return;
     cluster_.extra(index).service.get(
-        [this, on_response = std::move(on_response), known = newest_](const ConfigurationRead& read) {
-          check(read, known);
+        [this, on_response = std::move(on_response), known_version = newest_](const ConfigurationRead& read) {
+          check(read, known_version);
           if (on_response) on_response(read);
         });
   }
@@ -89,14 +89,14 @@
   std::size_t applied() const { return by_base_.size(); }
 
  private:
-  void check(OperatorRequest& request, const ConfigurationOutcome& outcome, std::uint64_t known) {
-    CAPTURE(request.base, request.version, request.body, known, outcome.version);
+  void check(OperatorRequest& request, const ConfigurationOutcome& outcome, std::uint64_t known_version) {
+    CAPTURE(request.base, request.version, request.body, known_version, outcome.version);
     switch (outcome.kind) {
       case ConfigurationOutcomeKind::applied:
         return record_applied(request);
       case ConfigurationOutcomeKind::conflict:
         REQUIRE_FALSE(request.applied);
-        REQUIRE(outcome.version >= known);
+        REQUIRE(outcome.version >= known_version);
         REQUIRE(outcome.version != request.base);
         request.rejected = true;
         return;
@@ -108,19 +108,19 @@
         return;
     }
   }
-  void check(const ConfigurationRead& read, std::uint64_t known) {
+  void check(const ConfigurationRead& read, std::uint64_t known_version) {
     if (read.kind == ConfigurationReadKind::unavailable) return;
-    CAPTURE(read.version, known, read.json);
+    CAPTURE(read.version, known_version, read.json);
     if (read.kind == ConfigurationReadKind::missing) {
-      REQUIRE(known == 0);
+      REQUIRE(known_version == 0);
       return;
     }
-    REQUIRE(read.version >= known);
+    REQUIRE(read.version >= known_version);
     for (const auto& request : requests_) {
       const bool put = request->kind == ConfigurationChangeKind::put;
       if (put && request->body == read.json) return record_applied(*request);
     }
-    // Made by a patch: one of the orders for this version.
+    // Made by a patch: one of the changes for this version.
     REQUIRE(std::any_of(requests_.begin(), requests_.end(), [&](const auto& request) {
       return request->version == read.version && request->kind == ConfigurationChangeKind::patch &&
              request->valid;
@@ -142,18 +142,18 @@
   std::uint64_t newest_ = 0;  // acknowledged, or read by anyone
 };
 
-// An operator: sends an order to any node until it is told something clear, then makes the next one. Goes on
-// from what it was told or read; several operators race.
+// An operator: sends a change to any node until it gets a definite response, then makes the next one, on the
+// newest version that it read or that any operator knows. Several operators race.
 class SimulatedOperator {
  public:
-  SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double lost_answers)
-      : cluster_(cluster), history_(history), lost_answers_(lost_answers) {}
+  SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double lost_responses)
+      : cluster_(cluster), history_(history), lost_responses_(lost_responses) {}
 
   void act() {
     Simulation& simulation = cluster_.simulation();
     if (!request_) make_request();
     const auto request = request_;
-    history_.send(any_node(), request, lost_answers_, [this, request](ConfigurationOutcomeKind kind) {
+    history_.send(any_node(), request, lost_responses_, [this, request](ConfigurationOutcomeKind kind) {
       if (request != request_ || kind == ConfigurationOutcomeKind::unavailable) return;
       request_.reset();
     });
@@ -176,7 +176,7 @@
     Simulation& simulation = cluster_.simulation();
     const std::uint64_t base = simulation.chance(0.7) ? history_.newest() : base_;
     const auto step = static_cast<std::uint64_t>(simulation.random_between(1, 3));
-    // A patch of nothing has no services to name.
+    // A first patch would have no services that its route may name.
     const bool patch = base > 0 && simulation.chance(0.4);
     const bool valid = simulation.chance(0.9);
     request_ = history_.request(patch ? ConfigurationChangeKind::patch : ConfigurationChangeKind::put, base,
@@ -185,7 +185,7 @@
 
   ConfigurationCluster& cluster_;
   ConfigurationHistory& history_;
-  const double lost_answers_;
+  const double lost_responses_;
   std::uint64_t base_ = 0;
   std::shared_ptr<OperatorRequest> request_;
 };
--- a/tests/cluster/control/configuration_history_test.cpp
+++ b/tests/cluster/control/configuration_history_test.cpp
@@ -1,5 +1,5 @@
-// Orders and reads at control nodes that are cut off, frozen, wiped or overtaken: every answer that any
-// operator saw fits one course of events.
+// Changes and reads at control nodes that are partitioned, frozen, wiped or superseded: all responses that
+// any operator got are consistent with one history.
 #include "tests/cluster/control/configuration_history.hpp"
 
 #include <catch2/catch.hpp>
@@ -9,20 +9,21 @@
 namespace winchhall::cluster::sim {
 namespace {
 
-constexpr Millis kSettled{15000};
+constexpr Millis kStabilizationTimeout{15000};
 
+// Parameters of one simulated run.
 struct Scenario {
   std::uint64_t seed = 0;
   std::size_t machines = 5;
   std::size_t operators = 2;
-  double lost_answers = 0.5;
+  double lost_responses = 0.5;
   bool long_faults = false;
   bool wipes = false;
   SimulationOptions terms;
   std::int64_t duration_ms = 40000;
 };
 
-void require_found_by_all(ConfigurationCluster& cluster, ConfigurationHistory& history) {
+void require_all_nodes_serve_reads(ConfigurationCluster& cluster, ConfigurationHistory& history) {
   std::size_t found = 0;
   for (std::size_t index = 0; index < cluster.size(); ++index) {
     history.read(index, [&found](const ConfigurationRead& read) {
@@ -33,8 +34,8 @@
   REQUIRE(cluster.simulation().run_until([&] { return found == cluster.size(); }, Millis(6000)));
 }
 
-// Every order once more: what was taken is acknowledged, everything else is refused.
-void require_requests_still_answered_alike(ConfigurationCluster& cluster, ConfigurationHistory& history) {
+// Sends every change once more: those applied are acknowledged, all others are rejected.
+void require_outcomes_unchanged_on_retry(ConfigurationCluster& cluster, ConfigurationHistory& history) {
   std::size_t answered = 0;
   const auto requests = history.requests();
   for (const auto& request : requests) {
@@ -49,25 +50,27 @@
   }
 }
 
-void run_scenario(const Scenario& plan) {
-  CAPTURE(plan.seed, plan.machines, plan.lost_answers);
-  ConfigurationCluster cluster(plan.seed, plan.machines, plan.terms);
+// Operators change and read while faults are injected; afterwards every node serves reads, and every change
+// has the outcome that it had before.
+void run_scenario(const Scenario& scenario) {
+  CAPTURE(scenario.seed, scenario.machines, scenario.lost_responses);
+  ConfigurationCluster cluster(scenario.seed, scenario.machines, scenario.terms);
   ConfigurationHistory history(cluster);
-  std::vector<SimulatedOperator> operators(plan.operators,
-                                           SimulatedOperator(cluster, history, plan.lost_answers));
+  std::vector<SimulatedOperator> operators(scenario.operators,
+                                           SimulatedOperator(cluster, history, scenario.lost_responses));
   FaultPlan terms;
-  terms.wipes = plan.wipes;
+  terms.wipes = scenario.wipes;
   FaultInjector<ConfigurationNode> faults(cluster, terms);
   LongFaultInjector<ConfigurationNode> long_faults(cluster);
   Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
   std::int64_t next_fault_ms = 2500;
-  const std::int64_t end_ms = simulation.now_ms() + plan.duration_ms;
+  const std::int64_t end_ms = simulation.now_ms() + scenario.duration_ms;
   while (simulation.now_ms() < end_ms) {
     for (SimulatedOperator& acting : operators) acting.act();
     simulation.run_for(Millis(simulation.random_between(20, 300)));
     if (simulation.now_ms() < next_fault_ms) continue;
-    if (plan.long_faults) {
+    if (scenario.long_faults) {
       next_fault_ms = simulation.now_ms() + long_faults.one().count() + simulation.random_between(0, 3000);
     } else {
       faults.one();
@@ -77,57 +80,57 @@
   faults.end();
   simulation.terms().loss = 0;
   simulation.terms().late = 0;
-  simulation.run_for(plan.long_faults ? Millis(30000) : kMaxFaultDuration);
-  REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, kSettled));
-  require_found_by_all(cluster, history);
-  require_requests_still_answered_alike(cluster, history);
+  simulation.run_for(scenario.long_faults ? Millis(30000) : kMaxFaultDuration);
+  REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, kStabilizationTimeout));
+  require_all_nodes_serve_reads(cluster, history);
+  require_outcomes_unchanged_on_retry(cluster, history);
   REQUIRE(history.applied() > 5);
 }
 
-TEST_CASE("cut off, frozen or with a stalled disk for 5 to 30 s: nothing is answered from old state") {
+TEST_CASE("partitioned, frozen or with a stalled disk for 5 to 30 s: no response shows stale state") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Scenario plan;
-    plan.seed = seed;
-    plan.machines = seed % 2 == 0 ? 5 : 3;
-    plan.long_faults = true;
-    plan.duration_ms = 60000;
-    run_scenario(plan);
+    Scenario scenario;
+    scenario.seed = seed;
+    scenario.machines = seed % 2 == 0 ? 5 : 3;
+    scenario.long_faults = true;
+    scenario.duration_ms = 60000;
+    run_scenario(scenario);
   }
 }
 
-TEST_CASE("several operators under one number, with most answers lost") {
+TEST_CASE("several operators under one version number, with most responses lost") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Scenario plan;
-    plan.seed = seed;
-    plan.operators = 3;
-    plan.lost_answers = 0.8;
-    plan.terms.duplication = 0.1;
-    plan.terms.late = 0.05;
-    plan.terms.loss = seed % 3 == 0 ? 0.05 : 0;
-    run_scenario(plan);
+    Scenario scenario;
+    scenario.seed = seed;
+    scenario.operators = 3;
+    scenario.lost_responses = 0.8;
+    scenario.terms.duplication = 0.1;
+    scenario.terms.late = 0.05;
+    scenario.terms.loss = seed % 3 == 0 ? 0.05 : 0;
+    run_scenario(scenario);
   }
 }
 
-TEST_CASE("orders are sent again while members lose their disks one after another") {
+TEST_CASE("changes are retried while members lose their disks one after another") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Scenario plan;
-    plan.seed = seed;
-    plan.machines = 5;
-    plan.wipes = true;
-    plan.lost_answers = 0.7;
-    plan.terms.duplication = 0.05;
-    run_scenario(plan);
+    Scenario scenario;
+    scenario.seed = seed;
+    scenario.machines = 5;
+    scenario.wipes = true;
+    scenario.lost_responses = 0.7;
+    scenario.terms.duplication = 0.05;
+    run_scenario(scenario);
   }
 }
 
-TEST_CASE("contact that is restored gives service back within a second") {
+TEST_CASE("after a partition heals a node serves again within a second") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     ConfigurationCluster cluster(seed, 5);
     ConfigurationHistory history(cluster);
     Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
-    REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, kSettled));
+    REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, kStabilizationTimeout));
     const std::size_t isolated = seed % 5;
     const std::size_t other = (isolated + 1) % 5;
     const auto first = history.request(ConfigurationChangeKind::put, 0, 1);
@@ -144,7 +147,7 @@
     simulation.heal();
     const std::int64_t healed_ms = simulation.now_ms();
     std::optional<std::uint64_t> read;
-    // A caller asks again every 100 ms.
+    // A caller retries every 100 ms.
     while (!read && simulation.now_ms() < healed_ms + 1000) {
       history.read(isolated, [&read](const ConfigurationRead& answer) {
         if (answer.kind == ConfigurationReadKind::found) read = answer.version;
--- a/tests/cluster/control/configuration_service_test.cpp
+++ b/tests/cluster/control/configuration_service_test.cpp
@@ -1,4 +1,5 @@
-// The operator's changes: lost answers, races, repeats, invalid ones; watches.
+// The configuration service: operators' changes with lost responses, races, retries and invalid bodies; long
+// polls; snapshots.
 #include <catch2/catch.hpp>
 
 #include "cluster/control/configuration_responses.hpp"
@@ -11,25 +12,27 @@
 
 namespace {
 
-using Fate = SharedRegister::Fate;
+using Delivery = SharedRegisters::Delivery;
 using Outcome = ConfigurationOutcomeKind;
 
-struct ServiceFixture {
-  ServiceFixture()
+struct ConfigurationServiceFixture {
+  ConfigurationServiceFixture()
       : service(runtime, registers,
                 ConfigurationDependencies{[this] { return leaders; },
                                           [] { return std::vector<wire::Member>(); }, [] { return true; }}) {}
 
-  ConfigurationOutcome put(const std::string& base, const std::string& body, Fate fate = Fate::delivered) {
-    return change(base, body, fate, &ConfigurationService::put);
+  ConfigurationOutcome put(const std::string& base, const std::string& body,
+                           Delivery delivery = Delivery::delivered) {
+    return change(base, body, delivery, &ConfigurationService::put);
   }
-  ConfigurationOutcome patch(const std::string& base, const std::string& body, Fate fate = Fate::delivered) {
-    return change(base, body, fate, &ConfigurationService::patch);
+  ConfigurationOutcome patch(const std::string& base, const std::string& body,
+                             Delivery delivery = Delivery::delivered) {
+    return change(base, body, delivery, &ConfigurationService::patch);
   }
   ConfigurationRead get() {
     ConfigurationRead result;
     service.get([&](ConfigurationRead read) { result = std::move(read); });
-    registers.carry_out_all();
+    registers.run_all();
     return result;
   }
   std::shared_ptr<std::optional<wire::ConfigurationUpdate>> watch(std::uint64_t version, std::uint64_t digest,
@@ -45,18 +48,19 @@
   }
 
   ScriptedRuntime runtime;
-  SharedRegister registers;
+  SharedRegisters registers;
   std::vector<wire::ShardLeader> leaders;
   ConfigurationService service;
 
  private:
   using Change = void (ConfigurationService::*)(const std::optional<std::string>&, std::string,
                                                 ConfigurationService::ChangeCallback);
-  ConfigurationOutcome change(const std::string& base, const std::string& body, Fate fate, Change call) {
+  ConfigurationOutcome change(const std::string& base, const std::string& body, Delivery delivery,
+                              Change call) {
     ConfigurationOutcome result;
     (service.*call)(base, body, [&](ConfigurationOutcome outcome) { result = std::move(outcome); });
-    if (registers.waiting() > 0) registers.carry_out(fate);
-    registers.carry_out_all();
+    if (registers.pending() > 0) registers.run_oldest(delivery);
+    registers.run_all();
     return result;
   }
 };
@@ -68,7 +72,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(ServiceFixture, "a first configuration is taken and read back as it was sent") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "a first configuration is applied and read back as sent") {
   CHECK(get().kind == ConfigurationReadKind::missing);
   CHECK(put("0", small_configuration(5)).kind == Outcome::applied);
   const ConfigurationRead read = get();
@@ -78,7 +82,8 @@
   CHECK(service.newest()->version == 5);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "a change that was applied is acknowledged again, also after newer ones") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "a retried change that was applied is acknowledged again, also after newer changes") {
   put("0", small_configuration(5));
   CHECK(patch("5", route_patch(7, "r-2")).kind == Outcome::applied);
   CHECK(patch("7", route_patch(9, "r-3")).kind == Outcome::applied);
@@ -89,15 +94,16 @@
   CHECK(get().version == 9);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "a change whose answer was lost is acknowledged when it is sent again") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "a change whose response was lost is acknowledged when it is retried") {
   put("0", small_configuration(5));
-  CHECK(patch("5", route_patch(7, "r-2"), Fate::answer_lost).kind == Outcome::unavailable);
+  CHECK(patch("5", route_patch(7, "r-2"), Delivery::response_lost).kind == Outcome::unavailable);
   CHECK(patch("5", route_patch(7, "r-2")).kind == Outcome::applied);
-  CHECK(patch("7", route_patch(8, "r-3"), Fate::never_tried).kind == Outcome::unavailable);
+  CHECK(patch("7", route_patch(8, "r-3"), Delivery::request_lost).kind == Outcome::unavailable);
   CHECK(patch("7", route_patch(8, "r-3")).kind == Outcome::applied);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "of two changes on top of the same version one is applied") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "of two changes on the same base version one is applied") {
   put("0", small_configuration(5));
   CHECK(patch("5", route_patch(7, "r-2")).kind == Outcome::applied);
   const ConfigurationOutcome other = patch("5", route_patch(7, "r-3"));
@@ -108,13 +114,14 @@
   CHECK(get().json.find("r-3") == std::string::npos);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "the same body on another base or as another kind is another change") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "the same body on another base or of another kind is a different change") {
   put("0", small_configuration(5));
   CHECK(put("5", small_configuration(5)).kind == Outcome::invalid);
   CHECK(patch("0", small_configuration(5)).kind == Outcome::conflict);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "invalid changes are refused and change nothing") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "invalid changes are rejected and change nothing") {
   put("0", small_configuration(5));
   CHECK(put("5", small_configuration(5)).kind == Outcome::invalid);
   CHECK(put("5", small_configuration(4)).kind == Outcome::invalid);
@@ -126,7 +133,8 @@
   CHECK(get().json == small_configuration(5));
 }
 
-TEST_CASE_METHOD(ServiceFixture, "two nodes race: one change wins, the other is a conflict") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "of two nodes' concurrent changes one is applied, the other is a conflict") {
   ConfigurationService other(
       runtime, registers,
       ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
@@ -137,38 +145,39 @@
   service.put("5", small_configuration(8), [&](const ConfigurationOutcome& outcome) { first = outcome; });
   other.put("5", configuration_json(8, route_json("r-9", "nine")),
             [&](const ConfigurationOutcome& outcome) { second = outcome; });
-  registers.carry_out_all();
+  registers.run_all();
   CHECK(first.kind == Outcome::applied);
   CHECK(second.kind == Outcome::conflict);
   CHECK(get().json == small_configuration(8));
 }
 
-TEST_CASE_METHOD(ServiceFixture, "an order that was taken is never refused, however many came after it") {
-  const auto order = [this](std::uint64_t version) {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "an applied change is never rejected on retry, however many changes followed") {
+  const auto send = [this](std::uint64_t version) {
     return put(std::to_string(version - 1), small_configuration(version)).kind;
   };
-  std::uint64_t sent_again = 0;
+  std::uint64_t retried = 0;
   for (std::uint64_t version = 1; version <= 2100; ++version) {
-    REQUIRE(order(version) == Outcome::applied);
-    // One of the earlier orders again, and one that lost a race for the same base.
-    sent_again = 1 + (sent_again * 7 + version) % version;
-    const Outcome again = order(sent_again);
-    const Outcome lost = put(std::to_string(sent_again - 1), small_configuration(sent_again) + " ").kind;
-    CAPTURE(version, sent_again);
+    REQUIRE(send(version) == Outcome::applied);
+    // One of the earlier changes again, and one that lost a race for the same base.
+    retried = 1 + (retried * 7 + version) % version;
+    const Outcome again = send(retried);
+    const Outcome lost = put(std::to_string(retried - 1), small_configuration(retried) + " ").kind;
+    CAPTURE(version, retried);
     REQUIRE((again == Outcome::applied || again == Outcome::unavailable));
     REQUIRE(lost != Outcome::applied);
-    // What is remembered is known for certain.
-    if (version - sent_again >= 1000) continue;
+    // A change that the record still lists has a definite outcome.
+    if (version - retried >= 1000) continue;
     REQUIRE(again == Outcome::applied);
     REQUIRE(lost == Outcome::conflict);
   }
-  CHECK(order(500) == Outcome::unavailable);
-  CHECK(order(1) == Outcome::applied);
+  CHECK(send(500) == Outcome::unavailable);
+  CHECK(send(1) == Outcome::applied);
   CHECK(registers.value().value.size() < 64 * 1024);
 }
 
-TEST_CASE_METHOD(ServiceFixture,
-                 "an order that can't have been taken is refused for certain after any number") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "a change that can't have been applied is rejected, however many changes followed") {
   for (std::uint64_t version = 1; version <= 1500; ++version)
     put(std::to_string(version - 1), small_configuration(version));
   CHECK(put("0", small_configuration(300)).kind == Outcome::conflict);     // the first one was another
@@ -178,7 +187,7 @@
   CHECK(put("1499", small_configuration(1500) + " ").kind == Outcome::conflict);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "a watcher is told of a newer version at once") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "a watcher is notified of a newer version at once") {
   put("0", small_configuration(5));
   const std::uint64_t digest = [&] { return watch(0, 0).get()->value().leaders_digest(); }();
   const auto waiting = watch(5, digest);
@@ -190,7 +199,7 @@
   CHECK((*waiting)->in_touch());
 }
 
-TEST_CASE_METHOD(ServiceFixture, "a watch without news ends after its wait, empty") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "a long poll without changes times out with an empty update") {
   put("0", small_configuration(5));
   const std::uint64_t digest = watch(0, 0)->value().leaders_digest();
   const auto waiting = watch(5, digest, 1000);
@@ -204,7 +213,8 @@
   CHECK(at_once->has_value());
 }
 
-TEST_CASE_METHOD(ServiceFixture, "a watcher is told of a new leader, not of a lease that runs on") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "a watcher is notified of a new leader, not of a renewed lease") {
   put("0", small_configuration(5));
   const std::uint64_t digest = watch(0, 0)->value().leaders_digest();
   const auto waiting = watch(5, digest);
@@ -225,7 +235,7 @@
   CHECK(next->has_value());
 }
 
-TEST_CASE_METHOD(ServiceFixture, "an older chosen value never replaces a newer one") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "an older chosen value never replaces a newer one") {
   put("0", small_configuration(5));
   const RegisterValue older = registers.value();
   put("5", small_configuration(6));
@@ -236,7 +246,7 @@
   CHECK(watch(0, 0)->value().version() == 6);
 }
 
-TEST_CASE("outcomes become HTTP answers") {
+TEST_CASE("outcomes map to HTTP responses") {
   CHECK(change_response({Outcome::applied, 7, {}}).result_int() == 200);
   CHECK(change_response({Outcome::applied, 7, {}}).body() == R"({"version":7})");
   CHECK(change_response({Outcome::conflict, 8, {}}).result_int() == 412);
@@ -247,11 +257,11 @@
   CHECK(read_response({ConfigurationReadKind::unavailable, 0, ""}).result_int() == 503);
 }
 
-// ---------------------------------------------------------------- records with snapshots
+// ---------------------------------------------------------------- records that name snapshots
 
 namespace {
 
-std::string many_routes(std::uint64_t version, unsigned count) {
+std::string configuration_with_routes(std::uint64_t version, unsigned count) {
   std::string routes = route_json("r-0", "p-0");
   for (unsigned number = 1; number < count; ++number) {
     const std::string text = std::to_string(number);
@@ -262,10 +272,11 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(ServiceFixture, "a change of one route writes no more with 3,000 routes than with 30") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "a patch of one route writes a record of the same size with 3,000 routes as with 30") {
   const auto bytes_of_a_change = [](unsigned routes) {
-    ServiceFixture fixture;
-    REQUIRE(fixture.put("0", many_routes(5, routes)).kind == Outcome::applied);
+    ConfigurationServiceFixture fixture;
+    REQUIRE(fixture.put("0", configuration_with_routes(5, routes)).kind == Outcome::applied);
     REQUIRE(fixture.patch("5", route_patch(7, "r-2")).kind == Outcome::applied);
     return fixture.registers.value().value.size();
   };
@@ -273,8 +284,8 @@
   CHECK(bytes_of_a_change(3000) == bytes_of_a_change(30));
 }
 
-TEST_CASE_METHOD(ServiceFixture, "patches are read back applied, also over many snapshots") {
-  REQUIRE(put("0", many_routes(1, 50)).kind == Outcome::applied);
+TEST_CASE_METHOD(ConfigurationServiceFixture, "patches are applied across many snapshots") {
+  REQUIRE(put("0", configuration_with_routes(1, 50)).kind == Outcome::applied);
   for (std::uint64_t version = 2; version <= 400; ++version) {
     const std::string name = "r-" + std::to_string(version % 90);
     REQUIRE(patch(std::to_string(version - 1), route_patch(version, name)).kind == Outcome::applied);
@@ -284,54 +295,55 @@
   CHECK(parsed(get().json).version == 400);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "a node that missed changes reads the snapshot before it builds on it") {
+TEST_CASE_METHOD(ConfigurationServiceFixture,
+                 "a node that missed changes reads the snapshot before it proposes a change") {
   ConfigurationService other(
       runtime, registers,
       ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                 [] { return std::vector<wire::Member>(); }, [] { return true; }});
-  put("0", many_routes(5, 20));
+  put("0", configuration_with_routes(5, 20));
   patch("5", route_patch(7, "r-30"));
   ConfigurationOutcome outcome;
   other.patch("7", route_patch(9, "r-31"), [&](const ConfigurationOutcome& result) { outcome = result; });
-  registers.carry_out_all();
+  registers.run_all();
   CHECK(outcome.kind == Outcome::applied);
   REQUIRE(other.newest() != nullptr);
   CHECK(other.newest()->routes.size() == 22);
   CHECK(get().version == 9);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "a node that lags judges a change by the version that it builds on") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "a lagging node validates a change against its base version") {
   ConfigurationService other(
       runtime, registers,
       ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                 [] { return std::vector<wire::Member>(); }, [] { return true; }});
   put("0", small_configuration(5));
   other.get([](const ConfigurationRead&) {});
-  registers.carry_out_all();
+  registers.run_all();
   REQUIRE(other.newest() != nullptr);
   patch("5", route_patch(7, "r-30"));
   const std::string same_prefix = R"({"version":9,"upsert":{"routes":[)" + route_json("r-31", "r-30") + "]}}";
   ConfigurationOutcome outcome;
   other.patch("7", same_prefix, [&](const ConfigurationOutcome& result) { outcome = result; });
-  registers.carry_out_all();
+  registers.run_all();
   CHECK(outcome.kind == Outcome::invalid);
   CHECK(outcome.error.field == "upsert.routes[0].path_prefix");
   CHECK(get().version == 7);
 }
 
-TEST_CASE_METHOD(ServiceFixture, "no record names a snapshot that no majority has") {
+TEST_CASE_METHOD(ConfigurationServiceFixture, "no record names a snapshot that isn't durable on a majority") {
   ConfigurationOutcome outcome;
   service.put("0", small_configuration(5), [&](const ConfigurationOutcome& result) { outcome = result; });
-  registers.carry_out();                   // finds that the snapshot is to be written
-  registers.carry_out(Fate::never_tried);  // no majority takes it
+  registers.run_oldest();                        // finds that the snapshot must be written
+  registers.run_oldest(Delivery::request_lost);  // no majority accepts it
   CHECK(outcome.kind == Outcome::unavailable);
-  CHECK(registers.waiting() == 0);
+  CHECK(registers.pending() == 0);
   CHECK(registers.value().value.empty());
 }
 
-TEST_CASE("while a member reads no snapshots, records hold the configuration whole") {
+TEST_CASE("while a member can't read snapshots, records contain the complete configuration") {
   ScriptedRuntime runtime;
-  SharedRegister registers;
+  SharedRegisters registers;
   bool all_read = false;
   ConfigurationService service(runtime, registers,
                                ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
@@ -344,25 +356,25 @@
   };
   const auto ignore = [](const ConfigurationOutcome&) {};
   service.put("0", small_configuration(5), ignore);
-  registers.carry_out_all();
+  registers.run_all();
   service.patch("5", route_patch(7, "r-2"), ignore);
-  registers.carry_out_all();
+  registers.run_all();
   CHECK_FALSE(record().has_snapshot());
   CHECK(parsed(record().json()).routes.size() == 2);
   all_read = true;
   service.patch("7", route_patch(8, "r-3"), ignore);
-  registers.carry_out_all();
+  registers.run_all();
   CHECK(record().has_snapshot());
   CHECK(record().json().empty());
-  all_read = false;  // a member that is not heard any more has read them before
+  all_read = false;  // a member that is unreachable now could read them before
   service.patch("8", route_patch(9, "r-4"), ignore);
-  registers.carry_out_all();
+  registers.run_all();
   CHECK(record().patches_size() == 1);
 }
 
-TEST_CASE("snapshots that no record can name any more are dropped, newer ones are not") {
+TEST_CASE("snapshots that no record can name any more are dropped, newer ones are kept") {
   ScriptedRuntime runtime;
-  SharedRegister registers;
+  SharedRegisters registers;
   std::vector<std::string> keys;
   LocalRegisterReplicas local;
   local.drop = [&](const std::function<bool(const std::string&)>& unneeded) {
@@ -370,7 +382,7 @@
   };
   ConfigurationSnapshots snapshots(registers, local);
   const auto key_of = [](std::uint64_t version, const std::string& json) {
-    SharedRegister probe;
+    SharedRegisters probe;
     ConfigurationSnapshots(probe, LocalRegisterReplicas())
         .write(ConfigurationSnapshots::id_of(version, json), json, Millis(100), [](bool) {});
     return probe.oldest_key();
--- a/tests/cluster/control/job_history_test.cpp
+++ b/tests/cluster/control/job_history_test.cpp
@@ -1,5 +1,5 @@
-// Job calls at every control node while their leaders are cut off, frozen or stalled: what was accepted is
-// known to everyone who asks later, and nobody answers for a service that another node leads.
+// Job requests to every control node while leaders are partitioned, frozen or stalled: an accepted job is
+// known to every later request, and no node responses for a service that another one leads.
 #include <catch2/catch.hpp>
 #include <map>
 #include <set>
@@ -13,6 +13,7 @@
 const std::string kService = "core";
 const std::string kQueue = "r-1";
 
+// The leader of one service on one simulated node.
 struct LeaderNode {
   LeaderNode(SimNode& node, ControlGroup& group)
       : leader(node, group, control_settings(node.index(), false), kService) {}
@@ -20,16 +21,16 @@
 };
 using LeaderCluster = ControlCluster<LeaderNode>;
 
-// What callers were told of one job. Times are true ones; 0: never.
+// What callers know of one job. Times are those of the simulation, not of a node's clock; 0: never.
 struct KnownJob {
-  std::int64_t submitted_us = 0;  // first try
+  std::int64_t submitted_us = 0;  // first attempt
   std::int64_t accepted_us = 0;
-  std::int64_t cancel_tried_us = 0;
+  std::int64_t cancel_requested_us = 0;
   std::int64_t canceled_us = 0;
 };
 
-// Calls control nodes and checks each answer against what was told before the call began. There are no
-// leaves: a job waits until it is canceled.
+// Sends requests to control nodes and checks each response against those that came before the request was
+// sent. There are no leaves: a job stays queued until it is canceled.
 class JobHistory {
  public:
   explicit JobHistory(LeaderCluster& cluster) : cluster_(cluster) {}
@@ -45,7 +46,7 @@
   }
   void cancel(std::size_t index, const std::string& id) {
     KnownJob& job = jobs_[id];
-    if (job.cancel_tried_us == 0) job.cancel_tried_us = now();
+    if (job.cancel_requested_us == 0) job.cancel_requested_us = now();
     const bool accepted = job.accepted_us != 0;
     call(index, wire::JOB_CANCEL, id, [this, &job, accepted](const wire::JobReply& reply) {
       if (reply.outcome() == wire::JOB_NOT_FOUND) REQUIRE_FALSE(accepted);
@@ -58,14 +59,14 @@
     call(index, wire::JOB_QUERY, id, [this, id, known](const wire::JobReply& reply) {
       if (reply.outcome() == wire::JOB_NOT_FOUND) REQUIRE(known.accepted_us == 0);
       if (reply.outcome() != wire::JOB_OK) return;
-      ++answers_;
+      ++responses_;
       if (known.canceled_us != 0) REQUIRE(reply.state() == wire::JOB_CANCELED);
-      if (jobs_[id].cancel_tried_us == 0) REQUIRE(reply.state() == wire::JOB_QUEUED);
+      if (jobs_[id].cancel_requested_us == 0) REQUIRE(reply.state() == wire::JOB_QUEUED);
     });
   }
   void count(std::size_t index) {
-    // Certainly there: accepted before, and nobody has tried to cancel it yet. Perhaps there: tried by now,
-    // and not known to be canceled.
+    // Lower bound: jobs accepted before, which nobody has requested to cancel yet. Upper bound: jobs
+    // submitted by now that are not known to be canceled.
     std::set<std::string> accepted;
     std::set<std::string> canceled;
     for (const auto& [id, job] : jobs_) {
@@ -74,15 +75,15 @@
     }
     call(index, wire::JOB_COUNT, "", [this, accepted, canceled](const wire::JobReply& reply) {
       if (reply.outcome() != wire::JOB_OK) return;
-      ++answers_;
-      std::size_t least = 0;
-      std::size_t most = 0;
+      ++responses_;
+      std::size_t min_pending = 0;
+      std::size_t max_pending = 0;
       for (const auto& [id, job] : jobs_) {
-        if (accepted.contains(id) && job.cancel_tried_us == 0) ++least;
-        if (job.submitted_us != 0 && !canceled.contains(id)) ++most;
+        if (accepted.contains(id) && job.cancel_requested_us == 0) ++min_pending;
+        if (job.submitted_us != 0 && !canceled.contains(id)) ++max_pending;
       }
-      REQUIRE(reply.pending() >= least);
-      REQUIRE(reply.pending() <= most);
+      REQUIRE(reply.pending() >= min_pending);
+      REQUIRE(reply.pending() <= max_pending);
     });
   }
 
@@ -93,7 +94,7 @@
     return ids;
   }
   bool canceled(const std::string& id) const { return jobs_.at(id).canceled_us != 0; }
-  std::size_t answers() const { return answers_; }
+  std::size_t responses() const { return responses_; }
   std::size_t acknowledged() const { return acknowledged_; }
 
  private:
@@ -112,7 +113,7 @@
       stage.set_count(1);
       stage.set_cpu(100);
     }
-    // A frozen node finds the call when it goes on, before or after the timer of its lease's end.
+    // A frozen node receives the request when it resumes, before or after the timer that ends its lease.
     calls_.push_back(cluster_.node(index).after(Millis(0), [this, index, request, id, check] {
       cluster_.extra(index).leader.handle(request, [id, check](const wire::Envelope& answer) {
         CAPTURE(id, answer.job_reply().outcome(), answer.job_reply().state(), answer.job_reply().pending());
@@ -124,7 +125,7 @@
   LeaderCluster& cluster_;
   std::map<std::string, KnownJob> jobs_;
   std::vector<std::unique_ptr<Timer>> calls_;
-  std::size_t answers_ = 0;
+  std::size_t responses_ = 0;
   std::size_t acknowledged_ = 0;
 };
 
@@ -159,8 +160,11 @@
   }
 }
 
-void play(std::uint64_t seed, std::size_t machines, bool long_ones, const SimulationOptions& terms) {
-  CAPTURE(seed, machines, long_ones);
+// Requests to all nodes while faults are injected; afterwards every accepted job is known and can be
+// canceled.
+void run_scenario(std::uint64_t seed, std::size_t machines, bool with_long_faults,
+                  const SimulationOptions& terms) {
+  CAPTURE(seed, machines, with_long_faults);
   LeaderCluster cluster(seed, machines, terms);
   JobHistory history(cluster);
   FaultPlan fault_plan;
@@ -171,12 +175,12 @@
   cluster.bootstrap();
   std::uint64_t jobs = 0;
   std::int64_t next_fault_ms = 3000;
-  const std::int64_t end_ms = simulation.now_ms() + (long_ones ? 50000 : 25000);
+  const std::int64_t end_ms = simulation.now_ms() + (with_long_faults ? 50000 : 25000);
   while (simulation.now_ms() < end_ms) {
     call_all(cluster, history, jobs);
     simulation.run_for(Millis(simulation.random_between(20, 200)));
     if (simulation.now_ms() < next_fault_ms) continue;
-    if (long_ones) {
+    if (with_long_faults) {
       next_fault_ms = simulation.now_ms() + long_faults.one().count() + simulation.random_between(0, 3000);
     } else {
       faults.one();
@@ -185,15 +189,15 @@
   }
   faults.end();
   simulation.terms().loss = 0;
-  simulation.run_for(long_ones ? Millis(30000) : kMaxFaultDuration);
+  simulation.run_for(with_long_faults ? Millis(30000) : kMaxFaultDuration);
   REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(15000)));
-  const std::size_t answers = history.answers();
+  const std::size_t responses = history.responses();
   const std::vector<std::string> accepted = history.accepted();
   for (const std::string& id : accepted) history.query(*leader_of(cluster), id);
   simulation.run_for(Millis(5));
-  REQUIRE(history.answers() - answers == accepted.size());
+  REQUIRE(history.responses() - responses == accepted.size());
   REQUIRE(history.acknowledged() > 20);
-  // In calm times a cancel is acknowledged long before the operators' bound of 4 s.
+  // Without faults a cancellation is acknowledged long before the operators' bound of 4 s.
   for (const std::string& id : accepted) history.cancel(*leader_of(cluster), id);
   const auto all_canceled = [&] {
     return std::all_of(accepted.begin(), accepted.end(),
@@ -204,18 +208,19 @@
 }
 
 TEST_CASE(
-    "leaders that are cut off, frozen or stalled for 5 to 30 s confirm nothing that others don't know") {
+    "leaders that are partitioned, frozen or stalled for 5 to 30 s acknowledge nothing that others don't "
+    "know") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed)
-    play(seed, seed % 2 == 0 ? 5 : 3, true, SimulationOptions());
+    run_scenario(seed, seed % 2 == 0 ? 5 : 3, true, SimulationOptions());
 }
 
-TEST_CASE("leaders that change often, with messages lost, doubled and late") {
+TEST_CASE("leaders that change often, with messages lost, duplicated and delayed") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SimulationOptions terms;
     terms.duplication = 0.1;
     terms.late = 0.05;
     terms.loss = seed % 3 == 0 ? 0.05 : 0;
-    play(seed, seed % 2 == 0 ? 5 : 3, false, terms);
+    run_scenario(seed, seed % 2 == 0 ? 5 : 3, false, terms);
   }
 }
 
--- a/tests/cluster/control/operator_api_test.cpp
+++ b/tests/cluster/control/operator_api_test.cpp
@@ -1,4 +1,4 @@
-// Answers of a control node's operator API, with a stand-in for the node's state.
+// Responses of a control node's operator API, with a fake of the node's inspection.
 #include "cluster/control/operator_api.hpp"
 
 #include <boost/json.hpp>
@@ -16,13 +16,13 @@
 namespace {
 
 // A node that leads "core" and knows "fraud" to be led elsewhere and "idle" by nobody.
-class StandInNode : public NodeInspection {
+class FakeNodeInspection : public NodeInspection {
  public:
   ControlStatus status() const override {
     ControlStatus status;
     status.node = "core-a-1";
     status.member_id = 7;
-    status.has_quorum_contact = hears_majority;
+    status.has_quorum_contact = quorum_contact;
     status.configuration_version = 12;
     status.members.set_epoch(3);
     wire::Member& member = *status.members.add_members();
@@ -37,7 +37,7 @@
     status.services.push_back(service);
     return status;
   }
-  bool has_quorum_contact() const override { return hears_majority; }
+  bool has_quorum_contact() const override { return quorum_contact; }
   Leadership leadership(const std::string& service) const override {
     if (service == "core") return {LeadershipKind::here, {}};
     if (service == "fraud") return {LeadershipKind::redirect, "127.0.0.2:8144"};
@@ -45,7 +45,7 @@
     return {LeadershipKind::no_such_service, {}};
   }
   std::vector<ServiceJobs> jobs(const std::string&, std::size_t limit) const override {
-    asked_limit = limit;
+    requested_limit = limit;
     JobView job;
     job.id = "00000000000000a1";
     job.state = wire::JOB_RUNNING;
@@ -72,23 +72,23 @@
     done(cancel_outcome);
   }
 
-  bool hears_majority = true;
-  mutable std::size_t asked_limit = 0;
+  bool quorum_contact = true;
+  mutable std::size_t requested_limit = 0;
   std::set<std::string> canceled;
   CancelOutcome cancel_outcome = CancelOutcome::canceled;
 };
 
-struct ApiFixture {
+struct OperatorApiFixture {
   testing::FakeRuntime runtime;
-  configuration_test::SharedRegister registers;
+  configuration_test::SharedRegisters registers;
   ConfigurationService configuration{
       runtime, registers,
       ConfigurationDependencies{[] { return std::vector<wire::ShardLeader>(); },
                                 [] { return std::vector<wire::Member>(); }, [] { return true; }}};
-  StandInNode node;
+  FakeNodeInspection node;
   OperatorApi api{configuration, node};
 
-  HttpResponse ask(http::verb method, const std::string& target) {
+  HttpResponse send(http::verb method, const std::string& target) {
     HttpRequest request;
     request.method(method);
     request.target(target);
@@ -98,7 +98,7 @@
     return *answer;
   }
   json::value get(const std::string& target) {
-    const HttpResponse answer = ask(http::verb::get, target);
+    const HttpResponse answer = send(http::verb::get, target);
     REQUIRE(answer.result_int() == 200);
     return json::parse(answer.body());
   }
@@ -106,7 +106,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(ApiFixture, "status tells the member record, the leases and the figures of led services") {
+TEST_CASE_METHOD(OperatorApiFixture,
+                 "status shows the member record, the leases and the figures of led services") {
   const json::value status = get("/v1/status");
   CHECK(status.at("node").as_string() == "core-a-1");
   CHECK(status.at("member_id").to_number<std::uint64_t>() == 7);
@@ -120,49 +121,50 @@
   CHECK(service.at("ends").at("done").to_number<std::uint64_t>() == 9);
 }
 
-TEST_CASE_METHOD(ApiFixture, "a node that hears no majority says so, and claims nothing about jobs") {
-  node.hears_majority = false;
+TEST_CASE_METHOD(OperatorApiFixture,
+                 "a node without quorum contact says so and answers 503 for jobs and nodes") {
+  node.quorum_contact = false;
   CHECK_FALSE(get("/v1/status").at("in_touch").as_bool());
   const char* target =
       GENERATE("/v1/jobs", "/v1/nodes", "/v1/jobs/00000000000000a1", "/v1/jobs/00000000000000a2",
                "/v1/jobs?service=core", "/v1/nodes?service=unknown");
-  const HttpResponse answer = ask(http::verb::get, target);
+  const HttpResponse answer = send(http::verb::get, target);
   CHECK(answer.result_int() == 503);
   CHECK(json::parse(answer.body()).at("error").at("field").as_string() == "in_touch");
-  CHECK(ask(http::verb::post, "/v1/jobs/00000000000000a1/cancel").result_int() == 503);
+  CHECK(send(http::verb::post, "/v1/jobs/00000000000000a1/cancel").result_int() == 503);
   CHECK(node.canceled.empty());
 }
 
-TEST_CASE_METHOD(ApiFixture, "jobs are listed within a limit") {
+TEST_CASE_METHOD(OperatorApiFixture, "jobs are listed within a limit") {
   const json::value listed = get("/v1/jobs?limit=3");
-  CHECK(node.asked_limit == 3);
+  CHECK(node.requested_limit == 3);
   CHECK(listed.at("services").at(0).at("total").to_number<std::uint64_t>() == 40);
   CHECK(listed.at("services").at(0).at("jobs").at(0).at("state").as_string() == "running");
   get("/v1/jobs?limit=none");
-  CHECK(node.asked_limit == kDefaultJobLimit);
+  CHECK(node.requested_limit == kDefaultJobLimit);
   get("/v1/jobs?limit=99999999");
-  CHECK(node.asked_limit == kMaxJobLimit);
+  CHECK(node.requested_limit == kMaxJobLimit);
 }
 
-TEST_CASE_METHOD(ApiFixture, "one job is shown with its stages and runs") {
+TEST_CASE_METHOD(OperatorApiFixture, "a job is shown with its stages and runs") {
   const json::value job = get("/v1/jobs/00000000000000a1?service=core");
   CHECK(job.at("service").as_string() == "core");
   CHECK(job.at("state").as_string() == "completed");
   CHECK(job.at("stages").at(0).at("failures").to_number<std::uint64_t>() == 1);
   CHECK(job.at("running").at(0).at("run").to_number<std::uint64_t>() == 4097);
-  CHECK(ask(http::verb::get, "/v1/jobs/00000000000000a2").result_int() == 404);
+  CHECK(send(http::verb::get, "/v1/jobs/00000000000000a2").result_int() == 404);
 }
 
-TEST_CASE_METHOD(ApiFixture, "a cancel is answered by its outcome") {
-  CHECK(ask(http::verb::post, "/v1/jobs/00000000000000a1/cancel").result_int() == 200);
+TEST_CASE_METHOD(OperatorApiFixture, "the response to a cancel depends on its outcome") {
+  CHECK(send(http::verb::post, "/v1/jobs/00000000000000a1/cancel").result_int() == 200);
   CHECK(node.canceled.count("00000000000000a1") == 1);
   node.cancel_outcome = CancelOutcome::not_found;
-  CHECK(ask(http::verb::post, "/v1/jobs/00000000000000a2/cancel").result_int() == 404);
+  CHECK(send(http::verb::post, "/v1/jobs/00000000000000a2/cancel").result_int() == 404);
   node.cancel_outcome = CancelOutcome::unavailable;
-  CHECK(ask(http::verb::post, "/v1/jobs/00000000000000a1/cancel").result_int() == 503);
+  CHECK(send(http::verb::post, "/v1/jobs/00000000000000a1/cancel").result_int() == 503);
 }
 
-TEST_CASE_METHOD(ApiFixture, "leaves are listed with what they have") {
+TEST_CASE_METHOD(OperatorApiFixture, "leaves are listed with labels and capacity") {
   const json::value nodes = get("/v1/nodes?service=core");
   const json::value& leaf = nodes.at("services").at(0).at("nodes").at(0);
   CHECK(leaf.at("id").as_string() == "leaf-3");
@@ -170,21 +172,21 @@
   CHECK(leaf.at("capacity").at("cpu").to_number<std::uint64_t>() == 4000);
 }
 
-TEST_CASE_METHOD(ApiFixture, "calls for a service are sent to the node that leads it") {
-  const HttpResponse elsewhere = ask(http::verb::get, "/v1/jobs?service=fraud&limit=5");
+TEST_CASE_METHOD(OperatorApiFixture, "calls for a service are redirected to the node that leads it") {
+  const HttpResponse elsewhere = send(http::verb::get, "/v1/jobs?service=fraud&limit=5");
   CHECK(elsewhere.result_int() == 307);
   CHECK(elsewhere[http::field::location] == "http://127.0.0.2:8144/v1/jobs?service=fraud&limit=5");
-  CHECK(ask(http::verb::get, "/v1/nodes?service=idle").result_int() == 503);
-  CHECK(ask(http::verb::get, "/v1/nodes?service=none").result_int() == 404);
-  ask(http::verb::post, "/v1/jobs/00000000000000a1/cancel?service=fraud");
+  CHECK(send(http::verb::get, "/v1/nodes?service=idle").result_int() == 503);
+  CHECK(send(http::verb::get, "/v1/nodes?service=none").result_int() == 404);
+  send(http::verb::post, "/v1/jobs/00000000000000a1/cancel?service=fraud");
   CHECK(node.canceled.empty());
 }
 
-TEST_CASE_METHOD(ApiFixture, "unknown paths and wrong methods are told apart") {
-  CHECK(ask(http::verb::get, "/v1/nothing").result_int() == 404);
-  CHECK(ask(http::verb::get, "/v1/jobs/").result_int() == 404);
-  CHECK(ask(http::verb::get, "/v1/jobs/a/b").result_int() == 404);
-  CHECK(ask(http::verb::post, "/v1/status").result_int() == 405);
-  CHECK(ask(http::verb::get, "/v1/Config.Put").result_int() == 405);
-  CHECK(ask(http::verb::get, "/v1/jobs/a/cancel").result_int() == 405);
+TEST_CASE_METHOD(OperatorApiFixture, "unknown paths give 404, wrong methods 405") {
+  CHECK(send(http::verb::get, "/v1/nothing").result_int() == 404);
+  CHECK(send(http::verb::get, "/v1/jobs/").result_int() == 404);
+  CHECK(send(http::verb::get, "/v1/jobs/a/b").result_int() == 404);
+  CHECK(send(http::verb::post, "/v1/status").result_int() == 405);
+  CHECK(send(http::verb::get, "/v1/Config.Put").result_int() == 405);
+  CHECK(send(http::verb::get, "/v1/jobs/a/cancel").result_int() == 405);
 }
--- a/tests/cluster/control/restart_test.cpp
+++ b/tests/cluster/control/restart_test.cpp
@@ -1,5 +1,4 @@
-// Whole control nodes in a simulated world: what comes first after a start, and what a node that is gone
-// leaves behind.
+// Complete control nodes in a simulation: the order of steps after a restart, and recovery after a crash.
 #include <catch2/catch.hpp>
 
 #include "cluster/control/control_node.hpp"
@@ -13,13 +12,13 @@
 
 constexpr std::size_t kNodes = 3;
 
-struct ControlNodes {
+struct ControlNodesFixture {
   Simulation simulation;
   std::vector<ControlNode*> nodes = std::vector<ControlNode*>(kNodes);
   bool first_start = true;
-  bool words_of_choices_lost = false;  // of values that were chosen
+  bool drop_chosen_notifications = false;  // RegisterChosen messages are lost
 
-  explicit ControlNodes(std::uint64_t seed) : simulation(seed, SimulationOptions{}) {
+  explicit ControlNodesFixture(std::uint64_t seed) : simulation(seed, SimulationOptions{}) {
     for (std::size_t index = 0; index < kNodes; ++index) {
       simulation.add_node(machine_ip(index) + ":7000", [this, index](SimNode& node) {
         auto control =
@@ -28,7 +27,7 @@
         control->start();
         return SimNode::Program{control,
                                 [this, control](const wire::Envelope& request, const ReplyCallback& reply) {
-                                  if (words_of_choices_lost && request.has_register_chosen()) return true;
+                                  if (drop_chosen_notifications && request.has_register_chosen()) return true;
                                   return control->handle(request, reply);
                                 }};
       });
@@ -37,7 +36,7 @@
     first_start = false;
     simulation.run_for(Millis(3000));
   }
-  ~ControlNodes() { crash_all(); }
+  ~ControlNodesFixture() { crash_all(); }
 
   void start_all() {
     for (std::size_t index = 0; index < kNodes; ++index) simulation.node(index).start();
@@ -71,9 +70,9 @@
 
 }  // namespace
 
-TEST_CASE("after a loss of power services are led again before the configuration is read") {
+TEST_CASE("after a power loss service leaders are elected before the configuration is read") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    ControlNodes control(seed);
+    ControlNodesFixture control(seed);
     const auto acknowledged = control.put(0, 5, 0);
     control.simulation.run_for(Millis(3000));
     REQUIRE(*acknowledged);
@@ -94,12 +93,12 @@
   }
 }
 
-TEST_CASE("a version that was acknowledged by a node that is gone is known to the others within a second") {
+TEST_CASE("a version acknowledged by a crashed node is known to the others within a second") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    ControlNodes control(seed);
+    ControlNodesFixture control(seed);
     control.put(0, 5, 0);
     control.simulation.run_for(Millis(3000));
-    control.words_of_choices_lost = true;
+    control.drop_chosen_notifications = true;
     const auto acknowledged = control.put(1, 7, 5);
     while (!*acknowledged) control.simulation.run_for(Millis(1));
     control.simulation.node(1).crash();
--- a/tests/cluster/membership/partial_view_test.cpp
+++ b/tests/cluster/membership/partial_view_test.cpp
@@ -1,5 +1,6 @@
-// The decisions of peer sampling: partial views, contacts, the sample of control nodes; and overlays of many
-// views.
+// Peer sampling without I/O: partial views, contacts, sampled control nodes, and overlays of many views.
+#include "cluster/membership/partial_view.hpp"
+
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -9,7 +10,6 @@
 #include <vector>
 
 #include "cluster/membership/contact_list.hpp"
-#include "cluster/membership/partial_view.hpp"
 #include "cluster/membership/sampled_control_nodes.hpp"
 
 using namespace winchhall::cluster;
@@ -40,7 +40,7 @@
  public:
   Overlay(std::size_t processes, std::uint64_t seed) : random_(numbers(seed)), alive_(processes, true) {
     for (std::size_t i = 0; i < processes; ++i) views_.emplace_back(address_of(i), kCapacity);
-    // As at a start from seeds: all know the same three.
+    // As after a start from seeds: all know the same three.
     for (std::size_t i = 0; i < processes; ++i) views_[i].merge({peer(0), peer(1), peer(2)}, {});
   }
 
@@ -61,7 +61,7 @@
     }
   }
 
-  // Processes that are alive and can be reached from the first one alive, along entries in either direction.
+  // True if all live processes can be reached from the first one, along entries in either direction.
   bool connected() const {
     const std::size_t processes = views_.size();
     const auto first = std::find(alive_.begin(), alive_.end(), true) - alive_.begin();
@@ -124,7 +124,7 @@
 
 }  // namespace
 
-TEST_CASE("the oldest peer is taken first, and only once") {
+TEST_CASE("entries are removed oldest first, each once") {
   PartialView view(address_of(0), kCapacity);
   view.merge({peer(1, 2), peer(2, 5), peer(3, 4)}, {});
   CHECK(view.take_oldest()->address == address_of(2));
@@ -133,7 +133,7 @@
   CHECK_FALSE(view.take_oldest().has_value());
 }
 
-TEST_CASE("a view never holds its own process, a peer twice, or more than its capacity") {
+TEST_CASE("a view never contains its own process, a peer twice, or more than its capacity") {
   PartialView view(address_of(0), 3);
   view.merge({peer(0), PeerDescriptor{}, peer(1, 7), peer(1, 2), peer(1, 9), peer(2), peer(3), peer(4)}, {});
   CHECK(addresses(view.peers()) == addresses({peer(1), peer(2), peer(3)}));
@@ -141,7 +141,7 @@
   CHECK(view.peers().front().age == 2);
 }
 
-TEST_CASE("in a full view what was sent gives way to what is received, and nothing else does") {
+TEST_CASE("in a full view received entries replace those that were sent, and no others") {
   PartialView view(address_of(0), 3);
   view.merge({peer(1), peer(2), peer(3)}, {});
   view.merge({peer(4), peer(5)}, {peer(2)});
@@ -150,7 +150,7 @@
   CHECK_FALSE(view.contains(address_of(6)));
 }
 
-TEST_CASE("what a younger descriptor says of a peer replaces what was known") {
+TEST_CASE("a younger descriptor of a peer replaces the older one") {
   PartialView view(address_of(0), 3);
   view.merge({peer(1, 5, PeerRole::control)}, {});
   view.merge({peer(1, 1, PeerRole::worker_agent)}, {});
@@ -175,7 +175,7 @@
   CHECK(view.choose(100, Address(), random).size() == kCapacity);
 }
 
-TEST_CASE("the same seed brings the same overlay") {
+TEST_CASE("the same random seed produces the same overlay") {
   Overlay left(40, 11);
   Overlay right(40, 11);
   Overlay other(40, 12);
@@ -190,7 +190,8 @@
   CHECK_FALSE(same_as_other);
 }
 
-TEST_CASE("the overlay stays connected without 30% of its processes, whose entries go in bounded rounds") {
+TEST_CASE(
+    "the overlay stays connected without 30% of its processes, whose entries vanish in bounded rounds") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     INFO("seed " << seed);
     Overlay overlay(60, seed);
@@ -216,7 +217,7 @@
   }
 }
 
-TEST_CASE("in a group smaller than a view everybody knows everybody") {
+TEST_CASE("in a group smaller than a view every process knows every other") {
   Overlay overlay(5, 3);
   overlay.run(10);
   for (std::size_t i = 0; i < 5; ++i) CHECK(overlay.view(i).peers().size() == 4);
@@ -237,7 +238,7 @@
   CHECK(contacts.choose(view, random).empty());
 }
 
-TEST_CASE("the newest former peers are kept, and earlier seeds are among them") {
+TEST_CASE("the newest former peers are kept, earlier seeds included") {
   ContactList contacts(address_of(0), 2);
   const PartialView view(address_of(0), kCapacity);
   const RandomSource random = numbers(1);
@@ -254,14 +255,14 @@
   CHECK(reachable() == std::set<Address>{address_of(2), address_of(3), address_of(4)});
 }
 
-TEST_CASE("the sample lists control nodes only, the youngest ones, and forgets what nobody refreshes") {
+TEST_CASE("sampled control nodes are the youngest descriptors, and expire without refresh") {
   SampledControlNodes sample(address_of(0), 2);
   sample.merge({peer(0, 0, PeerRole::control), peer(1, 3, PeerRole::control), peer(2, 0, PeerRole::agent),
                 peer(3, 9, PeerRole::control), peer(4, 1, PeerRole::control)});
   CHECK(sample.addresses() == std::vector<Address>{address_of(1), address_of(4)});
-  sample.merge({peer(1, 5, PeerRole::agent)});  // older: it was a control node later than that
+  sample.merge({peer(1, 5, PeerRole::agent)});  // older: a younger descriptor says that it is one
   CHECK(sample.addresses().size() == 2);
-  sample.merge({peer(1, 1, PeerRole::agent)});  // the address has another owner now
+  sample.merge({peer(1, 1, PeerRole::agent)});  // another process has the address now
   CHECK(sample.addresses() == std::vector<Address>{address_of(4)});
   for (std::uint32_t round = 0; round <= kMaxDescriptorAge; ++round) sample.increment_ages();
   CHECK(sample.addresses().empty());
--- a/tests/cluster/membership/peer_sampler_test.cpp
+++ b/tests/cluster/membership/peer_sampler_test.cpp
@@ -1,4 +1,6 @@
-// Peer samplers that shuffle with each other on virtual time.
+// Peer samplers that shuffle with each other in virtual time.
+#include "cluster/membership/peer_sampler.hpp"
+
 #include <catch2/catch.hpp>
 #include <map>
 #include <memory>
@@ -6,7 +8,6 @@
 #include <string>
 #include <vector>
 
-#include "cluster/membership/peer_sampler.hpp"
 #include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
@@ -17,9 +18,9 @@
 Address address_of(std::size_t index) { return "10.0.0." + std::to_string(index + 1) + ":7380"; }
 
 // Processes with a sampler each; the first `control` of them are control nodes and three of these the seeds.
-class Site {
+class SamplerOverlay {
  public:
-  Site(std::size_t processes, std::size_t control) {
+  SamplerOverlay(std::size_t processes, std::size_t control) {
     for (std::size_t i = 0; i < processes; ++i) {
       add(PeerDescriptor{address_of(i), i < control ? PeerRole::control : PeerRole::agent, "zone-a", 0});
     }
@@ -28,7 +29,8 @@
   void add(const PeerDescriptor& self) {
     const std::size_t index = samplers.size();
     samplers.push_back(std::make_unique<PeerSampler>(
-        runtime, self, [this, index](const std::vector<Address>& nodes) { told[index] = nodes; }));
+        runtime, self,
+        [this, index](const std::vector<Address>& nodes) { reported_control_nodes[index] = nodes; }));
     samplers.back()->set_seeds({address_of(0), address_of(1), address_of(2)});
     if (!self.address.empty()) listen(index);
     samplers.back()->start();
@@ -60,7 +62,7 @@
 
   FakeRuntime runtime;
   std::vector<std::unique_ptr<PeerSampler>> samplers;
-  std::map<std::size_t, std::vector<Address>> told;
+  std::map<std::size_t, std::vector<Address>> reported_control_nodes;
   std::size_t bytes = 0;
 };
 
@@ -74,98 +76,98 @@
 
 }  // namespace
 
-TEST_CASE("every process comes to know all control nodes, also those that are no seeds") {
-  Site site(21, 5);
-  site.runtime.run_for(Millis(60'000));
+TEST_CASE("every process learns of all control nodes, also of those that are not seeds") {
+  SamplerOverlay overlay(21, 5);
+  overlay.runtime.run_for(Millis(60'000));
   for (std::size_t i = 0; i < 21; ++i) {
     INFO(i);
     const std::size_t others = i < 5 ? 4 : 5;
-    CHECK(site.samplers[i]->control_nodes().size() == others);
-    CHECK(site.told[i] == site.samplers[i]->control_nodes());
+    CHECK(overlay.samplers[i]->control_nodes().size() == others);
+    CHECK(overlay.reported_control_nodes[i] == overlay.samplers[i]->control_nodes());
   }
 }
 
 TEST_CASE("control nodes that replace all seeds are found by processes that knew none of them") {
-  Site site(16, 3);
-  site.runtime.run_for(Millis(60'000));
-  for (std::size_t i = 0; i < 3; ++i) site.kill(i);
+  SamplerOverlay overlay(16, 3);
+  overlay.runtime.run_for(Millis(60'000));
+  for (std::size_t i = 0; i < 3; ++i) overlay.kill(i);
   // The new machines know of agents only, as from a settings file of their own.
   for (std::size_t i = 16; i < 19; ++i) {
-    site.add(PeerDescriptor{address_of(i), PeerRole::control, "zone-a", 0});
-    site.samplers[i]->set_seeds({address_of(7)});
+    overlay.add(PeerDescriptor{address_of(i), PeerRole::control, "zone-a", 0});
+    overlay.samplers[i]->set_seeds({address_of(7)});
   }
-  site.runtime.run_for(Millis(300'000));
+  overlay.runtime.run_for(Millis(300'000));
   for (std::size_t i = 3; i < 16; ++i) {
     INFO(i);
     const std::vector<Address> expected{address_of(16), address_of(17), address_of(18)};
-    CHECK(site.samplers[i]->control_nodes() == expected);
+    CHECK(overlay.samplers[i]->control_nodes() == expected);
   }
 }
 
-TEST_CASE("dead processes leave all views in bounded time, the others stay") {
-  Site site(30, 5);
-  site.runtime.run_for(Millis(60'000));
-  for (std::size_t i = 20; i < 29; ++i) site.kill(i);
-  site.runtime.run_for(Millis(120'000));
-  for (std::size_t i = 20; i < 29; ++i) CHECK(site.in_degree(i) == 0);
+TEST_CASE("dead processes leave all views in bounded time, live ones stay") {
+  SamplerOverlay overlay(30, 5);
+  overlay.runtime.run_for(Millis(60'000));
+  for (std::size_t i = 20; i < 29; ++i) overlay.kill(i);
+  overlay.runtime.run_for(Millis(120'000));
+  for (std::size_t i = 20; i < 29; ++i) CHECK(overlay.in_degree(i) == 0);
   for (std::size_t i = 0; i < 20; ++i) {
     INFO(i);
-    CHECK(site.in_degree(i) > 0);
-    CHECK(site.samplers[i]->view().peers().size() >= 4);
+    CHECK(overlay.in_degree(i) > 0);
+    CHECK(overlay.samplers[i]->view().peers().size() >= 4);
   }
 }
 
-TEST_CASE("a process cut off until its view is empty finds others again without any seed") {
-  Site site(12, 3);
-  site.runtime.run_for(Millis(60'000));
-  const auto everyone = site.runtime.peers;
-  site.runtime.peers.clear();  // nobody reaches anybody
-  site.runtime.run_for(Millis(600'000));
-  for (std::size_t i = 0; i < 12; ++i) REQUIRE(site.samplers[i]->view().empty());
-  site.runtime.peers = everyone;
-  for (std::size_t i = 0; i < 3; ++i) site.kill(i);
-  site.runtime.run_for(Millis(180'000));
-  for (std::size_t i = 3; i < 12; ++i) CHECK(site.samplers[i]->view().peers().size() >= 4);
+TEST_CASE("a process partitioned until its view is empty finds peers again without any seed") {
+  SamplerOverlay overlay(12, 3);
+  overlay.runtime.run_for(Millis(60'000));
+  const auto everyone = overlay.runtime.peers;
+  overlay.runtime.peers.clear();  // nobody reaches anybody
+  overlay.runtime.run_for(Millis(600'000));
+  for (std::size_t i = 0; i < 12; ++i) REQUIRE(overlay.samplers[i]->view().empty());
+  overlay.runtime.peers = everyone;
+  for (std::size_t i = 0; i < 3; ++i) overlay.kill(i);
+  overlay.runtime.run_for(Millis(180'000));
+  for (std::size_t i = 3; i < 12; ++i) CHECK(overlay.samplers[i]->view().peers().size() >= 4);
 }
 
-TEST_CASE("a process that takes no requests is in nobody's view and learns of control nodes all the same") {
-  Site site(10, 4);
-  site.add(PeerDescriptor{"", PeerRole::worker_agent, "zone-a", 0});
-  site.runtime.run_for(Millis(120'000));
-  CHECK(site.samplers[10]->control_nodes().size() == 4);
+TEST_CASE("a caller-only process is in nobody's view and still learns of control nodes") {
+  SamplerOverlay overlay(10, 4);
+  overlay.add(PeerDescriptor{"", PeerRole::worker_agent, "zone-a", 0});
+  overlay.runtime.run_for(Millis(120'000));
+  CHECK(overlay.samplers[10]->control_nodes().size() == 4);
   for (std::size_t i = 0; i < 10; ++i) {
-    for (const PeerDescriptor& peer : site.samplers[i]->view().peers()) CHECK_FALSE(peer.address.empty());
+    for (const PeerDescriptor& peer : overlay.samplers[i]->view().peers()) CHECK_FALSE(peer.address.empty());
   }
 }
 
-TEST_CASE("changed seeds are asked") {
-  Site site(4, 3);
-  PeerSampler late(site.runtime, PeerDescriptor{address_of(9), PeerRole::agent, "", 0}, nullptr);
+TEST_CASE("changed seeds are contacted") {
+  SamplerOverlay overlay(4, 3);
+  PeerSampler late(overlay.runtime, PeerDescriptor{address_of(9), PeerRole::agent, "", 0}, nullptr);
   late.set_seeds({address_of(20)});
   late.start();
-  site.runtime.run_for(Millis(60'000));
+  overlay.runtime.run_for(Millis(60'000));
   CHECK(late.view().empty());
   late.set_seeds({address_of(1)});
-  site.runtime.run_for(Millis(60'000));
+  overlay.runtime.run_for(Millis(60'000));
   CHECK_FALSE(late.view().empty());
 }
 
 TEST_CASE("a stopped sampler calls nobody and still answers") {
-  Site site(4, 3);
-  site.runtime.run_for(Millis(30'000));
-  for (const auto& sampler : site.samplers) sampler->stop();
-  site.runtime.run_for(Millis(2'000));
-  const std::uint64_t before = site.runtime.calls_made;
-  site.runtime.run_for(Millis(60'000));
-  CHECK(site.runtime.calls_made == before);
+  SamplerOverlay overlay(4, 3);
+  overlay.runtime.run_for(Millis(30'000));
+  for (const auto& sampler : overlay.samplers) sampler->stop();
+  overlay.runtime.run_for(Millis(2'000));
+  const std::uint64_t before = overlay.runtime.calls_made;
+  overlay.runtime.run_for(Millis(60'000));
+  CHECK(overlay.runtime.calls_made == before);
   bool answered = false;
-  CHECK(
-      site.samplers[0]->handle(shuffle_of(PeerDescriptor{address_of(8), PeerRole::agent, "", 0}, {}),
-                               [&](const wire::Envelope& answer) { answered = answer.has_peer_shuffle(); }));
+  CHECK(overlay.samplers[0]->handle(
+      shuffle_of(PeerDescriptor{address_of(8), PeerRole::agent, "", 0}, {}),
+      [&](const wire::Envelope& answer) { answered = answer.has_peer_shuffle(); }));
   CHECK(answered);
 }
 
-TEST_CASE("descriptors that are not fit for use are left out") {
+TEST_CASE("invalid descriptors are ignored") {
   FakeRuntime runtime;
   PeerSampler sampler(runtime, PeerDescriptor{address_of(0), PeerRole::control, "", 0}, nullptr);
   const auto descriptor = [](Address address) {
@@ -184,7 +186,7 @@
   CHECK_FALSE(sampler.handle(wire::Envelope(), [](const wire::Envelope&) {}));
 }
 
-TEST_CASE("a huge message neither fills the view beyond its size nor is read whole") {
+TEST_CASE("an oversized message neither exceeds the view's capacity nor is read completely") {
   FakeRuntime runtime;
   PeerSampler sampler(runtime, PeerDescriptor{address_of(0), PeerRole::control, "", 0}, nullptr);
   std::vector<PeerDescriptor> many;
@@ -195,11 +197,11 @@
 }
 
 TEST_CASE("a settled process sends and receives less than 200 bytes a second of messages") {
-  Site site(21, 5);
-  site.runtime.run_for(Millis(60'000));
-  site.bytes = 0;
-  site.runtime.run_for(Millis(600'000));
-  const std::size_t per_process = site.bytes / 600 / 21;
+  SamplerOverlay overlay(21, 5);
+  overlay.runtime.run_for(Millis(60'000));
+  overlay.bytes = 0;
+  overlay.runtime.run_for(Millis(600'000));
+  const std::size_t per_process = overlay.bytes / 600 / 21;
   INFO(per_process);
   CHECK(per_process < 100);  // each byte is sent once and received once
 }
--- a/tests/cluster/membership/sources_test.cpp
+++ b/tests/cluster/membership/sources_test.cpp
@@ -1,5 +1,5 @@
-// Sampled control nodes and changed seeds as further ways to the control group: of the agent, the
-// worker-agent and a newcomer to the group.
+// Sampled control nodes and changed seeds as sources of contacts with the control group: for the agent, the
+// worker-agent and a node that joins the group.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <optional>
@@ -16,25 +16,25 @@
 
 namespace {
 
-constexpr Millis kNewcomerTime{60'000};
+constexpr Millis kJoinTimeout{60'000};
 
 // An agent that starts while all its seeds are down.
-struct LostAgent : AgentFixture {
-  LostAgent() {
+struct AgentWithoutSeedsFixture : AgentFixture {
+  AgentWithoutSeedsFixture() {
     for (int number = 0; number < 3; ++number) controls[static_cast<std::size_t>(number)]->stop();
     start_agent();
     runtime.run_for(Millis(5'000));
   }
 };
 
-// A worker-agent's finder amid control nodes that name a leader.
-struct FinderFixture {
+// A worker-agent's leader finder and control nodes that name a leader.
+struct LeaderFinderFixture {
   FakeRuntime runtime;
   std::optional<FoundLeader> found;
   std::vector<Address> asked;
   std::unique_ptr<LeaderFinder> finder;
 
-  FinderFixture() {
+  LeaderFinderFixture() {
     NodeSettings settings;
     settings.internal_port_first = 7380;
     settings.seeds = {"10.0.0.1:8144", "10.0.0.2:8144"};
@@ -55,28 +55,29 @@
   }
 };
 
-// A group of seven without its three seeds, and a newcomer that has only these as seeds.
-class NewcomerFixture {
+// A group of seven whose three seeds have crashed, and a joining node that knows only these seeds.
+class JoiningNodeFixture {
  public:
-  NewcomerFixture() : cluster(5, 7) {
+  JoiningNodeFixture() : cluster(5, 7) {
     cluster.bootstrap();
     REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(20'000)));
     for (std::size_t seed = 0; seed < 3; ++seed) cluster.crash(seed);
-    newcomer = cluster.add_machine();
-    cluster.start(newcomer);
+    joining_node = cluster.add_machine();
+    cluster.start(joining_node);
   }
 
   bool joins() {
-    return cluster.simulation().run_until([&] { return cluster.is_member(newcomer); }, kNewcomerTime);
+    return cluster.simulation().run_until([&] { return cluster.is_member(joining_node); }, kJoinTimeout);
   }
 
   sim::ControlCluster<> cluster;
-  std::size_t newcomer = 0;
+  std::size_t joining_node = 0;
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(LostAgent, "an agent whose seeds are all down finds the group by a sampled control node") {
+TEST_CASE_METHOD(AgentWithoutSeedsFixture,
+                 "an agent whose seeds are all down finds the group by a sampled control node") {
   CHECK_FALSE(agent->in_touch());
   agent->set_sampled_control({address_of(3)});
   runtime.run_for(Millis(2'000));
@@ -84,13 +85,14 @@
   CHECK(agent->view().version() == 1);
 }
 
-TEST_CASE_METHOD(LostAgent, "an agent whose seeds are all down finds the group by changed seeds") {
+TEST_CASE_METHOD(AgentWithoutSeedsFixture,
+                 "an agent whose seeds are all down finds the group by changed seeds") {
   agent->set_seeds({address_of(4)});
   runtime.run_for(Millis(2'000));
   CHECK(agent->in_touch());
 }
 
-TEST_CASE("seeds and members are preferred to nodes that are only sampled") {
+TEST_CASE("seeds and members are preferred to sampled nodes") {
   FakeRuntime runtime;
   NodeSettings settings;
   settings.zone = "near";
@@ -105,7 +107,7 @@
   CHECK(directory.choose({"10.0.0.7:7380"})->address == "10.0.0.1:7380");
 }
 
-TEST_CASE("a control node is dropped once neither seeds nor members nor samples list it") {
+TEST_CASE("a control node is removed once it is no seed, no member and not sampled") {
   FakeRuntime runtime;
   NodeSettings settings;
   settings.internal_port_first = 7380;
@@ -122,7 +124,7 @@
   CHECK_FALSE(directory.choose({}).has_value());
 }
 
-TEST_CASE_METHOD(FinderFixture, "a worker-agent asks sampled nodes once all others were asked in vain") {
+TEST_CASE_METHOD(LeaderFinderFixture, "a worker-agent probes sampled nodes once no other node answered") {
   serve("10.0.0.7:7380");
   finder->set_sampled({"10.0.0.7:7380"});
   finder->search("core", 1);
@@ -131,7 +133,7 @@
   CHECK(found->address == "10.0.0.8:7380");
 }
 
-TEST_CASE_METHOD(FinderFixture, "a worker-agent does not ask sampled nodes while seeds answer") {
+TEST_CASE_METHOD(LeaderFinderFixture, "a worker-agent does not probe sampled nodes while seeds answer") {
   for (const char* address : {"10.0.0.1:7380", "10.0.0.2:7380", "10.0.0.7:7380"}) serve(address);
   finder->set_sampled({"10.0.0.7:7380"});
   for (unsigned turn = 0; turn < 10; ++turn) {
@@ -142,8 +144,7 @@
   CHECK(std::set<Address>(asked.begin(), asked.end()).count("10.0.0.7:7380") == 0);
 }
 
-TEST_CASE_METHOD(FinderFixture,
-                 "seeds are asked on while sampled nodes are dead, and sampled ones while seeds are") {
+TEST_CASE_METHOD(LeaderFinderFixture, "seeds are probed on while sampled nodes are dead, and vice versa") {
   finder->set_sampled({"10.0.0.7:7380", "10.0.0.6:7380"});
   finder->search("core", 1);
   runtime.run_for(Millis(5'000));
@@ -153,7 +154,7 @@
   CHECK(found);
 }
 
-TEST_CASE_METHOD(FinderFixture, "a worker-agent whose list of nodes becomes empty waits for new seeds") {
+TEST_CASE_METHOD(LeaderFinderFixture, "a worker-agent without any known node waits for new seeds") {
   finder->search("core", 1);
   finder->set_seeds({});
   runtime.run_for(Millis(2'000));
@@ -163,16 +164,17 @@
   CHECK(found);
 }
 
-TEST_CASE_METHOD(NewcomerFixture, "a newcomer whose seeds are all down stays outside") {
+TEST_CASE_METHOD(JoiningNodeFixture, "a joining node whose seeds are all down doesn't join") {
   CHECK_FALSE(joins());
 }
 
-TEST_CASE_METHOD(NewcomerFixture, "a newcomer whose seeds are all down joins by a sampled control node") {
-  cluster.group(newcomer).set_sampled_control({sim::machine_ip(4) + ":7000"});
+TEST_CASE_METHOD(JoiningNodeFixture,
+                 "a joining node whose seeds are all down joins by a sampled control node") {
+  cluster.group(joining_node).set_sampled_control({sim::machine_ip(4) + ":7000"});
   CHECK(joins());
 }
 
-TEST_CASE_METHOD(NewcomerFixture, "a newcomer whose seeds are all down joins by changed seeds") {
-  cluster.group(newcomer).set_seeds({sim::machine_ip(5) + ":7000"});
+TEST_CASE_METHOD(JoiningNodeFixture, "a joining node whose seeds are all down joins by changed seeds") {
+  cluster.group(joining_node).set_seeds({sim::machine_ip(5) + ":7000"});
   CHECK(joins());
 }
--- a/tests/cluster/metrics/collectors_test.cpp
+++ b/tests/cluster/metrics/collectors_test.cpp
@@ -1,4 +1,4 @@
-// Metrics: their text, and the loopback server.
+// Metrics: families and their text, and the loopback server.
 #include "cluster/metrics/collectors.hpp"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Millis kLongest{5000};
+constexpr Millis kTimeout{5000};
 
 bool has_line(const std::string& text, const std::string& line) {
   return ("\n" + text).find("\n" + line + "\n") != std::string::npos;
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE("a control node's status becomes metrics") {
+TEST_CASE("a control node's status is exported as metrics") {
   MetricFamilies families;
   collect_control(leading_status(), families);
   const std::string text = metrics_text(families);
@@ -51,7 +51,7 @@
   CHECK(has_line(text, "winchhall_task_ends_total{service=\"core\",kind=\"failed\"} 3"));
 }
 
-TEST_CASE("durations are counted in rising ranges") {
+TEST_CASE("durations are counted in cumulative buckets") {
   MetricFamilies families;
   collect_control(leading_status(), families);
   const std::string text = metrics_text(families);
@@ -63,19 +63,19 @@
   CHECK(has_line(text, "winchhall_quorum_write_seconds_count{service=\"core\"} 2"));
 }
 
-TEST_CASE("metrics are off without a port") {
+TEST_CASE("metrics are disabled without a port") {
   boost::asio::io_context loop;
   CHECK(make_metrics_server(loop, 0, [](MetricFamilies&) {}) == nullptr);
 }
 
-TEST_CASE("a port that is taken ends nothing") {
+TEST_CASE("a port in use disables metrics without an error") {
   boost::asio::io_context loop;
   const auto taken =
       make_http_server(loop, "127.0.0.1:0", [](const HttpRequest&, const HttpReplyCallback&) {});
   CHECK(make_metrics_server(loop, taken->port(), [](MetricFamilies&) {}) == nullptr);
 }
 
-TEST_CASE("metrics are served on loopback with the answers counted by status") {
+TEST_CASE("metrics are served on loopback, with responses counted by status") {
   boost::asio::io_context loop;
   // A port that was free a moment ago.
   unsigned short port =
@@ -85,14 +85,14 @@
                                [&server](MetricFamilies& families) { collect_http(*server, families); });
   REQUIRE(server);
   winchhall::cluster::testing::LoopbackClient client(loop, port);
-  const auto ask = [&](const std::string& path, const std::string& awaited) {
+  const auto scrape = [&](const std::string& path, const std::string& awaited) {
     client.send("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
-    const auto end = SteadyClock::now() + kLongest;
+    const auto end = SteadyClock::now() + kTimeout;
     while (!client.has(awaited) && SteadyClock::now() < end) loop.run_one_for(Millis(50));
     return client.has(awaited);
   };
-  CHECK(ask("/other", "404 Not Found"));
-  CHECK(ask("/metrics", "winchhall_http_answers_total{status=\"404\"} 1\n"));
+  CHECK(scrape("/other", "404 Not Found"));
+  CHECK(scrape("/metrics", "winchhall_http_answers_total{status=\"404\"} 1\n"));
   CHECK(client.has("text/plain; version=0.0.4"));
   CHECK(client.has("process_cpu_seconds_total"));
 }
--- a/tests/cluster/support/configuration_fixture.hpp
+++ b/tests/cluster/support/configuration_fixture.hpp
@@ -1,4 +1,4 @@
-// Configurations, and a register that tests of the configuration service share.
+// Configuration texts, and simulated registers for tests of the configuration service.
 #pragma once
 
 #include <functional>
@@ -32,7 +32,7 @@
   return configuration_json(version, route_json("r-1", "one"));
 }
 
-// Field that a configuration is refused for; empty: it is taken.
+// Path of the field for which a configuration is rejected; empty: it is valid.
 inline std::string refused_field(const std::function<leaf::result<Configuration>()>& read) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
@@ -47,7 +47,7 @@
                               [] { return Configuration(); });
 }
 
-// Applies a patch to a configuration that has its text, and reads what it makes anew.
+// Applies a patch to a configuration that has its text, and parses the result.
 inline leaf::result<Configuration> apply_patch(const Configuration& base, std::string_view text) {
   BOOST_LEAF_AUTO(document, ConfigurationDocument::read(base.json, "test"));
   BOOST_LEAF_AUTO(patch, parse_patch(text, "test"));
@@ -56,36 +56,37 @@
   return parse_configuration(document.json(), "test");
 }
 
-// Registers shared by the services of several control nodes. Outcomes wait until the test delivers them.
-class SharedRegister : public RegisterClient {
+// Registers shared by the services of several control nodes. Updates stay pending until the test runs them.
+// Every change is computed twice, as after a lost race.
+class SharedRegisters : public RegisterClient {
  public:
-  enum class Fate { delivered, answer_lost, never_tried };
+  enum class Delivery { delivered, response_lost, request_lost };
 
   void update(const std::string& key, RegisterChange change, Millis,
               std::function<void(std::optional<RegisterValue>)> done) override {
-    waiting_.push_back({key, std::move(change), std::move(done)});
+    pending_.push_back({key, std::move(change), std::move(done)});
   }
 
-  // Carries out the oldest waiting update.
-  void carry_out(Fate fate = Fate::delivered) {
-    const Waiting update = std::move(waiting_.front());
-    waiting_.erase(waiting_.begin());
-    if (fate != Fate::never_tried) apply(values_[update.key], update.change);
-    if (fate == Fate::delivered) return update.done(values_[update.key]);
+  // Carries out the oldest pending update.
+  void run_oldest(Delivery fate = Delivery::delivered) {
+    const PendingUpdate update = std::move(pending_.front());
+    pending_.erase(pending_.begin());
+    if (fate != Delivery::request_lost) apply(values_[update.key], update.change);
+    if (fate == Delivery::delivered) return update.done(values_[update.key]);
     update.done(std::nullopt);
   }
   // Carries out and delivers what waits, and what comes of it.
-  void carry_out_all() {
-    while (!waiting_.empty()) carry_out();
+  void run_all() {
+    while (!pending_.empty()) run_oldest();
   }
 
-  std::size_t waiting() const { return waiting_.size(); }
-  const std::string& oldest_key() const { return waiting_.front().key; }
+  std::size_t pending() const { return pending_.size(); }
+  const std::string& oldest_key() const { return pending_.front().key; }
   // Of the configuration.
   const RegisterValue& value() { return values_[kConfigurationRegister]; }
 
  private:
-  struct Waiting {
+  struct PendingUpdate {
     std::string key;
     RegisterChange change;
     std::function<void(std::optional<RegisterValue>)> done;
@@ -100,7 +101,7 @@
   }
 
   std::map<std::string, RegisterValue> values_;
-  std::vector<Waiting> waiting_;
+  std::vector<PendingUpdate> pending_;
 };
 
 }  // namespace winchhall::cluster::configuration_test
