--- a/src/cluster/control/configuration_change.cpp
+++ b/src/cluster/control/configuration_change.cpp
@@ -15,7 +15,6 @@
 constexpr std::size_t kMaxPatchBytes = 32u << 10;
 constexpr const char* kPutSource = "Config.Put";
 constexpr const char* kPatchSource = "Config.Patch";
-constexpr const char* kBaseHeader = "X-Winchhall-Base-Version";
 
 const char* source_of(ConfigurationChangeKind kind) {
   return kind == ConfigurationChangeKind::put ? kPutSource : kPatchSource;
@@ -36,7 +35,7 @@
   const char* const end = text->data() + text->size();
   const std::from_chars_result parsed = std::from_chars(text->data(), end, base);
   if (parsed.ec != std::errc() || parsed.ptr != end) {
-    return leaf::new_error(InvalidInput{source_of(kind), kBaseHeader, *text, "a whole number"});
+    return leaf::new_error(InvalidInput{source_of(kind), kBaseVersionHeader, *text, "a whole number"});
   }
   return base;
 }
--- a/src/cluster/control/configuration_change.hpp
+++ b/src/cluster/control/configuration_change.hpp
@@ -13,6 +13,9 @@
 
 namespace winchhall::cluster {
 
+// HTTP header with the version that a change builds on.
+inline constexpr const char* kBaseVersionHeader = "X-Winchhall-Base-Version";
+
 // A complete configuration (Config.Put), or a change of named items (Config.Patch).
 enum class ConfigurationChangeKind { put, patch };
 
--- a/src/cluster/control/control_node.hpp
+++ b/src/cluster/control/control_node.hpp
@@ -20,8 +20,8 @@
 // operator API.
 //
 // Owns all of these. Parts refer to one another by reference, so that the order of the members matters: the
-// group is destroyed last, as it holds the registers and shards. Single-threaded: all calls come from the
-// event loop.
+// group outlives the parts that use its registers and shards. Single-threaded: all calls come from the event
+// loop.
 //
 // A service is never closed: one that is gone from the configuration keeps its leader until the process ends.
 class ControlNode {
@@ -45,7 +45,7 @@
   // The operators' view of this node; lives as long as the node.
   const NodeInspection& inspection() const { return inspection_; }
   // Graceful shutdown: gives up all leases, answers pending requests and leaves the group where it can do
-  // without this member. Calls `done` once, after at most a third of the grace period and kLeaseReleaseDelay.
+  // without this member. Calls `done` once, after at most a third of the grace period and 150 ms.
   void shut_down(std::function<void()> done);
 
  private:
--- a/src/cluster/control/inspection_responses.cpp
+++ b/src/cluster/control/inspection_responses.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const char* name_of(wire::JobState state) {
+const char* job_state_name(wire::JobState state) {
   switch (state) {
     case wire::JOB_QUEUED:
       return "queued";
@@ -74,7 +74,7 @@
 json::object job_json(const JobView& job) {
   return {{"id", job.id},
           {"queue", job.queue},
-          {"state", name_of(job.state)},
+          {"state", job_state_name(job.state)},
           {"priority", job.priority},
           {"accepted_ms", job.accepted_wall_ms},
           {"repeats", job.repeats},
@@ -95,16 +95,16 @@
           {"stopping", run.stopping}};
 }
 
-json::object amounts_json(const ResourcesView& amounts) {
-  return {{"cpu", amounts.cpu}, {"mem_mb", amounts.mem_mb}, {"gpu", amounts.gpu}};
+json::object resources_json(const ResourcesView& resources) {
+  return {{"cpu", resources.cpu}, {"mem_mb", resources.mem_mb}, {"gpu", resources.gpu}};
 }
 
 json::object leaf_json(const LeafView& leaf) {
   return {{"id", leaf.id},
           {"node", leaf.node},
           {"labels", array_of(leaf.labels, [](const std::string& label) { return json::string(label); })},
-          {"capacity", amounts_json(leaf.capacity)},
-          {"reserved", amounts_json(leaf.reserved)},
+          {"capacity", resources_json(leaf.capacity)},
+          {"reserved", resources_json(leaf.reserved)},
           {"runs", leaf.runs},
           {"draining", leaf.draining},
           {"reported", leaf.reported},
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -7,14 +7,12 @@
 
 namespace {
 
-constexpr std::string_view kBaseVersionHeader = "X-Winchhall-Base-Version";
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kMethodNotAllowed = 405;
 constexpr unsigned kUnavailable = 503;
 
 std::optional<std::string> base_version(const HttpRequest& request) {
-  const auto header =
-      request.find(boost::beast::string_view(kBaseVersionHeader.data(), kBaseVersionHeader.size()));
+  const auto header = request.find(kBaseVersionHeader);
   if (header == request.end()) return std::nullopt;
   return std::string(header->value());
 }
--- a/src/cluster/membership/partial_view.hpp
+++ b/src/cluster/membership/partial_view.hpp
@@ -40,8 +40,9 @@
   // Copies of at most `count` entries, chosen at random without repetition; never that of `receiver`.
   std::vector<PeerDescriptor> choose(std::size_t count, const Address& receiver,
                                      const RandomSource& random) const;
-  // Merges what a peer sent. Entries that were sent to that peer (`sent`) are replaced, in their order, where
-  // there is no free slot; received entries that find no slot are dropped.
+  // Merges what a peer sent. Younger descriptors of known peers replace older ones. Entries that were sent to
+  // that peer (`sent`) are replaced, in their order, where there is no free slot; received entries that find
+  // no slot are dropped.
   void merge(const std::vector<PeerDescriptor>& received, const std::vector<PeerDescriptor>& sent);
   // Inserts a peer unless the view is full; a younger descriptor of a known peer replaces the older one.
   void insert_if_space(const PeerDescriptor& peer);
