--- a/src/cluster/control/inspection_responses.cpp
+++ b/src/cluster/control/inspection_responses.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const char* name_of(wire::JobState state) {
+const char* job_state_name(wire::JobState state) {
   switch (state) {
     case wire::JOB_QUEUED:
       return "queued";
@@ -74,7 +74,7 @@
 json::object job_json(const JobView& job) {
   return {{"id", job.id},
           {"queue", job.queue},
-          {"state", name_of(job.state)},
+          {"state", job_state_name(job.state)},
           {"priority", job.priority},
           {"accepted_ms", job.accepted_wall_ms},
           {"repeats", job.repeats},
@@ -95,23 +95,23 @@
           {"stopping", run.stopping}};
 }
 
-json::object amounts_json(const ResourcesView& amounts) {
-  return {{"cpu", amounts.cpu}, {"mem_mb", amounts.mem_mb}, {"gpu", amounts.gpu}};
+json::object resources_json(const ResourcesView& resources) {
+  return {{"cpu", resources.cpu}, {"mem_mb", resources.mem_mb}, {"gpu", resources.gpu}};
 }
 
 json::object leaf_json(const LeafView& leaf) {
   return {{"id", leaf.id},
           {"node", leaf.node},
           {"labels", array_of(leaf.labels, [](const std::string& label) { return json::string(label); })},
-          {"capacity", amounts_json(leaf.capacity)},
-          {"reserved", amounts_json(leaf.reserved)},
+          {"capacity", resources_json(leaf.capacity)},
+          {"reserved", resources_json(leaf.reserved)},
           {"runs", leaf.runs},
           {"draining", leaf.draining},
           {"reported", leaf.reported},
           {"report_age_ms", leaf.report_age_ms}};
 }
 
-HttpResponse answer(unsigned status, const json::object& body) {
+HttpResponse serialized_response(unsigned status, const json::object& body) {
   return json_response(status, json::serialize(body));
 }
 
@@ -145,15 +145,15 @@
 HttpResponse status_response(const ControlStatus& status) {
   json::object member_record{{"epoch", status.members.epoch()},
                              {"members", array_of(status.members.members(), member_json)}};
-  return answer(200, {{"node", status.node},
-                      {"zone", status.zone},
-                      {"member_id", status.member_id},
-                      {"votes", status.votes},
-                      {"in_touch", status.has_quorum_contact},
-                      {"configuration_version", status.configuration_version},
-                      {"member_record", std::move(member_record)},
-                      {"leaders", array_of(status.leaders, leader_json)},
-                      {"services", array_of(status.services, service_json)}});
+  return serialized_response(200, {{"node", status.node},
+                                   {"zone", status.zone},
+                                   {"member_id", status.member_id},
+                                   {"votes", status.votes},
+                                   {"in_touch", status.has_quorum_contact},
+                                   {"configuration_version", status.configuration_version},
+                                   {"member_record", std::move(member_record)},
+                                   {"leaders", array_of(status.leaders, leader_json)},
+                                   {"services", array_of(status.services, service_json)}});
 }
 
 HttpResponse jobs_response(const std::vector<ServiceJobs>& services) {
@@ -161,7 +161,7 @@
     return json::object{
         {"service", jobs.service}, {"total", jobs.list.total}, {"jobs", array_of(jobs.list.jobs, job_json)}};
   };
-  return answer(200, {{"services", array_of(services, convert)}});
+  return serialized_response(200, {{"services", array_of(services, convert)}});
 }
 
 HttpResponse job_response(const ServiceJob& job) {
@@ -169,22 +169,26 @@
   body["service"] = job.service;
   body["stages"] = array_of(job.detail.stages, stage_json);
   body["running"] = array_of(job.detail.runs, run_json);
-  return answer(200, body);
+  return serialized_response(200, body);
 }
 
 HttpResponse nodes_response(const std::vector<ServiceLeaves>& services) {
   const auto convert = [](const ServiceLeaves& leaves) {
     return json::object{{"service", leaves.service}, {"nodes", array_of(leaves.leaves, leaf_json)}};
   };
-  return answer(200, {{"services", array_of(services, convert)}});
+  return serialized_response(200, {{"services", array_of(services, convert)}});
+}
+
+HttpResponse job_not_found_response(const std::string& id) {
+  return error_response(404, {"jobs", "id", id, "a job of a service led by this node"});
 }
 
 HttpResponse cancel_response(CancelOutcome outcome, const std::string& id) {
   switch (outcome) {
     case CancelOutcome::canceled:
-      return answer(200, {{"id", id}});
+      return serialized_response(200, {{"id", id}});
     case CancelOutcome::not_found:
-      return error_response(404, {"jobs", "id", id, "a job of a service led by this node"});
+      return job_not_found_response(id);
     case CancelOutcome::unavailable:
       break;
   }
