--- a/src/cluster/http/connection.cpp
+++ b/src/cluster/http/connection.cpp
@@ -13,32 +13,31 @@
 
 namespace {
 
-// How long a connection is read on after its last answer.
-constexpr Millis kLinger{1000};
+constexpr Millis kLingerTimeout{1000};
 
-// Answers one request of a connection; tells the connection if it goes without having answered.
-class Exchange {
+// The obligation to answer one request. If it is destroyed without a response, the connection is closed.
+class PendingResponse {
  public:
-  Exchange(std::shared_ptr<Connection> connection, std::uint64_t number)
-      : connection_(std::move(connection)), number_(number) {}
-  Exchange(const Exchange&) = delete;
-  Exchange& operator=(const Exchange&) = delete;
-  ~Exchange() {
-    if (connection_) connection_->abandon(number_);
+  PendingResponse(std::shared_ptr<Connection> connection, std::uint64_t request_number)
+      : connection_(std::move(connection)), request_number_(request_number) {}
+  PendingResponse(const PendingResponse&) = delete;
+  PendingResponse& operator=(const PendingResponse&) = delete;
+  ~PendingResponse() {
+    if (connection_) connection_->abandon(request_number_);
   }
 
-  void answer(const HttpResponse& response) {
+  void send(const HttpResponse& response) {
     if (!connection_) return;
     const auto connection = std::move(connection_);
-    connection->answer(number_, response);
+    connection->respond(request_number_, response);
   }
 
  private:
   std::shared_ptr<Connection> connection_;
-  std::uint64_t number_;
+  std::uint64_t request_number_;
 };
 
-unsigned status_of(const error_code& error) {
+unsigned status_of_parse_error(const error_code& error) {
   if (error == http::error::header_limit) return 431;
   if (error == http::error::body_limit) return 413;
   return 400;
@@ -46,17 +45,17 @@
 
 }  // namespace
 
-Connection::Connection(std::shared_ptr<HttpServerState> core, Socket socket)
-    : core_(std::move(core)), socket_(std::move(socket)) {}
+Connection::Connection(std::shared_ptr<HttpServerState> state, Socket socket)
+    : state_(std::move(state)), socket_(std::move(socket)) {}
 
 void Connection::start() {
   error_code ignored;
   socket_.non_blocking(true, ignored);
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-  core_->idle.push_back(shared_from_this());
-  list_ = &core_->idle;
-  position_ = std::prev(core_->idle.end());
-  enter(ConnectionPhase::idle, Millis(core_->limits.idle_timeout_ms));
+  state_->idle.push_back(shared_from_this());
+  list_ = &state_->idle;
+  position_ = std::prev(state_->idle.end());
+  enter_phase(ConnectionPhase::idle, Millis(state_->limits.idle_timeout_ms));
   wait_readable();
 }
 
@@ -66,14 +65,13 @@
 
 void Connection::close() {
   if (phase_ == ConnectionPhase::closed) return;
-  const auto keep = shared_from_this();
+  const auto keep_alive = shared_from_this();  // the list may hold the last other reference
   phase_ = ConnectionPhase::closed;
-  if (counted_) --core_->open_requests;
-  counted_ = false;
+  count_request_finished();
   error_code ignored;
   socket_.close(ignored);
   list_->erase(position_);
-  if (core_->on_closed) core_->on_closed();
+  if (state_->on_closed) state_->on_closed();
 }
 
 void Connection::check_deadline(TimePoint now) {
@@ -82,7 +80,7 @@
     case ConnectionPhase::idle:
       return linger();
     case ConnectionPhase::reading:
-      return refuse(408);
+      return reject(408);
     case ConnectionPhase::writing:
     case ConnectionPhase::lingering:
       return close();
@@ -92,17 +90,17 @@
   }
 }
 
-void Connection::answer(std::uint64_t exchange, const HttpResponse& response) {
-  if (phase_ != ConnectionPhase::handling || exchange != exchange_) return;
+void Connection::respond(std::uint64_t request_number, const HttpResponse& response) {
+  if (phase_ != ConnectionPhase::handling || request_number != request_number_) return;
   send(response);
 }
 
-void Connection::abandon(std::uint64_t exchange) {
-  if (phase_ != ConnectionPhase::handling || exchange != exchange_) return;
+void Connection::abandon(std::uint64_t request_number) {
+  if (phase_ != ConnectionPhase::handling || request_number != request_number_) return;
   close();
 }
 
-void Connection::enter(ConnectionPhase phase, Millis limit) {
+void Connection::enter_phase(ConnectionPhase phase, Millis limit) {
   phase_ = phase;
   deadline_ = limit == Millis::max() ? TimePoint::max() : SteadyClock::now() + limit;
 }
@@ -112,10 +110,10 @@
   list_ = &list;
 }
 
-void Connection::rest() {
-  move_to(core_->idle);
-  enter(ConnectionPhase::idle, Millis(core_->limits.idle_timeout_ms));
-  if (!unparsed_.empty()) return take({});
+void Connection::become_idle() {
+  move_to(state_->idle);
+  enter_phase(ConnectionPhase::idle, Millis(state_->limits.idle_timeout_ms));
+  if (!unparsed_.empty()) return consume({});
   wait_readable();
 }
 
@@ -125,48 +123,48 @@
 }
 
 void Connection::on_readable(const error_code& wait_error) {
-  const bool expects = phase_ == ConnectionPhase::idle || phase_ == ConnectionPhase::reading ||
-                       phase_ == ConnectionPhase::lingering;
-  if (!expects) return;
+  const bool expects_input = phase_ == ConnectionPhase::idle || phase_ == ConnectionPhase::reading ||
+                             phase_ == ConnectionPhase::lingering;
+  if (!expects_input) return;
   if (wait_error) return close();
   error_code error;
-  const auto size = socket_.read_some(asio::buffer(core_->read_buffer), error);
+  const auto size = socket_.read_some(asio::buffer(state_->read_buffer), error);
   if (error == asio::error::would_block || error == asio::error::interrupted) return wait_readable();
   if (error) return on_end_of_input(error);
   if (phase_ == ConnectionPhase::lingering) return wait_readable();
-  take({core_->read_buffer.data(), size});
+  consume({state_->read_buffer.data(), size});
 }
 
 void Connection::on_end_of_input(const error_code& error) {
-  if (error == asio::error::eof && phase_ == ConnectionPhase::reading) return refuse(400);
+  if (error == asio::error::eof && phase_ == ConnectionPhase::reading) return reject(400);
   close();
 }
 
-void Connection::take(std::string_view bytes) {
+void Connection::consume(std::string_view bytes) {
   if (phase_ == ConnectionPhase::idle) start_parser();
-  std::string kept;
+  std::string buffered;
   if (!unparsed_.empty()) {
-    kept = std::move(unparsed_);
-    kept.append(bytes);
-    bytes = kept;
+    buffered = std::move(unparsed_);
+    buffered.append(bytes);
+    bytes = buffered;
   }
   error_code error;
-  const auto used = parse(bytes, error);
-  unparsed_.assign(bytes.substr(used));
-  if (error) return fail(error);
+  const auto consumed = parse(bytes, error);
+  unparsed_.assign(bytes.substr(consumed));
+  if (error) return reject(status_of_parse_error(error));
   if (parser_->is_done()) return dispatch_request();
-  continue_if_expected();
+  send_continue_if_expected();
   wait_readable();
 }
 
 void Connection::start_parser() {
-  move_to(core_->busy);
+  move_to(state_->busy);
   parser_.emplace();
   parser_->eager(true);
-  parser_->header_limit(core_->limits.max_header_bytes);
-  parser_->body_limit(core_->limits.max_body_bytes);
+  parser_->header_limit(state_->limits.max_header_bytes);
+  parser_->body_limit(state_->limits.max_body_bytes);
   continue_sent_ = false;
-  enter(ConnectionPhase::reading, Millis(core_->limits.header_timeout_ms));
+  enter_phase(ConnectionPhase::reading, Millis(state_->limits.header_timeout_ms));
 }
 
 std::size_t Connection::parse(std::string_view bytes, error_code& error) {
@@ -181,13 +179,13 @@
     }
     if (error || step == 0) break;
   }
-  // Once the header is there, the body may take as long as it goes on coming.
-  const bool body_moves = parser_->is_header_done() && (!had_header || used > 0);
-  if (body_moves) enter(ConnectionPhase::reading, Millis(core_->limits.idle_timeout_ms));
+  // The header has a total time limit; the body has one that restarts with every progress.
+  const bool body_progressed = parser_->is_header_done() && (!had_header || used > 0);
+  if (body_progressed) enter_phase(ConnectionPhase::reading, Millis(state_->limits.idle_timeout_ms));
   return used;
 }
 
-void Connection::continue_if_expected() {
+void Connection::send_continue_if_expected() {
   if (continue_sent_ || !parser_->is_header_done()) return;
   const auto& header = parser_->get();
   if (!http::token_list{header[http::field::expect]}.exists("100-continue")) return;
@@ -200,34 +198,30 @@
 void Connection::dispatch_request() {
   HttpRequest request = parser_->release();
   parser_.reset();
-  form_ = {request.version(), request.keep_alive(), request.method() == http::verb::head};
-  enter(ConnectionPhase::handling, Millis::max());
-  ++core_->open_requests;
+  framing_ = {request.version(), request.keep_alive(), request.method() == http::verb::head};
+  enter_phase(ConnectionPhase::handling, Millis::max());
+  ++state_->open_requests;
   counted_ = true;
-  const auto number = ++exchange_;
-  const auto exchange = std::make_shared<Exchange>(shared_from_this(), number);
+  const auto pending = std::make_shared<PendingResponse>(shared_from_this(), ++request_number_);
   try {
-    core_->handler(std::move(request),
-                   [exchange](const HttpResponse& response) { exchange->answer(response); });
+    state_->handler(std::move(request), [pending](const HttpResponse& response) { pending->send(response); });
   } catch (const std::exception&) {
-    exchange->answer(json_response(500, "{}"));
+    pending->send(json_response(500, "{}"));
   }
 }
 
-void Connection::fail(const error_code& error) { refuse(status_of(error)); }
-
-void Connection::refuse(unsigned status) {
+void Connection::reject(unsigned status) {
   parser_.reset();
   unparsed_.clear();
-  form_ = {11, false, false};
+  framing_ = {11, false, false};
   send(json_response(status, "{}"));
 }
 
 void Connection::send(const HttpResponse& response) {
-  ++core_->responses_by_status[response.result_int()];
-  if (core_->draining) form_.keep_alive = false;
-  serialize_response(response, form_, output_);
-  enter(ConnectionPhase::writing, Millis(core_->limits.idle_timeout_ms));
+  ++state_->responses_by_status[response.result_int()];
+  if (state_->draining) framing_.keep_alive = false;
+  serialize_response(response, framing_, output_);
+  enter_phase(ConnectionPhase::writing, Millis(state_->limits.idle_timeout_ms));
   asio::async_write(
       socket_, asio::buffer(output_),
       [self = shared_from_this()](const error_code& error, std::size_t) { self->on_written(error); });
@@ -236,20 +230,24 @@
 void Connection::on_written(const error_code& error) {
   if (phase_ != ConnectionPhase::writing) return;
   if (error) return close();
-  if (counted_) --core_->open_requests;
-  counted_ = false;
-  if (form_.keep_alive && !core_->draining) return rest();
+  count_request_finished();
+  if (framing_.keep_alive && !state_->draining) return become_idle();
   linger();
 }
 
+void Connection::count_request_finished() {
+  if (counted_) --state_->open_requests;
+  counted_ = false;
+}
+
 void Connection::linger() {
-  const bool waiting = phase_ == ConnectionPhase::idle;
-  move_to(core_->busy);
-  enter(ConnectionPhase::lingering, kLinger);
+  const bool read_pending = phase_ == ConnectionPhase::idle;
+  move_to(state_->busy);
+  enter_phase(ConnectionPhase::lingering, kLingerTimeout);
   error_code error;
   socket_.shutdown(Socket::shutdown_send, error);
   if (error) return close();
-  if (!waiting) wait_readable();
+  if (!read_pending) wait_readable();
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/http/connection.hpp
+++ b/src/cluster/http/connection.hpp
@@ -1,5 +1,4 @@
-// One connection of a client: reads a request, hands it on, writes its answer, and so on until either side
-// closes.
+// One client connection of the HTTP server.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,62 +13,76 @@
 
 namespace winchhall::cluster {
 
-// `lingering`: the last answer is sent, and what still comes is read and dropped, as closing a socket with
-// unread bytes would reset the connection and could destroy that answer on its way.
-enum class ConnectionPhase { idle, reading, handling, writing, lingering, closed };
+enum class ConnectionPhase {
+  idle,       // waits for a request
+  reading,    // has received a part of a request
+  handling,   // waits for the handler's response
+  writing,    // sends the response
+  lingering,  // has sent its last response, and discards input until the client closes
+  closed
+};
 
+// Reads requests and writes their responses, one after the other, until either side closes.
+//
+// A connection lingers before it closes (RFC 9112, section 9.6): closing a socket with unread input sends a
+// reset, which could destroy the last response before the client has read it.
+//
+// It keeps itself alive through its pending operations and its entry in one of the server's lists.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using Socket = boost::asio::ip::tcp::socket;
 
-  Connection(std::shared_ptr<HttpServerState> core, Socket socket);
+  Connection(std::shared_ptr<HttpServerState> state, Socket socket);
 
-  // Enters the server's lists and waits for the first request.
+  // Enters the server's list of idle connections and waits for the first request.
   void start();
-  // Ends a connection at rest gracefully.
+  // Closes the connection gracefully if it is idle.
   void close_idle();
-  // Ends the connection at once.
+  // Closes the connection immediately.
   void close();
-  // Ends the connection if its present phase has lasted too long.
+  // Ends the connection if its current phase has exceeded its time limit.
   void check_deadline(TimePoint now);
 
-  // Used by the replier: the answer to the request under way, or word that none will come.
-  void answer(std::uint64_t exchange, const HttpResponse& response);
-  void abandon(std::uint64_t exchange);
+  // Sends the response to the request with this number. No effect if that request is no longer being handled.
+  void respond(std::uint64_t request_number, const HttpResponse& response);
+  // Closes the connection: the request with this number will get no response.
+  void abandon(std::uint64_t request_number);
 
  private:
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-  void rest();
+  void enter_phase(ConnectionPhase phase, Millis limit);
+  void move_to(ConnectionList& list);
+  void become_idle();
+
   void wait_readable();
   void on_readable(const boost::system::error_code& error);
   void on_end_of_input(const boost::system::error_code& error);
-  void take(std::string_view bytes);
+  void consume(std::string_view bytes);
   void start_parser();
-  // Feeds the parser; returns how many bytes it used.
+  // Feeds the parser; returns the number of bytes that it consumed.
   std::size_t parse(std::string_view bytes, boost::system::error_code& error);
-  void continue_if_expected();
+  void send_continue_if_expected();
+
   void dispatch_request();
-  void fail(const boost::system::error_code& error);
-  void refuse(unsigned status);
+  void reject(unsigned status);
   void send(const HttpResponse& response);
   void on_written(const boost::system::error_code& error);
+  void count_request_finished();
   void linger();
-  void move_to(ConnectionList& list);
-  void enter(ConnectionPhase phase, Millis limit);
 
-  std::shared_ptr<HttpServerState> core_;
+  std::shared_ptr<HttpServerState> state_;
   Socket socket_;
   ConnectionPhase phase_ = ConnectionPhase::idle;
   TimePoint deadline_ = TimePoint::max();
-  ConnectionList* list_ = nullptr;
+  ConnectionList* list_ = nullptr;  // the server's list that holds this connection
   ConnectionList::iterator position_;
   std::optional<Parser> parser_;
-  std::string unparsed_;  // read but not yet used
+  std::string unparsed_;  // input that the parser has not consumed
   std::string output_;
-  ResponseFraming form_;
-  std::uint64_t exchange_ = 0;  // number of the request under way
-  bool counted_ = false;        // in HttpServerState::open_requests
+  ResponseFraming framing_;
+  std::uint64_t request_number_ = 0;  // of the last request handled
+  bool counted_ = false;              // in HttpServerState::open_requests
   bool continue_sent_ = false;
 };
 
--- a/src/cluster/http/error_response.hpp
+++ b/src/cluster/http/error_response.hpp
@@ -1,12 +1,12 @@
-// Answers that say which value can't be used, and what would be allowed.
+// Responses that report an invalid value.
 #pragma once
 
 #include "cluster/common/errors.hpp"
-#include "cluster/http/server.hpp"
+#include "cluster/http/message.hpp"
 
 namespace winchhall::cluster {
 
-// {"error":{"source":...,"field":...,"value":...,"allowed":...}}
+// A response with the body {"error":{"source":...,"field":...,"value":...,"allowed":...}}.
 HttpResponse error_response(unsigned status, const InvalidInput& error);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/http/response_serializer.cpp
+++ b/src/cluster/http/response_serializer.cpp
@@ -28,25 +28,25 @@
   }
 }
 
-void append_connection(const ResponseFraming& form, std::string& text) {
-  if (!form.keep_alive) {
+void append_connection(const ResponseFraming& framing, std::string& text) {
+  if (!framing.keep_alive) {
     text += "Connection: close\r\n";
-  } else if (form.version < 11) {
+  } else if (framing.version < 11) {
     text += "Connection: keep-alive\r\n";
   }
 }
 
 }  // namespace
 
-void serialize_response(const HttpResponse& response, const ResponseFraming& form, std::string& text) {
+void serialize_response(const HttpResponse& response, const ResponseFraming& framing, std::string& text) {
   text.clear();
   append_status_line(response, text);
   append_fields(response, text);
-  append_connection(form, text);
+  append_connection(framing, text);
   text += "Content-Length: ";
   text += std::to_string(response.body().size());
   text += "\r\n\r\n";
-  if (!form.omit_body) text += response.body();
+  if (!framing.omit_body) text += response.body();
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/http/response_serializer.hpp
+++ b/src/cluster/http/response_serializer.hpp
@@ -1,21 +1,21 @@
-// Writes a response as the bytes that go on the wire.
+// Serialization of HTTP/1.x responses.
 #pragma once
 
 #include <string>
 
-#include "cluster/http/server.hpp"
+#include "cluster/http/message.hpp"
 
 namespace winchhall::cluster {
 
-// What of the request decides about the form of its answer.
+// Properties of the request and its connection that determine how the response is framed.
 struct ResponseFraming {
   unsigned version = 11;   // HTTP version of the request: 10 or 11
-  bool keep_alive = true;  // false: the connection is closed after this answer
+  bool keep_alive = true;  // false: the connection is closed after this response
   bool omit_body = false;  // the request was a HEAD
 };
 
-// Replaces `text` by the response. Content-Length and Connection are set here, whatever the response says of
-// them.
-void serialize_response(const HttpResponse& response, const ResponseFraming& form, std::string& text);
+// Replaces `text` with the serialized response. Content-Length and Connection are derived from the body and
+// the framing; values that the response has for them are ignored.
+void serialize_response(const HttpResponse& response, const ResponseFraming& framing, std::string& text);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/http/server.cpp
+++ b/src/cluster/http/server.cpp
@@ -1,11 +1,10 @@
-// The listener: accepts within a bound on open connections, and ends connections that rest or stall too long.
 #include "cluster/http/server.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/system/system_error.hpp>
-#include <charconv>
 
+#include "cluster/common/endpoint.hpp"
 #include "cluster/http/connection.hpp"
 
 namespace winchhall::cluster {
@@ -16,70 +15,67 @@
 
 namespace {
 
-constexpr int kBacklog = 1024;
-constexpr Millis kAcceptPause{50};
-constexpr Millis kDeadlineCheck{250};
-
-tcp::endpoint parse_endpoint(const Address& address) {
-  const auto colon = address.rfind(':');
-  const auto end = address.data() + address.size();
-  std::uint16_t port = 0;
-  const bool has_port =
-      colon != Address::npos && std::from_chars(address.data() + colon + 1, end, port).ptr == end;
-  if (!has_port) throw boost::system::system_error(asio::error::invalid_argument, address);
-  return {asio::ip::make_address(address.substr(0, colon)), port};
+constexpr int kListenBacklog = 1024;
+constexpr Millis kAcceptRetryDelay{50};
+constexpr Millis kDeadlineCheckInterval{250};
+
+tcp::endpoint listening_endpoint(const Address& address) {
+  const auto endpoint = parse_endpoint(address);
+  if (!endpoint) throw boost::system::system_error(asio::error::invalid_argument, address);
+  return *endpoint;
 }
 
-// Descriptors or memory ran out: trying again at once would fail again.
+// File descriptors or memory are exhausted, so accepting again at once would fail again.
 bool is_resource_exhaustion(const error_code& error) {
   return error == asio::error::no_descriptors || error == asio::error::no_buffer_space ||
          error == asio::error::no_memory || error == boost::system::errc::too_many_files_open_in_system;
 }
 
+// Accepts up to the limit on open connections, and closes connections whose phase exceeds its time limit.
 class BeastServer : public HttpServer {
  public:
   BeastServer(asio::io_context& loop, const Address& address, HttpHandler handler,
               std::size_t max_connections)
-      : core_(std::make_shared<HttpServerState>(loop, std::move(handler))),
+      : state_(std::make_shared<HttpServerState>(loop, std::move(handler))),
         acceptor_(loop),
-        accept_timer_(loop),
+        accept_retry_timer_(loop),
         deadline_timer_(loop),
         max_connections_(max_connections) {
-    const auto endpoint = parse_endpoint(address);
+    const auto endpoint = listening_endpoint(address);
     acceptor_.open(endpoint.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(endpoint);
-    acceptor_.listen(kBacklog);
-    core_->on_closed = [this] { on_closed(); };
+    acceptor_.listen(kListenBacklog);
+    state_->on_closed = [this] { on_closed(); };
     accept();
   }
 
   ~BeastServer() override {
-    core_->closed = true;
-    core_->on_closed = nullptr;
-    core_->handler = nullptr;
+    state_->closed = true;
+    state_->on_closed = nullptr;
+    state_->handler = nullptr;
     stop_accepting();
-    while (!core_->idle.empty()) core_->idle.front()->close();
-    while (!core_->busy.empty()) core_->busy.front()->close();
+    while (!state_->idle.empty()) state_->idle.front()->close();
+    while (!state_->busy.empty()) state_->busy.front()->close();
   }
 
-  void set_limits(const RequestLimits& limits) override { core_->limits = limits; }
+  void set_limits(const RequestLimits& limits) override { state_->limits = limits; }
 
   void stop_accepting() override {
     error_code ignored;
     acceptor_.close(ignored);
-    accept_timer_.cancel();
+    accept_retry_timer_.cancel();
   }
 
   void drain() override {
-    core_->draining = true;
-    while (!core_->idle.empty()) core_->idle.front()->close_idle();
+    state_->draining = true;
+    while (!state_->idle.empty()) state_->idle.front()->close_idle();
   }
 
-  std::size_t open_requests() const override { return core_->open_requests; }
-  std::size_t open_connections() const override { return core_->connections(); }
+  std::size_t open_requests() const override { return state_->open_requests; }
+  std::size_t open_connections() const override { return state_->connections(); }
   const std::map<unsigned, std::uint64_t>& responses_by_status() const override {
-    return core_->responses_by_status;
+    return state_->responses_by_status;
   }
   unsigned short port() const override { return acceptor_.local_endpoint().port(); }
 
@@ -87,8 +83,8 @@
   void accept() {
     if (accepting_ || !acceptor_.is_open()) return;
     accepting_ = true;
-    acceptor_.async_accept([this, core = core_](const error_code& error, tcp::socket socket) {
-      if (core->closed || error == asio::error::operation_aborted) return;
+    acceptor_.async_accept([this, state = state_](const error_code& error, tcp::socket socket) {
+      if (state->closed || error == asio::error::operation_aborted) return;
       accepting_ = false;
       on_accepted(error, std::move(socket));
     });
@@ -96,49 +92,49 @@
 
   void on_accepted(const error_code& error, tcp::socket socket) {
     if (!error) {
-      std::make_shared<Connection>(core_, std::move(socket))->start();
-      watch_deadlines();
+      std::make_shared<Connection>(state_, std::move(socket))->start();
+      schedule_deadline_check();
     }
-    if (error && is_resource_exhaustion(error)) return pause_accepting();
-    if (evict_idle_connection()) accept();
+    if (error && is_resource_exhaustion(error)) return retry_accept_later();
+    if (ensure_capacity()) accept();
   }
 
-  // Keeps below the bound by closing what has rested longest; false: all connections are busy.
-  bool evict_idle_connection() {
-    if (core_->connections() < max_connections_) return true;
-    if (core_->idle.empty()) return false;
-    core_->idle.front()->close_idle();
+  // Closes the connection idle longest if the limit is reached. False: the limit is reached and all are busy.
+  bool ensure_capacity() {
+    if (state_->connections() < max_connections_) return true;
+    if (state_->idle.empty()) return false;
+    state_->idle.front()->close_idle();
     return true;
   }
 
-  void pause_accepting() {
-    if (!core_->idle.empty()) core_->idle.front()->close_idle();
-    accept_timer_.expires_after(kAcceptPause);
-    accept_timer_.async_wait([this, core = core_](const error_code& error) {
-      if (!error && !core->closed) accept();
+  void retry_accept_later() {
+    if (!state_->idle.empty()) state_->idle.front()->close_idle();
+    accept_retry_timer_.expires_after(kAcceptRetryDelay);
+    accept_retry_timer_.async_wait([this, state = state_](const error_code& error) {
+      if (!error && !state->closed) accept();
     });
   }
 
   void on_closed() {
-    if (core_->connections() < max_connections_) accept();
+    if (state_->connections() < max_connections_) accept();
   }
 
-  void watch_deadlines() {
-    if (watching_deadlines_ || core_->connections() == 0) return;
-    watching_deadlines_ = true;
-    deadline_timer_.expires_after(kDeadlineCheck);
-    deadline_timer_.async_wait([this, core = core_](const error_code& error) {
-      if (error || core->closed) return;
-      watching_deadlines_ = false;
+  void schedule_deadline_check() {
+    if (deadline_check_scheduled_ || state_->connections() == 0) return;
+    deadline_check_scheduled_ = true;
+    deadline_timer_.expires_after(kDeadlineCheckInterval);
+    deadline_timer_.async_wait([this, state = state_](const error_code& error) {
+      if (error || state->closed) return;
+      deadline_check_scheduled_ = false;
       check_deadlines();
-      watch_deadlines();
+      schedule_deadline_check();
     });
   }
 
   void check_deadlines() {
     const auto now = SteadyClock::now();
-    check_deadlines(core_->busy, now);
-    check_deadlines(core_->idle, now);
+    check_deadlines(state_->busy, now);
+    check_deadlines(state_->idle, now);
   }
 
   static void check_deadlines(ConnectionList& list, TimePoint now) {
@@ -148,13 +144,13 @@
     }
   }
 
-  std::shared_ptr<HttpServerState> core_;
+  std::shared_ptr<HttpServerState> state_;
   tcp::acceptor acceptor_;
-  asio::steady_timer accept_timer_;
+  asio::steady_timer accept_retry_timer_;
   asio::steady_timer deadline_timer_;
   std::size_t max_connections_;
   bool accepting_ = false;
-  bool watching_deadlines_ = false;
+  bool deadline_check_scheduled_ = false;
 };
 
 }  // namespace
@@ -164,12 +160,4 @@
   return std::make_unique<BeastServer>(loop, address, std::move(handler), max_connections);
 }
 
-HttpResponse json_response(unsigned status, std::string body) {
-  HttpResponse response;
-  response.result(status);
-  response.set(boost::beast::http::field::content_type, "application/json");
-  response.body() = std::move(body);
-  return response;
-}
-
 }  // namespace winchhall::cluster
--- a/src/cluster/http/server_state.hpp
+++ b/src/cluster/http/server_state.hpp
@@ -1,4 +1,4 @@
-// State that a listener shares with its connections: limits, handler, counts, and the connections by age.
+// State that an HTTP server shares with its connections.
 #pragma once
 
 #include <array>
@@ -6,6 +6,7 @@
 #include <cstddef>
 #include <functional>
 #include <list>
+#include <map>
 #include <memory>
 
 #include "cluster/http/server.hpp"
@@ -15,9 +16,10 @@
 class Connection;
 using ConnectionList = std::list<std::shared_ptr<Connection>>;
 
-// Bytes taken from a socket at once.
-inline constexpr std::size_t kReadBytes = 64 * 1024;
+// Largest number of bytes read from a socket at once.
+inline constexpr std::size_t kReadBufferBytes = 64 * 1024;
 
+// Connections hold it by shared pointer, so it outlives a server whose connections have pending operations.
 struct HttpServerState {
   HttpServerState(boost::asio::io_context& event_loop, HttpHandler request_handler)
       : loop(event_loop), handler(std::move(request_handler)) {}
@@ -26,14 +28,15 @@
   HttpHandler handler;
   RequestLimits limits;
   bool draining = false;
-  bool closed = false;  // the server is gone
+  bool closed = false;  // the server has been destroyed
   std::size_t open_requests = 0;
   std::map<unsigned, std::uint64_t> responses_by_status;
-  ConnectionList idle;  // between requests; the one that has rested longest stands first
-  ConnectionList busy;
-  std::function<void()> on_closed;  // told after each connection that was closed
-  // All reads are carried out at once when a socket is readable, so that one buffer serves all connections.
-  std::array<char, kReadBytes> read_buffer;
+  ConnectionList idle;              // between requests; the one idle longest is first
+  ConnectionList busy;              // all others
+  std::function<void()> on_closed;  // called after each connection that was closed
+  // One buffer serves all connections: a read happens synchronously when a socket is readable, and its bytes
+  // are consumed before the next read.
+  std::array<char, kReadBufferBytes> read_buffer;
 
   std::size_t connections() const { return idle.size() + busy.size(); }
 };
--- a/tests/cluster/http/server_test.cpp
+++ b/tests/cluster/http/server_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server on loopback sockets; the event loop is run by the tests themselves.
+// The HTTP server on loopback sockets. The tests drive the event loop.
 #include "cluster/http/server.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr Millis kLongest{5000};
+constexpr Millis kTimeout{5000};
 
 using Client = LoopbackClient;
 
-struct ServerFixture {
+struct HttpServerFixture {
   asio::io_context loop;
   HttpHandler handler = [](HttpRequest request, HttpReplyCallback reply) {
     reply(json_response(200, std::string(request.target()) + request.body()));
@@ -30,7 +30,7 @@
 
   template <typename Condition>
   bool run_until(Condition condition) {
-    const auto end = SteadyClock::now() + kLongest;
+    const auto end = SteadyClock::now() + kTimeout;
     while (!condition() && SteadyClock::now() < end) loop.run_one_for(Millis(50));
     return condition();
   }
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(ServerFixture, "requests of one connection are answered one after the other") {
+TEST_CASE_METHOD(HttpServerFixture, "requests on one connection are answered one after another") {
   Client client(loop, port());
   client.send(get("/one"));
   REQUIRE(run_until([&] { return client.has("/one"); }));
@@ -56,7 +56,7 @@
   CHECK_FALSE(client.ended());
 }
 
-TEST_CASE_METHOD(ServerFixture, "a request in many pieces is read whole") {
+TEST_CASE_METHOD(HttpServerFixture, "a request that arrives byte by byte is read completely") {
   Client client(loop, port());
   for (const char character : post("/p", "0123456789")) {
     client.send(std::string(1, character));
@@ -65,7 +65,7 @@
   CHECK(run_until([&] { return client.has("/p0123456789"); }));
 }
 
-TEST_CASE_METHOD(ServerFixture, "requests sent ahead are answered in order") {
+TEST_CASE_METHOD(HttpServerFixture, "pipelined requests are answered in order") {
   Client client(loop, port());
   client.send(get("/one") + post("/two", "x") + get("/three"));
   REQUIRE(run_until([&] { return client.has("/three"); }));
@@ -73,14 +73,14 @@
   CHECK(client.input().find("/twox") < client.input().find("/three"));
 }
 
-TEST_CASE_METHOD(ServerFixture, "a body in chunks is read") {
+TEST_CASE_METHOD(HttpServerFixture, "a chunked body is read") {
   Client client(loop, port());
   client.send(
       "POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
   CHECK(run_until([&] { return client.has("/cabcde"); }));
 }
 
-TEST_CASE_METHOD(ServerFixture, "a client that waits for leave to send its body gets it") {
+TEST_CASE_METHOD(HttpServerFixture, "a client that expects 100-continue gets it") {
   Client client(loop, port());
   client.send("POST /e HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
   REQUIRE(run_until([&] { return client.has("HTTP/1.1 100 Continue\r\n\r\n"); }));
@@ -88,7 +88,7 @@
   CHECK(run_until([&] { return client.has("/eok"); }));
 }
 
-TEST_CASE_METHOD(ServerFixture, "a half-closed client gets its answer") {
+TEST_CASE_METHOD(HttpServerFixture, "a half-closed client gets its response") {
   Client client(loop, port());
   client.send(get("/half"));
   client.shut_down_sending();
@@ -96,7 +96,7 @@
   CHECK(run_until([&] { return client.ended(); }));
 }
 
-TEST_CASE_METHOD(ServerFixture, "HTTP/1.0 and Connection: close end after the answer") {
+TEST_CASE_METHOD(HttpServerFixture, "HTTP/1.0 and Connection: close end the connection after the response") {
   Client old(loop, port());
   old.send("GET /old HTTP/1.0\r\n\r\n");
   CHECK(run_until([&] { return old.ended(); }));
@@ -107,7 +107,8 @@
   CHECK(closing.has("/closing"));
 }
 
-TEST_CASE_METHOD(ServerFixture, "what breaks the protocol or the limits is refused and closed") {
+TEST_CASE_METHOD(HttpServerFixture,
+                 "a request that violates the protocol or the limits is rejected and its connection closed") {
   RequestLimits limits;
   limits.max_header_bytes = 512;
   limits.max_body_bytes = 100;
@@ -128,7 +129,7 @@
   CHECK_FALSE(large_body.reset());
 }
 
-TEST_CASE_METHOD(ServerFixture, "time limits end connections that rest or stall") {
+TEST_CASE_METHOD(HttpServerFixture, "idle and stalled connections time out") {
   RequestLimits limits;
   limits.header_timeout_ms = 100;
   limits.idle_timeout_ms = 150;
@@ -141,26 +142,26 @@
   CHECK(stalled.has("HTTP/1.1 408 "));
 }
 
-TEST_CASE_METHOD(ServerFixture, "an answer may come later, and to a client that has gone") {
-  std::vector<HttpReplyCallback> repliers;
-  handler = [&](HttpRequest, HttpReplyCallback reply) { repliers.push_back(std::move(reply)); };
+TEST_CASE_METHOD(HttpServerFixture, "a response may be sent later, also to a client that has disconnected") {
+  std::vector<HttpReplyCallback> replies;
+  handler = [&](HttpRequest, HttpReplyCallback reply) { replies.push_back(std::move(reply)); };
   Client staying(loop, port());
   Client leaving(loop, port());
   staying.send(get("/"));
   leaving.send(get("/"));
-  REQUIRE(run_until([&] { return repliers.size() == 2; }));
+  REQUIRE(run_until([&] { return replies.size() == 2; }));
   CHECK(server->open_requests() == 2);
   leaving.close();
-  for (auto& reply : repliers) {
+  for (auto& reply : replies) {
     reply(json_response(200, "late"));
     reply(json_response(200, "again"));
   }
   REQUIRE(run_until([&] { return staying.has("late") && server->open_requests() == 0; }));
   CHECK_FALSE(staying.has("again"));
-  repliers.clear();
+  replies.clear();
 }
 
-TEST_CASE_METHOD(ServerFixture, "a request that its handler drops or fails at ends its connection") {
+TEST_CASE_METHOD(HttpServerFixture, "a request whose handler drops it or throws ends its connection") {
   handler = [](HttpRequest request, HttpReplyCallback) {
     if (request.target() == "/throw") throw std::runtime_error("handler");
   };
@@ -172,24 +173,24 @@
   CHECK(run_until([&] { return failed.has("HTTP/1.1 500 "); }));
 }
 
-TEST_CASE_METHOD(ServerFixture, "draining closes what rests and answers what is under way") {
-  HttpReplyCallback held;
-  handler = [&](HttpRequest, HttpReplyCallback reply) { held = std::move(reply); };
-  Client resting(loop, port());
-  Client waiting(loop, port());
-  waiting.send(get("/"));
-  REQUIRE(run_until([&] { return static_cast<bool>(held) && server->open_connections() == 2; }));
+TEST_CASE_METHOD(HttpServerFixture, "draining closes idle connections and answers pending requests") {
+  HttpReplyCallback pending_reply;
+  handler = [&](HttpRequest, HttpReplyCallback reply) { pending_reply = std::move(reply); };
+  Client idle(loop, port());
+  Client busy(loop, port());
+  busy.send(get("/"));
+  REQUIRE(run_until([&] { return static_cast<bool>(pending_reply) && server->open_connections() == 2; }));
   server->drain();
-  REQUIRE(run_until([&] { return resting.ended(); }));
-  CHECK_FALSE(waiting.ended());
-  held(json_response(200, "done"));
-  held = nullptr;
-  REQUIRE(run_until([&] { return waiting.ended(); }));
-  CHECK(waiting.has("Connection: close"));
-  CHECK(waiting.has("done"));
+  REQUIRE(run_until([&] { return idle.ended(); }));
+  CHECK_FALSE(busy.ended());
+  pending_reply(json_response(200, "done"));
+  pending_reply = nullptr;
+  REQUIRE(run_until([&] { return busy.ended(); }));
+  CHECK(busy.has("Connection: close"));
+  CHECK(busy.has("done"));
 }
 
-TEST_CASE_METHOD(ServerFixture, "a server that stops accepting serves its connections on") {
+TEST_CASE_METHOD(HttpServerFixture, "a server that stops accepting continues to serve its connections") {
   Client client(loop, port());
   const auto own_port = port();
   REQUIRE(run_until([&] { return server->open_connections() == 1; }));
@@ -199,7 +200,7 @@
   CHECK(run_until([&] { return client.has("/on"); }));
 }
 
-TEST_CASE_METHOD(ServerFixture, "beyond the bound the connection idle for longest is closed") {
+TEST_CASE_METHOD(HttpServerFixture, "beyond the limit, the connection idle longest is closed") {
   std::vector<std::unique_ptr<Client>> clients;
   for (int count = 0; count < 4; ++count) {
     clients.push_back(std::make_unique<Client>(loop, port()));
