--- a/src/cluster/ingress/configuration_subscription.hpp
+++ b/src/cluster/ingress/configuration_subscription.hpp
@@ -1,4 +1,4 @@
-// Keeps the newest configuration by long polls on the agent of the same machine.
+// Subscription of an ingress to the configuration, by long polls to the agent on the same machine.
 #pragma once
 
 #include <functional>
@@ -10,36 +10,41 @@
 
 namespace winchhall::cluster {
 
+// Keeps the newest configuration that the agent has announced. The version never decreases, whatever a
+// restarted agent announces.
 class ConfigurationSubscription {
  public:
-  using OnNewer = std::function<void(const Configuration&)>;
+  using UpdateCallback = std::function<void(const Configuration&)>;
 
-  // `agent`: the agent's listener. `on_newer` is called for every newer configuration.
-  ConfigurationSubscription(Runtime& runtime, Address agent, OnNewer on_newer);
+  // `agent`: the agent's RPC listener. `on_update` is called with every newer configuration. The runtime must
+  // outlive the subscription.
+  ConfigurationSubscription(Runtime& runtime, Address agent, UpdateCallback on_update);
 
+  // Starts polling.
   void start();
-  // Null before the first; its version never goes back. Valid until the event loop's next turn.
+  // Null before the first configuration. Valid until the next turn of the event loop.
   const Configuration* current() const { return replica_.configuration(); }
-  // The agent has answered lately and said that it hears the control group.
-  bool in_touch() const;
+  // Whether the agent has responded recently, and then was in contact with a quorum of the control group.
+  bool is_connected() const;
 
  private:
   void poll();
-  void poll_after(Millis pause);
-  void on_answer(const CallResult& result, TimePoint sent);
-  // How long to wait before the next poll.
-  Millis take_update(const wire::ConfigurationUpdate& update, TimePoint sent);
-  bool adopt(const wire::ConfigurationUpdate& update);
-  void on_taken();
+  void poll_after(Millis delay);
+  void on_response(const CallResult& result, TimePoint sent_at);
+  // Returns the delay before the next poll.
+  Millis process_update(const wire::ConfigurationUpdate& update, TimePoint sent_at);
+  // False: the configuration is not usable.
+  bool apply(const wire::ConfigurationUpdate& update);
+  void on_applied();
 
   Runtime& runtime_;
   Address agent_;
-  OnNewer on_newer_;
+  UpdateCallback on_update_;
   ConfigurationReplica replica_;
   ConfigurationFetcher fetcher_;
-  std::optional<TimePoint> last_answer_;
-  bool agent_in_touch_ = false;
-  std::unique_ptr<Timer> timer_;
+  std::optional<TimePoint> last_response_at_;
+  bool agent_has_contact_ = false;
+  std::unique_ptr<Timer> poll_timer_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/ingress/ingress.cpp
+++ b/src/cluster/ingress/ingress.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-// The platform takes an aggregator out after two probes, a second apart, without a 200.
-constexpr Millis kSeenNotReady{2500};
-constexpr Millis kDrainCheck{50};
-// Kept back of the grace period for the process' end.
-constexpr Millis kEndReserve{1000};
-// Kept back before that for the last answers to be written.
-constexpr Millis kLastAnswers{300};
-// Probes come from one place.
+// The platform removes an ingress after two failed readiness probes, one second apart.
+constexpr Millis kUnreadinessDetectionTime{2500};
+constexpr Millis kDrainCheckInterval{50};
+// Part of the grace period that is reserved for the end of the process.
+constexpr Millis kExitReserve{1000};
+// Time before that for writing the last responses.
+constexpr Millis kLastResponsesReserve{300};
+// All probes come from one client.
 constexpr std::size_t kMaxProbeConnections = 64;
 
 }  // namespace
@@ -24,12 +24,12 @@
     : runtime_(runtime),
       settings_(settings),
       loop_(loop),
-      feed_(runtime, settings.agent_listener_address(),
-            [this](const Configuration& configuration) {
-              log_event(LogLevel::info, "configuration",
-                        {{"version", static_cast<std::int64_t>(configuration.version)}});
-              if (front_) front_->set_limits(configuration.limits);
-            }),
+      subscription_(runtime, settings.agent_listener_address(),
+                    [this](const Configuration& configuration) {
+                      log_event(LogLevel::info, "configuration",
+                                {{"version", static_cast<std::int64_t>(configuration.version)}});
+                      if (front_) front_->set_limits(configuration.limits);
+                    }),
       gateway_(runtime, settings.agent_listener_address()) {}
 
 void Ingress::start() {
@@ -39,22 +39,22 @@
   }
   front_ =
       make_http_server(loop_, settings_.front, [this](const HttpRequest& request, HttpReplyCallback reply) {
-        gateway_.handle(accepts_jobs() ? feed_.current() : nullptr, request, std::move(reply));
+        gateway_.handle(accepts_jobs() ? subscription_.current() : nullptr, request, std::move(reply));
       });
   probes_ = make_http_server(
       loop_, settings_.ready,
       [this](const HttpRequest& request, const HttpReplyCallback& reply) { on_probe(request, reply); },
       kMaxProbeConnections);
-  feed_.start();
+  subscription_.start();
 }
 
 bool Ingress::ready() const {
-  return accepts_jobs() && !shutting_down_ && feed_.current() && feed_.in_touch();
+  return accepts_jobs() && !shutting_down_ && subscription_.current() && subscription_.is_connected();
 }
 
 void Ingress::on_probe(const HttpRequest& request, const HttpReplyCallback& reply) const {
-  const bool known = request.target() == "/v1/readiness";
-  if (!known) return reply(json_response(404, "{}"));
+  const bool found = request.target() == "/v1/readiness";
+  if (!found) return reply(json_response(404, "{}"));
   reply(json_response(ready() ? 200 : 503, "{}"));
 }
 
@@ -62,26 +62,26 @@
   if (shutting_down_) return;
   shutting_down_ = true;
   done_ = std::move(done);
-  const Millis total = std::max(settings_.bounds.grace_period - kEndReserve, Millis(0));
-  end_ = runtime_.now() + total;
-  drain_timer_ = runtime_.after(std::min(kSeenNotReady, total / 2), [this] { stop_serving(); });
-  give_up_timer_ = runtime_.after(std::max(total - kLastAnswers, Millis(0)), [this] { give_up(); });
+  const Millis available = std::max(settings_.bounds.grace_period - kExitReserve, Millis(0));
+  shutdown_deadline_ = runtime_.now() + available;
+  drain_timer_ =
+      runtime_.after(std::min(kUnreadinessDetectionTime, available / 2), [this] { start_drain(); });
+  fail_pending_timer_ = runtime_.after(std::max(available - kLastResponsesReserve, Millis(0)),
+                                       [this] { gateway_.fail_all_pending(); });
 }
 
-void Ingress::stop_serving() {
+void Ingress::start_drain() {
   front_->stop_accepting();
   front_->drain();
-  watch_drain();
+  check_drained();
 }
 
-void Ingress::watch_drain() {
-  const bool empty = front_->open_connections() == 0 && gateway_.open() == 0;
-  if (empty || runtime_.now() >= end_) return finish();
-  drain_timer_ = runtime_.after(kDrainCheck, [this] { watch_drain(); });
+void Ingress::check_drained() {
+  const bool drained = front_->open_connections() == 0 && gateway_.pending_calls() == 0;
+  if (drained || runtime_.now() >= shutdown_deadline_) return finish();
+  drain_timer_ = runtime_.after(kDrainCheckInterval, [this] { check_drained(); });
 }
 
-void Ingress::give_up() { gateway_.fail_all_pending(); }
-
 void Ingress::finish() {
   const auto done = std::move(done_);
   if (done) done();
--- a/src/cluster/ingress/ingress.hpp
+++ b/src/cluster/ingress/ingress.hpp
@@ -1,4 +1,4 @@
-// HTTP front of an `edge` machine: clients' job requests at `front`, the platform's probes at `ready`.
+// Ingress of an `edge` machine: the HTTP server for clients' job requests and the one for readiness probes.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,46 +13,49 @@
 
 namespace winchhall::cluster {
 
+// Runs on one event loop; not thread-safe.
 class Ingress {
  public:
-  // Of `settings` are used: front, ready, internal ports (agent_listener_address) and the grace period.
-  // `runtime` runs on `loop`.
+  // Uses these settings: front, ready, the internal ports (agent_listener_address), commands and the grace
+  // period. `runtime` runs on `loop`; both must outlive the ingress.
   Ingress(Runtime& runtime, const NodeSettings& settings, boost::asio::io_context& loop);
 
-  // Listens. Throws boost::system::system_error if an address can't be listened on.
+  // Starts listening. Throws boost::system::system_error if an address can't be listened on.
   void start();
-  // Planned end: not ready at once, served on until the platform has seen it, then drained. `done` is called
-  // once nothing is open, or shortly before the grace period ends.
+
+  // Graceful shutdown. Readiness fails at once, requests are served until the platform has noticed, then the
+  // connections are drained. `done` is called once nothing is open, or shortly before the grace period ends.
   void shut_down(std::function<void()> done);
-  // Ports that are listened on once started.
+
+  // Ports that are listened on, after `start`.
   unsigned short front_port() const { return front_->port(); }
   unsigned short ready_port() const { return probes_->port(); }
-  // Serves the clients; null: not started.
+  // The clients' server; null before `start`.
   const HttpServer* front() const { return front_.get(); }
-  // True: a probe is answered with 200.
+
+  // Whether readiness probes are answered with 200.
   bool ready() const;
-  // False where the settings ask for what isn't built: jobs that would be taken could never run.
+  // False if the settings require a command mode that is not implemented: accepted jobs could never run.
   bool accepts_jobs() const { return settings_.commands == CommandMode::heartbeat; }
 
  private:
   void on_probe(const HttpRequest& request, const HttpReplyCallback& reply) const;
-  void stop_serving();
-  void watch_drain();
-  void give_up();
+  void start_drain();
+  void check_drained();
   void finish();
 
   Runtime& runtime_;
   NodeSettings settings_;
   boost::asio::io_context& loop_;
-  ConfigurationSubscription feed_;
+  ConfigurationSubscription subscription_;
   JobGateway gateway_;
   std::unique_ptr<HttpServer> front_;
   std::unique_ptr<HttpServer> probes_;
   bool shutting_down_ = false;
-  TimePoint end_;
+  TimePoint shutdown_deadline_;
   std::function<void()> done_;
   std::unique_ptr<Timer> drain_timer_;
-  std::unique_ptr<Timer> give_up_timer_;
+  std::unique_ptr<Timer> fail_pending_timer_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/ingress/job_gateway.hpp
+++ b/src/cluster/ingress/job_gateway.hpp
@@ -1,5 +1,4 @@
-// Answers clients' job requests: finds the queue, has the agent ask the service's leader, and turns the
-// outcome into an HTTP answer. Every request gets one, at its deadline at the latest.
+// Gateway of an ingress: forwards clients' job requests to the agent on the same machine.
 #pragma once
 
 #include <cstdint>
@@ -9,52 +8,52 @@
 
 #include "cluster/common/runtime.hpp"
 #include "cluster/config/configuration.hpp"
-#include "cluster/http/server.hpp"
+#include "cluster/http/message.hpp"
+#include "cluster/ingress/queue_count_cache.hpp"
 #include "cluster/ingress/request_target.hpp"
 
 namespace winchhall::cluster {
 
+// Resolves each request to a queue, lets the agent call the service's leader, and translates the outcome into
+// an HTTP response. Every request gets a response, at its deadline at the latest. Requests are idempotent by
+// the job's ID, so an attempt that the agent doesn't answer is repeated.
 class JobGateway {
  public:
+  // `agent`: the agent's RPC listener. The runtime must outlive the gateway.
   JobGateway(Runtime& runtime, Address agent);
 
-  // `configuration`: the one in force; null: none yet.
+  // `configuration`: the current one; null: none yet.
   void handle(const Configuration* configuration, const HttpRequest& request, HttpReplyCallback reply);
-  // Answers everything that is open at once, as in doubt.
+  // Responds to all pending requests at once, as with an unknown outcome.
   void fail_all_pending();
-  std::size_t open() const { return calls_.size(); }
+  std::size_t pending_calls() const { return calls_.size(); }
 
  private:
-  // A request on its way to the agent.
+  // A client's request that has been forwarded to the agent.
   struct PendingCall {
     wire::JobRequest request;
     TimePoint deadline;
-    unsigned tries = 0;
-    TimePoint second_attempt_at{};  // set where there is one
+    unsigned attempts = 0;
+    TimePoint second_attempt_at{};  // set if there is one
     HttpReplyCallback reply;
-    std::unique_ptr<Timer> retry;
+    std::unique_ptr<Timer> retry_timer;
   };
 
   void forward(const RequestTarget& target, const HttpRequest& request, wire::JobSpec spec,
                HttpReplyCallback reply);
-  void send(std::uint64_t number);
-  void on_result(std::uint64_t number, const CallResult& result);
-  void retry_later(std::uint64_t number);
-  void finish(std::uint64_t number, const wire::JobReply& reply);
-  // True if some try may have reached a control node, for all that the answer tells.
+  void send(std::uint64_t call_number);
+  void on_result(std::uint64_t call_number, const CallResult& result);
+  void retry_later(std::uint64_t call_number);
+  void finish(std::uint64_t call_number, const wire::JobReply& reply);
+  // Whether an attempt other than the one that was answered may have reached a control node.
   bool is_outcome_unknown(const PendingCall& call, const wire::JobReply& reply) const;
-  HttpResponse count_answer(const std::string& queue, const wire::JobReply& reply);
+  HttpResponse make_count_response(const std::string& queue, const wire::JobReply& reply);
 
   Runtime& runtime_;
   Address agent_;
-  std::uint64_t last_number_ = 0;
-  std::map<std::uint64_t, PendingCall> calls_;
-  // A queue's count as it was last heard.
-  struct CachedCount {
-    std::uint32_t pending = 0;
-    TimePoint at;
-  };
-  std::map<std::string, CachedCount> cached_counts_;  // by queue
+  std::uint64_t last_call_number_ = 0;
+  std::map<std::uint64_t, PendingCall> calls_;  // by call number, in order of arrival
+  QueueCountCache counts_;
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/ingress/job_json.hpp
+++ b/src/cluster/ingress/job_json.hpp
@@ -1,4 +1,4 @@
-// Reads the body of a submitted job (JSON) into its message, checking every value.
+// Parsing and validation of submitted jobs (JSON).
 #pragma once
 
 #include <string_view>
@@ -8,15 +8,16 @@
 
 namespace winchhall::cluster {
 
-// Largest `spec` in bytes.
+// Maximum length of `spec` and other texts of a job, in bytes.
 inline constexpr std::size_t kMaxSpecBytes = 4000;
-// Digits of a job's ID.
+// Number of digits of a job's ID.
 inline constexpr std::size_t kJobIdDigits = 16;
 
-// Unknown fields are ignored, missing ones are zero, false or empty. Errors: InvalidInput.
+// Parses the body of a submission. Unknown fields are ignored; missing ones are zero, false or empty. Errors:
+// InvalidInput that names the field.
 leaf::result<wire::JobSpec> parse_job(std::string_view body);
 
-// True for 16 hexadecimal digits.
+// Whether the text has the form of a job's ID: 16 hexadecimal digits.
 bool is_job_id(std::string_view text);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/ingress/job_responses.cpp
+++ b/src/cluster/ingress/job_responses.cpp
@@ -12,7 +12,7 @@
 constexpr Millis kDefaultRetryAfter{1000};
 constexpr std::int64_t kMillisPerSecond = 1000;
 
-std::string_view name_of(wire::JobState state) {
+std::string_view job_state_name(wire::JobState state) {
   switch (state) {
     case wire::JOB_RUNNING:
       return "running";
@@ -27,15 +27,15 @@
   }
 }
 
-HttpResponse success(wire::JobVerb verb, const wire::JobReply& reply) {
+HttpResponse success_response(wire::JobVerb verb, const wire::JobReply& reply) {
   if (verb == wire::JOB_QUERY)
-    return json_response(200, R"({"state":")" + std::string(name_of(reply.state())) + "\"}");
+    return json_response(200, R"({"state":")" + std::string(job_state_name(reply.state())) + "\"}");
   if (verb == wire::JOB_COUNT)
     return json_response(200, R"({"pending":)" + std::to_string(reply.pending()) + "}");
   return json_response(200, "{}");
 }
 
-Millis retry_after_of(const wire::JobReply& reply) {
+Millis retry_delay(const wire::JobReply& reply) {
   return reply.retry_after_ms() == 0 ? kDefaultRetryAfter : Millis(reply.retry_after_ms());
 }
 
@@ -44,17 +44,17 @@
 HttpResponse make_job_response(wire::JobVerb verb, const wire::JobReply& reply) {
   switch (reply.outcome()) {
     case wire::JOB_OK:
-      return success(verb, reply);
+      return success_response(verb, reply);
     case wire::JOB_NOT_FOUND:
       return json_response(410, "{}");
     case wire::JOB_REJECTED:
-      return make_unavailable_response(retry_after_of(reply));
+      return make_unavailable_response(retry_delay(reply));
     case wire::JOB_INVALID:
       return error_response(400, {"job", "", "", reply.reason()});
     case wire::JOB_NO_QUEUE:
       return json_response(404, "{}");
     default:
-      // A question changes nothing, whoever may have read it.
+      // A query has no effect, so its outcome is never in doubt.
       return verb == wire::JOB_QUERY ? make_unavailable_response(kDefaultRetryAfter)
                                      : make_unknown_outcome_response();
   }
--- a/src/cluster/ingress/job_responses.hpp
+++ b/src/cluster/ingress/job_responses.hpp
@@ -1,18 +1,18 @@
-// Turns the outcome of a job request into the answer that its client gets.
+// HTTP responses to job requests.
 #pragma once
 
 #include "cluster/common/runtime.hpp"
-#include "cluster/http/server.hpp"
+#include "cluster/http/message.hpp"
 
 namespace winchhall::cluster {
 
-// The answer to a request of kind `verb`. A reply without a clear outcome counts as in doubt.
+// The response to a request of kind `verb`. A reply without a definite outcome counts as an unknown outcome.
 HttpResponse make_job_response(wire::JobVerb verb, const wire::JobReply& reply);
 
-// 503 with Retry-After: certainly not taken; worth trying again after `retry_after`.
+// 503 with Retry-After: the request had no effect and may be retried after `retry_after`.
 HttpResponse make_unavailable_response(Millis retry_after);
 
-// 504: may or may not have been taken; the same ID may be sent again.
+// 504: the request may or may not have taken effect. It is safe to retry with the same ID.
 HttpResponse make_unknown_outcome_response();
 
 }  // namespace winchhall::cluster
--- a/src/cluster/ingress/request_target.cpp
+++ b/src/cluster/ingress/request_target.cpp
@@ -14,11 +14,11 @@
 
 constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 
-std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+std::string_view to_std(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// Host header in lower case, without its port.
+// The Host header in lower case, without the port.
 std::string host_of(const HttpRequest& request) {
-  std::string_view host = view(request[http::field::host]);
+  std::string_view host = to_std(request[http::field::host]);
   host = host.substr(0, host.rfind(':'));
   std::string lower(host);
   for (char& character : lower) {
@@ -28,18 +28,18 @@
 }
 
 std::string_view path_of(const HttpRequest& request) {
-  const std::string_view target = view(request.target());
+  const std::string_view target = to_std(request.target());
   return target.substr(0, target.find('?'));
 }
 
-wire::JobVerb verb_of(http::verb method, bool names_job) {
+wire::JobVerb verb_of(http::verb method, bool has_job_id) {
   switch (method) {
     case http::verb::get:
-      return names_job ? wire::JOB_QUERY : wire::JOB_COUNT;
+      return has_job_id ? wire::JOB_QUERY : wire::JOB_COUNT;
     case http::verb::post:
-      return names_job ? wire::JOB_SUBMIT : wire::JOB_VERB_NONE;
+      return has_job_id ? wire::JOB_SUBMIT : wire::JOB_VERB_NONE;
     case http::verb::delete_:
-      return names_job ? wire::JOB_CANCEL : wire::JOB_VERB_NONE;
+      return has_job_id ? wire::JOB_CANCEL : wire::JOB_VERB_NONE;
     default:
       return wire::JOB_VERB_NONE;
   }
@@ -49,8 +49,9 @@
   return method == http::verb::get || method == http::verb::post || method == http::verb::delete_;
 }
 
-// A path below a queue that names no job. A deeper path may be that of a queue that is not in force.
-TargetError error_of_rest(http::verb method, std::string_view rest) {
+// Error for a path under a queue that is not a job ID. A deeper path may belong to a queue that is not
+// configured (any more).
+TargetError error_of_path_rest(http::verb method, std::string_view rest) {
   const bool deeper = rest.find('/') != std::string_view::npos;
   return deeper || method == http::verb::get ? TargetError::no_such_queue : TargetError::malformed;
 }
@@ -71,7 +72,7 @@
   }
   const std::string_view rest = path.substr(target.route->path_prefix.size());
   if (!rest.empty() && !is_job_id(rest)) {
-    target.error = error_of_rest(request.method(), rest);
+    target.error = error_of_path_rest(request.method(), rest);
     return target;
   }
   target.verb = verb_of(request.method(), !rest.empty());
@@ -81,12 +82,12 @@
 }
 
 std::optional<Millis> client_deadline(const HttpRequest& request) {
-  const std::string_view text = view(request["X-Winchhall-Deadline"]);
+  const std::string_view text = to_std(request["X-Winchhall-Deadline"]);
   std::int64_t milliseconds = 0;
   const auto end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, milliseconds);
-  const bool whole = parsed.ec == std::errc() && parsed.ptr == end;
-  if (!whole || milliseconds <= 0 || milliseconds > kMaxDeadlineMs) return std::nullopt;
+  const bool complete = parsed.ec == std::errc() && parsed.ptr == end;
+  if (!complete || milliseconds <= 0 || milliseconds > kMaxDeadlineMs) return std::nullopt;
   return Millis(milliseconds);
 }
 
--- a/src/cluster/ingress/request_target.hpp
+++ b/src/cluster/ingress/request_target.hpp
@@ -1,4 +1,4 @@
-// Finds what a client's request is about: its queue, the job's ID, and how long the client waits.
+// Interpretation of a client's HTTP request: its queue, the job and the client's deadline.
 #pragma once
 
 #include <optional>
@@ -6,24 +6,30 @@
 
 #include "cluster/common/runtime.hpp"
 #include "cluster/config/configuration.hpp"
-#include "cluster/http/server.hpp"
+#include "cluster/http/message.hpp"
 
 namespace winchhall::cluster {
 
-// `no_such_queue`: no route fits. `malformed`: no job's ID where one must stand. `wrong_method`: not spoken
-// here.
-enum class TargetError { none, no_such_queue, malformed, wrong_method };
+enum class TargetError {
+  none,
+  no_such_queue,  // no route matches
+  malformed,      // the path has no valid job ID where one is required
+  wrong_method    // the method is not supported for this path
+};
 
 struct RequestTarget {
   TargetError error = TargetError::none;
-  const Route* route = nullptr;  // into the configuration that was asked
+  const Route* route = nullptr;  // points into the configuration that was searched
   wire::JobVerb verb = wire::JOB_VERB_NONE;
-  std::string id;  // empty for JOB_COUNT
+  std::string id;  // of the job; empty for JOB_COUNT
 };
 
+// Resolves host, path and method of a request. The other members of the result are valid only without an
+// error.
 RequestTarget resolve_target(const Configuration& configuration, const HttpRequest& request);
 
-// Milliseconds that the client waits (header X-Winchhall-Deadline); none: it does not say.
+// How long the client waits for the response, from the header X-Winchhall-Deadline (milliseconds); empty if
+// the header is missing or invalid.
 std::optional<Millis> client_deadline(const HttpRequest& request);
 
 }  // namespace winchhall::cluster
--- a/tests/cluster/ingress/configuration_subscription_test.cpp
+++ b/tests/cluster/ingress/configuration_subscription_test.cpp
@@ -1,4 +1,4 @@
-// How an ingress keeps its configuration.
+// The configuration of an ingress, as its agent delivers it.
 #include <catch2/catch.hpp>
 
 #include "cluster/ingress/configuration_subscription.hpp"
@@ -11,19 +11,20 @@
 
 constexpr char kAgent[] = "127.0.0.1:7381";
 
-struct FeedFixture {
+struct SubscriptionFixture {
   FakeRuntime runtime;
-  std::vector<std::uint64_t> seen;
-  ConfigurationSubscription feed{
-      runtime, kAgent, [this](const Configuration& configuration) { seen.push_back(configuration.version); }};
+  std::vector<std::uint64_t> updates;
+  ConfigurationSubscription subscription{runtime, kAgent, [this](const Configuration& configuration) {
+                                           updates.push_back(configuration.version);
+                                         }};
   wire::ConfigurationUpdate update;
-  std::unique_ptr<Timer> held;
+  std::unique_ptr<Timer> pending_poll;
 
-  FeedFixture() {
+  SubscriptionFixture() {
     update.set_in_touch(true);
     offer(3);
     start_agent();
-    feed.start();
+    subscription.start();
   }
 
   void offer(std::uint64_t version) {
@@ -31,7 +32,7 @@
     update.set_configuration(configuration_json(version, {{"/a/", "first"}}));
   }
 
-  // An agent that answers at once when it has something newer, else after the wait.
+  // An agent that responds at once if it has a newer version, or else when the long poll ends.
   void start_agent() {
     runtime.peers[kAgent] = [this](const wire::Envelope& request, const ReplyCallback& reply) {
       const auto& watch = request.configuration_watch();
@@ -42,57 +43,57 @@
         reply(std::move(envelope));
       };
       if (update.version() > watch.version()) return answer();
-      held = runtime.after(Millis(watch.wait_ms()), answer);
+      pending_poll = runtime.after(Millis(watch.wait_ms()), answer);
     };
   }
 
-  std::uint64_t version() const { return feed.current() ? feed.current()->version : 0; }
+  std::uint64_t version() const { return subscription.current() ? subscription.current()->version : 0; }
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(FeedFixture, "the first configuration is taken and kept up to date") {
-  CHECK_FALSE(feed.in_touch());
+TEST_CASE_METHOD(SubscriptionFixture, "the first configuration and every newer one are applied") {
+  CHECK_FALSE(subscription.is_connected());
   runtime.run_for(Millis(10));
   CHECK(version() == 3);
-  CHECK(feed.in_touch());
+  CHECK(subscription.is_connected());
   offer(4);
   runtime.run_for(Millis(2100));
   CHECK(version() == 4);
-  CHECK(seen == std::vector<std::uint64_t>{3, 4});
+  CHECK(updates == std::vector<std::uint64_t>{3, 4});
 }
 
-TEST_CASE_METHOD(FeedFixture, "a restarted agent with an older configuration changes nothing") {
+TEST_CASE_METHOD(SubscriptionFixture, "an older configuration of a restarted agent is ignored") {
   runtime.run_for(Millis(10));
   offer(2);
   runtime.run_for(Millis(10000));
   CHECK(version() == 3);
-  CHECK(feed.in_touch());
+  CHECK(subscription.is_connected());
 }
 
-TEST_CASE_METHOD(FeedFixture, "an agent that is gone is noticed and found again") {
+TEST_CASE_METHOD(SubscriptionFixture, "the loss and the return of the agent are detected") {
   runtime.run_for(Millis(10));
   runtime.peers.clear();
-  held.reset();
+  pending_poll.reset();
   runtime.run_for(Millis(6000));
-  CHECK_FALSE(feed.in_touch());
+  CHECK_FALSE(subscription.is_connected());
   CHECK(version() == 3);
   offer(5);
   start_agent();
   runtime.run_for(Millis(100));
-  CHECK(feed.in_touch());
+  CHECK(subscription.is_connected());
   CHECK(version() == 5);
 }
 
-TEST_CASE_METHOD(FeedFixture, "an agent that hears no control node makes the ingress not in touch") {
+TEST_CASE_METHOD(SubscriptionFixture, "an agent without quorum contact makes the ingress disconnected") {
   runtime.run_for(Millis(10));
   update.set_in_touch(false);
   runtime.run_for(Millis(2100));
-  CHECK_FALSE(feed.in_touch());
+  CHECK_FALSE(subscription.is_connected());
 }
 
-TEST_CASE_METHOD(FeedFixture,
-                 "a configuration that can't be read is not taken and not asked for in a storm") {
+TEST_CASE_METHOD(SubscriptionFixture,
+                 "an invalid configuration is not applied and not requested in a tight loop") {
   runtime.run_for(Millis(10));
   update.set_version(9);
   update.set_configuration("{");
@@ -105,7 +106,7 @@
   CHECK(version() == 10);
 }
 
-TEST_CASE_METHOD(FeedFixture, "a configuration at rest costs one call a second") {
+TEST_CASE_METHOD(SubscriptionFixture, "an unchanged configuration costs one call a second") {
   runtime.run_for(Millis(10));
   const auto before = runtime.calls_made;
   runtime.run_for(Millis(20000));
--- a/tests/cluster/ingress/shutdown_test.cpp
+++ b/tests/cluster/ingress/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Readiness of an ingress and its planned end, on loopback sockets and virtual time.
+// Readiness and graceful shutdown of an ingress, on loopback sockets and virtual time.
 #include <catch2/catch.hpp>
 #include <optional>
 
@@ -21,7 +21,7 @@
   asio::io_context loop;
   NodeSettings settings;
   Ingress ingress{runtime, settings, loop};
-  std::vector<std::unique_ptr<Timer>> held;
+  std::vector<std::unique_ptr<Timer>> pending_polls;
   std::optional<TimePoint> done_at;
 
   IngressFixture() : IngressFixture(make_settings()) {}
@@ -44,8 +44,8 @@
       update.set_version(1);
       update.set_in_touch(true);
       if (request.configuration_watch().version() == 1) {
-        held.push_back(runtime.after(Millis(request.configuration_watch().wait_ms()),
-                                     [reply, envelope] { reply(envelope); }));
+        pending_polls.push_back(runtime.after(Millis(request.configuration_watch().wait_ms()),
+                                              [reply, envelope] { reply(envelope); }));
         return;
       }
       update.set_configuration(configuration_json(1, {{"/a/", "first"}}));
@@ -53,8 +53,8 @@
     };
   }
 
-  // Lets virtual time pass, with the sockets served all along.
-  void pass(Millis span) {
+  // Advances virtual time in steps and serves the sockets between them.
+  void advance(Millis span) {
     for (Millis passed{0}; passed < span; passed += kStep) {
       serve();
       runtime.run_for(kStep);
@@ -78,7 +78,7 @@
   void shut_down() {
     ingress.shut_down([this] { done_at = runtime.now(); });
   }
-  bool probe_says(const std::string& status) {
+  bool probe_returns(const std::string& status) {
     Client client(loop, ingress.ready_port());
     client.send("GET /v1/readiness HTTP/1.1\r\nHost: a\r\n\r\n");
     return serve_until([&] { return client.has("HTTP/1.1 " + status); });
@@ -91,58 +91,59 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(IngressFixture, "an ingress is ready once it has a configuration") {
-  pass(Millis(100));
-  CHECK(probe_says("503"));
+TEST_CASE_METHOD(IngressFixture, "an ingress is ready while it has a configuration and its agent responds") {
+  advance(Millis(100));
+  CHECK(probe_returns("503"));
   start_agent();
-  pass(Millis(100));
-  CHECK(probe_says("200"));
+  advance(Millis(100));
+  CHECK(probe_returns("200"));
   runtime.peers.clear();
-  held.clear();
-  pass(Millis(6000));
-  CHECK(probe_says("503"));
+  pending_polls.clear();
+  advance(Millis(6000));
+  CHECK(probe_returns("503"));
 }
 
 TEST_CASE_METHOD(IngressFixture,
-                 "a planned end is announced, then drained, and every request read is answered") {
+                 "a graceful shutdown fails readiness, then drains, and answers every request") {
   start_agent();
-  pass(Millis(100));
-  Client resting(loop, ingress.front_port());
+  advance(Millis(100));
+  Client idle(loop, ingress.front_port());
   Client busy(loop, ingress.front_port());
   shut_down();
-  CHECK(probe_says("503"));
-  pass(Millis(2300));
-  CHECK_FALSE(resting.ended());
+  CHECK(probe_returns("503"));
+  advance(Millis(2300));
+  CHECK_FALSE(idle.ended());
   busy.send(kSubmit);
-  pass(Millis(100));
+  advance(Millis(100));
   CHECK_FALSE(done_at);
-  pass(Millis(200));
-  REQUIRE(serve_until([&] { return resting.ended(); }));
+  advance(Millis(200));
+  REQUIRE(serve_until([&] { return idle.ended(); }));
   CHECK_FALSE(busy.ended());
-  pass(Millis(2500));
+  advance(Millis(2500));
   REQUIRE(serve_until([&] { return busy.has("HTTP/1.1 504"); }));
   CHECK(busy.has("Connection: close"));
   CHECK(done_at);
 }
 
-TEST_CASE_METHOD(IngressFixture, "an ingress without connections ends as soon as the platform has seen it") {
+TEST_CASE_METHOD(IngressFixture,
+                 "an ingress without connections ends as soon as the platform has noticed its shutdown") {
   start_agent();
-  pass(Millis(100));
+  advance(Millis(100));
   const auto start = runtime.now();
   shut_down();
-  pass(Millis(3000));
+  advance(Millis(3000));
   REQUIRE(done_at);
   CHECK(*done_at - start >= Millis(2500));
   CHECK(*done_at - start <= Millis(2600));
 }
 
-TEST_CASE("an ingress whose settings ask for commands by invocation takes nothing") {
+TEST_CASE("an ingress with the unsupported command mode invocation accepts no jobs") {
   NodeSettings settings = IngressFixture::make_settings();
   settings.commands = CommandMode::invocation;
   IngressFixture fixture(settings);
   fixture.start_agent();
-  fixture.pass(Millis(100));
-  CHECK(fixture.probe_says("503"));
+  fixture.advance(Millis(100));
+  CHECK(fixture.probe_returns("503"));
   Client client(fixture.loop, fixture.ingress.front_port());
   client.send(kSubmit);
   REQUIRE(fixture.serve_until([&] { return client.has("HTTP/1.1 503"); }));
