--- a/src/cluster/cli/command_line.cpp
+++ b/src/cluster/cli/command_line.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr const char* kSettingsVariable = "WINCHHALL_NODE_FILE";
-constexpr std::uint64_t kHighestPort = 65535;
-constexpr std::uint64_t kLongestInterval = 3600;
-constexpr std::uint64_t kNoBound = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t kMaxPort = 65535;
+constexpr std::uint64_t kMaxIntervalSeconds = 3600;
+constexpr std::uint64_t kNoLimit = std::numeric_limits<std::uint64_t>::max();
 
-// Codes that popt returns for the options.
+// Values that popt returns for the options.
 enum OptionCode {
   kSettings = 1,
   kDebug,
@@ -57,17 +57,17 @@
   return argument ? argument.get() : "";
 }
 
-leaf::result<std::uint64_t> parse_number(const char* option, const std::string& text, std::uint64_t most) {
+leaf::result<std::uint64_t> parse_number(const char* option, const std::string& text, std::uint64_t max) {
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
   const auto read = std::from_chars(text.data(), end, number);
-  if (read.ec == std::errc() && read.ptr == end && number <= most) return number;
+  if (read.ec == std::errc() && read.ptr == end && number <= max) return number;
   std::string allowed = "a whole number of 0 or more";
-  if (most != kNoBound) allowed = "a whole number from 0 to " + std::to_string(most);
+  if (max != kNoLimit) allowed = "a whole number from 0 to " + std::to_string(max);
   return leaf::new_error(InvalidInput{"command line", option, text, std::move(allowed)});
 }
 
-leaf::result<void> take_option(int code, const std::string& argument, CommandLine& line) {
+leaf::result<void> apply_option(int code, const std::string& argument, CommandLine& line) {
   switch (code) {
     case kSettings:
       line.settings_file = argument;
@@ -80,7 +80,7 @@
       break;
     }
     case kMetrics: {
-      BOOST_LEAF_AUTO(port, parse_number("metrics", argument, kHighestPort));
+      BOOST_LEAF_AUTO(port, parse_number("metrics", argument, kMaxPort));
       line.metrics_port = static_cast<std::uint16_t>(port);
       break;
     }
@@ -91,19 +91,19 @@
       line.service = argument;
       break;
     case kBase: {
-      BOOST_LEAF_ASSIGN(line.base_version, parse_number("base", argument, kNoBound));
+      BOOST_LEAF_ASSIGN(line.base_version, parse_number("base", argument, kNoLimit));
       break;
     }
     case kLimit: {
-      BOOST_LEAF_ASSIGN(line.limit, parse_number("limit", argument, kNoBound));
+      BOOST_LEAF_ASSIGN(line.limit, parse_number("limit", argument, kNoLimit));
       break;
     }
     case kRounds: {
-      BOOST_LEAF_ASSIGN(line.rounds, parse_number("rounds", argument, kNoBound));
+      BOOST_LEAF_ASSIGN(line.rounds, parse_number("rounds", argument, kNoLimit));
       break;
     }
     case kInterval: {
-      BOOST_LEAF_ASSIGN(line.interval_s, parse_number("interval", argument, kLongestInterval));
+      BOOST_LEAF_ASSIGN(line.interval_s, parse_number("interval", argument, kMaxIntervalSeconds));
       break;
     }
     default:
@@ -127,14 +127,14 @@
   CommandLine line;
   int code = 0;
   while ((code = poptGetNextOpt(context.get())) > 0) {
-    BOOST_LEAF_CHECK(take_option(code, option_argument(context.get()), line));
+    BOOST_LEAF_CHECK(apply_option(code, option_argument(context.get()), line));
   }
   if (code < -1) {
     const std::string option = poptBadOption(context.get(), POPT_BADOPTION_NOALIAS);
     return leaf::new_error(UsageError{option + ": " + poptStrerror(code)});
   }
-  while (const char* word = poptGetArg(context.get())) line.words.emplace_back(word);
-  if (line.words.empty()) return leaf::new_error(UsageError{"a command is missing"});
+  while (const char* word = poptGetArg(context.get())) line.arguments.emplace_back(word);
+  if (line.arguments.empty()) return leaf::new_error(UsageError{"a command is missing"});
   if (line.settings_file.empty()) line.settings_file = default_settings_file();
   return line;
 }
--- a/src/cluster/cli/command_line.hpp
+++ b/src/cluster/cli/command_line.hpp
@@ -1,4 +1,4 @@
-// Command line of the program: options and the words of the command.
+// Command line of the program.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,33 @@
 
 namespace winchhall::cluster {
 
+// Options, and the sub-command with its arguments.
 struct CommandLine {
-  std::vector<std::string> words;  // the command and its arguments; never empty
-  std::string settings_file;       // empty: none given
+  std::vector<std::string> arguments;  // the sub-command and its arguments; never empty
+  std::string settings_file;           // empty: none given
   LogLevel log_level = LogLevel::info;
   std::optional<std::uint16_t> metrics_port;
-  std::vector<Address> control;  // operator APIs to ask
-  std::string service;           // empty: all
+  std::vector<Address> control;  // operator APIs to call
+  std::string service;           // empty: all services
   std::optional<std::uint64_t> base_version;
-  std::uint64_t limit = 200;  // jobs listed for each service
-  std::uint64_t rounds = 0;   // of `top`; 0: until it is stopped
-  std::uint64_t interval_s = 2;
+  std::uint64_t limit = 200;     // jobs listed for each service
+  std::uint64_t rounds = 0;      // of `top`; 0: until interrupted
+  std::uint64_t interval_s = 2;  // between rounds of `top`
   bool json = false;
 
-  const std::string& command() const { return words.front(); }
-  // A word of the command; empty: not given.
-  std::string word(std::size_t position) const {
-    return position < words.size() ? words[position] : std::string();
+  const std::string& command() const { return arguments.front(); }
+  // The argument at a position; empty if there is none.
+  std::string argument(std::size_t position) const {
+    return position < arguments.size() ? arguments[position] : std::string();
   }
 };
 
-// Errors: UsageError, InvalidInput (an option's value). The settings file of the environment
-// (WINCHHALL_NODE_FILE) counts where none is given. `--help` prints the help and ends the process.
+// Parses the arguments of main(). Without the option --settings, the settings file is taken from the
+// environment variable WINCHHALL_NODE_FILE. `--help` prints the help and ends the process. Errors:
+// UsageError, InvalidInput (the value of an option).
 leaf::result<CommandLine> parse_command_line(int argc, const char* const* argv);
 
-// The commands and options, as shown with a usage error.
+// Summary of commands and options, printed with a usage error.
 const char* usage_text();
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/configuration_command.cpp
+++ b/src/cluster/cli/configuration_command.cpp
@@ -23,38 +23,38 @@
   return leaf::new_error(InvalidInput{path, "file", "", "a file that can be read"});
 }
 
-// Version that a change builds on where the command line names none: the one in force, 0 where there is none.
+// Default base version of a change: the current one, 0 if there is none.
 leaf::result<std::uint64_t> current_version(ControlClient& client) {
-  ControlRequest call;
-  call.target = kGetPath;
-  BOOST_LEAF_AUTO(answer, client.call(call));
-  if (answer.status == 404) return std::uint64_t{0};
-  BOOST_LEAF_AUTO(success, require_success(answer, "configuration"));
+  ControlRequest request;
+  request.target = kGetPath;
+  BOOST_LEAF_AUTO(response, client.call(request));
+  if (response.status == 404) return std::uint64_t{0};
+  BOOST_LEAF_AUTO(success, require_success(response, "configuration"));
   return read_version(success);
 }
 
 leaf::result<void> get_configuration(ControlClient& client, std::ostream& out) {
-  ControlRequest call;
-  call.target = kGetPath;
-  BOOST_LEAF_AUTO(answer, client.call(call));
-  BOOST_LEAF_AUTO(success, require_success(answer, "configuration"));
+  ControlRequest request;
+  request.target = kGetPath;
+  BOOST_LEAF_AUTO(response, client.call(request));
+  BOOST_LEAF_AUTO(success, require_success(response, "configuration"));
   out << success.body << '\n';
   return {};
 }
 
 leaf::result<void> change_configuration(const CommandLine& line, ControlClient& client, const char* path,
                                         std::ostream& out) {
-  BOOST_LEAF_AUTO(body, read_file(line.word(2)));
-  ControlRequest call;
-  call.method = boost::beast::http::verb::post;
-  call.target = path;
-  call.body = std::move(body);
-  call.base_version = line.base_version;
-  if (!call.base_version) {
-    BOOST_LEAF_ASSIGN(call.base_version, current_version(client));
+  BOOST_LEAF_AUTO(body, read_file(line.argument(2)));
+  ControlRequest request;
+  request.method = boost::beast::http::verb::post;
+  request.target = path;
+  request.body = std::move(body);
+  request.base_version = line.base_version;
+  if (!request.base_version) {
+    BOOST_LEAF_ASSIGN(request.base_version, current_version(client));
   }
-  BOOST_LEAF_AUTO(answer, client.call(call));
-  BOOST_LEAF_AUTO(success, require_success(answer, path));
+  BOOST_LEAF_AUTO(response, client.call(request));
+  BOOST_LEAF_AUTO(success, require_success(response, path));
   out << success.body << '\n';
   return {};
 }
@@ -70,11 +70,11 @@
 }  // namespace
 
 leaf::result<void> run_configuration_command(const CommandLine& line, std::ostream& out) {
-  const std::string verb = line.word(1);
-  if (verb == "check" && line.words.size() == 3) return check_configuration(line.word(2), out);
-  const bool gets = verb == "get" && line.words.size() == 2;
-  const bool puts = verb == "put" && line.words.size() == 3;
-  const bool patches = verb == "patch" && line.words.size() == 3;
+  const std::string verb = line.argument(1);
+  if (verb == "check" && line.arguments.size() == 3) return check_configuration(line.argument(2), out);
+  const bool gets = verb == "get" && line.arguments.size() == 2;
+  const bool puts = verb == "put" && line.arguments.size() == 3;
+  const bool patches = verb == "patch" && line.arguments.size() == 3;
   if (!gets && !puts && !patches) {
     return leaf::new_error(UsageError{"config get, config put FILE, config patch FILE or config check FILE"});
   }
--- a/src/cluster/cli/control_client.hpp
+++ b/src/cluster/cli/control_client.hpp
@@ -1,4 +1,4 @@
-// Calls the operator API of control nodes: one after another until one gives a clear answer.
+// Client of the control nodes' operator API.
 #pragma once
 
 #include <boost/beast/http/verb.hpp>
@@ -16,7 +16,7 @@
   boost::beast::http::verb method = boost::beast::http::verb::get;
   std::string target = "/";  // path and query
   std::string body;
-  std::optional<std::uint64_t> base_version;
+  std::optional<std::uint64_t> base_version;  // header X-Winchhall-Base-Version
 };
 
 struct ControlResponse {
@@ -26,24 +26,29 @@
 
 struct ControlClientOptions {
   std::vector<Address> nodes;
-  Millis timeout{5000};     // of one try
-  Millis first_pause{100};  // after all nodes failed; doubled each time
-  unsigned rounds = 4;      // tries of each node
+  Millis timeout{5000};         // of one attempt
+  Millis initial_backoff{100};  // after all nodes failed; doubled after each round
+  unsigned rounds = 4;          // attempts at each node
 };
 
+// Calls control nodes, one after another, until one gives a definite response. Synchronous.
 class ControlClient {
  public:
-  explicit ControlClient(ControlClientOptions terms) : terms_(std::move(terms)) {}
+  explicit ControlClient(ControlClientOptions options) : options_(std::move(options)) {}
 
-  // A node that can't be reached, or answers 408, 429 or 5xx, is left for the next one; a 307 is followed
-  // twice. Blocks. The same call may reach several nodes. Errors: ControlUnavailable.
-  leaf::result<ControlResponse> call(const ControlRequest& call);
+  // A node that can't be reached, or responds 408, 429 or 5xx, is skipped for the next one. Up to two
+  // redirects (307) are followed. The request may reach several nodes. Errors: ControlUnavailable;
+  // InvalidInput for an invalid address.
+  leaf::result<ControlResponse> call(const ControlRequest& request);
 
  private:
-  leaf::result<ControlResponse> try_node(const Address& node, const ControlRequest& call) const;
+  leaf::result<ControlResponse> call_node(const Address& node, const ControlRequest& request) const;
+  // One attempt at each node. Empty if all failed; `last_failure` then describes the last one.
+  leaf::result<std::optional<ControlResponse>> try_each_node(const ControlRequest& request,
+                                                             std::string& last_failure);
 
-  ControlClientOptions terms_;
-  std::size_t next_ = 0;  // node that answered last
+  ControlClientOptions options_;
+  std::size_t next_ = 0;  // node to start with: the one that responded last
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/control_responses.cpp
+++ b/src/cluster/cli/control_responses.cpp
@@ -1,7 +1,9 @@
 #include "cluster/cli/control_responses.hpp"
 
 #include <boost/json.hpp>
-#include <string_view>
+#include <string>
+
+#include "cluster/cli/json_object_view.hpp"
 
 namespace winchhall::cluster {
 
@@ -9,67 +11,22 @@
 
 namespace {
 
-// Reads fields of an object; a value that is none has no fields.
-class Fields {
- public:
-  explicit Fields(const json::value& value) : object_(value.if_object()) {}
-
-  const json::value* find(std::string_view name) const {
-    return object_ ? object_->if_contains(name) : nullptr;
-  }
-
-  std::string text(std::string_view name) const {
-    const json::value* value = find(name);
-    const json::string* text = value ? value->if_string() : nullptr;
-    return text ? std::string(*text) : std::string();
-  }
-
-  std::uint64_t number(std::string_view name) const {
-    const json::value* value = find(name);
-    if (!value) return 0;
-    json::error_code error;
-    const auto number = value->to_number<std::uint64_t>(error);
-    return error ? 0 : number;
-  }
-
-  bool flag(std::string_view name) const {
-    const json::value* value = find(name);
-    const bool* flag = value ? value->if_bool() : nullptr;
-    return flag && *flag;
-  }
-
-  json::array list(std::string_view name) const {
-    const json::value* value = find(name);
-    const json::array* list = value ? value->if_array() : nullptr;
-    return list ? *list : json::array();
-  }
-
-  Fields inner(std::string_view name) const {
-    static const json::value kNone;
-    const json::value* value = find(name);
-    return Fields(value ? *value : kNone);
-  }
-
- private:
-  const json::object* object_;
-};
-
-leaf::result<json::value> parse_body(const ControlResponse& answer) {
+leaf::result<json::value> parse_body(const ControlResponse& response) {
   json::error_code error;
-  json::value body = json::parse(answer.body, error);
+  json::value body = json::parse(response.body, error);
   if (error || !body.is_object()) return leaf::new_error(ControlUnavailable{"unreadable answer"});
   return body;
 }
 
-MemberInfo read_member(const Fields& fields) {
+MemberInfo read_member(const JsonObjectView& fields) {
   return {fields.number("id"), fields.text("zone"), fields.text("address"), fields.text("http_address")};
 }
 
-LeaderInfo read_leader(const Fields& fields) {
+LeaderInfo read_leader(const JsonObjectView& fields) {
   return {fields.text("shard"), fields.number("epoch"), fields.number("member"), fields.text("address")};
 }
 
-ServiceInfo read_service(const Fields& fields) {
+ServiceInfo read_service(const JsonObjectView& fields) {
   ServiceInfo service;
   service.service = fields.text("service");
   service.leads = fields.flag("leads");
@@ -81,7 +38,7 @@
   return service;
 }
 
-JobInfo read_job(const Fields& fields, const std::string& service) {
+JobInfo read_job(const JsonObjectView& fields, const std::string& service) {
   JobInfo job;
   job.service = service;
   job.id = fields.text("id");
@@ -92,7 +49,7 @@
   return job;
 }
 
-std::string read_labels(const Fields& fields) {
+std::string read_labels(const JsonObjectView& fields) {
   std::string labels;
   for (const json::value& label : fields.list("labels")) {
     if (!label.is_string()) continue;
@@ -102,99 +59,101 @@
   return labels;
 }
 
-NodeInfo read_node(const Fields& fields, const std::string& service) {
+NodeInfo read_node(const JsonObjectView& fields, const std::string& service) {
   NodeInfo node;
   node.service = service;
   node.id = fields.text("id");
   node.node = fields.text("node");
   node.labels = read_labels(fields);
-  node.cpu_reserved = fields.inner("reserved").number("cpu");
-  node.cpu = fields.inner("capacity").number("cpu");
+  node.cpu_reserved = fields.object("reserved").number("cpu");
+  node.cpu = fields.object("capacity").number("cpu");
   node.runs = fields.number("runs");
   node.report_age_ms = fields.number("report_age_ms");
   node.draining = fields.flag("draining");
   return node;
 }
 
-InvalidInput read_invalid_input(const ControlResponse& answer) {
+InvalidInput read_invalid_input(const ControlResponse& response) {
   json::error_code ignored;
-  const json::value body = json::parse(answer.body, ignored);
-  const Fields error = Fields(body).inner("error");
+  const json::value body = json::parse(response.body, ignored);
+  const JsonObjectView error = JsonObjectView(body).object("error");
   InvalidInput invalid{error.text("source"), error.text("field"), error.text("value"), error.text("allowed")};
   if (invalid.source.empty()) invalid.source = "request";
   if (invalid.allowed.empty())
-    invalid.allowed = "see the operator API (status " + std::to_string(answer.status) + ")";
+    invalid.allowed = "see the operator API (status " + std::to_string(response.status) + ")";
   return invalid;
 }
 
 }  // namespace
 
-leaf::result<StatusResponse> read_status(const ControlResponse& answer) {
-  BOOST_LEAF_AUTO(body, parse_body(answer));
-  const Fields fields(body);
+leaf::result<StatusResponse> read_status(const ControlResponse& response) {
+  BOOST_LEAF_AUTO(body, parse_body(response));
+  const JsonObjectView fields(body);
   StatusResponse status;
-  status.json = answer.body;
+  status.json = response.body;
   status.node = fields.text("node");
   status.zone = fields.text("zone");
   status.member_id = fields.number("member_id");
   status.votes = fields.flag("votes");
-  status.in_touch = fields.flag("in_touch");
+  status.has_quorum_contact = fields.flag("in_touch");
   status.configuration_version = fields.number("configuration_version");
-  const Fields record = fields.inner("member_record");
+  const JsonObjectView record = fields.object("member_record");
   status.member_epoch = record.number("epoch");
-  for (const json::value& item : record.list("members")) status.members.push_back(read_member(Fields(item)));
-  for (const json::value& item : fields.list("leaders")) status.leaders.push_back(read_leader(Fields(item)));
+  for (const json::value& item : record.list("members"))
+    status.members.push_back(read_member(JsonObjectView(item)));
+  for (const json::value& item : fields.list("leaders"))
+    status.leaders.push_back(read_leader(JsonObjectView(item)));
   for (const json::value& item : fields.list("services"))
-    status.services.push_back(read_service(Fields(item)));
+    status.services.push_back(read_service(JsonObjectView(item)));
   return status;
 }
 
-leaf::result<std::vector<JobInfo>> read_jobs(const ControlResponse& answer) {
-  BOOST_LEAF_AUTO(body, parse_body(answer));
+leaf::result<std::vector<JobInfo>> read_jobs(const ControlResponse& response) {
+  BOOST_LEAF_AUTO(body, parse_body(response));
   std::vector<JobInfo> jobs;
-  for (const json::value& item : Fields(body).list("services")) {
-    const Fields service(item);
+  for (const json::value& item : JsonObjectView(body).list("services")) {
+    const JsonObjectView service(item);
     for (const json::value& job : service.list("jobs")) {
-      jobs.push_back(read_job(Fields(job), service.text("service")));
+      jobs.push_back(read_job(JsonObjectView(job), service.text("service")));
     }
   }
   return jobs;
 }
 
-leaf::result<std::vector<NodeInfo>> read_nodes(const ControlResponse& answer) {
-  BOOST_LEAF_AUTO(body, parse_body(answer));
+leaf::result<std::vector<NodeInfo>> read_nodes(const ControlResponse& response) {
+  BOOST_LEAF_AUTO(body, parse_body(response));
   std::vector<NodeInfo> nodes;
-  for (const json::value& item : Fields(body).list("services")) {
-    const Fields service(item);
+  for (const json::value& item : JsonObjectView(body).list("services")) {
+    const JsonObjectView service(item);
     for (const json::value& node : service.list("nodes")) {
-      nodes.push_back(read_node(Fields(node), service.text("service")));
+      nodes.push_back(read_node(JsonObjectView(node), service.text("service")));
     }
   }
   return nodes;
 }
 
-leaf::result<std::uint64_t> read_version(const ControlResponse& answer) {
-  BOOST_LEAF_AUTO(body, parse_body(answer));
-  return Fields(body).number("version");
+leaf::result<std::uint64_t> read_version(const ControlResponse& response) {
+  BOOST_LEAF_AUTO(body, parse_body(response));
+  return JsonObjectView(body).number("version");
 }
 
-leaf::result<ControlResponse> require_success(const ControlResponse& answer, const std::string& what) {
-  switch (answer.status) {
+leaf::result<ControlResponse> require_success(const ControlResponse& response, const std::string& what) {
+  switch (response.status) {
     case 200:
-      return answer;
+      return response;
     case 404:
     case 410:
       return leaf::new_error(NotFound{what});
     case 409:
     case 412: {
-      BOOST_LEAF_AUTO(current, read_version(answer));
+      BOOST_LEAF_AUTO(current, read_version(response));
       return leaf::new_error(VersionConflict{current});
     }
     default:
       break;
   }
-  if (answer.status >= 400 && answer.status < 500) return leaf::new_error(read_invalid_input(answer));
-  return leaf::new_error(ControlUnavailable{"answered " + std::to_string(answer.status)});
+  if (response.status >= 400 && response.status < 500) return leaf::new_error(read_invalid_input(response));
+  return leaf::new_error(ControlUnavailable{"answered " + std::to_string(response.status)});
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/control_responses.hpp
+++ b/src/cluster/cli/control_responses.hpp
@@ -1,5 +1,5 @@
-// Answers of the operator API, read into types; fields that are missing read as zero or empty, so that two
-// versions of the program talk to each other.
+// Typed responses of the operator API. Fields that are missing read as zero, false or empty, so that versions
+// of the program can be mixed.
 #pragma once
 
 #include <cstdint>
@@ -39,13 +39,13 @@
   std::string zone;
   std::uint64_t member_id = 0;
   bool votes = false;
-  bool in_touch = false;
+  bool has_quorum_contact = false;
   std::uint64_t configuration_version = 0;
   std::uint64_t member_epoch = 0;
   std::vector<MemberInfo> members;
   std::vector<LeaderInfo> leaders;
   std::vector<ServiceInfo> services;
-  std::string json;  // as answered
+  std::string json;  // the response's body
 };
 
 struct JobInfo {
@@ -69,15 +69,15 @@
   bool draining = false;
 };
 
-// Errors: ControlUnavailable where the answer can't be read.
-leaf::result<StatusResponse> read_status(const ControlResponse& answer);
-leaf::result<std::vector<JobInfo>> read_jobs(const ControlResponse& answer);
-leaf::result<std::vector<NodeInfo>> read_nodes(const ControlResponse& answer);
-// Version of a whole configuration or of the answer to a change.
-leaf::result<std::uint64_t> read_version(const ControlResponse& answer);
+// All errors of these: ControlUnavailable if the body is not a JSON object.
+leaf::result<StatusResponse> read_status(const ControlResponse& response);
+leaf::result<std::vector<JobInfo>> read_jobs(const ControlResponse& response);
+leaf::result<std::vector<NodeInfo>> read_nodes(const ControlResponse& response);
+// Version of a complete configuration, or of the response to a change.
+leaf::result<std::uint64_t> read_version(const ControlResponse& response);
 
-// The answer if it is a 200; else the error that its status means: InvalidInput, VersionConflict, NotFound
-// (of `what`), ControlUnavailable.
-leaf::result<ControlResponse> require_success(const ControlResponse& answer, const std::string& what);
+// Returns a response with status 200. Errors: the one that the status stands for, i.e. InvalidInput,
+// VersionConflict, NotFound (with `what`) or ControlUnavailable.
+leaf::result<ControlResponse> require_success(const ControlResponse& response, const std::string& what);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/error_report.cpp
+++ b/src/cluster/cli/error_report.cpp
@@ -17,53 +17,53 @@
   explicit Reporter(std::ostream& errors) : errors_(errors) {}
 
   int operator()(const UsageError& error) const {
-    tell("usage", error.problem);
+    print("usage", error.problem);
     errors_ << "usage: winchhall-cluster " << usage_text() << '\n';
     return kExitUsage;
   }
   int operator()(const InvalidInput& error) const {
-    tell("invalid", error.message());
+    print("invalid", error.message());
     return kExitInvalid;
   }
   int operator()(const ControlUnavailable& error) const {
-    tell("unavailable", error.detail);
+    print("unavailable", error.detail);
     return kExitUnavailable;
   }
   int operator()(const QuorumUnavailable&) const {
-    tell("unavailable", "no majority of the control group answers");
+    print("unavailable", "no majority of the control group answers");
     return kExitUnavailable;
   }
   int operator()(const VersionConflict& error) const {
-    tell("conflict", "version " + std::to_string(error.current) + " is current");
+    print("conflict", "version " + std::to_string(error.current) + " is current");
     return kExitConflict;
   }
   int operator()(const NotFound& error) const {
-    tell("not found", error.what);
+    print("not found", error.what);
     return kExitNotFound;
   }
   int operator()(const StoreFailure& error) const {
-    tell("store", error.path + ": " + error.operation + ": " + error.detail);
+    print("store", error.path + ": " + error.operation + ": " + error.detail);
     return kExitUnavailable;
   }
   int operator()(const StoreCorruption& error) const {
-    tell("store", error.path + ": damaged: " + error.detail);
+    print("store", error.path + ": damaged: " + error.detail);
     return kExitUnavailable;
   }
   int operator()(const UnsupportedStoreFormat& error) const {
-    tell("store", error.path + ": format '" + error.found + "'; supported: " + error.supported);
+    print("store", error.path + ": format '" + error.found + "'; supported: " + error.supported);
     return kExitUnavailable;
   }
   int operator()(const NngFailure& error) const {
-    tell("network", error.operation + ": " + nng_strerror(error.code));
+    print("network", error.operation + ": " + nng_strerror(error.code));
     return kExitUnavailable;
   }
   int operator()() const {
-    tell("internal", "unknown failure");
+    print("internal", "unknown failure");
     return kExitInternal;
   }
 
  private:
-  void tell(const char* kind, const std::string& detail) const {
+  void print(const char* kind, const std::string& detail) const {
     errors_ << "winchhall-cluster: " << kind << ": " << detail << '\n';
   }
 
--- a/src/cluster/cli/error_report.hpp
+++ b/src/cluster/cli/error_report.hpp
@@ -1,4 +1,4 @@
-// Tells failures on a stream and turns them into exit codes.
+// Reporting of errors to the user.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,8 @@
 
 namespace winchhall::cluster {
 
-// Runs `action`; its exit code, or the one of its failure, which is then told on `errors` with its type.
+// Runs `action` and returns its exit code. If it fails, writes one line "winchhall-cluster: KIND: DETAIL" to
+// `errors` and returns the exit code for the kind of error.
 int report_failures(const std::function<leaf::result<int>()>& action, std::ostream& errors);
 
 }  // namespace winchhall::cluster
--- /dev/null
+++ b/src/cluster/cli/json_object_view.hpp
@@ -0,0 +1,30 @@
+// Lenient access to the fields of JSON objects.
+#pragma once
+
+#include <boost/json.hpp>
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace winchhall::cluster {
+
+// View of a JSON value as an object. A field that is missing or of another type reads as zero, false or
+// empty, and a value that is no object has no fields: responses of other versions of the program stay
+// readable. The value must outlive the view.
+class JsonObjectView {
+ public:
+  explicit JsonObjectView(const boost::json::value& value) : object_(value.if_object()) {}
+
+  std::string text(std::string_view name) const;
+  std::uint64_t number(std::string_view name) const;
+  bool flag(std::string_view name) const;
+  boost::json::array list(std::string_view name) const;
+  JsonObjectView object(std::string_view name) const;
+
+ private:
+  const boost::json::value* find(std::string_view name) const;
+
+  const boost::json::object* object_;
+};
+
+}  // namespace winchhall::cluster
--- a/src/cluster/cli/leader_calls.cpp
+++ b/src/cluster/cli/leader_calls.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-constexpr std::string_view kUnfitForPaths = " /?&#%";
+constexpr std::string_view kReservedPathCharacters = " /?&#%";
 
-bool fits_in_path(const std::string& text) {
+bool is_valid_path_text(const std::string& text) {
   for (const char character : text) {
     const bool printable = character > ' ' && character < '\x7f';
-    if (!printable || kUnfitForPaths.find(character) != std::string_view::npos) return false;
+    if (!printable || kReservedPathCharacters.find(character) != std::string_view::npos) return false;
   }
   return !text.empty();
 }
@@ -17,15 +17,15 @@
 }  // namespace
 
 leaf::result<StatusResponse> fetch_status(ControlClient& client) {
-  ControlRequest call;
-  call.target = "/v1/status";
-  BOOST_LEAF_AUTO(answer, client.call(call));
-  BOOST_LEAF_AUTO(success, require_success(answer, "status"));
+  ControlRequest request;
+  request.target = "/v1/status";
+  BOOST_LEAF_AUTO(response, client.call(request));
+  BOOST_LEAF_AUTO(success, require_success(response, "status"));
   return read_status(success);
 }
 
 leaf::result<void> check_path_text(const char* field, const std::string& text) {
-  if (fits_in_path(text)) return {};
+  if (is_valid_path_text(text)) return {};
   return leaf::new_error(
       InvalidInput{"command line", field, text, "printable ASCII without space, slash, ?, &, # and %"});
 }
@@ -41,11 +41,11 @@
   return services;
 }
 
-leaf::result<ControlResponse> call_leader(ControlClient& client, ControlRequest call,
+leaf::result<ControlResponse> call_leader(ControlClient& client, ControlRequest request,
                                           const std::string& service, const std::string& query) {
-  call.target += "?service=" + service;
-  if (!query.empty()) call.target += "&" + query;
-  return client.call(call);
+  request.target += "?service=" + service;
+  if (!query.empty()) request.target += "&" + query;
+  return client.call(request);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/leader_calls.hpp
+++ b/src/cluster/cli/leader_calls.hpp
@@ -1,4 +1,4 @@
-// Calls that each service's leader answers.
+// Calls to the leaders of services.
 #pragma once
 
 #include <string>
@@ -9,19 +9,19 @@
 
 namespace winchhall::cluster {
 
-// Errors: ControlUnavailable.
+// The status of the control group as one node sees it. Errors: ControlUnavailable.
 leaf::result<StatusResponse> fetch_status(ControlClient& client);
 
-// The service of the command line, else all that the control group knows. Errors: InvalidInput,
+// The service of the command line, or else all services that the control group knows. Errors: InvalidInput,
 // ControlUnavailable.
 leaf::result<std::vector<std::string>> resolve_services(const CommandLine& line, ControlClient& client);
 
-// Errors: InvalidInput where the text can't stand in a request's path.
+// Errors: InvalidInput if the text can't be part of a request's path.
 leaf::result<void> check_path_text(const char* field, const std::string& text);
 
-// Asks the leader of a service; `path` without a query; `query` without the service. Errors:
-// ControlUnavailable.
-leaf::result<ControlResponse> call_leader(ControlClient& client, ControlRequest call,
+// Calls the leader of a service. `request.target`: the path, without a query. `query`: without the service.
+// Errors: ControlUnavailable.
+leaf::result<ControlResponse> call_leader(ControlClient& client, ControlRequest request,
                                           const std::string& service, const std::string& query = "");
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/operator_commands.hpp
+++ b/src/cluster/cli/operator_commands.hpp
@@ -1,4 +1,4 @@
-// The operator's commands: each asks control nodes and prints what they answer.
+// Operators' commands: calls to control nodes whose responses are printed.
 #pragma once
 
 #include <optional>
@@ -9,17 +9,18 @@
 
 namespace winchhall::cluster {
 
-// True for `config`, `jobs`, `nodes`, `members`, `leader`, `status` and `top`.
+// Whether the command is one of `config`, `jobs`, `nodes`, `members`, `leader`, `status` or `top`.
 bool is_operator_command(const std::string& command);
 
-// Errors: UsageError, InvalidInput, ControlUnavailable, VersionConflict, NotFound.
+// Runs the command and prints its result to `out`. Errors: UsageError, InvalidInput, ControlUnavailable,
+// VersionConflict, NotFound.
 leaf::result<void> run_operator_command(const CommandLine& line, std::ostream& out);
 
-// The control nodes that a command asks: those of the command line, else of the settings file. Errors:
-// UsageError where neither names one, InvalidInput of the settings.
+// The control nodes to call: those of the command line, or else of the settings file. Errors: UsageError if
+// there are neither; InvalidInput for invalid settings.
 leaf::result<std::vector<Address>> control_nodes(const CommandLine& line);
 
-// The parts of it, by the first word.
+// The individual commands, by their first word. Errors: as of `run_operator_command`.
 leaf::result<void> run_configuration_command(const CommandLine& line, std::ostream& out);
 leaf::result<void> run_jobs_command(const CommandLine& line, ControlClient& client, std::ostream& out);
 leaf::result<void> run_nodes_command(const CommandLine& line, ControlClient& client, std::ostream& out);
--- a/src/cluster/cli/operator_errors.hpp
+++ b/src/cluster/cli/operator_errors.hpp
@@ -1,21 +1,21 @@
-// Failures of operators' commands, besides those of common/errors.hpp.
+// Error types of the operators' commands, in addition to those of common/errors.hpp.
 #pragma once
 
 #include <string>
 
 namespace winchhall::cluster {
 
-// The command line can't be understood.
+// The command line is not valid.
 struct UsageError {
   std::string problem;
 };
 
-// No control node gave a clear answer. A change that was asked for may or may not take effect.
+// No control node gave a definite answer. A requested change may or may not take effect.
 struct ControlUnavailable {
-  std::string detail;  // of the last try
+  std::string detail;  // of the last attempt
 };
 
-// What was asked for does not exist.
+// The requested object does not exist.
 struct NotFound {
   std::string what;
 };
--- a/src/cluster/cli/peer_sampling.hpp
+++ b/src/cluster/cli/peer_sampling.hpp
@@ -1,17 +1,37 @@
-// Peer sampling as the roles of this program take part in it.
+// Peer sampling in the long-running processes.
 #pragma once
 
+#include <functional>
+#include <utility>
+
 #include "cluster/cli/process.hpp"
 #include "cluster/membership/peer_sampler.hpp"
 
 namespace winchhall::cluster {
 
-// Descriptor by which others find this process at its internal listener.
+// The descriptor of this process for other peers: its RPC listener, role and zone.
 PeerDescriptor own_descriptor(const NodeSettings& settings, PeerRole role);
 
-// Opens the internal listener of a process that takes no other requests there than shuffles. Where the
-// address can't be had this is logged, and the process shuffles as a caller only. The sampler lives as long
-// as the process runs.
+// Opens the RPC listener of a process that serves nothing but shuffles there. If the address can't be
+// listened on, this is logged, and the process takes part in the sampling as a caller only. The sampler must
+// live as long as the process runs.
 void listen_for_shuffles(Process& process, PeerSampler& sampler);
 
+// Runs a process that consists of a component and its sampler: applies changed seeds to both, and shuts both
+// down when the process is stopped. `Component` has set_seeds, start and shut_down.
+template <typename Component>
+void run_with_sampler(Process& process, PeerSampler& sampler, Component& component) {
+  process.on_settings([&component, &sampler](const NodeSettings& changed) {
+    component.set_seeds(changed.seed_internal_addresses());
+    sampler.set_seeds(changed.seed_internal_addresses());
+  });
+  process.on_stop([&component, &sampler](std::function<void()> done) {
+    sampler.stop();
+    component.shut_down(std::move(done));
+  });
+  component.start();
+  sampler.start();
+  process.run();
+}
+
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/run_edge.cpp
+++ b/src/cluster/cli/run_agent.cpp
@@ -1,29 +1,15 @@
-// Sub-commands `ingress` and `agent`.
+// Sub-command `agent`.
 #include <cstdlib>
 
 #include "cluster/agent/edge_agent.hpp"
 #include "cluster/cli/peer_sampling.hpp"
 #include "cluster/cli/process.hpp"
 #include "cluster/cli/roles.hpp"
-#include "cluster/ingress/ingress.hpp"
 #include "cluster/metrics/collectors.hpp"
 #include "cluster/metrics/metrics_server.hpp"
 
 namespace winchhall::cluster {
 
-leaf::result<int> run_ingress(NodeSettings settings, const RoleOptions& options) {
-  Process process(std::move(settings));
-  Ingress ingress(process.runtime(), process.settings(), process.loop());
-  const auto metrics =
-      make_metrics_server(process.loop(), options.metrics_port, [&ingress](MetricFamilies& families) {
-        if (ingress.front()) collect_http(*ingress.front(), families);
-      });
-  process.on_stop([&ingress](std::function<void()> done) { ingress.shut_down(std::move(done)); });
-  ingress.start();
-  process.run();
-  return EXIT_SUCCESS;
-}
-
 leaf::result<int> run_agent(NodeSettings settings, const RoleOptions& options) {
   Process process(std::move(settings));
   EdgeAgent agent(process.runtime(), process.settings());
@@ -39,17 +25,7 @@
       make_metrics_server(process.loop(), options.metrics_port, [&agent](MetricFamilies& families) {
         collect_agent(agent.in_touch(), agent.view().version(), families);
       });
-  process.on_settings([&agent, &sampler](const NodeSettings& changed) {
-    agent.set_seeds(changed.seed_internal_addresses());
-    sampler.set_seeds(changed.seed_internal_addresses());
-  });
-  process.on_stop([&agent, &sampler](std::function<void()> done) {
-    sampler.stop();
-    agent.shut_down(std::move(done));
-  });
-  agent.start();
-  sampler.start();
-  process.run();
+  run_with_sampler(process, sampler, agent);
   return EXIT_SUCCESS;
 }
 
--- a/src/cluster/cli/run_control.cpp
+++ b/src/cluster/cli/run_control.cpp
@@ -20,7 +20,8 @@
   };
   BOOST_LEAF_AUTO(store, open_leveldb_store(process.settings().data_dir, post_to_loop));
   NodeSettings effective_settings = process.settings();
-  // A store that had to be replaced has lost its promises: the node comes back as a new member.
+  // A store that replaces a corrupt one has none of the promises that this node made as an acceptor: the node
+  // must join the group as a new member.
   if (store->replaces_damaged()) effective_settings.bootstrap = false;
   ControlNode node(process.runtime(), *store, effective_settings);
   PeerSampler sampler(process.runtime(), own_descriptor(process.settings(), PeerRole::control),
@@ -41,17 +42,7 @@
         collect_control(node.inspection().status(), families);
         collect_http(*http, families);
       });
-  process.on_settings([&node, &sampler](const NodeSettings& changed) {
-    node.set_seeds(changed.seed_internal_addresses());
-    sampler.set_seeds(changed.seed_internal_addresses());
-  });
-  process.on_stop([&node, &sampler](std::function<void()> done) {
-    sampler.stop();
-    node.shut_down(std::move(done));
-  });
-  node.start();
-  sampler.start();
-  process.run();
+  run_with_sampler(process, sampler, node);
   return EXIT_SUCCESS;
 }
 
--- a/src/cluster/cli/run_worker_agent.cpp
+++ b/src/cluster/cli/run_worker_agent.cpp
@@ -19,18 +19,8 @@
   sampler.set_seeds(process.settings().seed_internal_addresses());
   listen_for_shuffles(process, sampler);
   const auto metrics = make_metrics_server(process.loop(), options.metrics_port,
-                                           [](MetricFamilies&) {});  // the process' own figures only
-  process.on_settings([&worker, &sampler](const NodeSettings& changed) {
-    worker.set_seeds(changed.seed_internal_addresses());
-    sampler.set_seeds(changed.seed_internal_addresses());
-  });
-  process.on_stop([&worker, &sampler](std::function<void()> done) {
-    sampler.stop();
-    worker.shut_down(std::move(done));
-  });
-  worker.start();
-  sampler.start();
-  process.run();
+                                           [](MetricFamilies&) {});  // only the metrics of the process itself
+  run_with_sampler(process, sampler, worker);
   return EXIT_SUCCESS;
 }
 
--- a/src/cluster/cli/status_command.cpp
+++ b/src/cluster/cli/status_command.cpp
@@ -1,4 +1,4 @@
-// `members`, `leader`, `status`, `top`: the state of the control group.
+// Commands that show the state of the control group: `members`, `leader`, `status` and `top`.
 #include <boost/json.hpp>
 #include <chrono>
 #include <thread>
@@ -13,18 +13,18 @@
 
 constexpr Millis kMemberTimeout{1000};
 
-// A member's own view, or that it did not answer.
+// A member of the control group and its own status; empty if it did not respond.
 struct MemberView {
   MemberInfo member;
   std::optional<StatusResponse> status;
 };
 
-leaf::result<std::optional<StatusResponse>> ask_member(const MemberInfo& member) {
-  ControlClientOptions terms;
-  terms.nodes = {member.http_address};
-  terms.timeout = kMemberTimeout;
-  terms.rounds = 1;
-  ControlClient client(std::move(terms));
+leaf::result<std::optional<StatusResponse>> fetch_member_status(const MemberInfo& member) {
+  ControlClientOptions options;
+  options.nodes = {member.http_address};
+  options.timeout = kMemberTimeout;
+  options.rounds = 1;
+  ControlClient client(std::move(options));
   return leaf::try_handle_some(
       [&]() -> leaf::result<std::optional<StatusResponse>> {
         BOOST_LEAF_AUTO(status, fetch_status(client));
@@ -33,7 +33,8 @@
       [](const ControlUnavailable&) -> leaf::result<std::optional<StatusResponse>> {
         return std::optional<StatusResponse>();
       },
-      [](const InvalidInput&) -> leaf::result<std::optional<StatusResponse>> {  // it names no address
+      [](const InvalidInput&)
+          -> leaf::result<std::optional<StatusResponse>> {  // the member has no valid address
         return std::optional<StatusResponse>();
       });
 }
@@ -42,7 +43,7 @@
   BOOST_LEAF_AUTO(first, fetch_status(client));
   std::vector<MemberView> views;
   for (const MemberInfo& member : first.members) {
-    BOOST_LEAF_AUTO(status, ask_member(member));
+    BOOST_LEAF_AUTO(status, fetch_member_status(member));
     views.push_back({member, std::move(status)});
   }
   return views;
@@ -67,7 +68,7 @@
     }
     const StatusResponse& status = *view.status;
     table.add({id, status.node, status.zone, view.member.http_address, yes_or_no(status.votes),
-               yes_or_no(status.in_touch), std::to_string(status.member_epoch),
+               yes_or_no(status.has_quorum_contact), std::to_string(status.member_epoch),
                std::to_string(status.configuration_version)});
   }
   table.print(out);
--- a/src/cluster/cli/store_command.cpp
+++ b/src/cluster/cli/store_command.cpp
@@ -1,10 +1,10 @@
 #include "cluster/cli/store_command.hpp"
 
-#include <algorithm>
 #include <cstdio>
 #include <cstdlib>
 #include <random>
 
+#include "cluster/cli/exit_codes.hpp"
 #include "cluster/store/backup_file.hpp"
 #include "cluster/store/offline_store.hpp"
 #include "cluster/store/state_summary.hpp"
@@ -13,10 +13,9 @@
 
 namespace {
 
-constexpr int kExitDamaged = 1;
-constexpr int kExitUsage = 2;
+constexpr int kExitCorrupt = 1;
 
-// What follows the name of the action.
+// Arguments of an action.
 struct Arguments {
   std::vector<std::string> paths;
   std::string prefix;
@@ -28,7 +27,7 @@
 
 struct ActionEntry {
   const char* name;
-  std::size_t paths;
+  std::size_t path_count;
   Action run;
 };
 
@@ -48,7 +47,7 @@
   return nullptr;
 }
 
-// False: an unknown option, or one without its value.
+// False for an unknown option, or one without a value.
 bool parse(const std::vector<std::string>& words, Arguments& arguments) {
   for (std::size_t index = 1; index < words.size(); ++index) {
     if (!words[index].starts_with("--")) {
@@ -69,7 +68,7 @@
               arguments.paths[0].c_str(), summary.entries, summary.bytes, summary.registers, summary.shards,
               summary.records, summary.unreadable.empty() ? "sound" : "not sound");
   for (const std::string& key : summary.unreadable) std::printf("unreadable: %s\n", key.c_str());
-  return summary.unreadable.empty() ? EXIT_SUCCESS : kExitDamaged;
+  return summary.unreadable.empty() ? EXIT_SUCCESS : kExitCorrupt;
 }
 
 leaf::result<int> show(const Arguments& arguments) {
@@ -88,7 +87,7 @@
   return EXIT_SUCCESS;
 }
 
-std::uint64_t fresh_id() {
+std::uint64_t random_member_id() {
   std::random_device device;
   const std::uint64_t id = std::uint64_t{device()} << 32 | device();
   return id == 0 ? 1 : id;
@@ -96,10 +95,11 @@
 
 leaf::result<int> restore(const Arguments& arguments) {
   BOOST_LEAF_AUTO(entries, read_backup(arguments.paths[0]));
-  BOOST_LEAF_AUTO(fenced,
-                  make_restored_state(entries, fresh_id(), arguments.address, arguments.http_address));
-  BOOST_LEAF_CHECK(create_offline_store(arguments.paths[1], fenced));
-  std::printf("%s: %zu entries, for a new group of one member\n", arguments.paths[1].c_str(), fenced.size());
+  BOOST_LEAF_AUTO(
+      restored, make_restored_state(entries, random_member_id(), arguments.address, arguments.http_address));
+  BOOST_LEAF_CHECK(create_offline_store(arguments.paths[1], restored));
+  std::printf("%s: %zu entries, for a new group of one member\n", arguments.paths[1].c_str(),
+              restored.size());
   return EXIT_SUCCESS;
 }
 
@@ -108,10 +108,10 @@
 
 leaf::result<int> run_action(const ActionEntry& action, const Arguments& arguments) {
   return leaf::try_handle_some([&] { return action.run(arguments); },
-                               [](const StoreCorruption& damaged) -> leaf::result<int> {
-                                 std::fprintf(stderr, "store %s: damaged: %s\n", damaged.path.c_str(),
-                                              damaged.detail.c_str());
-                                 return kExitDamaged;
+                               [](const StoreCorruption& corruption) -> leaf::result<int> {
+                                 std::fprintf(stderr, "store %s: damaged: %s\n", corruption.path.c_str(),
+                                              corruption.detail.c_str());
+                                 return kExitCorrupt;
                                });
 }
 
@@ -123,7 +123,7 @@
   if (!parse(arguments, parsed)) return usage();
   for (const ActionEntry& action : kActions) {
     const bool named = arguments[0] == action.name;
-    if (named && parsed.paths.size() == action.paths) return run_action(action, parsed);
+    if (named && parsed.paths.size() == action.path_count) return run_action(action, parsed);
   }
   return usage();
 }
--- a/src/cluster/cli/store_command.hpp
+++ b/src/cluster/cli/store_command.hpp
@@ -1,11 +1,10 @@
-// Sub-command `store`: looks after the store of a control node that is not running.
-//   store check DIR                   reads all and checks it; status 0: sound, 1: not
-//   store show DIR [--prefix P]       one line an entry
+// Sub-command `store`: maintenance of the store of a control node that is not running.
+//   store check DIR                   verifies the store; exit code 0: valid, 1: corrupt
+//   store show DIR [--prefix P]       prints one line for each entry
 //   store backup DIR FILE             writes a backup
 //   store restore FILE DIR [--address IP:PORT] [--http IP:PORT]
-//                                     makes a store for a NEW group of one member from a backup; the
-//                                     addresses are the node's own, and by default those of the node backed
-//                                     up
+//                                     creates a store for a NEW group of one member from a backup. The
+//                                     addresses are the node's own; default: those of the node backed up
 #pragma once
 
 #include <string>
@@ -15,8 +14,9 @@
 
 namespace winchhall::cluster {
 
-// `arguments` follow the word "store". The status for the caller to end with; 2: wrong usage. Errors:
-// StoreFailure, UnsupportedStoreFormat, InvalidInput. A damaged store is reported here, with status 1.
+// `arguments`: what follows the word "store". Returns the exit code of the process; 2 for wrong usage. A
+// corrupt store is reported here, with exit code 1. Errors: StoreFailure, UnsupportedStoreFormat,
+// InvalidInput.
 leaf::result<int> run_store_command(const std::vector<std::string>& arguments);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/text_table.hpp
+++ b/src/cluster/cli/text_table.hpp
@@ -1,4 +1,4 @@
-// A table of texts with columns as wide as they need to be.
+// Plain-text tables for the terminal.
 #pragma once
 
 #include <ostream>
@@ -7,11 +7,12 @@
 
 namespace winchhall::cluster {
 
+// Rows of texts; each column is as wide as its widest text.
 class TextTable {
  public:
   explicit TextTable(std::vector<std::string> headings) : rows_{std::move(headings)} {}
 
-  // One text for each heading.
+  // `row`: one text for each heading.
   void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
   void print(std::ostream& out) const;
 
--- a/src/cluster/main.cpp
+++ b/src/cluster/main.cpp
@@ -1,4 +1,5 @@
-// winchhall-cluster: one program, its roles and tools are sub-commands.
+// winchhall-cluster: the cluster scheduler. Its processes, the operators' commands and the store's tools are
+// sub-commands of this one program.
 #include <cstdlib>
 #include <iostream>
 #include <string>
@@ -17,7 +18,7 @@
 
 namespace {
 
-constexpr const char* kStoreCommand = "store";  // reads its arguments itself
+constexpr const char* kStoreCommand = "store";  // parses its own arguments
 
 using RoleFunction = leaf::result<int> (*)(NodeSettings, const RoleOptions&);
 
@@ -43,7 +44,7 @@
 }
 
 leaf::result<int> check_settings(const CommandLine& line) {
-  const std::string file = line.words.size() > 1 ? line.word(1) : line.settings_file;
+  const std::string file = line.arguments.size() > 1 ? line.argument(1) : line.settings_file;
   if (file.empty()) return leaf::new_error(UsageError{"check FILE"});
   BOOST_LEAF_AUTO(settings, load_settings(file));
   std::cout << file << ": settings of " << settings.node_name << " are fit for use\n";
@@ -63,8 +64,8 @@
 }
 
 leaf::result<int> run_arguments(int argc, const char* const* argv) {
-  const bool looks_after_store = argc > 1 && std::string(argv[1]) == kStoreCommand;
-  if (looks_after_store) return run_store_command(std::vector<std::string>(argv + 2, argv + argc));
+  const bool is_store_command = argc > 1 && std::string(argv[1]) == kStoreCommand;
+  if (is_store_command) return run_store_command(std::vector<std::string>(argv + 2, argv + argc));
   BOOST_LEAF_AUTO(line, parse_command_line(argc, argv));
   return run_command(line);
 }
@@ -78,7 +79,7 @@
   const int code = report_failures([argc, argv] { return run_arguments(argc, argv); }, std::cerr);
   std::cout.flush();
   std::cerr.flush();
-  // All that matters is put away by now. NNG's own end waits for connections that are still being opened: to
-  // a machine without power that lasts longer than the grace period.
+  // Skips NNG's cleanup at exit, which waits for connections that are still being established: to a machine
+  // that is off, longer than the grace period. Everything that must be durable has been written by now.
   std::quick_exit(code);
 }
--- a/tests/cluster/cli/commands_test.cpp
+++ b/tests/cluster/cli/commands_test.cpp
@@ -1,10 +1,6 @@
-// The command line, the operators' commands against stand-in control nodes, and the exit codes.
-#include <unistd.h>
-
+// The command line, the operators' commands against fake control nodes, and the exit codes.
 #include <catch2/catch.hpp>
 #include <cstdlib>
-#include <filesystem>
-#include <fstream>
 #include <functional>
 #include <memory>
 #include <sstream>
@@ -16,15 +12,17 @@
 #include "cluster/cli/exit_codes.hpp"
 #include "cluster/cli/operator_commands.hpp"
 #include "cluster/http/server.hpp"
+#include "tests/cluster/support/temporary_file.hpp"
 
 using namespace winchhall::cluster;
+using winchhall::cluster::testing::TemporaryFile;
 
 namespace {
 
-// A control node whose answers the test sets; it serves on a thread of its own.
-class StandInControl {
+// A control node with scripted responses, which serves on its own thread.
+class FakeControlNode {
  public:
-  explicit StandInControl(std::function<HttpResponse(const HttpRequest&)> answer)
+  explicit FakeControlNode(std::function<HttpResponse(const HttpRequest&)> answer)
       : server_(make_http_server(
             loop_, "127.0.0.1:0",
             [this, answer = std::move(answer)](const HttpRequest& request, const HttpReplyCallback& reply) {
@@ -33,13 +31,13 @@
             })),
         address_("127.0.0.1:" + std::to_string(server_->port())),
         thread_([this] { loop_.run(); }) {}
-  ~StandInControl() {
+  ~FakeControlNode() {
     loop_.stop();
     thread_.join();
   }
 
   const Address& address() const { return address_; }
-  // To be called once no command is under way.
+  // Only to be called while no command is running.
   const std::vector<HttpRequest>& requests() const { return requests_; }
 
  private:
@@ -50,7 +48,7 @@
   std::thread thread_;
 };
 
-struct Outcome {
+struct CommandResult {
   int code = 0;
   std::string output;
   std::string errors;
@@ -58,26 +56,26 @@
 
 CommandLine line_of(const std::vector<std::string>& words, const std::vector<Address>& control) {
   CommandLine line;
-  line.words = words;
+  line.arguments = words;
   line.control = control;
   return line;
 }
 
-Outcome run(const CommandLine& line) {
+CommandResult run(const CommandLine& line) {
   std::ostringstream output;
   std::ostringstream errors;
-  Outcome outcome;
+  CommandResult result;
   const auto action = [&]() -> leaf::result<int> {
     BOOST_LEAF_CHECK(run_operator_command(line, output));
     return kExitSuccess;
   };
-  outcome.code = report_failures(action, errors);
-  outcome.output = output.str();
-  outcome.errors = errors.str();
-  return outcome;
+  result.code = report_failures(action, errors);
+  result.output = output.str();
+  result.errors = errors.str();
+  return result;
 }
 
-// The parsed line, or the exit code of the failure.
+// The parsed command line, or the exit code of the error.
 struct Parsed {
   CommandLine line;
   int code = 0;
@@ -98,22 +96,6 @@
   return parsed;
 }
 
-// A file that is removed at the end of the test.
-class TemporaryFile {
- public:
-  explicit TemporaryFile(const std::string& text)
-      : path_(std::filesystem::temp_directory_path() /
-              ("cli_test_" + std::to_string(::getpid()) + "_" + std::to_string(counter_++))) {
-    std::ofstream(path_) << text;
-  }
-  ~TemporaryFile() { std::filesystem::remove(path_); }
-  std::string path() const { return path_.string(); }
-
- private:
-  static inline int counter_ = 0;
-  std::filesystem::path path_;
-};
-
 const char* const kStatus =
     R"({"node":"core-a-1","member_id":7,"votes":true,"in_touch":true,"configuration_version":12,)"
     R"("member_record":{"epoch":3,"members":[{"id":7,"zone":"a","address":"127.0.0.1:1","http_address":""}]},)"
@@ -136,12 +118,12 @@
 
 }  // namespace
 
-TEST_CASE("options and words are read") {
+TEST_CASE("options and arguments are parsed") {
   const Parsed parsed =
       parse({"--settings", "node.toml", "--log-level", "warning", "--metrics", "9100", "-c", "127.0.0.1:1",
              "--control", "127.0.0.1:2", "--json", "--limit", "5", "--base", "7", "jobs", "show", "a1"});
   REQUIRE(parsed.code == kExitSuccess);
-  CHECK(parsed.line.words == std::vector<std::string>{"jobs", "show", "a1"});
+  CHECK(parsed.line.arguments == std::vector<std::string>{"jobs", "show", "a1"});
   CHECK(parsed.line.settings_file == "node.toml");
   CHECK(parsed.line.log_level == LogLevel::warning);
   CHECK(parsed.line.metrics_port == 9100);
@@ -149,7 +131,7 @@
   CHECK(parsed.line.json);
   CHECK(parsed.line.limit == 5);
   CHECK(parsed.line.base_version == 7u);
-  CHECK(parsed.line.word(7).empty());
+  CHECK(parsed.line.argument(7).empty());
 }
 
 TEST_CASE("options may follow the command") {
@@ -160,28 +142,28 @@
   CHECK(parsed.line.settings_file == "node.toml");
 }
 
-TEST_CASE("a command line that can't be understood is a usage error") {
+TEST_CASE("an invalid command line is a usage error") {
   CHECK(parse({}).code == kExitUsage);
   CHECK(parse({"--unknown", "status"}).code == kExitUsage);
   CHECK(parse({"status", "--settings"}).code == kExitUsage);
   CHECK(parse({"--unknown", "status"}).errors.find("usage: winchhall-cluster") != std::string::npos);
 }
 
-TEST_CASE("a bad value of an option is invalid input") {
+TEST_CASE("an invalid value of an option is invalid input") {
   CHECK(parse({"--log-level", "loud", "agent"}).code == kExitInvalid);
   CHECK(parse({"--metrics", "65536", "agent"}).code == kExitInvalid);
   CHECK(parse({"--rounds", "-1", "top"}).code == kExitInvalid);
   CHECK(parse({"--limit", "5x", "jobs", "list"}).errors.find("limit") != std::string::npos);
 }
 
-TEST_CASE("the settings file of the environment counts where none is given") {
+TEST_CASE("the settings file defaults to the environment variable") {
   ::setenv("WINCHHALL_NODE_FILE", "/of/environment.toml", 1);
   CHECK(parse({"status"}).line.settings_file == "/of/environment.toml");
   CHECK(parse({"-s", "given.toml", "status"}).line.settings_file == "given.toml");
   ::unsetenv("WINCHHALL_NODE_FILE");
 }
 
-TEST_CASE("control nodes come from the command line, else from the settings") {
+TEST_CASE("control nodes are taken from the command line, or else from the settings") {
   const TemporaryFile settings(settings_text("\"127.0.0.1:5\",\"127.0.0.1:6\""));
   CommandLine line = line_of({"status"}, {});
   line.settings_file = settings.path();
@@ -194,16 +176,16 @@
   CHECK(run(line_of({"status"}, {})).code == kExitUsage);
 }
 
-TEST_CASE("a bad settings file is told with its line") {
+TEST_CASE("an invalid settings file is reported with the line") {
   const TemporaryFile settings("node_name = \"edge-1\"\nip = 5\ninternal_ports = [7380,7395]\n");
   CommandLine line = line_of({"status"}, {});
   line.settings_file = settings.path();
-  const Outcome outcome = run(line);
-  CHECK(outcome.code == kExitInvalid);
-  CHECK(outcome.errors.find(settings.path() + ":2: ip: '5'; allowed: a text") != std::string::npos);
+  const CommandResult result = run(line);
+  CHECK(result.code == kExitInvalid);
+  CHECK(result.errors.find(settings.path() + ":2: ip: '5'; allowed: a text") != std::string::npos);
 }
 
-TEST_CASE("words that no command takes are a usage error") {
+TEST_CASE("unknown and incomplete commands are a usage error") {
   const std::vector<Address> control = {"127.0.0.1:1"};
   CHECK(run(line_of({"jobs"}, control)).code == kExitUsage);
   CHECK(run(line_of({"jobs", "show"}, control)).code == kExitUsage);
@@ -213,21 +195,21 @@
 }
 
 TEST_CASE("tables and JSON are printed") {
-  StandInControl node([](const HttpRequest& request) { return status_then(request, 200, kJobs); });
+  FakeControlNode node([](const HttpRequest& request) { return status_then(request, 200, kJobs); });
   CommandLine line = line_of({"jobs", "list"}, {node.address()});
-  Outcome outcome = run(line);
-  CHECK(outcome.code == kExitSuccess);
-  CHECK(outcome.output.find("core     00000000000000a1  q      running  1         3") != std::string::npos);
+  CommandResult result = run(line);
+  CHECK(result.code == kExitSuccess);
+  CHECK(result.output.find("core     00000000000000a1  q      running  1         3") != std::string::npos);
   line.json = true;
-  outcome = run(line);
-  CHECK(outcome.output.find(R"("id":"00000000000000a1")") != std::string::npos);
+  result = run(line);
+  CHECK(result.output.find(R"("id":"00000000000000a1")") != std::string::npos);
   CHECK(run(line_of({"members"}, {node.address()})).output.find("member record 3") == 0);
   CHECK(run(line_of({"leader"}, {node.address()})).output.find("service/core  5") != std::string::npos);
   CHECK(run(line_of({"status"}, {node.address()})).output.find("unreachable") != std::string::npos);
 }
 
-TEST_CASE("top ends after its rounds") {
-  StandInControl node([](const HttpRequest& request) { return status_then(request, 404, "{}"); });
+TEST_CASE("top ends after the requested rounds") {
+  FakeControlNode node([](const HttpRequest& request) { return status_then(request, 404, "{}"); });
   CommandLine line = line_of({"top"}, {node.address()});
   line.rounds = 3;
   line.interval_s = 0;
@@ -236,18 +218,18 @@
 }
 
 TEST_CASE("a job that no leader knows is not found") {
-  StandInControl node([](const HttpRequest& request) { return status_then(request, 404, "{}"); });
-  const Outcome outcome = run(line_of({"jobs", "show", "a1"}, {node.address()}));
-  CHECK(outcome.code == kExitNotFound);
-  CHECK(outcome.errors == "winchhall-cluster: not found: job a1\n");
+  FakeControlNode node([](const HttpRequest& request) { return status_then(request, 404, "{}"); });
+  const CommandResult result = run(line_of({"jobs", "show", "a1"}, {node.address()}));
+  CHECK(result.code == kExitNotFound);
+  CHECK(result.errors == "winchhall-cluster: not found: job a1\n");
   REQUIRE(node.requests().size() == 2);
   CHECK(node.requests()[1].target() == "/v1/jobs/a1?service=core");
   CHECK(run(line_of({"jobs", "show", "a/1"}, {node.address()})).code == kExitInvalid);
 }
 
-TEST_CASE("a redirect leads to the node that leads") {
-  StandInControl leader([](const HttpRequest&) { return json_response(200, R"({"id":"a1"})"); });
-  StandInControl other([&leader](const HttpRequest& request) {
+TEST_CASE("a redirect to the leader is followed") {
+  FakeControlNode leader([](const HttpRequest&) { return json_response(200, R"({"id":"a1"})"); });
+  FakeControlNode other([&leader](const HttpRequest& request) {
     if (request.target() == "/v1/status") return json_response(200, kStatus);
     HttpResponse response = json_response(307, "{}");
     response.set(boost::beast::http::field::location,
@@ -260,36 +242,37 @@
   CHECK(leader.requests()[0].target() == "/v1/jobs/a1/cancel?service=core");
 }
 
-TEST_CASE("endless redirects are given up") {
+TEST_CASE("a redirect loop is abandoned") {
   Address self;
-  StandInControl node([&self](const HttpRequest&) {
+  FakeControlNode node([&self](const HttpRequest&) {
     HttpResponse response = json_response(307, "{}");
     response.set(boost::beast::http::field::location, "http://" + self + "/v1/status");
     return response;
   });
   self = node.address();
   ControlClient client(ControlClientOptions{{node.address()}, Millis(5000), Millis(0), 1});
-  const bool gave_up = leaf::try_handle_all(
+  const bool abandoned = leaf::try_handle_all(
       [&]() -> leaf::result<bool> {
         BOOST_LEAF_CHECK(client.call(ControlRequest{}));
         return false;
       },
       [](const ControlUnavailable&) { return true; }, [] { return false; });
-  CHECK(gave_up);
+  CHECK(abandoned);
   CHECK(node.requests().size() == 3);
 }
 
-TEST_CASE("another node is asked where one fails") {
-  StandInControl broken([](const HttpRequest&) { return json_response(503, "{}"); });
-  StandInControl good([](const HttpRequest&) { return json_response(200, R"({"version":4})"); });
-  const Outcome outcome = run(line_of({"config", "get"}, {broken.address(), "127.0.0.1:1", good.address()}));
-  CHECK(outcome.code == kExitSuccess);
-  CHECK(outcome.output == "{\"version\":4}\n");
+TEST_CASE("another node is called if one fails") {
+  FakeControlNode broken([](const HttpRequest&) { return json_response(503, "{}"); });
+  FakeControlNode good([](const HttpRequest&) { return json_response(200, R"({"version":4})"); });
+  const CommandResult result =
+      run(line_of({"config", "get"}, {broken.address(), "127.0.0.1:1", good.address()}));
+  CHECK(result.code == kExitSuccess);
+  CHECK(result.output == "{\"version\":4}\n");
   CHECK(broken.requests().size() == 1);
 }
 
 TEST_CASE("nodes that all fail are unavailable") {
-  StandInControl broken([](const HttpRequest&) { return json_response(503, "{}"); });
+  FakeControlNode broken([](const HttpRequest&) { return json_response(503, "{}"); });
   ControlClient client(ControlClientOptions{{broken.address()}, Millis(5000), Millis(0), 3});
   std::ostringstream errors;
   const auto action = [&]() -> leaf::result<int> {
@@ -301,8 +284,8 @@
   CHECK(broken.requests().size() == 3);
 }
 
-TEST_CASE("a change names the version that it builds on") {
-  StandInControl node([](const HttpRequest& request) {
+TEST_CASE("a change is sent with its base version") {
+  FakeControlNode node([](const HttpRequest& request) {
     return json_response(200, request.target() == "/v1/Config.Get" ? R"({"version":6})" : R"({"version":8})");
   });
   const TemporaryFile file("{}");
@@ -317,30 +300,30 @@
   CHECK(node.requests()[2]["X-Winchhall-Base-Version"] == "3");
 }
 
-TEST_CASE("refused changes end by their kind") {
+TEST_CASE("rejected changes have the exit code of their error") {
   unsigned status = 412;
   std::string body = R"({"version":9})";
-  StandInControl node([&](const HttpRequest&) { return json_response(status, body); });
+  FakeControlNode node([&](const HttpRequest&) { return json_response(status, body); });
   const TemporaryFile file("{}");
   CommandLine line = line_of({"config", "put", file.path()}, {node.address()});
   line.base_version = 1;
-  Outcome outcome = run(line);
-  CHECK(outcome.code == kExitConflict);
-  CHECK(outcome.errors == "winchhall-cluster: conflict: version 9 is current\n");
+  CommandResult result = run(line);
+  CHECK(result.code == kExitConflict);
+  CHECK(result.errors == "winchhall-cluster: conflict: version 9 is current\n");
   status = 400;
   body = R"({"error":{"source":"Config.Put","field":"version","value":"1","allowed":"above 9"}})";
-  outcome = run(line);
-  CHECK(outcome.code == kExitInvalid);
-  CHECK(outcome.errors == "winchhall-cluster: invalid: Config.Put: version: '1'; allowed: above 9\n");
-  line.words.back() = file.path() + ".missing";
+  result = run(line);
+  CHECK(result.code == kExitInvalid);
+  CHECK(result.errors == "winchhall-cluster: invalid: Config.Put: version: '1'; allowed: above 9\n");
+  line.arguments.back() = file.path() + ".missing";
   CHECK(run(line).code == kExitInvalid);
 }
 
-TEST_CASE("a configuration is checked without any node") {
+TEST_CASE("a configuration is checked without a control node") {
   const TemporaryFile bad(R"({"version":1,"routes":5,"services":[],"limits":{}})");
-  const Outcome outcome = run(line_of({"config", "check", bad.path()}, {}));
-  CHECK(outcome.code == kExitInvalid);
-  CHECK(outcome.errors.find(bad.path() + ": routes") != std::string::npos);
+  const CommandResult result = run(line_of({"config", "check", bad.path()}, {}));
+  CHECK(result.code == kExitInvalid);
+  CHECK(result.errors.find(bad.path() + ": routes") != std::string::npos);
   const TemporaryFile good(R"({"version":1,"routes":[],"services":[],"limits":{}})");
   CHECK(run(line_of({"config", "check", good.path()}, {})).code == kExitSuccess);
 }
