--- a/testbed/cluster/fake_leaf.cpp
+++ b/testbed/cluster/fake_leaf.cpp
@@ -9,12 +9,13 @@
 namespace json = boost::json;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kHeartbeatPause{500};
-constexpr milliseconds kPauseAfterEnd{50};
-constexpr milliseconds kTurn{5};
+constexpr milliseconds kHeartbeatInterval{500};
+constexpr milliseconds kHeartbeatDelayAfterEnd{50};
+constexpr milliseconds kPollInterval{5};
+constexpr milliseconds kCallTimeout{1000};
 
-// Whole number of a JSON value; 0 for anything else.
-std::uint64_t number_of(const json::value* value) {
+// Value of a JSON integer; 0 for anything else.
+std::uint64_t to_number(const json::value* value) {
   if (!value) return 0;
   if (const auto* number = value->if_int64()) return static_cast<std::uint64_t>(*number);
   if (const auto* number = value->if_uint64()) return *number;
@@ -23,7 +24,7 @@
 
 }  // namespace
 
-FakeLeaf::FakeLeaf(FakeLeafOptions options) : options_(std::move(options)), thread_([this] { live(); }) {}
+FakeLeaf::FakeLeaf(FakeLeafOptions options) : options_(std::move(options)), thread_([this] { run(); }) {}
 
 FakeLeaf::~FakeLeaf() { crash(); }
 
@@ -37,15 +38,15 @@
   return starts_;
 }
 
-void FakeLeaf::live() {
+void FakeLeaf::run() {
   Clock::time_point next = Clock::now();
   while (!stopping_) {
     const Clock::time_point now = Clock::now();
     const std::size_t ended_before = ended_.size();
     end_due_tasks(now);
-    if (ended_.size() > ended_before) next = std::min(next, now + kPauseAfterEnd);
+    if (ended_.size() > ended_before) next = std::min(next, now + kHeartbeatDelayAfterEnd);
     if (now < next) {
-      std::this_thread::sleep_for(kTurn);
+      std::this_thread::sleep_for(kPollInterval);
       continue;
     }
     HttpCall call;
@@ -53,28 +54,28 @@
     call.method = "POST";
     call.target = "/v1/Instances.Heartbeat/" + options_.id;
     call.body = heartbeat_body();
-    call.timeout = milliseconds(1000);
+    call.timeout = kCallTimeout;
     next = Clock::now() + apply_heartbeat_response(testbed::cluster::send_http_call(call), now);
   }
 }
 
 void FakeLeaf::end_due_tasks(Clock::time_point now) {
   std::vector<std::string> due;
-  const bool lapsed = now >= lease_expires_at_;
+  const bool lease_expired = now >= lease_expires_at_;
   for (const auto& [task, running] : running_) {
-    if (lapsed || now >= running.ends) due.push_back(task);
+    if (lease_expired || now >= running.ends) due.push_back(task);
   }
-  for (const std::string& task : due) end_task(task, lapsed ? "lapsed" : "done", now);
+  for (const std::string& task : due) end_task(task, lease_expired ? "lapsed" : "done", now);
 }
 
-void FakeLeaf::end_task(const std::string& task, const std::string& how, Clock::time_point now) {
+void FakeLeaf::end_task(const std::string& task, const std::string& outcome, Clock::time_point now) {
   const auto found = running_.find(task);
   if (found == running_.end()) return;
-  ended_.push_back({++last_number_, task, found->second.run, how});
+  ended_.push_back({++last_end_number_, task, found->second.run, outcome});
   const std::lock_guard lock(starts_mutex_);
   FakeLeafTaskStart& start = starts_[found->second.start_index];
   start.ended = now;
-  start.done = how == "done";
+  start.done = outcome == "done";
   running_.erase(found);
 }
 
@@ -82,7 +83,8 @@
   json::array running;
   for (const auto& [task, state] : running_) running.push_back(json::array{task, state.run, "", 50});
   json::array finished;
-  for (const Ended& end : ended_) finished.push_back(json::array{end.number, end.task, end.run, end.how, ""});
+  for (const EndedTask& end : ended_)
+    finished.push_back(json::array{end.number, end.task, end.run, end.outcome, ""});
   json::object body;
   body["backend"] = options_.service;
   body["address"] = "127.0.0.1:1";
@@ -98,34 +100,40 @@
   return json::serialize(body);
 }
 
-milliseconds FakeLeaf::apply_heartbeat_response(const HttpCallResponse& answer, Clock::time_point sent) {
+milliseconds FakeLeaf::apply_heartbeat_response(const HttpCallResponse& answer, Clock::time_point sent_at) {
   boost::system::error_code error;
   const json::value value = json::parse(answer.body, error);
-  const bool in_time = Clock::now() - sent < milliseconds(1000);
-  if (answer.status != 200 || error || !value.is_object() || !in_time) return kHeartbeatPause;
+  const bool in_time = Clock::now() - sent_at < kCallTimeout;
+  if (answer.status != 200 || error || !value.is_object() || !in_time) return kHeartbeatInterval;
   const json::object& orders = value.as_object();
   const Clock::time_point now = Clock::now();
-  const std::uint64_t token = number_of(orders.if_contains("fence_token"));
-  if (token < fence_token_) return kHeartbeatPause;
+  const std::uint64_t token = to_number(orders.if_contains("fence_token"));
+  if (token < fence_token_) return kHeartbeatInterval;
   fence_token_ = token;
   lease_expires_at_ =
-      std::max(lease_expires_at_, sent + milliseconds(number_of(orders.if_contains("hold_ms"))));
-  const std::uint64_t last_seen = number_of(orders.if_contains("last_seen"));
-  std::erase_if(ended_, [last_seen](const Ended& end) { return end.number <= last_seen; });
-  if (const json::value* stops = orders.if_contains("stopped_at")) {
-    for (const json::value& stop : stops->as_array()) {
-      const std::string task(stop.at(0).as_string());
-      highest_run_[task] = std::max(highest_run_[task], number_of(&stop.at(1)));
-      end_task(task, "stopped", now);
-    }
+      std::max(lease_expires_at_, sent_at + milliseconds(to_number(orders.if_contains("hold_ms"))));
+  const std::uint64_t last_seen = to_number(orders.if_contains("last_seen"));
+  std::erase_if(ended_, [last_seen](const EndedTask& end) { return end.number <= last_seen; });
+  apply_stops(orders.if_contains("stopped_at"), now);
+  apply_starts(orders.if_contains("started_at"), now);
+  const json::value* retry_after = orders.if_contains("retry_after_ms");
+  return retry_after ? milliseconds(to_number(retry_after)) : kHeartbeatInterval;
+}
+
+void FakeLeaf::apply_stops(const json::value* stops, Clock::time_point now) {
+  if (!stops) return;
+  for (const json::value& stop : stops->as_array()) {
+    const std::string task(stop.at(0).as_string());
+    highest_run_[task] = std::max(highest_run_[task], to_number(&stop.at(1)));
+    end_task(task, "stopped", now);
   }
-  if (const json::value* starts = orders.if_contains("started_at")) {
-    for (const json::value& order : starts->as_array()) {
-      start(std::string(order.at(0).as_string()), number_of(&order.at(1)), now);
-    }
+}
+
+void FakeLeaf::apply_starts(const json::value* starts, Clock::time_point now) {
+  if (!starts) return;
+  for (const json::value& order : starts->as_array()) {
+    start(std::string(order.at(0).as_string()), to_number(&order.at(1)), now);
   }
-  const json::value* retry_after = orders.if_contains("retry_after_ms");
-  return retry_after ? milliseconds(number_of(retry_after)) : kHeartbeatPause;
 }
 
 void FakeLeaf::start(const std::string& task, std::uint64_t run, Clock::time_point now) {
--- a/testbed/cluster/http_call.cpp
+++ b/testbed/cluster/http_call.cpp
@@ -12,13 +12,13 @@
 namespace http = boost::beast::http;
 using tcp = boost::asio::ip::tcp;
 
-tcp::endpoint endpoint_of(const std::string& address) {
+tcp::endpoint parse_endpoint(const std::string& address) {
   const std::size_t colon = address.rfind(':');
   const auto port = static_cast<std::uint16_t>(std::stoul(address.substr(colon + 1)));
   return {boost::asio::ip::make_address(address.substr(0, colon)), port};
 }
 
-http::request<http::string_body> request_of(const HttpCall& call) {
+http::request<http::string_body> make_request(const HttpCall& call) {
   constexpr unsigned kHttp11 = 11;
   http::request<http::string_body> request(http::string_to_verb(call.method), call.target, kHttp11);
   request.set(http::field::host, call.host.empty() ? call.address : call.host);
@@ -30,16 +30,17 @@
   return request;
 }
 
-// The steps of one call, one after the other.
-class Exchange {
+// The steps of one call: connect, write, read.
+class HttpExchange {
  public:
-  Exchange(boost::asio::io_context& loop, const HttpCall& call) : stream_(loop), request_(request_of(call)) {
+  HttpExchange(boost::asio::io_context& loop, const HttpCall& call)
+      : stream_(loop), request_(make_request(call)) {
     stream_.expires_after(call.timeout);
-    stream_.async_connect(endpoint_of(call.address), [this](const beast::error_code& error) {
+    stream_.async_connect(parse_endpoint(call.address), [this](const beast::error_code& error) {
       if (!error) write();
     });
   }
-  HttpCallResponse answer() const { return answer_; }
+  HttpCallResponse result() const { return result_; }
 
  private:
   void write() {
@@ -49,7 +50,7 @@
   }
   void read() {
     http::async_read(stream_, buffer_, response_, [this](const beast::error_code& error, std::size_t) {
-      if (!error) answer_ = {response_.result_int(), response_.body()};
+      if (!error) result_ = {response_.result_int(), response_.body()};
     });
   }
 
@@ -57,16 +58,16 @@
   http::request<http::string_body> request_;
   http::response<http::string_body> response_;
   beast::flat_buffer buffer_;
-  HttpCallResponse answer_;
+  HttpCallResponse result_;
 };
 
 }  // namespace
 
 HttpCallResponse send_http_call(const HttpCall& call) {
   boost::asio::io_context loop;
-  Exchange exchange(loop, call);
+  HttpExchange exchange(loop, call);
   loop.run();
-  return exchange.answer();
+  return exchange.result();
 }
 
 }  // namespace winchhall::testbed::cluster
--- a/testbed/cluster/http_call.hpp
+++ b/testbed/cluster/http_call.hpp
@@ -1,4 +1,4 @@
-// One HTTP call on loopback, for stand-ins and experiments.
+// Synchronous HTTP requests on loopback, for fake servers and tests.
 #pragma once
 
 #include <chrono>
@@ -22,13 +22,13 @@
   std::chrono::milliseconds timeout{2000};
 };
 
-// Status 0: no answer (refused, cut off or too late).
+// Status 0: no response (connection refused, aborted or timed out).
 struct HttpCallResponse {
   unsigned status = 0;
   std::string body;
 };
 
-// Carries out one call on a connection of its own and waits for its end.
+// Sends one request on a new connection and waits for the response or the time-out.
 HttpCallResponse send_http_call(const HttpCall& call);
 
 }  // namespace winchhall::testbed::cluster
--- a/testbed/cluster/local_cluster.cpp
+++ b/testbed/cluster/local_cluster.cpp
@@ -23,7 +23,7 @@
 constexpr unsigned kFirstWorker = 30;
 constexpr const char* kSettingsVariable = "WINCHHALL_NODE_FILE";
 
-std::string make_folder() {
+std::string make_temporary_directory() {
   std::string pattern = (std::filesystem::temp_directory_path() / "winchhall-cluster-XXXXXX").string();
   if (!mkdtemp(pattern.data())) throw std::system_error(errno, std::generic_category(), "mkdtemp");
   return pattern;
@@ -34,7 +34,7 @@
 LocalCluster::LocalCluster(std::string program, unsigned workers, std::string service)
     : program_(std::move(program)),
       service_(std::move(service)),
-      folder_(make_folder()),
+      directory_(make_temporary_directory()),
       network_(1 + static_cast<unsigned>(getpid()) % 250) {
   const std::string prefix = "127." + std::to_string(network_) + ".0.";
   for (unsigned i = 0; i < kControlNodes; ++i) {
@@ -53,11 +53,11 @@
     if (process.pid > 0) kill(process.name);
   }
   std::error_code ignored;
-  std::filesystem::remove_all(folder_, ignored);
+  std::filesystem::remove_all(directory_, ignored);
 }
 
 void LocalCluster::add(LocalProcess process) {
-  std::filesystem::create_directories(folder_of(process.name));
+  std::filesystem::create_directories(directory_of(process.name));
   processes_.push_back(std::move(process));
 }
 
@@ -68,14 +68,14 @@
   throw std::invalid_argument("no process " + name);
 }
 
-std::string LocalCluster::settings_of(const LocalProcess& process) const {
+std::string LocalCluster::settings_text(const LocalProcess& process) const {
   std::ostringstream text;
   text << "node_name = \"" << process.name << "\"\nrole = \"" << process.command << "\"\nip = \""
        << process.ip << "\"\nzone = \"a\"\nregion = \"r\"\ninternal_ports = [7380,7395]\nseeds = [";
   for (unsigned i = 0; i < kControlNodes; ++i) text << (i ? "," : "") << '"' << control_address(i) << '"';
   text << "]\nbootstrap = " << (first_start_ ? "true" : "false")
        << "\ncounts_for_quorum = " << (process.control ? "true" : "false") << "\nheartbeat_ms = 1500\n";
-  if (process.control) text << "data_dir = \"" << (folder_of(process.name) / "data").string() << "\"\n";
+  if (process.control) text << "data_dir = \"" << (directory_of(process.name) / "data").string() << "\"\n";
   if (process.command == "worker-agent") text << "backend = \"" << service_ << "\"\n";
   text << "commands = \"heartbeat\"\n[bind_addrs]\n";
   if (process.command == "ingress") {
@@ -94,9 +94,9 @@
 
 void LocalCluster::start(const std::string& name) {
   LocalProcess& process = find(name);
-  const std::string settings_file = (folder_of(name) / "settings.toml").string();
-  std::ofstream(settings_file) << settings_of(process);
-  const std::string log_file = (folder_of(name) / "log").string();
+  const std::string settings_file = (directory_of(name) / "settings.toml").string();
+  std::ofstream(settings_file) << settings_text(process);
+  const std::string log_file = (directory_of(name) / "log").string();
   const pid_t pid = fork();
   if (pid < 0) throw std::system_error(errno, std::generic_category(), "fork");
   if (pid == 0) {
@@ -145,7 +145,7 @@
 }
 
 std::string LocalCluster::log_of(const std::string& name) const {
-  std::ifstream file(folder_of(name) / "log");
+  std::ifstream file(directory_of(name) / "log");
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
--- a/testbed/cluster/local_cluster.hpp
+++ b/testbed/cluster/local_cluster.hpp
@@ -1,5 +1,4 @@
-// A whole cluster of real processes on loopback: each machine has an address of its own (127.1.0.N), its
-// settings file and its folder. Processes are ended by their own process ids.
+// A complete cluster of real processes on loopback.
 #pragma once
 
 #include <sys/types.h>
@@ -20,10 +19,13 @@
   pid_t pid = 0;
 };
 
+// Three control nodes, one edge machine (ingress and agent), and `workers` machines with a worker-agent. Each
+// machine has its own loopback address, settings file and data directory; all files are in a temporary
+// directory that is removed at the end. Processes that are still running are then killed.
 class LocalCluster {
  public:
-  // `program`: path of winchhall-cluster. Three control nodes, one edge machine, `workers` side machines of
-  // `service`.
+  // `program`: path of winchhall-cluster. `service`: that the workers belong to. Throws std::system_error if
+  // the temporary directory can't be created.
   LocalCluster(std::string program, unsigned workers, std::string service);
   ~LocalCluster();
   LocalCluster(const LocalCluster&) = delete;
@@ -31,29 +33,29 @@
 
   void start_all();
   void start(const std::string& name);
-  // SIGKILL, and waits for its end.
+  // Sends SIGKILL and waits for the end of the process.
   void kill(const std::string& name);
-  // SIGTERM, and waits for its end; the exit status as by waitpid.
+  // Sends SIGTERM and waits for the end of the process. Returns the status of waitpid.
   int terminate(const std::string& name);
 
-  // HTTP addresses.
+  // Addresses of the HTTP servers.
   std::string control_address(unsigned index) const;
   std::string front_address() const;
   std::string ready_address() const;
   std::string worker_address(unsigned index) const;
-  // What a process wrote to its log.
+  // Content of a process's log.
   std::string log_of(const std::string& name) const;
 
  private:
   LocalProcess& find(const std::string& name);
   void add(LocalProcess process);
-  std::string settings_of(const LocalProcess& process) const;
-  std::filesystem::path folder_of(const std::string& name) const { return folder_ / name; }
+  std::string settings_text(const LocalProcess& process) const;
+  std::filesystem::path directory_of(const std::string& name) const { return directory_ / name; }
 
   std::string program_;
   std::string service_;
-  std::filesystem::path folder_;
-  unsigned network_;  // second byte of all addresses, so that two clusters don't meet
+  std::filesystem::path directory_;
+  unsigned network_;  // second byte of all addresses; differs between clusters that run at the same time
   std::vector<LocalProcess> processes_;
   bool first_start_ = true;
 };
--- a/tests/cluster/integration/processes_test.cpp
+++ b/tests/cluster/integration/processes_test.cpp
@@ -1,4 +1,4 @@
-// Real processes of the program on loopback, killed and started again: what was acknowledged stays.
+// Real processes on loopback that are killed and restarted: what was acknowledged survives.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <functional>
@@ -16,12 +16,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::seconds kPatience{40};
-constexpr std::chrono::milliseconds kTurn{20};
+constexpr std::chrono::seconds kTimeout{40};
+constexpr std::chrono::milliseconds kPollInterval{20};
 constexpr unsigned kControlNodes = 3;
 const std::string kService = "records";
 
-// `count` queues that no job comes to, each followed by a comma.
+// `count` routes without jobs, each followed by a comma.
 std::string idle_routes(unsigned count) {
   std::string routes;
   for (unsigned number = 0; number < count; ++number) {
@@ -33,7 +33,7 @@
   return routes;
 }
 
-// A configuration of one queue, beside `idle` others.
+// A configuration of one queue and `idle` unused ones.
 std::string configuration(unsigned version, unsigned timeout_ms, unsigned idle = 0) {
   return R"({"version":)" + std::to_string(version) + R"(,"routes":[)" + idle_routes(idle) +
          R"({"name":"extract","hostname":"demo.example","path_prefix":"/extract/","route_type":"unsafe",)"
@@ -47,10 +47,10 @@
 const std::string kJob = R"({"spec":"x","stages":[{"count":6,"cpu":1000,"mem_mb":100,"estimated_ms":300},)"
                          R"({"count":3,"cpu":1000,"mem_mb":100,"estimated_ms":300,"depends_on":[0]}]})";
 
-// The cluster under test with its operator and client.
-class Site {
+// A cluster of real processes with fake leaves, its operator and its client.
+class ClusterFixture {
  public:
-  explicit Site(unsigned workers = 2) : cluster(WINCHHALL_CLUSTER_PROGRAM, workers, kService) {
+  explicit ClusterFixture(unsigned workers = 2) : cluster(WINCHHALL_CLUSTER_PROGRAM, workers, kService) {
     cluster.start_all();
     for (unsigned i = 0; i < workers; ++i) {
       leaves.push_back(std::make_unique<FakeLeaf>(
@@ -58,7 +58,7 @@
     }
   }
 
-  // Repeats a call, to the control nodes in turn, until it gets a clear answer.
+  // Replaces the configuration. Repeats the call, to the control nodes in turn, until it succeeds.
   bool put(unsigned base, const std::string& body) {
     unsigned turn = 0;
     return until([&] {
@@ -68,19 +68,19 @@
     });
   }
 
-  std::string read_back() {
+  std::string get_configuration() {
     std::string body;
     unsigned turn = 0;
     until([&] {
-      const HttpCallResponse answer = send_http_call(operator_call(turn++, "GET", "/v1/Config.Get", ""));
-      if (answer.status == 200) body = answer.body;
-      return answer.status == 200;
+      const HttpCallResponse response = send_http_call(operator_call(turn++, "GET", "/v1/Config.Get", ""));
+      if (response.status == 200) body = response.body;
+      return response.status == 200;
     });
     return body;
   }
 
-  unsigned client(const std::string& method, const std::string& id, const std::string& body,
-                  std::string* text = nullptr) {
+  unsigned call_queue(const std::string& method, const std::string& id, const std::string& body,
+                      std::string* text = nullptr) {
     HttpCall call;
     call.address = cluster.front_address();
     call.method = method;
@@ -88,41 +88,41 @@
     call.host = "demo.example";
     call.body = body;
     call.timeout = std::chrono::milliseconds(4000);
-    const HttpCallResponse answer = send_http_call(call);
-    if (text) *text = answer.body;
-    return answer.status;
+    const HttpCallResponse response = send_http_call(call);
+    if (text) *text = response.body;
+    return response.status;
   }
 
   bool submit(const std::string& id) {
-    return until([&] { return client("POST", id, kJob) == 200; });
+    return until([&] { return call_queue("POST", id, kJob) == 200; });
   }
   bool completes(const std::string& id) {
     return until([&] {
       std::string text;
-      return client("GET", id, "", &text) == 200 && text.find("completed") != std::string::npos;
+      return call_queue("GET", id, "", &text) == 200 && text.find("completed") != std::string::npos;
     });
   }
 
-  // Runs of one task that were under way at the same time, or started after one was done and taken note of.
-  unsigned doubled() const {
+  // Number of tasks that were completed more than once.
+  unsigned tasks_done_twice() const {
     std::map<std::string, std::vector<FakeLeafTaskStart>> by_task;
     for (const auto& leaf : leaves) {
       for (const FakeLeafTaskStart& start : leaf->starts()) by_task[start.task].push_back(start);
     }
-    unsigned found = 0;
+    unsigned tasks = 0;
     for (const auto& [task, starts] : by_task) {
       unsigned done = 0;
       for (const FakeLeafTaskStart& start : starts) done += start.done ? 1 : 0;
-      if (done > 1) ++found;
+      if (done > 1) ++tasks;
     }
-    return found;
+    return tasks;
   }
 
   static bool until(const std::function<bool()>& reached) {
-    const Clock::time_point limit = Clock::now() + kPatience;
+    const Clock::time_point limit = Clock::now() + kTimeout;
     while (Clock::now() < limit) {
       if (reached()) return true;
-      std::this_thread::sleep_for(kTurn);
+      std::this_thread::sleep_for(kPollInterval);
     }
     return false;
   }
@@ -142,68 +142,68 @@
   }
 };
 
-void kill_all_control(Site& site) {
-  for (unsigned i = 0; i < kControlNodes; ++i) site.cluster.kill("control-" + std::to_string(i));
-  for (unsigned i = 0; i < kControlNodes; ++i) site.cluster.start("control-" + std::to_string(i));
+void restart_all_control_nodes(ClusterFixture& fixture) {
+  for (unsigned i = 0; i < kControlNodes; ++i) fixture.cluster.kill("control-" + std::to_string(i));
+  for (unsigned i = 0; i < kControlNodes; ++i) fixture.cluster.start("control-" + std::to_string(i));
 }
 
 }  // namespace
 
-TEST_CASE("a configuration of three thousand routes is taken, delivered and changed") {
-  Site site;
-  REQUIRE(site.put(0, configuration(1, 3000, 3000)));
-  REQUIRE(site.submit("00000000000000e1"));
-  CHECK(site.completes("00000000000000e1"));
-  REQUIRE(site.put(1, configuration(5, 2500, 2900)));
-  CHECK(site.read_back() == configuration(5, 2500, 2900));
-  REQUIRE(site.submit("00000000000000e2"));
-  CHECK(site.doubled() == 0);
+TEST_CASE("a configuration of three thousand routes is applied, delivered and changed") {
+  ClusterFixture fixture;
+  REQUIRE(fixture.put(0, configuration(1, 3000, 3000)));
+  REQUIRE(fixture.submit("00000000000000e1"));
+  CHECK(fixture.completes("00000000000000e1"));
+  REQUIRE(fixture.put(1, configuration(5, 2500, 2900)));
+  CHECK(fixture.get_configuration() == configuration(5, 2500, 2900));
+  REQUIRE(fixture.submit("00000000000000e2"));
+  CHECK(fixture.tasks_done_twice() == 0);
 }
 
-TEST_CASE("an accepted job and an acknowledged configuration survive the end of all control processes") {
-  Site site;
-  REQUIRE(site.put(0, configuration(1, 3000)));
-  REQUIRE(site.submit("00000000000000a1"));
-  REQUIRE(site.put(1, configuration(5, 2500)));
-  kill_all_control(site);
-  CHECK(site.read_back().find("2500") != std::string::npos);
-  CHECK(site.completes("00000000000000a1"));
-  CHECK(site.doubled() == 0);
-  // The order that was acknowledged before is acknowledged again, though a newer one was taken since.
-  CHECK(site.put(0, configuration(1, 3000)));
+TEST_CASE("an accepted job and an acknowledged configuration survive a kill of all control processes") {
+  ClusterFixture fixture;
+  REQUIRE(fixture.put(0, configuration(1, 3000)));
+  REQUIRE(fixture.submit("00000000000000a1"));
+  REQUIRE(fixture.put(1, configuration(5, 2500)));
+  restart_all_control_nodes(fixture);
+  CHECK(fixture.get_configuration().find("2500") != std::string::npos);
+  CHECK(fixture.completes("00000000000000a1"));
+  CHECK(fixture.tasks_done_twice() == 0);
+  // An acknowledged change is acknowledged again, although a newer one has been applied since.
+  CHECK(fixture.put(0, configuration(1, 3000)));
 }
 
-TEST_CASE("jobs go on while control nodes are killed one after the other") {
-  Site site;
-  REQUIRE(site.put(0, configuration(1, 3000)));
+TEST_CASE("jobs complete while control nodes are killed one after another") {
+  ClusterFixture fixture;
+  REQUIRE(fixture.put(0, configuration(1, 3000)));
   for (unsigned i = 0; i < kControlNodes; ++i) {
     const std::string id = "00000000000000b" + std::to_string(i);
-    REQUIRE(site.submit(id));
+    REQUIRE(fixture.submit(id));
     const std::string name = "control-" + std::to_string(i);
-    site.cluster.kill(name);
-    CHECK(site.completes(id));
-    site.cluster.start(name);
+    fixture.cluster.kill(name);
+    CHECK(fixture.completes(id));
+    fixture.cluster.start(name);
   }
-  CHECK(site.doubled() == 0);
+  CHECK(fixture.tasks_done_twice() == 0);
 }
 
-TEST_CASE("a worker-agent that is killed learns the state of its leaf from the next heartbeat") {
-  Site site(1);
-  REQUIRE(site.put(0, configuration(1, 3000)));
-  REQUIRE(site.submit("00000000000000c1"));
-  REQUIRE(Site::until([&] { return !site.leaves[0]->starts().empty(); }));
-  site.cluster.kill("worker-0");
-  site.cluster.start("worker-0");
-  CHECK(site.completes("00000000000000c1"));
-  CHECK(site.doubled() == 0);
+TEST_CASE("a killed worker-agent recovers the state of its leaf from the next heartbeat") {
+  ClusterFixture fixture(1);
+  REQUIRE(fixture.put(0, configuration(1, 3000)));
+  REQUIRE(fixture.submit("00000000000000c1"));
+  REQUIRE(ClusterFixture::until([&] { return !fixture.leaves[0]->starts().empty(); }));
+  fixture.cluster.kill("worker-0");
+  fixture.cluster.start("worker-0");
+  CHECK(fixture.completes("00000000000000c1"));
+  CHECK(fixture.tasks_done_twice() == 0);
 }
 
-TEST_CASE("processes that are asked to end do so with status 0 within their grace") {
-  Site site;
-  REQUIRE(site.put(0, configuration(1, 3000)));
-  REQUIRE(site.submit("00000000000000d1"));
+TEST_CASE("processes that receive SIGTERM exit with status 0 within their grace period") {
+  ClusterFixture fixture;
+  REQUIRE(fixture.put(0, configuration(1, 3000)));
+  REQUIRE(fixture.submit("00000000000000d1"));
   for (const char* name : {"ingress", "agent", "worker-0", "control-0"}) {
     INFO(name);
-    CHECK(site.cluster.terminate(name) == 0);
+    CHECK(fixture.cluster.terminate(name) == 0);
   }
 }
