--- a/tests/cluster/ingress_shutdown_test.cpp
+++ b/tests/cluster/ingress/shutdown_test.cpp
@@ -3,8 +3,8 @@
 #include <optional>
 
 #include "cluster/ingress/ingress.hpp"
-#include "fake_runtime.hpp"
-#include "loopback_client.hpp"
+#include "tests/cluster/support/fake_runtime.hpp"
+#include "tests/cluster/support/loopback_client.hpp"
 
 using namespace winchhall::cluster;
 using namespace winchhall::cluster::testing;
@@ -36,7 +36,8 @@
   }
 
   void start_agent() {
-    runtime.peers[settings.feed_address()] = [this](const wire::Envelope& request, const Replier& reply) {
+    runtime.peers[settings.agent_listener_address()] = [this](const wire::Envelope& request,
+                                                              const ReplyCallback& reply) {
       if (!request.has_configuration_watch()) return;
       wire::Envelope envelope;
       auto& update = *envelope.mutable_configuration_update();
