--- a/src/cluster/agent/edge_agent.hpp
+++ b/src/cluster/agent/edge_agent.hpp
@@ -36,7 +36,7 @@
 
   const ClusterView& view() const { return view_; }
   // See ControlWatcher::has_quorum_contact.
-  bool in_touch() const { return watcher_.has_quorum_contact(); }
+  bool has_quorum_contact() const { return watcher_.has_quorum_contact(); }
 
  private:
   void on_change(const ViewChanges& changes);
--- a/tests/cluster/agent/configuration_test.cpp
+++ b/tests/cluster/agent/configuration_test.cpp
@@ -18,7 +18,7 @@
   start_agent();
   runtime.run_for(Millis(50));
   CHECK(agent->view().version() == 1);
-  CHECK(agent->in_touch());
+  CHECK(agent->has_quorum_contact());
   CHECK(agent->view().leader_of("first") == address_of(0));
 }
 
@@ -91,7 +91,7 @@
   controls[1]->hang();
   start_agent();
   runtime.run_for(Millis(3000));
-  CHECK(agent->in_touch());
+  CHECK(agent->has_quorum_contact());
   set_configuration(2, {{"/a/", "first"}});
   runtime.run_for(Millis(200));
   CHECK(agent->view().version() == 2);
@@ -101,18 +101,18 @@
   start_agent();
   runtime.run_for(Millis(500));
   const auto before = watch(1, Millis(0));
-  CHECK(before->answer->configuration_update().in_touch());
+  CHECK(before->answer->configuration_update().has_quorum_contact());
   for (auto& control : controls) control->stop();
   runtime.run_for(Millis(5000));
-  CHECK_FALSE(agent->in_touch());
+  CHECK_FALSE(agent->has_quorum_contact());
   const auto without_contact = watch(1, Millis(0));
-  CHECK_FALSE(without_contact->answer->configuration_update().in_touch());
+  CHECK_FALSE(without_contact->answer->configuration_update().has_quorum_contact());
   const auto poll = watch(1, Millis(2000));
   controls[4]->start();
   runtime.run_for(Millis(1500));
-  CHECK(agent->in_touch());
+  CHECK(agent->has_quorum_contact());
   REQUIRE(poll->answer);
-  CHECK(poll->answer->configuration_update().in_touch());
+  CHECK(poll->answer->configuration_update().has_quorum_contact());
 }
 
 TEST_CASE_METHOD(AgentFixture, "watching three idle nodes costs about three calls a second") {
--- a/tests/cluster/ingress/configuration_subscription_test.cpp
+++ b/tests/cluster/ingress/configuration_subscription_test.cpp
@@ -1,7 +1,8 @@
 // The configuration of an ingress, as its agent delivers it.
+#include "cluster/ingress/configuration_subscription.hpp"
+
 #include <catch2/catch.hpp>
 
-#include "cluster/ingress/configuration_subscription.hpp"
 #include "tests/cluster/support/fake_runtime.hpp"
 
 using namespace winchhall::cluster;
