--- a/src/cluster/cli/run_agent.cpp
+++ b/src/cluster/cli/run_agent.cpp
@@ -23,7 +23,7 @@
   listen_for_shuffles(process, sampler);
   const auto metrics =
       make_metrics_server(process.loop(), options.metrics_port, [&agent](MetricFamilies& families) {
-        collect_agent(agent.in_touch(), agent.view().version(), families);
+        collect_agent(agent.has_quorum_contact(), agent.view().version(), families);
       });
   run_with_sampler(process, sampler, agent);
   return EXIT_SUCCESS;
