--- a/include/winchhall/coordinator.hpp
+++ b/include/winchhall/coordinator.hpp
@@ -1,10 +1,13 @@
-// The interface of winchhall: settings and events go in, actions come out. All of them are plain values.
+// Public interface of the aggregator's decision module: settings and events are the input, actions the
+// output. All of them are plain value types.
 //
-// A Coordinator is one broker's view. It has no clock, no I/O, no threads and no globals: the caller brings
-// the time (milliseconds, any origin) and the seed, and carries out the returned actions in order. The same
-// events give the same actions. One object must not be used from two threads at once; two objects share
-// nothing. Ids are the caller's and are copied. An event that names an id this object does not hold is
-// ignored.
+// Time: every `Millis` is in milliseconds. Points in time are on the caller's clock, whose origin is
+// arbitrary but the same for all events.
+// Determinism: a Coordinator has no clock, I/O, threads or global state. The caller supplies the time and the
+// random seed and executes the returned actions in order; equal inputs give equal actions.
+// Threads: an instance must not be used by two threads at once. Instances share no state.
+// Ownership: ids are chosen by the caller and copied.
+// Errors: an event that names an unknown id is ignored; no exception reports it.
 #pragma once
 
 #include <cstdint>
@@ -19,165 +22,177 @@
 
 using Millis = double;
 
-enum class Idempotency {
-  safe,
-  keyed,
-  unsafe
-};  // may a part run twice: always; within `idempotency_window`; never
+// Whether a part may be executed more than once: always (safe), within `idempotency_window`, where servers
+// deduplicate by key (keyed), or never (unsafe).
+enum class Idempotency { safe, keyed, unsafe };
 
+// Rules of one query class. Times are durations in ms, shares are fractions in [0, 1].
 struct ClassSettings {
   std::string name{};
   Idempotency repeat = Idempotency::safe;
-  Millis latency_target = 1000;  // full worth within this time of the query's arrival
-  Millis deadline = 1000;        // what a client waits in all, every try together
-  double late_value = 0;         // share of the worth earned between aim and deadline
-  double value = 1;              // of a whole answer, to weigh classes against each other
-  Millis idempotency_window =
-      0;                      // keyed: how long repeats are dropped, from the first attempt that may have run
-  double need = 1;            // share of weight that makes a whole answer
-  double floor = 1;           // least share of weight for any answer
-  double partial_value = 0;   // a partial answer earns this x share / need
-  int second_step_parts = 0;  // above 0: the first answer brings a second step of so many parts
+  Millis latency_target = 1000;  // an answer within this time of arrival earns the full value
+  Millis deadline = 1000;        // the client's total time-out, over all its attempts
+  double late_value = 0;         // share of the value earned between latency_target and deadline
+  double value = 1;              // of a complete answer; the relative priority of the class
+  // keyed: how long servers deduplicate, counted from the first attempt that may have been executed.
+  Millis idempotency_window = 0;
+  double need = 1;            // share of the weight that makes an answer complete
+  double floor = 1;           // minimum share of the weight for any answer
+  double partial_value = 0;   // a partial answer earns this value x share / need
+  int second_step_parts = 0;  // above 0: a second step of this many parts follows the first
   bool operator==(const ClassSettings&) const = default;
 };
 
+// A tenant and its quota.
 struct TenantSettings {
   std::string name{};
-  double quota_per_s = 0;  // queries a second within its share, all brokers together; 0: none stated
+  double quota_per_s = 0;  // queries per second over all brokers; 0: no quota
   bool operator==(const TenantSettings&) const = default;
 };
 
+// Meaning of one value in a server's load report; service_ms is in ms, the others are counts.
 enum class ReportField { queued, in_flight, service_ms, other };
 
+// Settings of one Coordinator. Times are durations in ms.
 struct Settings {
   std::vector<ClassSettings> classes{};
   std::vector<TenantSettings> tenants{};
-  double over_quota_value = 1;  // worth of a query above its tenant's share
-  int brokers = 1;              // how many brokers send to the same servers
-  int cells = 1;                // shard s is held by the servers of cells (s + j) mod cells, j < reach
+  double over_quota_value = 1;  // value factor of a query above its tenant's quota
+  int brokers = 1;              // aggregator instances that send to the same servers
+  int cells = 1;                // shard s is replicated in cells (s + j) mod cells, 0 <= j < reach
   int reach = 1;
-  Millis tick = 1;               // events may be this late
-  bool list_on_request = false;  // the server list must be asked for
-  bool list_watched = false;     // ... or comes on a watch that must be held all the same
-  Millis max_poll_interval = 0;  // ... at least this often while there is no watch
+  Millis tick = 1;               // events may be delivered this late
+  bool list_on_request = false;  // the endpoint list must be requested
+  bool list_watched = false;     // the list is pushed, but a watch must be kept open as well
+  Millis max_poll_interval = 0;  // maximum interval between requests while no watch is open
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_hedge = false;  // two attempts of a part at once: late parts of classes that are safe get a copy
+  bool may_hedge = false;  // hedged requests are allowed, for parts of classes that are `safe`
   bool honors_retry_after = false;
   Millis max_retry_after = 0;
-  bool weights_count = false;        // a server's size says how much it takes beside others
+  bool weights_count = false;        // ServerEntry::size is the server's relative capacity
   int max_attempts = 1;              // per part
-  int max_open = 0;                  // queries and parts held at most; 0: no limit stated
-  Millis answer_grace = 0;           // a final answer still counts this long after give_up_at
-  Millis drain_grace = 0;            // sends to a draining server must have stopped by then
-  double warm_up_initial_share = 1;  // a server starts with at least this share of its capacity
-  Millis warm_up_time = 0;           // and is warm within this time
-  double fall_multiple = 0;          // sent more than this x its present capacity ... (0: no such rule)
-  Millis fall_time = 0;              // ... for this long, by all brokers, a cold server falls over
-  bool budget = false;               // further attempts are rationed:
-  double budget_free = 0;            // at most so many ...
-  double budget_share = 0;           // ... plus this share of queries and parts taken ...
-  Millis budget_window = 0;          // ... in any window of this length
-  bool reports = false;
-  std::vector<ReportField> report_fields{};  // the order of values in a report
+  int max_open = 0;                  // maximum of open queries plus parts; 0: unlimited
+  Millis answer_grace = 0;           // a final answer is still accepted this long after give_up_at
+  Millis drain_grace = 0;            // sends to a draining server must have stopped after this
+  double warm_up_initial_share = 1;  // slow start: share of the capacity at the start, at least
+  Millis warm_up_time = 0;           // slow start: duration, counted from the server's start
+  double fall_multiple = 0;          // overload of a warming server: load above this multiple ...
+  Millis fall_time = 0;              // ... of its capacity for this long crashes it; multiple 0: never
+  bool budget = false;               // retries are limited by a retry budget:
+  double budget_free = 0;            // at most this many ...
+  double budget_share = 0;           // ... plus this share of accepted queries and parts ...
+  Millis budget_window = 0;          // ... in any time window of this length
+  bool reports = false;              // servers send load reports
+  std::vector<ReportField> report_fields{};  // meaning of the values of a report, in order
   bool operator==(const Settings&) const = default;
 };
 
 // ---- Events
-// -------------------------------------------------------------------------------------------------
 
+// Lifecycle state of a server: accepts parts; gets no new ones; no longer a member.
 enum class ServerState { ready, draining, removed };
 
+// One entry of the endpoint list.
 struct ServerEntry {
   std::string server{};
   int cell = 0;
-  double size = 1;  // relative to other servers, where known
+  double size = 1;  // relative capacity, where known
   ServerState state = ServerState::ready;
-  std::optional<Millis> started{};  // absent: long ago
+  std::optional<Millis> started{};  // start time; absent: longer ago than warm_up_time
 };
 
-// How a call for the list failed.
+// How a request for the endpoint list, or a watch on it, ended without a list.
 enum class CallEnd {
-  failed,        // somebody was there: it said no, broke off, or said nothing more
-  unresponsive,  // no connection came up, and nothing says why
-  refused,       // the connection was refused: nobody could be asked in that moment
-  ended,         // the watch was ended in good order: all that there was to tell until then has come
+  failed,        // the service was reached and rejected, broke off or stopped answering
+  unresponsive,  // no connection could be established, for an unknown reason
+  refused,       // connection refused: no service was available to any client then
+  ended,         // the watch was closed in order: every change until then was delivered
 };
 
-// What discovery says. `complete`: servers not named are gone. `failed`: a call failed or the watch broke.
+// An endpoint list from discovery. `cached`: restored at the start, possibly stale. `complete`: servers that
+// are not listed have left. `changes`: only the listed servers changed. `failed`: a request failed or the
+// watch broke, as `end` tells.
 struct ServerList {
   enum class Kind { cached, complete, changes, failed } kind = Kind::complete;
   std::vector<ServerEntry> servers{};
-  CallEnd end = CallEnd::failed;  // failed: how
+  CallEnd end = CallEnd::failed;  // of kind `failed` only
 };
 
-// The watch wrote something, if only its empty line. Where this is never told, its silence means nothing.
+// The watch delivered data, possibly just a keepalive line. If this event never occurs, a silent watch isn't
+// taken for a broken one.
 struct ListKeepalive {};
 
-// The service that is asked for the list is at another address; what was open to the old one is void.
+// The discovery service has a new address; open requests and the watch at the old one are lost.
 struct ListServiceMoved {};
 
+// One part of a query: the work on one shard, sent to one replica at a time.
 struct PartSpec {
   std::string part{};
   int shard = 0;
-  double weight = 0;             // share of its step; a step's weights sum to 1
-  std::optional<double> hint{};  // expected work, milliseconds
-  // The servers that may be asked, by name; none stated: the layout's formula over `shard`.
+  double weight = 0;             // share of its step's result; the weights of a step sum to 1
+  std::optional<double> hint{};  // estimated cost, ms of work
+  // Names of the replicas that may be asked; absent: computed from `shard` by the rule of Settings::cells.
   std::optional<std::vector<std::string>> holders{};
 };
 
-// A query with all parts of its first step. The broker now owes it one final answer before `give_up_at`.
+// A new query with all parts of its first step. It gets exactly one final action (AnswerQuery, RefuseQuery or
+// FailQuery) before `give_up_at`, unless it is withdrawn.
 struct QueryArrived {
   std::string query{};
   int query_class = 0;  // index into Settings::classes
   int tenant = -1;      // index into Settings::tenants, or -1
   Millis give_up_at = 0;
-  bool repeat = false;                 // marked by its client as a repeat
-  std::optional<std::uint64_t> key{};  // what the query is about, where known; a repeat has the same
+  bool repeat = false;                 // marked as a retry by its client
+  std::optional<std::uint64_t> key{};  // idempotency key, where known; equal for a client's retries
   std::vector<PartSpec> parts{};
 };
 
-// The second step of a query, after its first answer.
+// The parts of a query's second step; sent after the first AnswerQuery.
 struct PartsAdded {
   std::string query{};
   std::vector<PartSpec> parts{};
 };
 
-// not_mine: the server has not what the part asks for; it never ran there, and nothing is wrong with it.
+// How an attempt or probe ended. full: rejected for lack of capacity. unsent: never written to the server.
+// not_mine: the server doesn't own the requested range; the part wasn't executed and the server is healthy.
 enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, unsent, not_mine };
 
-// How an attempt ended; exactly one for each SendPart. Attempts of a part count from 0 in the order sent.
+// The end of an attempt; exactly one event for each SendPart. Attempts of a part are numbered from 0 in the
+// order of their SendPart actions.
 struct AttemptEnded {
   std::string part{};
   int attempt = 0;
   std::string server{};
   Outcome outcome = Outcome::ok;
-  Millis elapsed = 0;
-  bool part_closed = false;
-  std::vector<double> report{};  // by Settings::report_fields; empty: none came
-  bool written = true;           // false: it never left the caller, and counts as no attempt of its part
+  Millis elapsed = 0;            // ms since it was sent
+  bool part_closed = false;      // the part accepts no further attempt
+  std::vector<double> report{};  // load report, ordered as Settings::report_fields; empty: none
+  bool written = true;           // false: nothing was written; doesn't count as an attempt
 };
 
-// A part is held by other servers from now on, or by none for the time being (it waits). An attempt that is
-// out goes on.
+// The replicas of a part have changed. With no holders the part waits for the next such event. An attempt in
+// flight continues.
 struct HoldersChanged {
   std::string part{};
   std::vector<std::string> holders{};
 };
 
-// Parts of one query without an attempt out give way to others of the same work, each with its holders. The
-// attempts that the most tried of them has used count for every successor.
+// Parts of one query are replaced by others that cover the same work, after a range was split or merged. Each
+// successor states its holders. None of `parts` may have an attempt in flight, else the event is ignored.
+// Every successor inherits the highest attempt count among the replaced parts.
 struct PartsReplaced {
   std::vector<std::string> parts{};
   std::vector<PartSpec> successors{};
 };
 
-// Streamed classes: the attempt now belongs to the client and can no longer be moved.
+// A streamed response has begun to reach the client: the part can't be retried elsewhere any more.
 struct AttemptStarted {
   std::string part{};
   int attempt = 0;
 };
 
+// The end of a health check; exactly one event for each SendProbe.
 struct ProbeEnded {
   std::string server{};
   Outcome outcome = Outcome::ok;
@@ -185,25 +200,26 @@
   std::vector<double> report{};
 };
 
+// A message from another aggregator instance.
 struct PeerMessage {
   int from = 0;
   std::string bytes{};
 };
 
+// A timer set by SetTimer expired; `tag` is the one given there.
 struct TimerFired {
   std::int64_t tag = 0;
 };
 
-// The client has left; the query and its parts are closed.
+// The client disconnected: the query and its parts are closed and get no final action.
 struct QueryWithdrawn {
   std::string query{};
 };
 
-// Other settings from now on. Queries that are open keep their class, by its index, and their number of
-// attempts.
+// New settings take effect. Open queries keep their class index and their attempt limit.
 struct SettingsChanged {
   Settings settings{};
-  std::vector<int> from{};  // by class: the index of before whose learned figures hold for it, or -1
+  std::vector<int> from{};  // by new class index: the old index whose statistics apply, or -1
 };
 
 using Event = std::variant<ServerList, SettingsChanged, ListKeepalive, ListServiceMoved, QueryArrived,
@@ -211,48 +227,59 @@
                            ProbeEnded, PeerMessage, TimerFired, QueryWithdrawn>;
 
 // ---- Actions
-// ------------------------------------------------------------------------------------------------
 
+// Sends the next attempt of a part to a server.
 struct SendPart {
   std::string part{};
   std::string server{};
-  Millis timeout = 0;  // above 0
-  // Not to be written later than this, whatever it waits for; AttemptEnded with `unsent` then.
+  Millis timeout = 0;  // duration from now, above 0
+  // If the request isn't written by this time, it must be dropped and end as Outcome::unsent.
   Millis send_by = std::numeric_limits<Millis>::infinity();
 };
+// Cancels an attempt in flight; its AttemptEnded still follows.
 struct CancelAttempt {
   std::string part{};
   int attempt = 0;
 };
-struct AnswerQuery {  // final, but for the first of two steps
+// Answers the query with the results received so far. Final, except after the first of two steps.
+struct AnswerQuery {
   std::string query{};
-  bool complete = false;
+  bool complete = false;  // at least ClassSettings::need of the weight is present
 };
-struct RefuseQuery {  // final; trying again is harmless
+// Rejects the query. Final. No part was executed in a way that makes a client's retry unsafe.
+struct RefuseQuery {
   std::string query{};
-  Millis retry_after = 0;  // 0: no advice
+  Millis retry_after = 0;  // advice to the client; 0: none
 };
-struct FailQuery {  // final; promises nothing
+// Fails the query. Final. Whether parts were executed is unknown.
+struct FailQuery {
   std::string query{};
 };
+// Starts a health check.
 struct SendProbe {
   std::string server{};
 };
-struct WatchList {  // ask for changes from now on; answered by one ServerList
+// Opens (or closes) the watch on the endpoint list. It is answered by one ServerList, then by changes.
+struct WatchList {
   bool on = true;
 };
-struct FetchList {};  // ask for the whole list once
+// Requests the complete endpoint list once.
+struct FetchList {};
+// Closes the idle connections to a server.
 struct CloseIdle {
   std::string server{};
 };
+// Sends a message to other aggregator instances.
 struct SendToPeers {
-  int to = -1;  // -1: all
+  int to = -1;  // index of the instance; -1: all
   std::string bytes{};
 };
+// Requests a TimerFired event at time `at`.
 struct SetTimer {
   Millis at = 0;
   std::int64_t tag = 0;
 };
+// Writes a line to the log.
 struct LogLine {
   std::string text{};
 };
@@ -260,18 +287,20 @@
 using Action = std::variant<SendPart, CancelAttempt, AnswerQuery, RefuseQuery, FailQuery, SendProbe,
                             WatchList, FetchList, CloseIdle, SendToPeers, SetTimer, LogLine>;
 
-// -------------------------------------------------------------------------------------------------------------
-
+// The decision module of one aggregator instance: places parts on replicas, retries and hedges them, sheds
+// load, and decides when to ask for the endpoint list. See the contract at the top of this file.
 class Coordinator {
  public:
+  // `now` is the start of this process, on the caller's clock.
   Coordinator(Settings settings, std::uint64_t seed, Millis now);
   ~Coordinator();
   Coordinator(Coordinator&&) noexcept;
   Coordinator& operator=(Coordinator&&) noexcept;
 
-  // Actions due at the start (timers, the watch); call once before the first event.
+  // Returns the initial actions (timer, watch). Must be called once, before the first event.
   std::vector<Action> start();
-  // Takes one event. A `now` before an earlier one counts as that earlier one.
+  // Processes one event and returns the actions it causes. Time never moves back: a `now` before an earlier
+  // one, or one that isn't finite, is replaced by the latest valid one.
   std::vector<Action> handle(Millis now, const Event& event);
 
  private:
--- a/include/winchhall/estimate.hpp
+++ b/include/winchhall/estimate.hpp
@@ -1,4 +1,4 @@
-// Smoothed figures: data structures alone, no decision is taken here. Times are milliseconds of any origin.
+// Smoothed estimators of observed values. Times are in milliseconds, on any clock that doesn't run backwards.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,13 @@
 
 constexpr double kMeanGain = 1.0 / 8;  // smoothing of means, as in TCP's round-trip estimate (RFC 6298)
 constexpr double kDevGain = 1.0 / 4;   // smoothing of deviations, likewise
-constexpr Millis kDecayTime = 2000;    // ms: what was learned over time fades e-fold in this
+constexpr Millis kDecayTime = 2000;    // ms: time constant of exponential decay
 
 inline bool is_finite_nonnegative(double x) { return std::isfinite(x) && x >= 0; }
 
-// Mean and mean deviation of what is seen, both smoothed.
+// Exponentially smoothed mean and mean deviation per sample (V. Jacobson, "Congestion Avoidance and Control",
+// SIGCOMM 1988; constants of RFC 6298). The first samples are averaged with equal weight. Samples that are
+// negative or not finite are ignored.
 struct Estimate {
   double mean = 0, dev = 0;
   int seen = 0;
@@ -26,11 +28,12 @@
   }
 };
 
-// Mean over the last moments, by time and not by count: with many brokers each sees little, and what it saw
-// of the whole tier tells more about a server than nothing.
+// Mean with exponential decay over time (kDecayTime) rather than per sample, so that it also ages while an
+// instance that shares the servers with many others sees few samples.
 struct Recent {
   double sum = 0, weight = 0;
   Millis at = 0;
+  // Weight that remains at `now` of samples up to the last one.
   double left(Millis now) const { return std::exp((at - now) / kDecayTime); }
   void add(double x, Millis now) {
     double keep = left(now);
@@ -38,7 +41,8 @@
     weight = keep * weight + 1;
     at = now;
   }
-  double mean(Millis now, double start) const {  // `start` counts as one event
+  // `start` counts as one current sample, which makes it the result where there are no others.
+  double mean(Millis now, double start) const {
     double keep = left(now);
     return (keep * sum + start) / (keep * weight + 1);
   }
