--- a/src/aggregator/decision/coordinator.cpp
+++ b/src/aggregator/decision/coordinator.cpp
@@ -1,7 +1,9 @@
-// Every decision of the aggregator; the interface is include/winchhall/coordinator.hpp. Ordinary path
-// (docs/design.md): on arrival, parts are placed largest hint first, each on the replica of its shard with
-// the smallest (own outstanding hinted cost + reported load + this part), ties at random. All else departs
-// from that only under the condition stated where it stands.
+// Event handlers of the coordinator; the contract is in include/winchhall/coordinator.hpp.
+//
+// Default placement (docs/design.md): on arrival, parts are placed in descending order of estimated cost,
+// each on the replica with the smallest sum of own outstanding cost, reported load and the cost of the part;
+// ties are broken at random. Comments that begin with "Rule:" mark requirements of the operators,
+// "Deviation:" marks departures from the default placement, with the condition under which they apply.
 
 #include "aggregator/decision/query_table.hpp"
 
@@ -16,7 +18,7 @@
 
   std::vector<Action> start() {
     list_freshness_.start(now_);
-    keep_list();
+    request_list_if_due();
     act(SetTimer{now_ + tick_interval_, 0});
     return std::exchange(actions_, {});
   }
@@ -32,13 +34,13 @@
     Part successor;
     for (const std::string& id : e.parts) {
       auto it = parts_.find(id);
-      if (it == parts_.end() || it->second.out() || it->second.done) return;
+      if (it == parts_.end() || it->second.has_attempt_in_flight() || it->second.done) return;
       const Part& p = it->second;
       successor.query = p.query;
       successor.step = p.step;
-      successor.most = p.most;
-      successor.used = std::max(successor.used, p.attempt_count());
-      successor.resets = std::max(successor.resets, p.resets);
+      successor.max_attempts = p.max_attempts;
+      successor.inherited_attempts = std::max(successor.inherited_attempts, p.attempt_count());
+      successor.connection_resets = std::max(successor.connection_resets, p.connection_resets);
       successor.is_spare = p.is_spare;
       successor.dead |= p.dead;
       successor.first_possible_run = std::min(successor.first_possible_run, p.first_possible_run);
@@ -68,20 +70,21 @@
   }
 
   void on(const SettingsChanged& e) {
-    set_ = e.settings;
+    settings_ = e.settings;
     bound_settings();
     list_freshness_.change(endpoint_list_terms());
-    auto carry = [&](auto& figures) {
-      auto before = std::exchange(figures, {});
-      figures.resize(set_.classes.size());
-      for (std::size_t i = 0; i < std::min(e.from.size(), figures.size()); ++i)
-        if (e.from[i] >= 0) figures[i] = before.at(static_cast<std::size_t>(e.from[i]));
+    auto carry = [&](auto& statistics) {
+      auto before = std::exchange(statistics, {});
+      statistics.resize(settings_.classes.size());
+      for (std::size_t i = 0; i < std::min(e.from.size(), statistics.size()); ++i)
+        if (e.from[i] >= 0) statistics[i] = before.at(static_cast<std::size_t>(e.from[i]));
     };
     carry(class_statistics_);
     for (Server& s : servers_) carry(s.by_class);
   }
 
-  void keep_list() {
+  // Opens the watch on the endpoint list when a request is due.
+  void request_list_if_due() {
     if (list_freshness_.should_request(now_)) act(WatchList{true});
   }
   void on(const ListKeepalive&) { list_freshness_.on_keepalive(now_); }
@@ -95,7 +98,7 @@
     apply_report(e.server, e.report);
     attempts_ended_.add(0, now_);
     Attempt* found = find_attempt(e.part, e.attempt);
-    if (!found || !found->out) return;
+    if (!found || !found->in_flight) return;
     Attempt& a = *found;
     Part& p = parts_.at(e.part);
     release(a);
@@ -104,32 +107,34 @@
     bool never_ran = e.outcome == Outcome::full || e.outcome == Outcome::connect_failed ||
                      e.outcome == Outcome::unsent || e.outcome == Outcome::not_mine;
     if (e.outcome == Outcome::not_mine) a.denied = servers_[a.server].last_answer = now_;
-    if (!e.written && p.unwritten < p.most) ++p.unwritten, --p.used;  // Rule: these are no attempts
+    if (!e.written && p.unwritten_attempts < p.max_attempts)
+      ++p.unwritten_attempts, --p.inherited_attempts;  // Rule: an unsent request is no attempt
     if (!never_ran) p.first_possible_run = std::min(p.first_possible_run, a.sent);
     record_outcome(servers_[a.server], e.outcome, a, q.query_class, p.hint);
     if (q.ended) return;
-    if (e.outcome == Outcome::reset && crash_estimate_.mean(now_, 1) > 0.5 && fells_servers(q, p, a.server))
+    if (e.outcome == Outcome::reset && crash_estimate_.mean(now_, 1) > 0.5 && crashes_servers(q, p, a.server))
       return end(q, true);
     if (e.outcome == Outcome::ok) {
       p.done = q.served = true;
       q.cautious = false;
-      if (set_.may_cancel) cancel(p);
-    } else if (!p.done && !p.out()) {  // else a copy of it counts
+      if (settings_.may_cancel) cancel(p);
+    } else if (!p.done && !p.has_attempt_in_flight()) {  // else a hedged attempt is still in flight
       p.dead |= e.part_closed || (e.outcome == Outcome::timeout && !consume_late_retry_token());
       if (!q.awaiting_step && p.step == q.step) try_part(q, p);
     }
     finish_if_possible(q);
   }
 
-  // Guards against a query that fells every server it reaches. Once several fell, its parts go one at a time;
-  // it is condemned, with its subject, when another falls or nothing came back.
-  bool fells_servers(Query& q, Part& p, int server) {
+  // Query of death: limits a query that crashes each server that executes it. After kCrashSuspectCount
+  // crashes its parts are sent one at a time. It is given up, and its key rejected for kCrashSuspectTime,
+  // when another server crashes or no part has succeeded. Returns true if it must be given up.
+  bool crashes_servers(Query& q, Part& p, int server) {
     q.crashed_servers.insert(server);
     bool many = q.crashed_servers.size() >= kCrashSuspectCount;
-    bool condemned = ++p.resets > 1 || (q.cautious && q.outstanding == 0) || (many && !q.served);
+    bool condemned = ++p.connection_resets > 1 || (q.cautious && q.outstanding == 0) || (many && !q.served);
     q.cautious |= many;
     if (!condemned) return false;
-    if (q.key) rejected_subjects_[*q.key] = now_;
+    if (q.key) rejected_keys_[*q.key] = now_;
     class_statistics_[q.query_class].suspect_until = now_ + kCrashSuspectTime;
     log("query fells servers, given up; last on " + servers_[server].id);
     return true;
@@ -143,11 +148,12 @@
 
   void on(const TimerFired&) {
     act(SetTimer{now_ + tick_interval_, 0});
-    keep_list();
-    quiet_after_ = 0;
-    for (std::size_t c = 0; c < set_.classes.size(); ++c)
-      quiet_after_ = std::max(quiet_after_, patience(static_cast<int>(c)));
-    // Departure: what is known of a server lasts longer where it is seldom heard of; 1: once a second.
+    request_list_if_due();
+    response_timeout_ = 0;
+    for (std::size_t c = 0; c < settings_.classes.size(); ++c)
+      response_timeout_ = std::max(response_timeout_, patience(static_cast<int>(c)));
+    // Deviation: statistics of a server expire more slowly where this instance sends to it less than once a
+    // second (sparse_factor_ > 1).
     double ready = 0;
     std::vector<double> paces;
     for (const Server& s : servers_) {
@@ -161,29 +167,32 @@
       typical_pace_ = *middle;
     }
     double per_second = 1000 * attempts_ended_.weight * attempts_ended_.left(now_) / kDecayTime;
-    sparse_ = std::clamp(ready / std::max(per_second, 1e-3), 1.0, kMaxSparseFactor);
+    sparse_factor_ = std::clamp(ready / std::max(per_second, 1e-3), 1.0, kMaxSparseFactor);
     for (auto& [number, q] : queries_) {
       if (q.awaiting_step && now_ >= q.give_up_at - tick_interval_) end(q, true);
       if (q.ended || q.awaiting_step) continue;
-      move_overdue(q);
+      retry_or_hedge_overdue(q);
       finish_if_possible(q);
     }
     retry_waiting();
     forget_closed();
-    std::erase_if(rejected_subjects_, [&](const auto& key) { return now_ - key.second > kCrashSuspectTime; });
+    std::erase_if(rejected_keys_, [&](const auto& key) { return now_ - key.second > kCrashSuspectTime; });
   }
 
-  // Guards against one slow server that keeps a whole query waiting: a part late by the usual response gets a
-  // copy where that is allowed (hedged requests, Dean and Barroso 2013); else it leaves a silent server.
-  void move_overdue(Query& q) {
+  // Limits the effect of one slow server on a query's latency: a part that exceeds the hedge delay gets a
+  // second attempt where that is allowed (hedged requests: J. Dean and L. A. Barroso, "The Tail at Scale",
+  // CACM 56(2), 2013); otherwise its attempt is cancelled, to be retried elsewhere, if the server is
+  // unresponsive.
+  void retry_or_hedge_overdue(Query& q) {
     int c = q.query_class;
     for (Part* p : step_parts(q)) {
-      if (!p->out() || p->attempts.back().moving || p->attempts.back().started) continue;
+      if (!p->has_attempt_in_flight() || p->attempts.back().cancel_requested || p->attempts.back().started)
+        continue;
       const Attempt& a = p->attempts.back();
-      bool copy = set_.may_hedge && set_.classes[c].repeat == Idempotency::safe && !p->holders;
+      bool copy = settings_.may_hedge && settings_.classes[c].repeat == Idempotency::safe && !p->holders;
       if (now_ - a.sent <= (copy ? hedge_after(c) : patience(c)) || start_spare_part(q)) continue;
-      if (!set_.may_cancel || set_.classes[c].repeat == Idempotency::unsafe) continue;
-      if (p->attempt_count() >= p->most || !budget_allows()) continue;
+      if (!settings_.may_cancel || settings_.classes[c].repeat == Idempotency::unsafe) continue;
+      if (p->attempt_count() >= p->max_attempts || !budget_allows()) continue;
       const Server& s = servers_[a.server];
       if (!copy && s.last_answer >= a.sent && !s.by_class[c].is_ejected) continue;
       if (!copy && useful_until(q) - now_ < class_statistics_[c].response.mean) continue;
@@ -193,18 +202,21 @@
     }
   }
 
-  // Any spare is a first attempt of another part: it costs no repeat.
+  // Sends a spare part in place of a late one; a first attempt needs no retry budget. True if a spare was
+  // sent or the parts done and on time suffice without one.
   bool start_spare_part(Query& q) {
     double in = 0;
     for (Part* p : step_parts(q))
-      if (p->done || (p->out() && now_ - p->attempts.back().sent <= patience(q.query_class))) in += p->weight;
-    if (in >= (q.shortened ? set_.classes[q.query_class].floor : need(q)) - q.slack) return true;
+      if (p->done ||
+          (p->has_attempt_in_flight() && now_ - p->attempts.back().sent <= patience(q.query_class)))
+        in += p->weight;
+    if (in >= (q.shortened ? settings_.classes[q.query_class].floor : need(q)) - q.slack) return true;
     for (Part* p : step_parts(q))
       if (p->is_spare && try_part(q, *p)) return true;
     return false;
   }
 
-  // Parts without a replica to go to, or waiting for budget, are tried again as things change.
+  // Retries parts that had no eligible replica or no retry budget.
   void retry_waiting() {
     for (auto& [number, q] : queries_) {
       if (q.ended || q.awaiting_step) continue;
--- a/src/aggregator/decision/query_state.hpp
+++ b/src/aggregator/decision/query_state.hpp
@@ -1,4 +1,4 @@
-// What the module keeps of attempts, parts, queries and servers.
+// State of attempts, parts, queries and servers. Times are in ms on the caller's clock, costs in ms of work.
 #pragma once
 
 #include <deque>
@@ -10,81 +10,90 @@
 
 namespace winchhall::detail {
 
+// One request for a part to one server.
 struct Attempt {
-  int server = -1;
+  int server = -1;  // index into ServerPool::servers_
   Millis sent = 0;
-  double cost = 0;         // what it added to its server's sum
-  double ahead = 0;        // the sum it was placed at, itself included
-  bool out = true;         // no outcome yet
-  bool moving = false;     // cancelled by us
-  bool started = false;    // its stream belongs to the client
-  Millis denied = kNever;  // when the server said that it has not what was asked for
+  double cost = 0;                // its share of the server's outstanding cost
+  double cost_ahead = 0;          // the server's expected load when it was placed, this part included
+  bool in_flight = true;          // its AttemptEnded is outstanding
+  bool cancel_requested = false;  // CancelAttempt was sent
+  bool started = false;           // its response is being streamed to the client
+  Millis denied = kNever;         // when the server rejected it as not the owner
 };
 
+// One part of a query with all its attempts.
 struct Part {
   std::string id;
-  int query = -1;                     // number of its query
-  int shard = 0, step = 1, most = 0;  // most: attempts, by the settings it came under
+  int query = -1;  // key in QueryTable::queries_
+  int shard = 0, step = 1;
+  int max_attempts = 0;  // from the settings in force on its arrival; 0: not yet set
   double weight = 0, hint = 0;
-  std::optional<std::vector<std::string>> holders;  // by name, where stated
-  int used = 0, unwritten = 0, resets = 0;  // used: by the parts it came from, less its own unwritten ones
-  bool is_spare = false;                    // not needed as things stand
-  bool done = false, dead = false;          // dead: no further attempt is possible
-  Millis first_possible_run = kInfinity;    // sending time of the first attempt that may have run
+  std::optional<std::vector<std::string>> holders;  // names of its replicas; absent: derived from shard
+  int inherited_attempts = 0;       // attempts of the parts that it replaced, less its own unwritten ones
+  int unwritten_attempts = 0;       // attempts that were never written to a server
+  int connection_resets = 0;        // attempts that ended by a broken connection
+  bool is_spare = false;            // held in reserve: the query can complete without it
+  bool done = false, dead = false;  // dead: no further attempt is allowed
+  Millis first_possible_run = kInfinity;  // when the first attempt that may have been executed was sent
   std::vector<Attempt> attempts;
-  bool out() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](auto& a) { return a.out; });
+  bool has_attempt_in_flight() const {
+    return std::any_of(attempts.begin(), attempts.end(), [](auto& a) { return a.in_flight; });
   }
-  int attempt_count() const { return used + static_cast<int>(attempts.size()); }
+  int attempt_count() const { return inherited_attempts + static_cast<int>(attempts.size()); }
 };
 
+// One query.
 struct Query {
   std::string id;
   int query_class = 0;
   Millis target_at = 0, give_up_at = 0;
   int step = 1;
   bool first_step_complete = true;
-  bool shortened = false;              // asked for a part of its parts only
-  bool awaiting_step = false;          // answered the first step, second step's parts not in yet
-  bool served = false, ended = false;  // served: a part has come back
-  std::optional<std::uint64_t> key;    // its subject
-  std::set<int> crashed_servers;       // servers whose connections broke under its parts
-  bool cautious = false;               // one part at a time, until one has come back
-  int outstanding = 0;                 // attempts still owed an outcome
-  double slack = kWeightSlack;         // no whole part is lost in it, however little it weighs
-  double given[2] = {0, 0};  // shares its parts came with, by step: rounded, they may fall short of 1
+  bool shortened = false;              // overload: low-value parts were left out
+  bool awaiting_step = false;          // first step answered, PartsAdded outstanding
+  bool served = false, ended = false;  // served: at least one part succeeded
+  std::optional<std::uint64_t> key;    // idempotency key
+  std::set<int> crashed_servers;       // servers that presumably crashed while they executed its parts
+  bool cautious = false;               // one part in flight at a time, until one succeeds
+  int outstanding = 0;                 // attempts in flight
+  double slack = kWeightSlack;         // rounding tolerance of weight sums, below the smallest part's weight
+  double weight_sum[2] = {0, 0};       // of its parts, by step; below 1 by rounding at most
   std::vector<std::string> parts;
 };
 
-// Whether a server is trusted, judged by what came back from it.
+// Outlier detection for one server (in all, or for one class), from the outcomes of real attempts.
 struct ServerHealth {
-  double strikes = 0;
+  double strikes = 0;  // failures, reduced by each success
   bool is_ejected = false;
-  bool failed_immediately = false;  // it failed at once, without work; else it was silent or full
+  bool failed_immediately = false;  // errors or broken connections, as opposed to time-outs and rejections
   Millis last_answer = kNever, ejected_until = kNever, ejection_time = kBaseEjectionTime;
 };
 
+// One server of the endpoint list.
 struct Server {
   std::string id;
   int cell = 0;
-  double size = 1;  // what it takes beside others, where an installation states it
+  double size = 1;  // relative capacity, where Settings::weights_count
   ServerState state = ServerState::ready;
-  std::optional<Millis> started{};
-  double sum = 0;  // hinted cost of own parts out
-  double reported = 0;
+  std::optional<Millis> started{};  // start of its process; absent: long ago
+  double outstanding_cost = 0;      // estimated cost of own attempts in flight
+  double reported = 0;              // last reported load, in queue items
   Millis reported_at = kNever;
-  std::multiset<Millis> out_since{};                // sending times of own attempts out
-  Millis removed_at = kNever;                       // when the list first had it gone
-  Millis last_answer = kNever, proved_at = kNever;  // proved: when a part was sent that it took, not draining
-  Millis connection_broken_at =
-      kNever;       // a connection broke under an attempt, and what that meant is not known yet
-  double pace = 0;  // smoothed observed time over hint; 0: not known
+  std::multiset<Millis> in_flight_since{};  // when each own attempt in flight was sent
+  Millis removed_at = kNever;               // when the endpoint list first lacked it
+  Millis last_answer = kNever;
+  Millis proved_at = kNever;  // latest sending time of a part it served: it was not draining then
+  // A connection broke during an attempt; whether the server crashed is not known yet. kNever: none pending.
+  Millis connection_broken_at = kNever;
+  double pace = 0;  // smoothed ratio of response time to estimated cost; 0: unknown
   Millis paced_at = kNever;
-  ServerHealth health{};               // of the whole server: silence, broken connections, full queues
-  std::vector<ServerHealth> by_class;  // errors come by class: a server may fail one and serve another well
-  Millis turn_at = kNever;             // when lots were last drawn for this cold server
-  double turn = 1;                     // the lot: under allowance / work it may be sent one part
-  std::deque<std::pair<Millis, double>> sent_while_warming_up{};  // what this broker sent while it was cold
+  ServerHealth health{};               // over all classes: time-outs, broken connections, full queues
+  std::vector<ServerHealth> by_class;  // per class: a server may fail one class only
+  Millis lot_drawn_at = kNever;        // slow start: when `lot` was last drawn
+  double lot = 1;                      // slow start: random number that admits one part, see warm_up_allows
+  std::deque<std::pair<Millis, double>>
+      sent_while_warming_up{};  // slow start: (time, cost) sent by this instance
 };
 
 }  // namespace winchhall::detail
--- a/src/aggregator/decision/query_table.hpp
+++ b/src/aggregator/decision/query_table.hpp
@@ -1,72 +1,79 @@
-// A query's life: its parts are placed, sent, sent again, and it gets its one final answer.
+// The open queries: placement, retries and the final answer of each.
 #pragma once
 
 #include "aggregator/decision/server_pool.hpp"
 
 namespace winchhall::detail {
 
+// Invariants: a query gets one final action and no SendPart after it; `ended` marks that. An ended query
+// stays in the table until all its attempts have ended. Not thread-safe.
 class QueryTable : public ServerPool {
  protected:
   using ServerPool::ServerPool;
 
-  // Rule: the budget of further attempts, over an exact sliding window.
+  // Rule: the retry budget, over an exact sliding window. True if one more retry fits.
   bool budget_allows() {
-    if (!set_.budget) return true;
-    while (!taken_.empty() && taken_.front().first <= now_ - set_.budget_window) {
-      taken_in_window_ -= taken_.front().second;
-      taken_.pop_front();
+    if (!settings_.budget) return true;
+    while (!accepted_.empty() && accepted_.front().first <= now_ - settings_.budget_window) {
+      accepted_in_window_ -= accepted_.front().second;
+      accepted_.pop_front();
     }
-    while (!further_.empty() && further_.front() < now_ - set_.budget_window) further_.pop_front();
-    return further_.size() + 1 <= set_.budget_free + set_.budget_share * taken_in_window_;
+    while (!retries_.empty() && retries_.front() < now_ - settings_.budget_window) retries_.pop_front();
+    return retries_.size() + 1 <= settings_.budget_free + settings_.budget_share * accepted_in_window_;
   }
 
   void record_accepted_requests(std::size_t requests) {
-    if (!set_.budget) return;  // nothing would ever take it out again
-    taken_in_window_ += taken_.emplace_back(now_, static_cast<double>(requests)).second;
+    if (!settings_.budget) return;  // only budget_allows() removes entries
+    accepted_in_window_ += accepted_.emplace_back(now_, static_cast<double>(requests)).second;
   }
 
-  // Guards against lateness that feeds itself: a part moved or copied because late adds load when there is
-  // too much, so first attempts pay for those. What was turned away never ran.
+  // Token bucket for retries of late parts, filled by first attempts: such retries add load when there is too
+  // much of it, which makes more parts late (retry storm). Rejected attempts need no token.
   bool consume_late_retry_token() { return late_retry_tokens_ >= 1 && late_retry_tokens_-- > 0; }
 
-  // Rule: no effect twice. May this part be sent (again) now?
-  bool repeat_allowed(const Part& p, const ClassSettings& c) const {
-    if (p.out() || p.attempt_count() >= p.most) return false;
+  // Rule: no duplicate execution beyond what the class's idempotency allows. True if an attempt may be sent
+  // now.
+  bool retry_allowed(const Part& p, const ClassSettings& c) const {
+    if (p.has_attempt_in_flight() || p.attempt_count() >= p.max_attempts) return false;
     if (p.first_possible_run == kInfinity || c.repeat == Idempotency::safe) return true;
-    return c.repeat == Idempotency::keyed && now_ < repeat_until(p, c);
+    return c.repeat == Idempotency::keyed && now_ < retry_until(p, c);
   }
-  Millis repeat_until(const Part& p, const ClassSettings& c) const {
-    return p.first_possible_run + c.idempotency_window - set_.tick;
+  // End of the deduplication window of a `keyed` part.
+  Millis retry_until(const Part& p, const ClassSettings& c) const {
+    return p.first_possible_run + c.idempotency_window - settings_.tick;
   }
 
-  // The time until which an answer of this query still earns something.
+  // The time up to which an answer still has value to the client.
   Millis useful_until(const Query& q) const {
-    return set_.classes[q.query_class].late_value > 0 ? q.give_up_at - tick_interval_
-                                                      : q.target_at - margin();
+    return settings_.classes[q.query_class].late_value > 0 ? q.give_up_at - tick_interval_
+                                                           : q.target_at - margin();
   }
-  Millis margin() const { return 2 * set_.tick; }
+  Millis margin() const { return 2 * settings_.tick; }
 
-  // Reserves the best replica for a part; the sum includes it from here on.
+  // Adds an attempt at the best replica and charges its cost there; doesn't send it. False if there is no
+  // eligible replica of at most `max_health_rank`.
   bool place(Part& p, int c, int max_health_rank = 3) {
     int server = choose(p, c, max_health_rank);
     if (server < 0) return false;
     Server& s = servers_[server];
-    p.attempts.push_back({server, now_, p.hint, s.sum + load(s, c) + p.hint});
-    s.sum += p.hint;
-    s.out_since.insert(now_);
+    p.attempts.push_back({server, now_, p.hint, s.outstanding_cost + load(s, c) + p.hint});
+    s.outstanding_cost += p.hint;
+    s.in_flight_since.insert(now_);
     if (is_warming_up(s)) s.sent_while_warming_up.emplace_back(now_, std::max(p.hint, mean_hint(c)));
     return true;
   }
 
+  // Ends an attempt's charge on its server.
   void release(Attempt& a) {
     Server& s = servers_[a.server];
-    a.out = false;
-    s.sum = std::max(0.0, s.sum - a.cost);
-    if (auto it = s.out_since.find(a.sent); it != s.out_since.end()) s.out_since.erase(it);
-    if (s.out_since.empty()) s.sum = 0;  // no rounding is carried on
+    a.in_flight = false;
+    s.outstanding_cost = std::max(0.0, s.outstanding_cost - a.cost);
+    if (auto it = s.in_flight_since.find(a.sent); it != s.in_flight_since.end()) s.in_flight_since.erase(it);
+    if (s.in_flight_since.empty()) s.outstanding_cost = 0;  // drops accumulated rounding errors
   }
 
-  void unplace(Part& p, bool is_spare = false) {
+  // Reverts place() for an attempt that wasn't sent.
+  void undo_placement(Part& p, bool is_spare = false) {
     Server& s = servers_[p.attempts.back().server];
     if (!s.sent_while_warming_up.empty() && s.sent_while_warming_up.back().first == now_)
       s.sent_while_warming_up.pop_back();
@@ -75,35 +82,37 @@
     p.is_spare |= is_spare;
   }
 
+  // Sends the attempt added by place().
   void send(Query& q, Part& p) {
     Attempt& a = p.attempts.back();
     Server& s = servers_[a.server];
-    const ClassSettings& c = set_.classes[q.query_class];
-    if (p.attempt_count() > 1 && set_.budget) further_.push_back(now_);
+    const ClassSettings& c = settings_.classes[q.query_class];
+    if (p.attempt_count() > 1 && settings_.budget) retries_.push_back(now_);
     if (p.attempt_count() == 1)
       late_retry_tokens_ =
-          std::min(late_retry_tokens_ + kLateRetryShare, std::max(kMaxLateRetryTokens, most_parts_));
+          std::min(late_retry_tokens_ + kLateRetryShare, std::max(kMaxLateRetryTokens, max_parts_));
     Millis timeout = useful_until(q) - now_;
-    if (!set_.may_cancel && c.repeat == Idempotency::safe)
+    if (!settings_.may_cancel && c.repeat == Idempotency::safe)
       timeout = std::min(timeout, patience(q.query_class));
     ++q.outstanding;
     Millis by = list_freshness_.sendable_until(s.proved_at);
     if (p.first_possible_run < kInfinity && c.repeat != Idempotency::safe)
-      by = std::min(by, repeat_until(p, c));
+      by = std::min(by, retry_until(p, c));
     act(SendPart{p.id, s.id, std::max(timeout, 1.0), by});
   }
 
-  // One further attempt, if rule, budget and time allow; false if the part must wait or is dead.
+  // Sends one attempt if idempotency, retry budget and remaining time allow it. False if none was sent: the
+  // part has to wait, or is dead.
   bool try_part(Query& q, Part& p) {
-    const ClassSettings& c = set_.classes[q.query_class];
-    if (p.out() || p.done) return false;
-    p.dead |= !repeat_allowed(p, c);
+    const ClassSettings& c = settings_.classes[q.query_class];
+    if (p.has_attempt_in_flight() || p.done) return false;
+    p.dead |= !retry_allowed(p, c);
     if (p.dead) return false;
     if (useful_until(q) - now_ < kMinUsefulShare * class_statistics_[q.query_class].response.mean)
       return false;
     if (q.cautious && q.outstanding > 0) return false;
     if (p.attempt_count() > 0 && !budget_allows()) return false;
-    // A further attempt is not spent on a server that fails at once before it had time to mend.
+    // Doesn't spend a quick retry on a server that is ejected for immediate failures.
     bool soon = !p.attempts.empty() && now_ - p.attempts.back().sent < kBaseEjectionTime;
     if (!place(p, q.query_class, soon ? 2 : 3)) return false;
     p.is_spare = false;
@@ -117,12 +126,13 @@
     if (!is_new) return;
     Query& q = queries_[next_query_++];
     q.id = e.query;
-    q.query_class = std::clamp(e.query_class, 0, static_cast<int>(set_.classes.size()) - 1);
+    q.query_class = std::clamp(e.query_class, 0, static_cast<int>(settings_.classes.size()) - 1);
     q.give_up_at = std::isfinite(e.give_up_at) ? e.give_up_at : now_;
-    q.target_at = std::min(now_ + set_.classes[q.query_class].latency_target, q.give_up_at - tick_interval_);
+    q.target_at =
+        std::min(now_ + settings_.classes[q.query_class].latency_target, q.give_up_at - tick_interval_);
     q.key = e.key;
     add_parts(it->second, e.parts);
-    if (q.key && rejected_subjects_.count(*q.key)) return end(q, true);
+    if (q.key && rejected_keys_.count(*q.key)) return end(q, true);
     q.cautious = now_ < class_statistics_[q.query_class].suspect_until;
     place_step(q);
   }
@@ -140,7 +150,7 @@
 
   void add_parts(int number, const std::vector<PartSpec>& specs) {
     Query& q = queries_[number];
-    most_parts_ = std::max(most_parts_, static_cast<double>(specs.size()));
+    max_parts_ = std::max(max_parts_, static_cast<double>(specs.size()));
     for (const PartSpec& spec : specs) {
       Part p;
       p.query = number;
@@ -155,9 +165,9 @@
     p.weight = is_finite_nonnegative(spec.weight) ? spec.weight : 0;
     p.hint = hint;
     p.holders = spec.holders;
-    if (p.most == 0) p.most = std::max(1, set_.max_attempts);
+    if (p.max_attempts == 0) p.max_attempts = std::max(1, settings_.max_attempts);
     q.slack = std::min(q.slack, std::max(p.weight / 2, kLeastSlack));
-    q.given[p.step == 2] += p.weight;
+    q.weight_sum[p.step == 2] += p.weight;
     if (parts_.emplace(spec.part, std::move(p)).second) q.parts.push_back(spec.part);
   }
 
@@ -168,82 +178,87 @@
     return list;
   }
 
-  double need(const Query& q) const {  // all parts in is whole, however rounded: no more than they make
-    return std::min(q.step == 2 ? 1.0 : set_.classes[q.query_class].need, q.given[q.step == 2]);
+  // Weight that makes the step complete; at most the sum of its parts' weights, which may round below 1.
+  double need(const Query& q) const {
+    return std::min(q.step == 2 ? 1.0 : settings_.classes[q.query_class].need, q.weight_sum[q.step == 2]);
   }
 
-  // The ordinary path.
+  // Default placement of a step's parts.
   void place_step(Query& q) {
     std::vector<Part*> list = step_parts(q);
     std::stable_sort(list.begin(), list.end(), [](Part* a, Part* b) { return a->hint > b->hint; });
     double placed = 0;
     for (Part* p : list)
       if (place(*p, q.query_class)) placed += p->weight;
-    // Where any so many parts suffice, those that would come last are kept back as spares for failures.
+    // If not all parts are needed, those expected to finish last are held in reserve as spares.
     std::stable_sort(list.begin(), list.end(), [](Part* a, Part* b) {
-      return (a->out() ? a->attempts.back().ahead : kNever) > (b->out() ? b->attempts.back().ahead : kNever);
+      return (a->has_attempt_in_flight() ? a->attempts.back().cost_ahead : kNever) >
+             (b->has_attempt_in_flight() ? b->attempts.back().cost_ahead : kNever);
     });
-    const ClassSettings& c = set_.classes[q.query_class];
-    // Work ahead at the tier's pace alone: a server's pace was learned with its queue of then in it.
-    auto time_for = [&](const Part& p) { return p.attempts.back().ahead * queue_pace(); };
-    if (c.floor < need(q) && !list.empty() && list[0]->out() &&
+    const ClassSettings& c = settings_.classes[q.query_class];
+    // Uses the pool's rate only: a server's own pace already includes the queueing at the time of its
+    // samples.
+    auto time_for = [&](const Part& p) { return p.attempts.back().cost_ahead * queue_pace(); };
+    if (c.floor < need(q) && !list.empty() && list[0]->has_attempt_in_flight() &&
         time_for(*list[0]) > kOverloadTimeShare * (useful_until(q) - now_))
       placed = shorten(q, list, placed);
     double slowest = 0;
     for (Part* p : list) {
-      if (!p->out()) continue;
+      if (!p->has_attempt_in_flight()) continue;
       if (q.cautious && p != list.back()) {
-        unplace(*p);
+        undo_placement(*p);
       } else if (placed - p->weight >= need(q) - q.slack) {
         placed -= p->weight;
-        unplace(*p, true);
+        undo_placement(*p, true);
       } else {
         slowest = std::max(slowest, time_for(*p));
       }
     }
-    // Overload: what cannot be in time is refused before any of it is sent.
+    // Load shedding: a query that can't finish in time is rejected before anything is sent.
     if (q.step == 1 && q.outstanding == 0 && too_late(q, slowest)) {
       for (Part* p : list)
-        if (p->out()) unplace(*p);
+        if (p->has_attempt_in_flight()) undo_placement(*p);
       return end(q, false);
     }
     for (Part* p : list)
-      if (p->out()) send(q, *p);
+      if (p->has_attempt_in_flight()) send(q, *p);
     finish_if_possible(q);
   }
 
-  // Departure, where fewer parts may answer and queues take most of the time left: those that weigh least for
-  // their work are not sent.
+  // Deviation, where a partial answer is allowed and queueing takes most of the remaining time: turns the
+  // parts with the lowest weight per cost into spares, down to the class's floor. Returns the weight still
+  // placed.
   double shorten(Query& q, std::vector<Part*> list, double placed) {
     std::sort(list.begin(), list.end(),
               [](Part* a, Part* b) { return a->weight * b->hint < b->weight * a->hint; });
     q.shortened = true;
     for (Part* p : list)
-      if (p->out() && placed - p->weight >= set_.classes[q.query_class].floor) {
+      if (p->has_attempt_in_flight() && placed - p->weight >= settings_.classes[q.query_class].floor) {
         placed -= p->weight;
-        unplace(*p, true);
+        undo_placement(*p, true);
       }
     return placed;
   }
 
-  // The more of late went unserved, the surer a query must be: what is late displaces what could be served.
+  // Load shedding threshold. The larger the recent share of unserved queries, the larger the safety margin:
+  // a query that ends late takes capacity from those that could be served.
   bool too_late(const Query& q, double time) const {
     double devs = std::clamp((unserved_.mean(now_, 0) - kLowUnservedShare) / kLowUnservedShare, 0.0, 1.0);
     return time * std::exp(devs * spread_dev_.mean(now_, 0)) > useful_until(q) - now_;
   }
 
-  // Time over cost ahead, as seen of late; starts from one server core's.
+  // Recent response time per ms of cost ahead; initially that of a server with kMinServerCores.
   double queue_pace() const { return std::exp(spread_.mean(now_, 0)) / kMinServerCores; }
 
-  // Answers, fails or waits, by what is in and what may still come.
+  // Answers or fails the query as soon as the parts received, and those still possible, decide it.
   void finish_if_possible(Query& q) {
     if (q.ended || q.awaiting_step) return;
-    const ClassSettings& c = set_.classes[q.query_class];
+    const ClassSettings& c = settings_.classes[q.query_class];
     double in = 0, possible = 0, requested = 0;
     std::vector<Part*> list = step_parts(q);
     for (Part* p : list) {
       if (p->done) in += p->weight;
-      if (!p->out() && !p->done && !repeat_allowed(*p, c)) p->dead = true;
+      if (!p->has_attempt_in_flight() && !p->done && !retry_allowed(*p, c)) p->dead = true;
       if (!p->dead) possible += p->weight;
       if (!p->dead && !p->is_spare) requested += p->weight;
     }
@@ -251,9 +266,9 @@
     if (list.empty() && q.step == 1) return end(q, false);
     if (in >= complete) return answer(q, q.first_step_complete);
     double goal = q.shortened ? least : complete;
-    for (Part* p : list)  // spares replace what has died
+    for (Part* p : list)  // spares replace dead parts
       if (requested < goal && p->is_spare && !p->dead && try_part(q, *p)) requested += p->weight;
-    // Departure from waiting: near the end of its use an honest partial answer beats a failure.
+    // Deviation: near its deadline a partial answer, marked as such, is preferred to waiting on.
     double partial = c.floor < c.need ? c.partial_value * in / need(q) : 0;
     bool may_answer = c.floor < need(q) && in >= least && in > 0;
     bool at_target = now_ >= q.target_at - margin() - tick_interval_;
@@ -270,40 +285,44 @@
     act(AnswerQuery{q.id, complete});
     unserved_.add(0, now_);
     q.first_step_complete = complete;
-    q.awaiting_step = q.step == 1 && set_.classes[q.query_class].second_step_parts > 0;
+    q.awaiting_step = q.step == 1 && settings_.classes[q.query_class].second_step_parts > 0;
     if (!q.awaiting_step) close(q);
   }
 
-  // Gives a query up at once: refused where trying again is harmless and can still pay, else failed.
+  // Gives a query up: rejected if the client's retry is safe and can still be in time, else failed. `sent` is
+  // false for a query that is shed on arrival: it is rejected even if it is past its target.
   void end(Query& q, bool sent) {
-    const ClassSettings& c = set_.classes[q.query_class];
+    const ClassSettings& c = settings_.classes[q.query_class];
     bool harmless = q.step == 1;
     unserved_.add(1, now_);
     for (const std::string& id : q.parts)
-      if (const Part& p = parts_.at(id); p.first_possible_run < kInfinity || p.out() || p.done)
+      if (const Part& p = parts_.at(id);
+          p.first_possible_run < kInfinity || p.has_attempt_in_flight() || p.done)
         harmless &= c.repeat == Idempotency::safe;
     bool past = sent && now_ >= q.target_at - margin() - tick_interval_;
     if (harmless && !past)
-      act(RefuseQuery{q.id, set_.honors_retry_after ? std::min(set_.max_retry_after, c.latency_target) : 0});
+      act(RefuseQuery{
+          q.id, settings_.honors_retry_after ? std::min(settings_.max_retry_after, c.latency_target) : 0});
     else
       act(FailQuery{q.id});
     close(q);
   }
 
-  // Rule: one final answer, and nothing sent after it. Attempts still out are cancelled and only awaited.
+  // Rule: one final action, nothing sent after it. Attempts in flight are cancelled and their ends awaited.
   void close(Query& q) {
     q.ended = true;
     q.awaiting_step = false;
-    if (!set_.may_cancel) return;
+    if (!settings_.may_cancel) return;
     for (const std::string& id : q.parts) cancel(parts_.at(id));
   }
 
   void cancel(Part& p) {
     for (Attempt& a : p.attempts)
-      if (a.out && !a.started && !std::exchange(a.moving, true))
+      if (a.in_flight && !a.started && !std::exchange(a.cancel_requested, true))
         act(CancelAttempt{p.id, static_cast<int>(&a - p.attempts.data())});
   }
 
+  // Removes ended queries without attempts in flight.
   void forget_closed() {
     std::erase_if(queries_, [&](const auto& numbered) {
       const Query& q = numbered.second;
@@ -320,17 +339,17 @@
   }
 
   double late_retry_tokens_ = kMaxLateRetryTokens;
-  double most_parts_ = 0;         // of any query so far
-  Recent unserved_;               // share of recent queries that earned nothing
+  double max_parts_ = 0;          // largest number of parts of a query so far
+  Recent unserved_;               // recent share of queries without an answer
   std::map<int, Query> queries_;  // by number, in order of arrival
   std::map<std::string, int> query_numbers_;
   std::map<std::string, Part> parts_;
   int next_query_ = 0;
-  std::map<std::uint64_t, Millis>
-      rejected_subjects_;  // subjects of queries that fell servers, and since when
-  std::deque<std::pair<Millis, double>> taken_;
-  double taken_in_window_ = 0;
-  std::deque<Millis> further_;
+  std::map<std::uint64_t, Millis> rejected_keys_;  // keys of queries that crashed servers: since when
+  // Retry budget: (time, requests) accepted within the window, their sum, and the times of retries.
+  std::deque<std::pair<Millis, double>> accepted_;
+  double accepted_in_window_ = 0;
+  std::deque<Millis> retries_;
 };
 
 }  // namespace winchhall::detail
--- a/src/aggregator/decision/server_pool.hpp
+++ b/src/aggregator/decision/server_pool.hpp
@@ -1,4 +1,4 @@
-// What is known of the servers: the list, their load, pace and health, and the choice of a replica by it.
+// The known servers: endpoint list, load, speed and health of each, and the selection of a replica.
 #pragma once
 
 #include <random>
@@ -9,36 +9,41 @@
 
 namespace winchhall::detail {
 
+// Also holds what all handlers share: settings, time, random generator and the list of pending actions.
+// Indices into servers_ stay valid while a server is referenced; slots of removed servers are reused. Not
+// thread-safe.
 class ServerPool {
  protected:
   ServerPool(Settings settings, std::uint64_t seed, Millis now)
-      : set_(std::move(settings)),
+      : settings_(std::move(settings)),
         random_(seed),
         now_(is_finite_nonnegative(now) ? now : 0),
         started_at_(now_) {
     bound_settings();
-    class_statistics_.resize(set_.classes.size());
+    class_statistics_.resize(settings_.classes.size());
     list_freshness_ = winchhall::membership::EndpointListFreshness(endpoint_list_terms(), seed);
   }
 
+  // Replaces settings out of range by the nearest valid value.
   void bound_settings() {
-    if (set_.classes.empty()) set_.classes.emplace_back();
-    set_.brokers = std::max(1, set_.brokers);
-    set_.cells = std::max(1, set_.cells);
-    set_.reach = std::clamp(set_.reach, 1, set_.cells);
-    tick_interval_ = std::max(kTickInterval, 2 * set_.tick);
+    if (settings_.classes.empty()) settings_.classes.emplace_back();
+    settings_.brokers = std::max(1, settings_.brokers);
+    settings_.cells = std::max(1, settings_.cells);
+    settings_.reach = std::clamp(settings_.reach, 1, settings_.cells);
+    tick_interval_ = std::max(kTickInterval, 2 * settings_.tick);
   }
 
   winchhall::membership::EndpointListTerms endpoint_list_terms() const {
-    return {set_.list_on_request || set_.list_watched, !set_.list_on_request, set_.brokers,
-            set_.max_poll_interval, set_.drain_grace};
+    return {settings_.list_on_request || settings_.list_watched, !settings_.list_on_request,
+            settings_.brokers, settings_.max_poll_interval, settings_.drain_grace};
   }
 
+  // Learned values of one class, in ms.
   struct ClassStatistics {
-    Estimate hint;      // cost hints
-    Estimate response;  // time from sending to answer
-    Millis usual = 0;   // its median
-    Millis suspect_until = kNever;
+    Estimate hint;                  // cost estimates of parts
+    Estimate response;              // response times
+    Millis median_response = 0;     // estimated median response time; 0: unknown
+    Millis suspect_until = kNever;  // its queries are sent cautiously until then: one crashed servers
   };
 
   void apply_list(const ServerList& list) {
@@ -52,26 +57,27 @@
       named.insert(e.server);
       auto [it, fresh] = by_name_.try_emplace(e.server, static_cast<int>(servers_.size()));
       if (fresh) {
-        if (!free_.empty()) {
-          it->second = free_.back();
-          free_.pop_back();
+        if (!free_slots_.empty()) {
+          it->second = free_slots_.back();
+          free_slots_.pop_back();
         } else {
           servers_.emplace_back();
         }
-        servers_[it->second] = {.id = e.server, .by_class = std::vector<ServerHealth>(set_.classes.size())};
+        servers_[it->second] = {.id = e.server,
+                                .by_class = std::vector<ServerHealth>(settings_.classes.size())};
       }
       Server& s = servers_[it->second];
-      // A later start: the process is new and cold, and what was known of the old one is void.
+      // A later start time: the process restarted, so statistics and health of the previous one are reset.
       if (e.started && (!s.started || *e.started > *s.started)) {
         resolve_broken_connection(s, true);
         s.health = {};
-        s.by_class.assign(set_.classes.size(), {});
+        s.by_class.assign(settings_.classes.size(), {});
         s.reported_at = kNever;
         s.pace = 0;
         s.started = e.started;
       }
       s.cell = e.cell;
-      if (set_.weights_count) s.size = std::isfinite(e.size) && e.size > 0 ? e.size : 1;
+      if (settings_.weights_count) s.size = std::isfinite(e.size) && e.size > 0 ? e.size : 1;
       s.state = e.state;
     }
     if (list.kind != ServerList::Kind::changes)
@@ -80,6 +86,7 @@
     forget_removed_servers();
   }
 
+  // Frees the slots of servers that were removed kForgetRemovedAfter ago and have no attempt in flight.
   void forget_removed_servers() {
     for (int i = 0; i < static_cast<int>(servers_.size()); ++i) {
       Server& s = servers_[i];
@@ -87,15 +94,16 @@
         s.removed_at = kNever;
       } else if (s.removed_at == kNever) {
         s.removed_at = now_;
-      } else if (!s.id.empty() && now_ - s.removed_at > kForgetRemovedAfter && s.out_since.empty()) {
+      } else if (!s.id.empty() && now_ - s.removed_at > kForgetRemovedAfter && s.in_flight_since.empty()) {
         by_name_.erase(s.id);
         s = {.id = {}, .state = ServerState::removed, .removed_at = s.removed_at, .by_class = {}};
-        free_.push_back(i);
+        free_slots_.push_back(i);
       }
     }
   }
 
-  // Rule: drains. A list that is overdue may have missed one; a server that took a part then did not drain.
+  // Rule: no sends to draining servers. A stale endpoint list may lack a drain; a part that was served proves
+  // that its server wasn't draining when the part was sent.
   bool may_be_draining(const Server& s) const {
     return now_ >= list_freshness_.selectable_until(s.proved_at);
   }
@@ -104,6 +112,8 @@
     return class_statistics_[c].hint.seen ? class_statistics_[c].hint.mean : 1.0;
   }
 
+  // Records a part's cost estimate and returns the value to use, in ms: clamped to a range around the class's
+  // mean, or the mean itself where there is no valid estimate.
   double record_hint(int c, const std::optional<double>& hint) {
     Estimate& h = class_statistics_[c].hint;
     if (!hint || !std::isfinite(*hint) || *hint <= 0) return mean_hint(c);
@@ -112,68 +122,86 @@
     return x;
   }
 
+  // Reported load of a server, in ms of work.
   double load(const Server& s, int c) const {
-    // Departure: a report that nothing refreshes fades to what the tier reports of late.
+    // Deviation: an old report decays to the pool's recent mean.
     double fresh = std::exp((s.reported_at - now_) / kDecayTime);
     return (fresh * s.reported + (1 - fresh) * pool_load_.mean(now_, 0)) * mean_hint(c);
   }
 
-  // Departure: a server's pace stands in for the paper's alpha while it is clearly off its peers'.
+  // Deviation: factor by which a server is slower (or faster) than its peers, while the difference is clear;
+  // else 1.
   double pace(const Server& s) const {
     if (s.pace <= 0 || typical_pace_ <= 0) return 1;
     double off = s.pace / typical_pace_;
-    off = 1 + (off - 1) * std::exp(-(now_ - s.paced_at) / (kPaceDecayTime * sparse_));
+    off = 1 + (off - 1) * std::exp(-(now_ - s.paced_at) / (kPaceDecayTime * sparse_factor_));
     return off < kPaceOutlierRatio ? 1 : std::min(off, kMaxPace);
   }
 
-  double cost(const Server& s, int c, double x) const { return pace(s) * (s.sum + load(s, c) + x) / s.size; }
+  // Cost of placing a part of cost `x` on this server.
+  double cost(const Server& s, int c, double x) const {
+    return pace(s) * (s.outstanding_cost + load(s, c) + x) / s.size;
+  }
 
-  bool holds(const Server& s, int shard) const {
-    int j = (s.cell - shard) % set_.cells;
-    return (j + set_.cells) % set_.cells < set_.reach;
+  // Whether the server is a replica of the shard, by the layout rule of Settings::cells.
+  bool is_replica_of(const Server& s, int shard) const {
+    int j = (s.cell - shard) % settings_.cells;
+    return (j + settings_.cells) % settings_.cells < settings_.reach;
   }
 
-  bool is_warming_up(const Server& s) const { return s.started && now_ - *s.started < set_.warm_up_time; }
+  bool is_warming_up(const Server& s) const {
+    return s.started && now_ - *s.started < settings_.warm_up_time;
+  }
 
-  // Rule: a cold server. What this broker sends within `fall_time` stays under its fraction of the allowance.
-  // For that long after our own start nothing is sent: what we sent before it is not known.
+  // Rule: slow start. The cost this instance sends to a warming server within `fall_time` stays below its
+  // fraction of the server's allowance. Nothing is sent for `fall_time` after this instance's own start,
+  // since what a previous process sent is unknown.
   bool warm_up_allows(Server& s, double work) {
-    if (!is_warming_up(s) || set_.fall_multiple <= 0) return true;
-    if (now_ - started_at_ < set_.fall_time && *s.started < started_at_) return false;
-    while (!s.sent_while_warming_up.empty() && s.sent_while_warming_up.front().first < now_ - set_.fall_time)
+    if (!is_warming_up(s) || settings_.fall_multiple <= 0) return true;
+    if (now_ - started_at_ < settings_.fall_time && *s.started < started_at_) return false;
+    while (!s.sent_while_warming_up.empty() &&
+           s.sent_while_warming_up.front().first < now_ - settings_.fall_time)
       s.sent_while_warming_up.pop_front();
-    double age = std::max(0.0, now_ - set_.fall_time - *s.started) / set_.warm_up_time;
-    double capacity = kMinServerCores * (set_.warm_up_initial_share + (1 - set_.warm_up_initial_share) * age);
-    double allowance = kWarmUpSafety * set_.fall_multiple * capacity * set_.fall_time / set_.brokers;
+    double age = std::max(0.0, now_ - settings_.fall_time - *s.started) / settings_.warm_up_time;
+    double capacity =
+        kMinServerCores * (settings_.warm_up_initial_share + (1 - settings_.warm_up_initial_share) * age);
+    double allowance =
+        kWarmUpSafety * settings_.fall_multiple * capacity * settings_.fall_time / settings_.brokers;
     for (const auto& sent : s.sent_while_warming_up) work += sent.second;
     if (work <= allowance) return true;
-    // A share of less than one part is kept in expectation, or nobody would send before the server is warm:
-    // in each span one part may go, by lot. Spans without an occasion add to the chance, up to a bound.
+    // If the fraction is smaller than one part, it is kept in expectation only, as otherwise no instance
+    // would send before the server is warm: a random draw in each `fall_time` interval may admit one part.
+    // Unused intervals raise the probability, up to kMaxUnusedLotIntervals.
     if (!s.sent_while_warming_up.empty()) return false;
-    if (now_ - s.turn_at >= set_.fall_time) {
-      Millis saved = now_ - std::max({s.turn_at, *s.started, started_at_});
-      s.turn_at = now_;
-      s.turn = std::uniform_real_distribution<>(0, 1)(random_) /
-               std::clamp(saved / set_.fall_time, 1.0, kMaxUnusedLotIntervals);
+    if (now_ - s.lot_drawn_at >= settings_.fall_time) {
+      Millis saved = now_ - std::max({s.lot_drawn_at, *s.started, started_at_});
+      s.lot_drawn_at = now_;
+      s.lot = std::uniform_real_distribution<>(0, 1)(random_) /
+              std::clamp(saved / settings_.fall_time, 1.0, kMaxUnusedLotIntervals);
     }
-    return s.turn * work < kWarmUpLotShare * allowance;
+    return s.lot * work < kWarmUpLotShare * allowance;
   }
 
-  // 0: sound; 1: this part was there before; 2: silent, or full; 3: fails at once, and its sum is always
-  // least. Lower goes first: when all replicas look equally bad none of it is believed, the least sum decides
-  // again.
+  // Rank for selection, lower is preferred. 0: healthy; 1: healthy, but this part was already tried there;
+  // 2: ejected as unresponsive or full, or unresponsive now; 3: ejected for immediate failures, last because
+  // such a server always has the least outstanding cost. If all replicas have the same rank, cost alone
+  // decides.
   int health_rank(const Server& s, const Part& p, int c) const {
     int worst = 0;
     for (const ServerHealth* h : {&s.health, &s.by_class[c]})
-      if (h->is_ejected && (now_ < h->ejected_until || !s.out_since.empty()))  // else: one trial part
+      if (h->is_ejected && (now_ < h->ejected_until ||
+                            !s.in_flight_since.empty()))  // else: one trial part after the ejection time
         worst = std::max(worst, h->failed_immediately ? 3 : 2);
     if (worst > 0) return worst;
-    if (!s.out_since.empty() && now_ - std::max(*s.out_since.begin(), s.last_answer) > quiet_after_) return 2;
+    if (!s.in_flight_since.empty() &&
+        now_ - std::max(*s.in_flight_since.begin(), s.last_answer) > response_timeout_)
+      return 2;
     for (const Attempt& a : p.attempts)
       if (&servers_[a.server] == &s) return 1;
     return 0;
   }
 
+  // Whether the server rejected this part as not the owner too recently to be asked again.
   bool denied_recently(int server, const Part& p) const {
     return std::any_of(p.attempts.begin(), p.attempts.end(), [&](const Attempt& a) {
       return a.server == server &&
@@ -181,6 +209,8 @@
     });
   }
 
+  // Index of the eligible replica with the lowest (rank, cost), ties at random; -1 if there is none. `c`:
+  // class.
   int choose(const Part& p, int c, int max_health_rank = 3) {
     winchhall::placement::LeastCost<int> least;
     for (std::size_t k = 0; k < (p.holders ? p.holders->size() : servers_.size()); ++k) {
@@ -188,7 +218,8 @@
       if (p.holders && named == by_name_.end()) continue;
       int i = p.holders ? named->second : static_cast<int>(k);
       Server& s = servers_[i];
-      if (s.state != ServerState::ready || (!p.holders && !holds(s, p.shard))) continue;  // Rule: drains
+      if (s.state != ServerState::ready || (!p.holders && !is_replica_of(s, p.shard)))
+        continue;  // Rule: no sends to draining servers
       if (may_be_draining(s) || denied_recently(i, p)) continue;
       if (!warm_up_allows(s, std::max(p.hint, mean_hint(c)))) continue;
       int rank = health_rank(s, p, c);
@@ -197,24 +228,28 @@
     return least.empty() ? -1 : least.best();
   }
 
+  // ms after which an attempt counts as late: mean + kLateDeviations deviations, within a share of the
+  // target.
   Millis patience(int c) const {
     const Estimate& r = class_statistics_[c].response;
-    Millis most = kPatienceShareOfTarget * set_.classes[c].latency_target;
+    Millis most = kPatienceShareOfTarget * settings_.classes[c].latency_target;
     return r.seen < kMinSamples ? most : std::min(r.mean + kLateDeviations * r.dev, most);
   }
 
+  // ms after which a hedged attempt is sent.
   Millis hedge_after(int c) const {
     const ClassStatistics& l = class_statistics_[c];
-    return l.response.seen < kMinSamples ? patience(c) : std::min(kHedgeDelayRatio * l.usual, patience(c));
+    return l.response.seen < kMinSamples ? patience(c)
+                                         : std::min(kHedgeDelayRatio * l.median_response, patience(c));
   }
 
   void apply_report(const std::string& server, const std::vector<double>& report) {
     auto it = by_name_.find(server);
-    if (it == by_name_.end() || !set_.reports) return;
-    // Queued items where they are told, else parts in flight, else nought.
+    if (it == by_name_.end() || !settings_.reports) return;
+    // Uses the queue length if it is reported, else the number in flight.
     for (ReportField wanted : {ReportField::queued, ReportField::in_flight})
-      for (std::size_t i = 0; i < report.size() && i < set_.report_fields.size(); ++i)
-        if (set_.report_fields[i] == wanted) {
+      for (std::size_t i = 0; i < report.size() && i < settings_.report_fields.size(); ++i)
+        if (settings_.report_fields[i] == wanted) {
           if (!is_finite_nonnegative(report[i]) || report[i] > kMaxReportedLoad) return;
           servers_[it->second].reported = report[i];
           servers_[it->second].reported_at = now_;
@@ -223,14 +258,16 @@
         }
   }
 
-  // A broken connection means a fallen server or a cut line, told apart by what the server does next: one
-  // that answers soon never fell. Pooled, and believed a fall until most recent cases say otherwise.
+  // Decides whether a broken connection was a crash of the server or a network fault, by what follows: a
+  // server that answers within kMinRestartTime didn't crash. The estimate is shared by all servers and
+  // assumes crashes until most recent cases were network faults.
   void resolve_broken_connection(Server& s, bool crashed_servers) {
     if (s.connection_broken_at == kNever) return;
     crash_estimate_.add(crashed_servers, now_);
     s.connection_broken_at = kNever;
   }
 
+  // Updates health and statistics of a server from the end of an attempt.
   void record_outcome(Server& s, Outcome outcome, const Attempt& a, int c, double hint) {
     Millis took = now_ - a.sent;
     bool late = took > patience(c);
@@ -245,17 +282,17 @@
         return record_response_time(s, took, a, c, hint);
       case Outcome::cancelled:
       case Outcome::timeout:
-        if (took <= hedge_after(c)) return;  // no longer needed, or short of time: says nothing
+        if (took <= hedge_after(c)) return;  // cancelled early: no evidence
         record_response_time(s, took, a, c, hint);
         if (!late) return;
-        // Judged by class like errors: a server may swallow one class and serve another. Nothing at all from
-        // a server is the server's; one seldom heard of is struck for both.
+        // Counted for the class, like errors: a server may be unresponsive for one class only. Without any
+        // answer it counts for the whole server; for both if this instance seldom sends there.
         if (s.by_class[c].last_answer >= a.sent) return;
-        if (s.last_answer >= a.sent || sparse_ > 1)
+        if (s.last_answer >= a.sent || sparse_factor_ > 1)
           record_failure(s, s.by_class[c], kEjectionStrikes, "silent for a class: ");
         return s.last_answer < a.sent ? record_failure(s, s.health, kEjectionStrikes, "silent: ") : void();
       case Outcome::error:
-        // An error is an answer all the same: the server is not silent. It is judged for this class only.
+        // An error is a response, so the server isn't unresponsive. It counts for this class only.
         s.last_answer = s.by_class[c].last_answer = now_;
         return record_failure(s, s.by_class[c], 1, "errors: ", true);
       case Outcome::full:
@@ -268,7 +305,7 @@
       case Outcome::connect_failed:
         resolve_broken_connection(s, true);
         return record_failure(s, s.health, kEjectionStrikes, "no connection: ", true);
-      default:  // it never ran, through no fault of the server
+      default:  // not executed, and no evidence against the server
         return;
     }
   }
@@ -282,12 +319,12 @@
 
   void record_response_time(Server& s, Millis took, const Attempt& a, int c, double hint) {
     class_statistics_[c].response.add(took);
-    Millis& usual = class_statistics_[c].usual;
-    usual = usual <= 0 ? took : took > usual ? usual * kMedianStep : usual / kMedianStep;
-    // Only what waited behind others tells how fast a queue is worked off; a part alone takes its own time.
-    // By its logarithm: a few slow servers don't speak for the tier.
-    if (a.ahead > 2 * hint) {
-      double x = std::log(std::max(took, 1.0) / a.ahead);
+    Millis& median = class_statistics_[c].median_response;
+    median = median <= 0 ? took : took > median ? median * kMedianStep : median / kMedianStep;
+    // Only parts that queued behind others show the rate at which a queue is processed. Logarithms limit the
+    // influence of a few slow servers on the pool's mean.
+    if (a.cost_ahead > 2 * hint) {
+      double x = std::log(std::max(took, 1.0) / a.cost_ahead);
       spread_dev_.add(std::abs(x - spread_.mean(now_, 0)), now_);
       spread_.add(x, now_);
     }
@@ -296,6 +333,7 @@
     s.paced_at = now_;
   }
 
+  // Adds `weight` strikes; ejects the server at kEjectionStrikes, longer with each relapse.
   void record_failure(const Server& s, ServerHealth& h, double weight, const char* why,
                       bool failed_immediately = false) {
     h.strikes = std::min(h.strikes + weight, 2 * kEjectionStrikes);
@@ -305,10 +343,11 @@
     if (!h.is_ejected) log("set aside, " + (why + s.id));
     h.is_ejected = true;
     h.failed_immediately = failed_immediately;
-    h.ejected_until = now_ + h.ejection_time * sparse_;
+    h.ejected_until = now_ + h.ejection_time * sparse_factor_;
   }
 
   void act(Action a) { actions_.push_back(std::move(a)); }
+  // Emits a log line, limited by a token bucket of kLogLines.
   void log(const std::string& text) {
     log_left_ = std::min(kLogLines, log_left_ + kLogPerSecond * (now_ - logged_at_) / 1000);
     logged_at_ = now_;
@@ -317,21 +356,22 @@
     act(LogLine{text});
   }
 
-  Settings set_;
+  Settings settings_;
   std::mt19937_64 random_;
   Millis now_, started_at_, tick_interval_ = kTickInterval;
   std::vector<Action> actions_;
   std::vector<Server> servers_;
   std::map<std::string, int> by_name_;
-  std::vector<int> free_;  // places in servers_
+  std::vector<int> free_slots_;  // unused slots of servers_
   std::vector<ClassStatistics> class_statistics_;
-  Recent crash_estimate_;       // broken connections that were falls of the server (1) or cut lines (0)
-  Recent attempts_ended_;       // attempts ended
-  double sparse_ = 1;           // mean seconds between two of them at one server, at least 1
-  Recent spread_, spread_dev_;  // log of response time over the sum it was placed at, and its deviation
-  Recent pool_load_;            // items reported by any server
-  double typical_pace_ = 0;
-  Millis quiet_after_ = std::numeric_limits<double>::infinity();
+  Recent crash_estimate_;       // share of broken connections that were server crashes
+  Recent attempts_ended_;       // counts ended attempts, for their rate
+  double sparse_factor_ = 1;    // mean seconds between two attempts at one server, at least 1
+  Recent spread_, spread_dev_;  // log(response time / cost ahead), and its deviation
+  Recent pool_load_;            // load reported by all servers, in queue items
+  double typical_pace_ = 0;     // median of the ready servers' pace; 0: unknown
+  // ms without an answer after which a server with attempts in flight counts as unresponsive.
+  Millis response_timeout_ = std::numeric_limits<double>::infinity();
   winchhall::membership::EndpointListFreshness list_freshness_{{}, 0};
   double log_left_ = kLogLines;
   Millis logged_at_ = now_;
