--- a/src/aggregator/app/serve.cpp
+++ b/src/aggregator/app/serve.cpp
@@ -322,7 +322,7 @@
     if (now >= figures_at) {
       figures_at = now + kFiguresEvery;
       for (std::size_t i = 0; i < router.figures().size(); ++i) {
-        const coordination::Figures& f = router.figures()[i];
+        const coordination::QueryCounters& f = router.figures()[i];
         spdlog::info("figures {}: taken {} whole {} partial {} refused {} failed {} withdrawn {} attempts {}",
                      router.figures_name(i), f.taken, f.complete, f.partial, f.refused, f.failed, f.withdrawn,
                      f.attempts);
--- a/src/aggregator/coordination/class_registry.cpp
+++ b/src/aggregator/coordination/class_registry.cpp
@@ -24,7 +24,7 @@
     if (*named == next[f] || open_[static_cast<std::size_t>(before[f])] == 0) place[f] = before[f];
     if (place[f] >= 0) taken[static_cast<std::size_t>(place[f])] = true;
   }
-  // What is known of a class goes with its name, also where its index stays with queries that are open.
+  // Statistics follow the class's name, also where the old index stays in use by open queries.
   std::vector<int> from(classes_.size(), -1);
   for (std::size_t i = 0; i < classes_.size(); ++i)
     if (open_[i] > 0 || taken[i]) from[i] = static_cast<int>(i);
@@ -57,7 +57,7 @@
   ClassSettings c = next;
   auto strict = [](Idempotency r) { return r == Idempotency::safe ? 0 : r == Idempotency::keyed ? 1 : 2; };
   if (strict(old.repeat) > strict(c.repeat)) c.repeat = old.repeat;
-  // A class without a window of its own does not bound the other's.
+  // Only `keyed` classes have a window: another class's doesn't limit it.
   if (old.repeat == Idempotency::keyed && next.repeat == Idempotency::keyed)
     c.idempotency_window = std::min(old.idempotency_window, next.idempotency_window);
   else if (old.repeat == Idempotency::keyed)
--- a/src/aggregator/coordination/class_registry.hpp
+++ b/src/aggregator/coordination/class_registry.hpp
@@ -1,6 +1,6 @@
-// Classes of query while settings change: an index stands for one generation of a class, not for its name.
-// Queries that are open keep the index that they came under, whose rules stay as they were; new ones get the
-// latest. No I/O.
+// Query classes across settings changes. An index stands for one version of a class, not for its name: open
+// queries keep the index, and so the rules, that they arrived under; new queries get the latest. No I/O; not
+// thread-safe.
 #pragma once
 
 #include <string>
@@ -10,36 +10,38 @@
 
 namespace winchhall::coordination {
 
+// Assigns indices to class versions and counts the open queries of each.
 class ClassTable {
  public:
   explicit ClassTable(std::vector<winchhall::ClassSettings> classes);
 
-  // The classes from now on. Those that are as they were keep their index; the others get one that nothing
-  // open refers to. `from[i]`: the index whose learned figures hold for i as well, or -1.
   struct Change {
-    std::vector<winchhall::ClassSettings> classes{};  // by index; without a name: of open queries only
-    std::vector<int> from{};
+    std::vector<winchhall::ClassSettings> classes{};  // by index; an empty name: used by open queries only
+    std::vector<int> from{};                          // by index: the old index whose statistics apply, or -1
   };
+  // Replaces the classes. Unchanged classes keep their index; changed and new ones get an index that no open
+  // query refers to. Indices of removed classes stay valid for their open queries.
   Change change(const std::vector<winchhall::ClassSettings>& next);
 
+  // Counts an open query of the class at `index`; each opened() needs one closed().
   void opened(int index) { ++open_[static_cast<std::size_t>(index)]; }
   void closed(int index) { --open_[static_cast<std::size_t>(index)]; }
   std::size_t size() const { return classes_.size(); }
-  // The class's name, also where only open queries are left of it.
+  // The class's name, also for a class that only open queries still use.
   const std::string& name(int index) const { return names_[static_cast<std::size_t>(index)]; }
 
  private:
   std::vector<winchhall::ClassSettings> classes_;
   std::vector<std::string> names_;
-  std::vector<int> open_;  // queries that came under it and are not over
+  std::vector<int> open_;  // open queries, by class index
 };
 
-// Rules that hold under both the old and the new settings of a class: for the time in which clients may go by
-// either.
+// The stricter of the old and the new value of each rule of a class, for the time in which clients may use
+// either version.
 winchhall::ClassSettings safe_under_both(const winchhall::ClassSettings& old,
                                          const winchhall::ClassSettings& next);
-// The same of whole settings. Classes that either has are there: a dropped one may still be asked for, and an
-// added one already.
+// The same for complete settings. The result has the classes of both: a removed class may still be requested,
+// an added one already.
 winchhall::Settings safe_under_both(const winchhall::Settings& old, const winchhall::Settings& next);
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/query_validation.cpp
+++ b/src/aggregator/coordination/query_validation.cpp
@@ -21,7 +21,7 @@
     if (p.hint && (!std::isfinite(*p.hint) || *p.hint < 0)) return "a part's hint";
     sum += p.weight;
   }
-  // Rounding of each share is allowed for; a sum that is off would make 'whole' mean something else.
+  // Allows for rounding of each weight. A wrong sum would change what counts as a complete answer.
   return std::abs(sum - 1) > 0.01 ? "shares that do not make a whole" : "";
 }
 
--- a/src/aggregator/coordination/query_validation.hpp
+++ b/src/aggregator/coordination/query_validation.hpp
@@ -1,4 +1,4 @@
-// What every front holds a query against, whatever wire it came on.
+// Validation of queries, shared by all front ends (HTTP and Flight).
 #pragma once
 
 #include <string>
@@ -7,18 +7,21 @@
 
 namespace winchhall::coordination {
 
-constexpr std::size_t kPartsMost = 4096;  // of one query
-constexpr std::size_t kSpansMost = 1024;  // of one query: as many fit into a body
-constexpr Millis kWayBack = 15;  // ms of a client's time spent on the way here and left for the way back
+constexpr std::size_t kPartsMost = 4096;  // parts of one query at most
+constexpr std::size_t kSpansMost = 1024;  // spans of one query at most: as many fit into a request body
+// Part of a client's time-out that is reserved for the network, in ms.
+constexpr Millis kWayBack = 15;
 
-// Shards that exist and come once, weights that are a share each and sum to 1, hints that are figures.
-// Empty if the query is sound, else what is wrong. `shards` 0: how many there are is not stated.
+// Returns what is wrong with the query, or an empty string if it is valid: its shards exist and are distinct,
+// weights lie in [0, 1] and sum to 1, cost estimates are finite and not negative. `shards`: number of shards;
+// 0 if unknown. The text goes to the client.
 std::string unsound(const QuerySpec& query, int shards);
 
-// A name that can be passed on in a line to a server.
+// Whether an id is printable ASCII without blanks, of 1 to 128 bytes, so that it can be sent to a server in a
+// line of the protocol.
 bool fit_name(const std::string& id);
 
-// When the answer is due, for a client that waits `timeout` and was first heard of at `arrived`.
+// Latest time to answer, for a client with this time-out (ms) whose request began to arrive at `arrived`.
 Millis due(Millis arrived, Millis timeout);
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/request_router.cpp
+++ b/src/aggregator/coordination/request_router.cpp
@@ -18,7 +18,7 @@
       log_(std::move(log)),
       coordinator_(settings_, seed, clock_()),
       classes_(settings_.classes) {
-  name_figures();
+  assign_counters();
 }
 
 void RequestRouter::attach(Transport& transport, MembershipSource& members, RangeSource* range_source) {
@@ -46,12 +46,12 @@
   q.parts.reserve(spec.parts.size());
   for (const QueryPart& p : spec.parts) q.parts.push_back({.spec = p});
   q.spec = std::move(spec);
-  Figures& f = figures_for(q.spec.query_class);
+  QueryCounters& f = counters_for(q.spec.query_class);
   ++f.taken;
   f.value_requested += settings_.classes[q.spec.query_class].value;
   ++open_;
   classes_.opened(q.spec.query_class);
-  // The site's limit on what is held: one more is turned away before the module sees it.
+  // Above Settings::max_open a query is rejected without reaching the coordinator.
   bool full = settings_.max_open > 0 && held_ >= static_cast<std::size_t>(settings_.max_open);
   bool later = true;
   std::string why = full ? "as many queries as may be held are open" : "";
@@ -87,7 +87,7 @@
         e.parts.back().holders = ranges::serving(*span->planned.holders);
     }
     handle(std::move(e));
-    // Guards against a map that came between planning and here: nobody would tell this query of it.
+    // The range map may have changed since planning, when update_ranges() skipped this query.
     if (state.coverage && state.on_complete && state.parts[0].span->planned.revision != map_.revision())
       replan(number);
   });
@@ -98,7 +98,7 @@
   inbox_.push_back([this, number] {
     auto it = queries_.find(number);
     if (it == queries_.end() || !it->second.on_complete) return;
-    ++figures_for(it->second.spec.query_class).withdrawn;
+    ++counters_for(it->second.spec.query_class).withdrawn;
     it->second.on_complete = nullptr;
     --open_;
     held_ -= it->second.held;
@@ -139,27 +139,26 @@
       Member& held = it->second.member;
       std::optional<Millis> started = held.entry.started;
       bool later = m.entry.started && (!started || *m.entry.started > *started);
-      // Guards against writing to connections of a process that died without a sign: they stay open, silent.
+      // The process was restarted: its old connections may look open but get no answers (half-open TCP).
       if (!fresh && later) transport_->retire(m.entry.server);
       held = m;
       if (!later) held.entry.started = started;
-      it->second.named = lists_delivered_;
+      it->second.last_list = lists_delivered_;
       e.servers.push_back(m.entry);
     }
-    // Guards against a table that grows with every server there ever was. What is still out on connections to
-    // one that is gone may end; nothing new goes there.
+    // Drops servers that have left. Their attempts in flight may end; no new ones are sent.
     std::set<std::string> removed;
     for (const Member& m : members)
       if (m.entry.state == ServerState::removed) removed.insert(m.entry.server);
     if (kind == ServerList::Kind::complete || kind == ServerList::Kind::cached)
       for (const auto& [id, known] : servers_)
-        if (known.named != lists_delivered_) removed.insert(id);
+        if (known.last_list != lists_delivered_) removed.insert(id);
     for (const std::string& id : removed) {
       transport_->retire(id);
       servers_.erase(id);
     }
     ++lists_delivered_;
-    // Guards against a part that waits for its connection while its server begins to drain.
+    // Recalls attempts still waiting for a connection to a server that is now draining or gone.
     std::vector<AttemptNumber> waiting;
     for (const auto& [attempt, state] : attempts_) {
       auto it = servers_.find(state.server);
@@ -178,14 +177,14 @@
   return list;
 }
 
-// ---- The driver
+// ---- Event processing
 
 void RequestRouter::run() {
   if (running_) return;
   running_ = true;
   for (bool again = true; again;) {
     Millis now = clock_();
-    // First what has come in, then what is due: an answer that is here is not timed out.
+    // Received events go before due timers, so that an answer already received isn't timed out.
     while (!inbox_.empty())
       for (auto& event : std::exchange(inbox_, {})) event();
     while (!attempt_ends_.empty() && attempt_ends_.begin()->first <= now) {
@@ -206,7 +205,7 @@
       const PartState& p = it->second.parts[part];
       if (p.span->on_hold && !p.span->replaced && !p.in && p.span->out == 0) holders(number, part, false);
     }
-    // One final answer, always: the module ends its queries earlier than this.
+    // Safety net for the one final answer: the coordinator ends its queries before this.
     while (!query_ends_.empty() && query_ends_.begin()->first <= now) {
       QueryNumber number = query_ends_.begin()->second;
       log_("query overdue, failed by the exchange");
@@ -261,7 +260,7 @@
     void operator()(const WatchList& a) { x.members_->watch(a.on); }
     void operator()(const FetchList&) { x.members_->fetch(); }
     void operator()(const CloseIdle& a) { x.transport_->close_idle(a.server); }
-    void operator()(const SendToPeers&) {}  // no wire here carries words between instances
+    void operator()(const SendToPeers&) {}  // there is no transport between instances
     void operator()(const SetTimer& a) { x.timers_.emplace(a.at, a.tag); }
     void operator()(const LogLine& a) { x.log_(a.text); }
   } visitor{*this};
@@ -277,7 +276,7 @@
   AttemptState state{number, index, static_cast<int>(p.attempts.size()), a.server, now, now + a.timeout};
   p.attempts.push_back(attempt);
   ++q.out;
-  ++figures_for(q.spec.query_class).attempts;
+  ++counters_for(q.spec.query_class).attempts;
   if (p.span) {
     ++p.span->out;
     p.span->asked = p.span->planned.revision;
@@ -299,14 +298,14 @@
     request.range = p.span->planned.range;
     request.revision = p.span->planned.revision;
   }
-  // A span's part is named by its place in the query: its range may have a part before and after it is split.
+  // A part over a range is named by its index, since the parts before and after a split may share a range.
   request.part = q.spec.id + (p.span ? ".r" + std::to_string(index) : "." + std::to_string(p.spec.shard));
   transport_->launch(request);
 }
 
 void RequestRouter::finish_attempt(AttemptNumber attempt, Result r) {
   auto it = attempts_.find(attempt);
-  if (it == attempts_.end()) return;  // given up before; what came after does not count
+  if (it == attempts_.end()) return;  // already abandoned: a late result is dropped
   AttemptState a = it->second;
   attempts_.erase(it);
   attempt_ends_.erase({a.until, attempt});
@@ -324,7 +323,7 @@
   if (denies)
     denied(a.query, a.part, r, false);
   else if (q.coverage && q.parts[a.part].span->on_hold && open && !ok)
-    holders(a.query, a.part, true);  // nothing more goes out under a plan that is void
+    holders(a.query, a.part, true);  // no attempt under an outdated plan
   handle(AttemptEnded{part_id(a.query, a.part), a.count, a.server, r.outcome, clock_() - a.sent, ok || !open,
                       report(r.load), r.written});
   if (q.coverage) on_span_attempt_settled(q, a, denies, r);
@@ -336,7 +335,7 @@
   if (it == queries_.end() || !it->second.on_complete) return;
   QueryState& q = it->second;
   const ClassSettings& c = settings_.classes[q.spec.query_class];
-  Figures& f = figures_for(q.spec.query_class);
+  QueryCounters& f = counters_for(q.spec.query_class);
   if (v.kind == QueryResult::Kind::refused) ++f.refused;
   if (v.kind == QueryResult::Kind::failed) ++f.failed;
   if (v.kind == QueryResult::Kind::answered) {
@@ -353,8 +352,8 @@
   forget_if_finished(number);
 }
 
-// Forgets a query once its verdict is out and no attempt of it is owed an outcome any more. Not at once: the
-// module may name its parts until the end of the actions that closed it.
+// Removes a query that has its result and no attempt in flight. Deferred, since the actions being executed
+// may still refer to its parts.
 void RequestRouter::forget_if_finished(QueryNumber number) {
   auto it = queries_.find(number);
   if (it == queries_.end() || it->second.on_complete || it->second.out > 0) return;
@@ -373,7 +372,7 @@
                               : field == ReportField::in_flight  ? load.in_flight
                               : field == ReportField::service_ms ? load.service_ms
                                                                  : std::nullopt;
-    values.push_back(v.value_or(-1));  // -1: not a figure
+    values.push_back(v.value_or(-1));  // -1: not reported
   }
   return values;
 }
--- a/src/aggregator/coordination/request_router.hpp
+++ b/src/aggregator/coordination/request_router.hpp
@@ -1,6 +1,8 @@
-// Where the client side and the server side meet, and the driver of the decision module. Fronts submit
-// queries and get verdicts; carriers get orders and tell how attempts ended; a membership source tells which
-// servers there are. The core knows no wire: no descriptor, no address but an opaque word, no protocol.
+// Connects the client side, the server side and the decision module (Coordinator). Front ends submit queries
+// and get results; the Transport sends attempts to servers and reports their ends; a MembershipSource
+// delivers the endpoint list. Independent of protocols: no descriptors, and endpoints are opaque strings.
+//
+// Threads: everything here runs on the event loop's thread. Times are in ms of the clock given to the router.
 #pragma once
 
 #include <cstdint>
@@ -25,244 +27,271 @@
 
 // ---- Client side
 
+// One part of a query as the client stated it.
 struct QueryPart {
   int shard = 0;
-  double weight = 0;
-  std::optional<Millis> hint{};  // expected work
+  double weight = 0;             // share of the result; the weights of a query sum to 1
+  std::optional<Millis> hint{};  // estimated cost, ms of work
 };
 
+// A query as a front end submits it, already validated (query_validation.hpp).
 struct QuerySpec {
-  std::string id{};  // as the client named it
-  int query_class = 0;
-  int tenant = -1;
-  Millis give_up_at = 0;
-  bool repeat = false;
-  std::optional<std::uint64_t> key{};
-  std::string text{};  // what every part carries, unchanged
+  std::string id{};                    // chosen by the client
+  int query_class = 0;                 // index into Settings::classes
+  int tenant = -1;                     // index into Settings::tenants, or -1
+  Millis give_up_at = 0;               // latest time of the final answer
+  bool repeat = false;                 // marked as a retry by the client
+  std::optional<std::uint64_t> key{};  // idempotency key, where known
+  std::string text{};                  // payload, sent unchanged with every part
   std::vector<QueryPart> parts{};
-  // Instead of parts: the accounts it is about. They are cut into parts by the map of ranges, and cut anew
-  // when ranges move while it runs.
+  // Instead of parts: account ranges. They are divided into parts by the range map, and again when ranges
+  // change while the query is open.
   std::vector<ranges::Span> spans{};
-  std::optional<Millis> hint{};  // spans: expected work of all
+  std::optional<Millis> hint{};  // with spans: estimated cost of the whole query, ms of work
 };
 
+// The result of one part.
 struct PartialResult {
   int shard = 0;
-  std::vector<std::string> values{};  // as the server gave them
-  ranges::Span span{};                // empty: by shard
-  ranges::Revision revision{};        // of the map that the server was asked under
+  std::vector<std::string> values{};  // as returned by the server
+  ranges::Span span{};                // empty for a part of a shard
+  ranges::Revision revision{};        // revision of the range map used for the request
 };
 
+// The final result of a query. refused: rejected, a retry is safe; failed: executions unknown; invalid: can't
+// be answered by any retry.
 struct QueryResult {
-  enum class Kind {
-    answered,
-    refused,
-    failed,
-    invalid
-  } kind = Kind::failed;  // unfit: nobody could answer it
+  enum class Kind { answered, refused, failed, invalid } kind = Kind::failed;
   bool complete = false;
-  double share = 0;        // of the parts' weight that is in
-  Millis retry_after = 0;  // refused: 0 is no advice
+  double share = 0;        // weight of the parts received
+  Millis retry_after = 0;  // refused: advice in ms; 0: none
   std::vector<PartialResult> rows{};
-  std::string why{};  // where it isn't the module's word
+  std::string why{};  // reason, where the router and not the coordinator decided
 };
 
 using QueryNumber = std::uint64_t;
-using CompletionCallback = std::function<void(QueryResult)>;  // called once, or never after withdraw()
+using CompletionCallback = std::function<void(QueryResult)>;  // called once; never after withdraw()
 
 // ---- Server side
 
 using AttemptNumber = std::uint64_t;
 
-struct Load {  // as a server reported it; what is absent was not told
+// A server's load report; absent values were not reported.
+struct Load {
   std::optional<double> queued{}, in_flight{}, service_ms{};
 };
 
+// One attempt to be sent to a server.
 struct AttemptRequest {
   AttemptNumber attempt = 0;
   std::string server{}, endpoint{};
-  std::string part{};  // the query's name, a dot and the shard
+  std::string part{};  // query id, dot, shard (or r and the index, for a range)
   int shard = 0;
-  Millis until = 0;  // the attempt is abandoned then
-  // Not to be written later than this: it would be a repeat out of time, or for a server that may drain.
+  Millis until = 0;  // time-out: the router abandons the attempt then
+  // Latest time to write it; later it could be a retry outside its idempotency window, or reach a server that
+  // is draining. A later one must end as Outcome::unsent.
   Millis send_by = std::numeric_limits<Millis>::infinity();
   std::shared_ptr<const std::string> text{};
-  // What is asked for where the span isn't empty: these accounts, as the map had them at this revision.
+  // If `span` isn't empty: the requested accounts, with their range and the revision of the range map.
   ranges::Span span{};
   ranges::RangeId range = 0;
   ranges::Revision revision{};
 };
 
+// The end of an attempt.
 struct Result {
   Outcome outcome = Outcome::ok;
   std::vector<std::string> values{};
   Load load{};
   std::shared_ptr<const ranges::NotMine> denial{};  // Outcome::not_mine
-  bool written = true;                              // false: its last byte never left here
+  bool written = true;                              // false: the request was not completely written
 };
 
-// Guards against a connection that fell silent without a sign: its server is sound on a new one, and every
-// part sent there would be lost, the one that tries a server set aside again as well. A carrier tells what
-// passes and calls elsewhere once silent() holds.
+// Detects a connection that is open but no longer answers, while its server would answer on a new one.
+// Without it all parts sent there would be lost, including trial parts for ejected servers. The transport
+// reports its traffic and opens a new connection once is_unresponsive() holds. Times in ms; one instance per
+// connection.
 class UnresponsivenessDetector {
  public:
   void on_activity(Millis now) {
     last_activity_at_ = now;
-    lost_ = 0;
+    lost_attempts_ = 0;
   }
-  // An attempt written at `written` was given up without an answer.
+  // An attempt written at `written` was abandoned without an answer.
   void on_attempt_abandoned(Millis written, Millis now) {
-    if (written <= last_activity_at_ || written == last_) return;
-    last_ = written;
-    lost_ = now - written > kLong ? kLost : lost_ + 1;
+    if (written <= last_activity_at_ || written == last_lost_at_) return;
+    last_lost_at_ = written;
+    lost_attempts_ = now - written > kLongSilence ? kMaxLostAttempts : lost_attempts_ + 1;
   }
-  bool is_unresponsive() const { return lost_ >= kLost; }
+  bool is_unresponsive() const { return lost_attempts_ >= kMaxLostAttempts; }
 
  private:
-  static constexpr Millis kLong = 50;  // ms: longer than a sound server needs beside a short queue
-  static constexpr int kLost = 2;      // or so many in a row: one may be a client that went away
-  Millis last_activity_at_ = 0, last_ = 0;
-  int lost_ = 0;
+  static constexpr Millis kLongSilence = 50;  // ms: more than a healthy server with a short queue needs
+  static constexpr int kMaxLostAttempts =
+      2;  // consecutive lost attempts: a single one may be a client that left
+  Millis last_activity_at_ = 0, last_lost_at_ = 0;
+  int lost_attempts_ = 0;
 };
 
+// Sends attempts to servers. Owned by the caller; must outlive the router's use of it. Called on the event
+// loop.
 class Transport {
  public:
-  virtual void launch(
-      const AttemptRequest& request) = 0;  // reports by attempt_ended(), never before it returns
-  virtual void flush() = 0;                // no more orders in this round
+  // Starts an attempt. Its end is reported once by RequestRouter::attempt_ended(), never during this call.
+  virtual void launch(const AttemptRequest& request) = 0;
+  // No more launches in this round of events: buffered requests may be written.
+  virtual void flush() = 0;
+  // Gives up an attempt; its end is not reported any more.
   virtual void abandon(AttemptNumber attempt) = 0;
-  // Takes back an attempt of which nothing has been written, without a word to anybody; false if something
-  // has.
+  // Drops an attempt if nothing of it was written, without a report; false if something was.
   virtual bool recall(AttemptNumber attempt) = 0;
   virtual void probe(const std::string& server, const std::string& endpoint) = 0;
   virtual void close_idle(const std::string& server) = 0;
-  virtual void retire(const std::string& server) = 0;  // the process behind older connections is gone
+  // The process behind existing connections has ended: nothing new may be sent on them.
+  virtual void retire(const std::string& server) = 0;
 
  protected:
   ~Transport() = default;
 };
 
+// One server of the endpoint list, with the endpoint that the transport connects to.
 struct Member {
   winchhall::ServerEntry entry{};
   std::string endpoint{};
 };
 
+// Source of the endpoint list; delivers by RequestRouter::list(). Owned by the caller; runs on the event
+// loop.
 class MembershipSource {
  public:
-  virtual void watch(bool on) = 0;  // each call is answered by one list at least
-  virtual void fetch() = 0;
+  virtual void watch(bool on) = 0;  // opens the watch (answered by at least one list) or closes it
+  virtual void fetch() = 0;         // requests the complete list once
 
  protected:
   ~MembershipSource() = default;
 };
 
-// Tells the map of ranges by RequestRouter::remap(), whenever it has a new one.
+// Source of the range map; delivers each new one by RequestRouter::update_ranges().
 class RangeSource {
  public:
-  virtual void refresh() = 0;  // a server knows of a later revision: ask now
+  virtual void refresh() = 0;  // a server reported a newer revision: request the map now
 
  protected:
   ~RangeSource() = default;
 };
 
-// ---- Service figures, per class
+// ---- Counters
 
-struct Figures {
+// Counters of one query class since the start. Values are sums of ClassSettings::value.
+struct QueryCounters {
   std::uint64_t taken = 0, complete = 0, partial = 0, refused = 0, failed = 0, withdrawn = 0, attempts = 0;
   double value_requested = 0, value_earned = 0;
-  bool operator==(const Figures&) const = default;
+  bool operator==(const QueryCounters&) const = default;
 };
 
+// Routes queries to servers as the Coordinator decides, and executes its actions. Public functions only queue
+// events; run() processes them. Invariants: each submitted query gets one result unless it is withdrawn; a
+// query is kept until its attempts have ended. Not thread-safe.
 class RequestRouter {
  public:
   RequestRouter(winchhall::Settings settings, std::uint64_t seed, std::function<Millis()> clock,
                 std::function<void(const std::string&)> log);
 
+  // Must be called before start(). The objects stay owned by the caller and must outlive the router's use.
   void attach(Transport& transport, MembershipSource& members, RangeSource* ranges = nullptr);
+  // Starts the coordinator with the servers known from an earlier run, possibly none.
   void start(const std::vector<Member>& known);
 
   // Client side.
+  // Accepts a query. `on_complete` is called from run(), never during this call.
   QueryNumber submit(QuerySpec spec, CompletionCallback on_complete);
+  // The client has gone: no result is delivered. Unknown and completed queries are ignored.
   void withdraw(QueryNumber number);
 
   // Server side.
   void attempt_ended(AttemptNumber attempt, Result result);
   void probe_ended(const std::string& server, Outcome outcome, Millis elapsed, const Load& load);
-  // `end`, of a call that failed: how. `revision` of the list that these members make; 0: it has none.
+  // Delivers an endpoint list. `end`: how a failed request ended, for Kind::failed. `revision`: of the list;
+  // 0 if it has none.
   void list(winchhall::ServerList::Kind kind, const std::vector<Member>& members,
             winchhall::CallEnd end = winchhall::CallEnd::failed, long long revision = 0);
-  void on_list_keepalive();      // the watch wrote something, if only its empty line
-  void on_list_service_moved();  // the service is asked elsewhere from now on; the watch of before is void
-  // The map from now on. Queries that are open are planned again where it touches them.
+  void on_list_keepalive();      // the watch delivered data, possibly just a keepalive line
+  void on_list_service_moved();  // the discovery service has a new address; the watch is lost
+  // Replaces the range map. Open queries that it affects are replanned.
   void update_ranges(ranges::RangeMap map);
 
-  // Other settings from now on, of classes as of all else; queries that are open keep the class they came
-  // under.
+  // Replaces the settings. Open queries keep the class version they arrived under.
   void change_settings(const winchhall::Settings& settings);
 
-  // Carries events to the module and its actions out, until nothing is due. Call whenever the above were.
+  // Processes queued events and due timers until none is left. Must be called after any of the above. Nested
+  // calls return at once.
   void run();
+  // When run() has to be called next; 0 if events are queued, infinity if nothing is pending.
   Millis next_due() const;
 
   const winchhall::Settings& settings() const { return settings_; }
-  // By class as the settings of the start have them, and then by the order in which other names came.
-  const std::vector<Figures>& figures() const { return figures_; }
-  const std::string& figures_name(std::size_t i) const { return figures_names_[i]; }
+  // Counters in the order of the first settings' classes, followed by classes in the order of their
+  // appearance.
+  const std::vector<QueryCounters>& figures() const { return counters_; }
+  const std::string& figures_name(std::size_t i) const { return counter_names_[i]; }
   std::size_t open_queries() const { return open_; }
   std::size_t attempts_out() const { return attempts_.size(); }
   std::size_t known_servers() const { return servers_.size(); }
-  std::vector<Member> members() const;                              // the list as it is held
-  long long list_revision() const { return list_revision_; }        // of that list; 0: none was told with one
-  std::size_t lists_delivered() const { return lists_delivered_; }  // to the module, failed calls included
+  std::vector<Member> members() const;                        // the current endpoint list
+  long long list_revision() const { return list_revision_; }  // of that list; 0: none
+  std::size_t lists_delivered() const {
+    return lists_delivered_;
+  }  // to the coordinator, failed requests included
   const ranges::RangeMap& map() const { return map_; }
 
-  struct RangeMigrations {  // what moving ranges did to open queries since the start
+  // Effects of range changes on parts of open queries since the start.
+  struct RangeMigrations {
     std::uint64_t replaced = 0, joined = 0, elsewhere = 0, on_hold = 0, denied = 0, dropped = 0;
   };
   const RangeMigrations& moves() const { return range_migrations_; }
 
  private:
-  // What a part of a span has besides. Apart from the others: on the platform no part has it.
+  // Additional state of a part over an account range; separate, since parts of shards don't need it.
   struct SpanPart {
     ranges::PlannedPart planned{};
-    ranges::Revision asked{};  // of the map that its last attempt was made under
-    int out = 0;
-    bool replaced = false;  // by others: nothing more is asked or heard of it
-    bool on_hold = false;   // its range is no more, or a server's word on it is awaited
+    ranges::Revision asked{};  // revision of the range map of its last attempt
+    int out = 0;               // attempts in flight
+    bool replaced = false;     // by successors: no further attempts, late answers are dropped
+    bool on_hold = false;      // its range no longer exists, or a newer map is awaited
   };
   struct PartState {
     QueryPart spec{};
-    bool in = false;
+    bool in = false;  // its answer was received
     std::vector<std::string> values{};
     std::vector<AttemptNumber> attempts{};
     std::unique_ptr<SpanPart> span{};
   };
   struct QueryState {
     QuerySpec spec;
-    CompletionCallback on_complete;  // empty once the verdict is out
+    CompletionCallback on_complete;  // empty once the result was delivered
     Millis arrived = 0;
     std::shared_ptr<const std::string> text;
     std::vector<PartState> parts;
-    int out = 0;
-    std::size_t held = 0;  // of the site's limit
-    bool arrived_at_module = false;
+    int out = 0;                     // attempts in flight
+    std::size_t held = 0;            // counted against Settings::max_open
+    bool arrived_at_module = false;  // QueryArrived was delivered to the coordinator
     std::optional<ranges::Coverage> coverage;
   };
   struct AttemptState {
     QueryNumber query = 0;
     std::size_t part = 0;
-    int count = 0;  // which attempt of its part
+    int count = 0;  // number within its part, from 0
     std::string server;
     Millis sent = 0, until = 0;
   };
-  struct Known {
+  struct KnownServer {
     Member member;
-    std::size_t named = 0;  // number of the last list that named it
+    std::size_t last_list = 0;  // number of the last list that contained it
   };
 
-  void name_figures();
-  Figures& figures_for(int query_class) {
-    return figures_[figures_of_[static_cast<std::size_t>(query_class)]];
+  void assign_counters();
+  QueryCounters& counters_for(int query_class) {
+    return counters_[counters_by_class_[static_cast<std::size_t>(query_class)]];
   }
   void handle(const winchhall::Event& event);
   void act(const winchhall::Action& action);
@@ -277,13 +306,14 @@
                                const Result& result);
   static PartState span_part(ranges::PlannedPart planned);
   QueryResult answer(const QueryState& query, bool complete) const;
-  // Empty, or why these spans can't be planned; `later`: it may go in a while.
+  // Plans the query's spans. Returns the reason if that fails, else an empty string; `later`: a retry may
+  // succeed.
   std::string plan(QueryState& query, bool& later);
   void replan(QueryNumber number);
   void carry_out(QueryNumber number, const ranges::Decision& decision);
   void replace(QueryNumber number, const ranges::Decision& decision);
   void holders(QueryNumber number, std::size_t part, bool on_hold);
-  void denied(QueryNumber number, std::size_t part, const Result& result, bool on_activity);
+  void denied(QueryNumber number, std::size_t part, const Result& result, bool coordinator_notified);
   static ranges::OpenPart open_part(const QueryState& query, std::size_t part);
   std::vector<double> report(const Load& load) const;
   static std::string part_id(QueryNumber number, std::size_t part);
@@ -302,20 +332,20 @@
   AttemptNumber next_attempt_ = 1;
   std::map<QueryNumber, QueryState> queries_;
   std::map<AttemptNumber, AttemptState> attempts_;
-  std::map<std::string, Known> servers_;
+  std::map<std::string, KnownServer> servers_;
   std::multimap<Millis, std::int64_t> timers_;
   std::set<std::pair<Millis, AttemptNumber>> attempt_ends_;
   std::set<std::pair<Millis, QueryNumber>> query_ends_;
-  // Parts whose server knows of a later map: they wait for the directory's word until then at the longest.
+  // Parts that wait for a newer range map, with the end of the wait.
   std::set<std::pair<Millis, std::pair<QueryNumber, std::size_t>>> directory_deadlines_;
   RangeSource* range_source_ = nullptr;
   ranges::RangeMap map_;
   RangeMigrations range_migrations_;
   std::size_t open_ = 0, held_ = 0, lists_delivered_ = 0;
   ClassTable classes_;
-  std::vector<Figures> figures_;            // a class keeps its counters whatever its settings become
-  std::vector<std::string> figures_names_;  // of the same order
-  std::vector<std::size_t> figures_of_;     // by class: its place there
+  std::vector<QueryCounters> counters_;         // a class keeps its counters when its settings change
+  std::vector<std::string> counter_names_;      // class names, in the same order
+  std::vector<std::size_t> counters_by_class_;  // by class index: index into counters_
 };
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/request_router_ranges.cpp
+++ b/src/aggregator/coordination/request_router_ranges.cpp
@@ -1,4 +1,5 @@
-// Moving ranges in the exchange: queries over accounts are planned, and planned again when ranges move.
+// RequestRouter: queries over account ranges. They are planned against the range map and replanned when
+// ranges are split, merged or moved.
 #include <algorithm>
 #include <utility>
 
@@ -14,10 +15,11 @@
 using ranges::RangeMap;
 
 namespace {
-// ms that a part waits for the directory once its server told of a later map: a question and its answer on
-// a slow link. Other holders of the old map would most likely say the same, and each saying costs an attempt.
+// ms that a part waits for the range directory after its server reported a newer map: one round trip on a
+// slow link. Other replicas under the old map would most likely reject it too, and each rejection costs an
+// attempt.
 constexpr Millis kDirectoryTimeout = 150;
-constexpr double kShareSlack = 1e-4;  // of sums of shares, by rounding; the rule allows as much
+constexpr double kShareSlack = 1e-4;  // rounding tolerance for sums of shares
 }  // namespace
 
 RequestRouter::PartState RequestRouter::span_part(PlannedPart planned) {
@@ -42,8 +44,8 @@
   inbox_.push_back([this, m = std::move(map)] {
     map_ = m;
     for (auto& [number, q] : queries_)
-      // Guards against parts and their successors side by side: one that the module hasn't heard of yet is
-      // planned again when it has.
+      // A query that the coordinator hasn't received yet is replanned after its QueryArrived event;
+      // replanning it here would leave the coordinator with parts and their successors.
       if (q.on_complete && q.coverage && q.arrived_at_module) replan(number);
   });
 }
@@ -60,7 +62,7 @@
     if (!q.parts[i].in && !q.parts[i].span->replaced) open.push_back(open_part(q, i));
   if (open.empty()) return;
   for (const Decision& d : ranges::replan(map_, *q.coverage, std::move(open))) {
-    if (!q.on_complete) return;  // the module has ended it meanwhile
+    if (!q.on_complete) return;  // ended by the coordinator meanwhile
     carry_out(number, d);
   }
 }
@@ -75,8 +77,8 @@
     case Decision::Kind::hold_back: {
       range_migrations_.on_hold += !p.on_hold;
       p.on_hold = true;
-      // Whom its successors would go to: so long as it is out, the module only asks itself by them whether a
-      // silent server is worth leaving.
+      // The replicas of its successors. While the attempt is in flight, the coordinator uses them only to
+      // decide whether to abandon an unresponsive server.
       HoldersChanged e{part_id(number, d.parts[0]), {}};
       for (const PlannedPart& s : d.successors)
         for (std::string& server : ranges::serving(*s.holders))
@@ -90,8 +92,8 @@
       return holders(number, d.parts[0], false);
     case Decision::Kind::replace:
     case Decision::Kind::join:
-      // Guards against parts that an earlier decision of the same round sent out (as spares are): the module
-      // would not let go of them. They are planned again when they end.
+      // An earlier decision of this loop may have caused an attempt (for a spare), and the coordinator
+      // ignores the replacement of parts in flight. These are replanned when their attempts end.
       if (std::any_of(d.parts.begin(), d.parts.end(),
                       [&](std::size_t i) { return q.parts[i].span->out > 0; })) {
         for (std::size_t i : d.parts) q.parts[i].span->on_hold |= q.parts[i].span->out > 0;
@@ -127,13 +129,14 @@
   handle(e);
 }
 
-// A server has not what the part asks for. First, before the module hears that the attempt is over: whom it
-// may ask next. Then, when it has heard: what takes the part's place.
-void RequestRouter::denied(QueryNumber number, std::size_t part, const Result& r, bool heard) {
+// Handles a server's rejection of a part that it doesn't own. Called twice: before the coordinator gets
+// AttemptEnded (`coordinator_notified` false), to update the part's replicas, and after it, to replace the
+// part by successors.
+void RequestRouter::denied(QueryNumber number, std::size_t part, const Result& r, bool coordinator_notified) {
   QueryState& q = queries_.at(number);
   if (!q.on_complete) return;
   auto answer = ranges::not_mine(map_, *q.coverage, open_part(q, part), *r.denial);
-  if (heard) {
+  if (coordinator_notified) {
     if (answer.decision && answer.decision->kind == Decision::Kind::replace)
       carry_out(number, *answer.decision);
     return;
@@ -143,22 +146,23 @@
   if (answer.decision && answer.decision->kind == Decision::Kind::elsewhere)
     return carry_out(number, *answer.decision);
   bool wait = answer.refresh_directory && r.denial->revision > map_.revision() && range_source_;
-  if (!answer.decision && !wait) return;  // another holder, or the same one in a moment
+  if (!answer.decision && !wait) return;  // retried at another replica, or later at the same
   holders(number, part, true);
   if (!answer.decision) directory_deadlines_.insert({clock_() + kDirectoryTimeout, {number, part}});
 }
 
-// The module has heard of it: what takes the part's place now.
+// Called after the coordinator got AttemptEnded: replaces the part where its range has changed.
 void RequestRouter::on_span_attempt_settled(QueryState& q, const AttemptState& a, bool denies,
                                             const Result& r) {
   const PartState& p = q.parts[a.part];
   if (!q.on_complete || p.in || p.span->replaced) return;
   if (denies && p.span->out == 0) return denied(a.query, a.part, r, true);
-  // Its range was split or merged while it was out: now that it has no answer, its successors are asked.
+  // Its range was split or merged during the attempt: without an answer, its successors are asked.
   if (p.span->on_hold) replan(a.query);
 }
 
-// True where the answer counts.
+// Returns true if the attempt's answer is accepted. An answer that overlaps accepted ones is changed into an
+// error, so that no account is counted twice.
 bool RequestRouter::on_span_attempt_ended(QueryState& q, const AttemptState& a, Result& r) {
   SpanPart& p = *q.parts[a.part].span;
   if (r.outcome != Outcome::ok) {
@@ -186,7 +190,7 @@
       v.rows.back().revision = p.span->asked;
     }
   if (!q.coverage) return v;
-  // Shares of accounts are counted on accounts. The module's sums say the same; this is the last look.
+  // Final check of the coordinator's result against the account ranges actually received.
   v.share = q.coverage->in_share();
   v.complete = complete && q.coverage->complete();
   const ClassSettings& c = settings_.classes[q.spec.query_class];
--- a/src/aggregator/coordination/request_router_recall.cpp
+++ b/src/aggregator/coordination/request_router_recall.cpp
@@ -1,10 +1,10 @@
-// Attempts of the exchange that are taken back before anything of them is written.
+// RequestRouter: recall of attempts before anything is written to the server.
 #include "aggregator/coordination/request_router.hpp"
 
 namespace winchhall::coordination {
 
-// Guards against work for nobody: an attempt of which nothing is written yet goes no further, also where
-// one that runs may not be cancelled.
+// Avoids work without a recipient: an unwritten attempt can be dropped even where the settings forbid the
+// cancellation of running ones.
 void RequestRouter::recall_unsent(QueryNumber number) {
   const QueryState& q = queries_.at(number);
   for (std::size_t part = 0; q.out > 0 && part < q.parts.size(); ++part)
--- a/src/aggregator/coordination/request_router_settings.cpp
+++ b/src/aggregator/coordination/request_router_settings.cpp
@@ -1,4 +1,4 @@
-// Settings that change while queries run, in the exchange.
+// RequestRouter: settings changes while queries are open.
 #include <utility>
 
 #include "aggregator/coordination/request_router.hpp"
@@ -7,18 +7,18 @@
 
 using namespace winchhall;
 
-void RequestRouter::name_figures() {
-  figures_of_.resize(settings_.classes.size());
+void RequestRouter::assign_counters() {
+  counters_by_class_.resize(settings_.classes.size());
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
     const std::string& name = settings_.classes[i].name;
-    if (name.empty()) continue;  // queries of it are open still: they count where they began
+    if (name.empty()) continue;  // used by open queries only: they keep their counters
     std::size_t at = 0;
-    while (at < figures_names_.size() && figures_names_[at] != name) ++at;
-    if (at == figures_names_.size()) {
-      figures_names_.push_back(name);
-      figures_.emplace_back();
+    while (at < counter_names_.size() && counter_names_[at] != name) ++at;
+    if (at == counter_names_.size()) {
+      counter_names_.push_back(name);
+      counters_.emplace_back();
     }
-    figures_of_[i] = at;
+    counters_by_class_[i] = at;
   }
 }
 
@@ -27,7 +27,7 @@
     ClassTable::Change change = classes_.change(settings.classes);
     settings_ = settings;
     settings_.classes = std::move(change.classes);
-    name_figures();
+    assign_counters();
     handle(SettingsChanged{settings_, std::move(change.from)});
   });
 }
--- a/src/aggregator/coordination/settings_transition.hpp
+++ b/src/aggregator/coordination/settings_transition.hpp
@@ -1,5 +1,6 @@
-// Settings that change while queries come in. Clients go by the old ones for a while after the order and by
-// the new ones soon after it, so what acts in between is safe under both. No I/O.
+// Settings changes while queries arrive. Clients switch to new settings at different times, so for
+// kOverlapTime after a change the effective settings are safe under both versions. No I/O; not thread-safe.
+// Times are in ms on the caller's clock.
 #pragma once
 
 #include <limits>
@@ -9,21 +10,23 @@
 
 namespace winchhall::coordination {
 
+// State machine of one settings change: begin(), overlap, complete_if_due().
 class SettingsTransition {
  public:
   explicit SettingsTransition(const winchhall::Settings& settings) : acting_(settings), target_(settings) {}
 
-  // New settings were ordered: what acts from now on. A second order before the first has settled is safe
-  // under all.
+  // Starts a change and returns the settings in effect during the overlap. A change that begins before the
+  // previous one is complete gives settings safe under all of them.
   const winchhall::Settings& begin(const winchhall::Settings& next, winchhall::Millis now);
-  // What acts from now on, once clients go by the new settings alone; nothing before and after.
+  // Returns the new settings once, when the overlap is over; else nothing.
   std::optional<winchhall::Settings> complete_if_due(winchhall::Millis now);
 
+  // When complete_if_due() has to be called; infinity if no change is in progress.
   winchhall::Millis due() const { return complete_at_; }
   const winchhall::Settings& acting() const { return acting_; }
 
-  // ms: clients go by new settings from 1.2 s after the order (operators' page), and what they sent before
-  // that is still on its way for a moment.
+  // ms: clients use new settings from 1.2 s after the change (operators' page); the rest allows for requests
+  // in transit.
   static constexpr winchhall::Millis kOverlapTime = 1600;
 
  private:
--- a/tests/aggregator/flight/flight_integration_test.cpp
+++ b/tests/aggregator/flight/flight_integration_test.cpp
@@ -367,7 +367,7 @@
   CHECK(std::count_if(http.begin(), http.end(), [](auto& v) { return v.rfind("partial", 0) == 0; }) > 0);
   CHECK(std::count(http.begin(), http.end(), "none") > 0);
   for (std::size_t c = 0; c < 2; ++c) {
-    const coordination::Figures &x = h.router.figures()[c], &y = f.router.figures()[c];
+    const coordination::QueryCounters &x = h.router.figures()[c], &y = f.router.figures()[c];
     CHECK(x.taken == y.taken);
     CHECK(x.complete == y.complete);
     CHECK(x.partial == y.partial);
