--- a/src/aggregator/admin/admin_protocol.cpp
+++ b/src/aggregator/admin/admin_protocol.cpp
@@ -10,9 +10,9 @@
 
 ParsedLine parse_line(std::string_view bytes, bool ended) {
   std::size_t end = bytes.find('\n');
-  // Guards against callers that never end their line: a long one is told as soon as it is too long.
-  if (std::min(end, bytes.size()) > kLineMost)
-    return {.why = "a line too long: at most " + std::to_string(kLineMost) + " bytes"};
+  // Bounds the buffer for a peer that never ends its line.
+  if (std::min(end, bytes.size()) > kMaxLineBytes)
+    return {.why = "a line too long: at most " + std::to_string(kMaxLineBytes) + " bytes"};
   if (bytes.substr(0, end).find('\0') != std::string_view::npos) return {.why = "a zero byte in the line"};
   if (end == std::string_view::npos) return ended ? ParsedLine{.why = "no whole line"} : ParsedLine{};
   if (end + 1 < bytes.size()) return {.why = "more than one line"};
--- a/src/aggregator/admin/admin_server.cpp
+++ b/src/aggregator/admin/admin_server.cpp
@@ -16,29 +16,30 @@
 namespace winchhall::admin {
 namespace {
 
-constexpr int kBacklog = 128;          // callers that wait to be let in
-constexpr double kAnswerWithin = 600;  // ms that the loop has for an answer: one is owed in 1 s
-constexpr double kHold = 5000;         // ms for a caller to say its line
-constexpr double kClosing = 500;       // ms for a caller to take its answer
-constexpr std::size_t kReadMost = kLineMost + 64;
+constexpr int kBacklog = 128;  // connections waiting for accept
+constexpr double kCommandTimeout =
+    600;  // ms for the event loop to execute a command: a reply is due within 1 s
+constexpr double kReadTimeout = 5000;  // ms for a client to send its line
+constexpr double kCloseTimeout = 500;  // ms for a client to read the reply and close
+constexpr std::size_t kMaxReadBytes = kMaxLineBytes + 64;
 
 double now_ms() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-void ring(const event_loop::UniqueFd& bell) {
+void wake(const event_loop::UniqueFd& event) {
   std::uint64_t one = 1;
-  // It can only fail where the bell has been rung already and not been heard.
-  [[maybe_unused]] ssize_t n = ::write(bell.get(), &one, sizeof one);
+  // Fails only if the counter is at its maximum, when the reader is woken anyway.
+  [[maybe_unused]] ssize_t n = ::write(event.get(), &one, sizeof one);
 }
 
-void hush(const event_loop::UniqueFd& bell) {
-  std::uint64_t rung = 0;
-  [[maybe_unused]] ssize_t n = ::read(bell.get(), &rung, sizeof rung);
+void clear_wakeup(const event_loop::UniqueFd& event) {
+  std::uint64_t count = 0;
+  [[maybe_unused]] ssize_t n = ::read(event.get(), &count, sizeof count);
 }
 
-event_loop::UniqueFd bell() {
+event_loop::UniqueFd make_eventfd() {
   event_loop::UniqueFd fd(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
   if (!fd) throw std::system_error(errno, std::generic_category(), "eventfd");
   return fd;
@@ -46,17 +47,17 @@
 
 }  // namespace
 
-struct AdminServer::Caller {
+struct AdminServer::Connection {
   std::uint64_t number = 0;
   event_loop::UniqueFd fd;
-  double since = 0;  // of the state it is in
-  enum class State { speaking, waiting, closing } state = State::speaking;
+  double since = 0;  // when it entered `state`, ms
+  enum class State { reading, waiting, closing } state = State::reading;
   Command command = Command::ready;
   std::string in{};
 
-  void say(const Reply& reply) {
+  void send_reply(const Reply& reply) {
     std::string line = reply.line();
-    // A line fits into the socket's buffer: nobody has written to it before.
+    // One line always fits into the empty socket buffer.
     [[maybe_unused]] ssize_t n = ::send(fd.get(), line.data(), line.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     ::shutdown(fd.get(), SHUT_WR);
     state = State::closing;
@@ -69,8 +70,8 @@
     : loop_(loop),
       handle_command_(std::move(handle_command)),
       listener_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
-      to_loop_(bell()),
-      to_admin_thread_(bell()) {
+      to_loop_(make_eventfd()),
+      to_admin_thread_(make_eventfd()) {
   int on = 1;
   sockaddr_in bound = address;
   socklen_t size = sizeof bound;
@@ -80,99 +81,103 @@
       ::getsockname(listener_.get(), reinterpret_cast<sockaddr*>(&bound), &size) < 0)
     throw std::system_error(errno, std::generic_category(), "the operators' door");
   port_ = ntohs(bound.sin_port);
-  loop_.add(to_loop_.get(), POLLIN, [this](short) { deliver(); });
-  thread_ = std::thread([this] { work(); });
+  loop_.add(to_loop_.get(), POLLIN, [this](short) { execute_commands(); });
+  thread_ = std::thread([this] { run_admin_thread(); });
 }
 
 AdminServer::~AdminServer() {
-  ending_.store(true);
-  ring(to_admin_thread_);
+  stopping_.store(true);
+  wake(to_admin_thread_);
   thread_.join();
   loop_.remove(to_loop_.get());
 }
 
-// On the loop: carries out what was called for.
-void AdminServer::deliver() {
-  hush(to_loop_);
+// Runs on the event loop.
+void AdminServer::execute_commands() {
+  clear_wakeup(to_loop_);
   bool any = false;
   for (PendingCommand a; commands_.try_dequeue(a); any = true)
-    // A ring that is full drops the answer and not the order: the door has its own for a loop that says
-    // nothing.
-    replies_.try_enqueue({a.caller, handle_command_(a.command)});
-  if (any) ring(to_admin_thread_);
+    // A full queue drops only the reply, not the command: the admin thread then replies after its time-out.
+    replies_.try_enqueue({a.connection, handle_command_(a.command)});
+  if (any) wake(to_admin_thread_);
 }
 
-void AdminServer::work() {
-  std::list<Caller> callers;
+void AdminServer::run_admin_thread() {
+  std::list<Connection> connections;
   std::uint64_t next = 1;
-  while (!ending_.load()) {
+  while (!stopping_.load()) {
     std::vector<pollfd> polled{{to_admin_thread_.get(), POLLIN, 0}, {listener_.get(), POLLIN, 0}};
     double now = now_ms(), wait = 60000;
-    for (const Caller& c : callers) {
-      double limit = c.state == Caller::State::speaking  ? kHold
-                     : c.state == Caller::State::waiting ? kAnswerWithin
-                                                         : kClosing;
+    for (const Connection& c : connections) {
+      double limit = c.state == Connection::State::reading   ? kReadTimeout
+                     : c.state == Connection::State::waiting ? kCommandTimeout
+                                                             : kCloseTimeout;
       wait = std::min(wait, c.since + limit - now);
-      polled.push_back({c.fd.get(), static_cast<short>(c.state == Caller::State::waiting ? 0 : POLLIN), 0});
+      polled.push_back(
+          {c.fd.get(), static_cast<short>(c.state == Connection::State::waiting ? 0 : POLLIN), 0});
     }
     ::poll(polled.data(), polled.size(), static_cast<int>(std::clamp(wait + 1, 0.0, 60000.0)));
     now = now_ms();
-    if (polled[0].revents) hush(to_admin_thread_);
+    if (polled[0].revents) clear_wakeup(to_admin_thread_);
 
     std::size_t i = 2;
-    for (Caller& c : callers) {
+    for (Connection& c : connections) {
       short events = polled[i++].revents;
       if (events == 0) continue;
-      char buffer[kReadMost];
+      char buffer[kMaxReadBytes];
       ssize_t n = ::recv(c.fd.get(), buffer, sizeof buffer, 0);
       if (n < 0 && (errno == EAGAIN || errno == EINTR)) continue;
-      if (c.state != Caller::State::speaking) {
-        if (n <= 0 && c.state == Caller::State::closing) c.since = now - 2 * kClosing;
+      if (c.state != Connection::State::reading) {
+        if (n <= 0 && c.state == Connection::State::closing) c.since = now - 2 * kCloseTimeout;
         continue;
       }
       if (n > 0) c.in.append(buffer, static_cast<std::size_t>(n));
-      ParsedLine heard = parse_line(c.in, n <= 0);
-      if (!heard.why.empty()) c.say({false, heard.why});
-      if (!heard.command) continue;
-      c.command = *heard.command;
-      c.state = Caller::State::waiting;
+      ParsedLine parsed = parse_line(c.in, n <= 0);
+      if (!parsed.why.empty()) c.send_reply({false, parsed.why});
+      if (!parsed.command) continue;
+      c.command = *parsed.command;
+      c.state = Connection::State::waiting;
       c.since = now;
-      if (!commands_.try_enqueue({c.number, c.command})) c.say({false, "busy: too many calls at once"});
-      ring(to_loop_);
+      if (!commands_.try_enqueue({c.number, c.command}))
+        c.send_reply({false, "busy: too many calls at once"});
+      wake(to_loop_);
     }
     for (PendingReply t; replies_.try_dequeue(t);)
-      for (Caller& c : callers)
-        if (c.number == t.caller && c.state == Caller::State::waiting) c.say(t.reply);
-    for (Caller& c : callers) {
-      if (c.state == Caller::State::speaking && now >= c.since + kHold)
-        c.say({false, "no whole line in time"});
-      // Guards against a loop that is held up: an order is carried out when it comes to it, and /ready is as
-      // it was.
-      if (c.state == Caller::State::waiting && now >= c.since + kAnswerWithin) {
+      for (Connection& c : connections)
+        if (c.number == t.connection && c.state == Connection::State::waiting) c.send_reply(t.reply);
+    for (Connection& c : connections) {
+      if (c.state == Connection::State::reading && now >= c.since + kReadTimeout)
+        c.send_reply({false, "no whole line in time"});
+      // The event loop is busy: the command stays queued and is executed later, `ready` gets the last known
+      // state.
+      if (c.state == Connection::State::waiting && now >= c.since + kCommandTimeout) {
         bool yes = c.command != Command::ready || serving_.load(std::memory_order_relaxed);
-        c.say({yes, c.command == Command::ready ? "as last told" : "ordered, not yet carried out"});
+        c.send_reply({yes, c.command == Command::ready ? "as last told" : "ordered, not yet carried out"});
       }
     }
-    callers.remove_if(
-        [&](const Caller& c) { return c.state == Caller::State::closing && now >= c.since + kClosing; });
+    connections.remove_if([&](const Connection& c) {
+      return c.state == Connection::State::closing && now >= c.since + kCloseTimeout;
+    });
 
     while (polled[1].revents) {
       event_loop::UniqueFd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (!fd) break;
-      // Guards against callers that hold every place and say nothing: the one that has stood there for
-      // longest without a whole line goes, and those whose answer is out before it.
-      if (callers.size() >= kCallersMost) {
-        auto value = [](const Caller& c) {
-          return c.state == Caller::State::closing ? 2 : c.state == Caller::State::speaking ? 1 : 0;
+      // All connections are in use: evicts one that already has its reply, else the one that has been waiting
+      // longest without a complete line.
+      if (connections.size() >= kMaxConnections) {
+        auto eviction_rank = [](const Connection& c) {
+          return c.state == Connection::State::closing ? 2 : c.state == Connection::State::reading ? 1 : 0;
         };
-        auto out = std::max_element(callers.begin(), callers.end(), [&](const Caller& a, const Caller& b) {
-          return value(a) != value(b) ? value(a) < value(b) : a.since > b.since;
-        });
-        if (value(*out) == 0) continue;  // all wait for the loop: this one goes
-        if (out->state == Caller::State::speaking) out->say({false, "busy: others call"});
-        callers.erase(out);
+        auto evicted = std::max_element(
+            connections.begin(), connections.end(), [&](const Connection& a, const Connection& b) {
+              return eviction_rank(a) != eviction_rank(b) ? eviction_rank(a) < eviction_rank(b)
+                                                          : a.since > b.since;
+            });
+        if (eviction_rank(*evicted) == 0) continue;  // all wait for the event loop: drops the new one
+        if (evicted->state == Connection::State::reading) evicted->send_reply({false, "busy: others call"});
+        connections.erase(evicted);
       }
-      callers.push_back({next++, std::move(fd), now});
+      connections.push_back({next++, std::move(fd), now});
     }
   }
 }
--- a/src/aggregator/admin/admin_server.hpp
+++ b/src/aggregator/admin/admin_server.hpp
@@ -1,6 +1,8 @@
-// The operators' door: one line to a connection, answered by ACK or NAK and a word of why. It has a thread of
-// its own, so that an answer comes in time however busy the loop is and whoever else holds a connection here;
-// calls and answers pass between the two in bounded rings.
+// Admin port for operators (commands in admin_protocol.hpp).
+//
+// Threads: connections are served by a thread of its own, so that replies come in time however busy the event
+// loop is. Commands are executed on the event loop; commands and replies cross in two bounded
+// single-producer, single-consumer queues, each with an eventfd for wake-up.
 #pragma once
 
 #include <netinet/in.h>
@@ -16,41 +18,43 @@
 
 namespace winchhall::admin {
 
+// Owns its listener and thread. Constructed, used and destroyed on the event loop's thread.
 class AdminServer {
  public:
-  // `obey` runs on the loop. `spare` answers `ready` where the loop has no time for it: it reads what the
-  // loop told last by serving(). Throws std::system_error if the address cannot be had.
+  // `handle_command` is called on the event loop. Throws std::system_error if the address can't be bound.
   AdminServer(event_loop::Loop& loop, const sockaddr_in& address,
               std::function<Reply(Command)> handle_command);
-  ~AdminServer();
+  ~AdminServer();  // stops the thread and closes all connections
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
+  // Sets the reply to `ready` that is given while the event loop doesn't answer in time.
   void serving(bool yes) { serving_.store(yes, std::memory_order_relaxed); }
+  // The port bound, also where the address asked for port 0.
   int port() const { return port_; }
 
-  static constexpr std::size_t kCallersMost =
-      24;  // connections at once, out of descriptors set aside for them
+  // Maximum of simultaneous connections; descriptors are reserved for them.
+  static constexpr std::size_t kMaxConnections = 24;
 
  private:
   struct PendingCommand {
-    std::uint64_t caller = 0;
+    std::uint64_t connection = 0;
     Command command = Command::ready;
   };
   struct PendingReply {
-    std::uint64_t caller = 0;
+    std::uint64_t connection = 0;
     Reply reply{};
   };
-  struct Caller;
-  void work();
-  void deliver();
+  struct Connection;
+  void run_admin_thread();  // body of the admin thread
+  void execute_commands();  // on the event loop
 
   event_loop::Loop& loop_;
   std::function<Reply(Command)> handle_command_;
   event_loop::UniqueFd listener_, to_loop_, to_admin_thread_;
-  moodycamel::ReaderWriterQueue<PendingCommand> commands_{kCallersMost};
-  moodycamel::ReaderWriterQueue<PendingReply> replies_{kCallersMost};
-  std::atomic<bool> serving_{false}, ending_{false};
+  moodycamel::ReaderWriterQueue<PendingCommand> commands_{kMaxConnections};
+  moodycamel::ReaderWriterQueue<PendingReply> replies_{kMaxConnections};
+  std::atomic<bool> serving_{false}, stopping_{false};
   int port_ = 0;
   std::thread thread_;
 };
--- a/src/aggregator/app/sibling_processes.cpp
+++ b/src/aggregator/app/sibling_processes.cpp
@@ -35,7 +35,7 @@
   folder_.remove(own_.id);
 }
 
-void SiblingProcesses::apply_scan(const hot_restart::Folder::FolderScan& found) {
+void SiblingProcesses::apply_scan(const hot_restart::StateFolder::FolderScan& found) {
   for (const std::string& file : found.set_aside) spdlog::warn("set aside: {}", file);
   registry_.saw(found.states, loop_.now());
 }
@@ -53,7 +53,7 @@
   ++own_.number;
   own_.known_processes = registry_.known_processes();
   fill_(own_);
-  auto found = std::make_shared<hot_restart::Folder::FolderScan>();
+  auto found = std::make_shared<hot_restart::StateFolder::FolderScan>();
   std::vector<hot_restart::ProcessId> expired = registry_.expired(loop_.now());
   for (const hot_restart::ProcessId& who : expired)
     spdlog::warn("process {} of this name has said nothing for 10 s: counted as gone", who.text());
--- a/src/aggregator/app/sibling_processes.hpp
+++ b/src/aggregator/app/sibling_processes.hpp
@@ -26,10 +26,10 @@
 
  private:
   void turn();
-  void apply_scan(const hot_restart::Folder::FolderScan& found);
+  void apply_scan(const hot_restart::StateFolder::FolderScan& found);
 
   event_loop::Loop& loop_;
-  hot_restart::Folder folder_;
+  hot_restart::StateFolder folder_;
   hot_restart::State own_;
   std::function<void(hot_restart::State&)> fill_;
   std::function<void()> changed_;
--- a/src/aggregator/hot_restart/process_registry.cpp
+++ b/src/aggregator/hot_restart/process_registry.cpp
@@ -68,7 +68,7 @@
 winchhall::Settings share_of(winchhall::Settings s, int processes) {
   processes = std::max(1, processes);
   s.brokers = std::max(1, s.brokers) * processes;
-  s.budget_free /= processes;  // shares of what each took add up by themselves
+  s.budget_free /= processes;  // budget_share is relative to each process's own requests
   return s;
 }
 
--- a/src/aggregator/hot_restart/process_registry.hpp
+++ b/src/aggregator/hot_restart/process_registry.hpp
@@ -1,6 +1,6 @@
-// Which other processes of this aggregator live, what they have to know before this one may begin, and what
-// each may spend. No I/O, no clock of its own. Others' clocks are not compared: a word is as old as the time
-// since it changed.
+// The other live processes of this aggregator during a hot restart, when this process may start to serve, and
+// each process's share of the limits. No I/O and no clock: times are in ms on the caller's clock. Clocks of
+// different processes are never compared: a state's age is the time since it was last seen to change.
 #pragma once
 
 #include <map>
@@ -12,35 +12,40 @@
 
 using Millis = double;
 
+// Registry of the processes with the same name, from the states they publish. Processes are ordered by
+// ProcessId: a smaller one is a predecessor, a larger one a successor. Not thread-safe.
 class ProcessRegistry {
  public:
   ProcessRegistry(std::string name, ProcessId own, Millis now)
       : name_(std::move(name)), own_(own), started_at_(now) {}
 
-  // All states that are there now, whole ones of this name; a process whose state was there and isn't has
-  // left.
+  // Replaces the known states by those found in a scan. States of other names and this process's own are
+  // ignored; a process whose state is no longer there has ended.
   void saw(const std::vector<State>& states, Millis now);
 
-  // Processes besides this one that may still act, by what they said last.
+  // Number of other processes that may still serve: their state changed within kExpires.
   int others(Millis now) const;
-  bool predecessor(Millis now) const;  // one that was here before
-  bool successor(Millis now) const;    // one that came later and has begun to listen
-  int listening(Millis now) const;
-  // May this process begin: those before it have heard of it, or had the time to.
+  bool predecessor(Millis now) const;  // an older process is live
+  bool successor(Millis now) const;    // a newer process is live and listening
+  int listening(Millis now) const;     // number of other live processes that listen
+  // Whether this process may start to serve: every predecessor has acknowledged it, or kAnswerWithin is over.
   bool may_begin(Millis now) const;
-  // Whom this one has heard of, to be told to them.
+  // The other processes known here; published in this process's state as their acknowledgement.
   std::vector<ProcessId> known_processes() const;
-  std::vector<ProcessId> expired(Millis now) const;  // those whose word holds no longer: their files may go
-  // The latest list that another one has; null where none has one.
+  std::vector<ProcessId> expired(Millis now) const;  // no longer live: their files may be removed
+  // The state with the newest endpoint list, or null if no process has one. Owned by the registry, valid
+  // until the next saw().
   const State* latest_list() const;
 
-  static constexpr Millis kAnswerWithin = 1500;  // ms for those before to hear: they look twice a second
-  static constexpr Millis kExpires = 10000;      // ms: a stopped one may wake up and act by what it last knew
+  static constexpr Millis kAnswerWithin =
+      1500;  // ms for predecessors to acknowledge: they scan twice a second
+  static constexpr Millis kExpires =
+      10000;  // ms: a stopped process may resume and act on old state until then
 
  private:
   struct Known {
     State state{};
-    Millis changed_at = 0;
+    Millis changed_at = 0;  // when a new state number was first seen
   };
   bool live(const Known& known, Millis now) const { return now < known.changed_at + kExpires; }
 
@@ -50,7 +55,8 @@
   std::map<ProcessId, Known> known_;
 };
 
-// What one of so many processes of one aggregator may spend: together they come to no more than one.
+// Settings of one of `processes` processes of the same aggregator, such that all of them together stay within
+// the limits of one.
 winchhall::Settings share_of(winchhall::Settings settings, int processes);
 
 }  // namespace winchhall::hot_restart
--- a/src/aggregator/hot_restart/process_state.cpp
+++ b/src/aggregator/hot_restart/process_state.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr char kMark[] = "WHSTATE1";  // its last sign is the version of the form around the state
-constexpr std::size_t kMarkSize = sizeof kMark - 1, kHead = kMarkSize + 8;
+constexpr char kMagic[] = "WHSTATE1";  // magic; its last character is the format version
+constexpr std::size_t kMagicSize = sizeof kMagic - 1, kHeaderSize = kMagicSize + 8;
 
 std::uint64_t checksum(std::string_view body) { return XXH3_64bits(body.data(), body.size()); }
 
@@ -43,25 +43,25 @@
     s.set_start_known(m.entry.started.has_value());
     s.set_started_ms(m.entry.started.value_or(0));
   }
-  std::string body = w.SerializeAsString(), bytes = kMark;
+  std::string body = w.SerializeAsString(), bytes = kMagic;
   std::uint64_t sum = checksum(body);
   for (int i = 0; i < 8; ++i) bytes += static_cast<char>(sum >> (8 * i));
   return bytes + body;
 }
 
 std::optional<State> decode(const std::string& bytes, std::string& why) {
-  if (bytes.size() < kHead || bytes.compare(0, kMarkSize - 1, kMark, kMarkSize - 1) != 0) {
+  if (bytes.size() < kHeaderSize || bytes.compare(0, kMagicSize - 1, kMagic, kMagicSize - 1) != 0) {
     why = "no state of an aggregator, or cut short";
     return std::nullopt;
   }
-  if (bytes.compare(0, kMarkSize, kMark) != 0) {
-    why = std::string("version ") + bytes[kMarkSize - 1] + ", known is " + kMark[kMarkSize - 1];
+  if (bytes.compare(0, kMagicSize, kMagic) != 0) {
+    why = std::string("version ") + bytes[kMagicSize - 1] + ", known is " + kMagic[kMagicSize - 1];
     return std::nullopt;
   }
   std::uint64_t sum = 0;
   for (std::size_t i = 0; i < 8; ++i)
-    sum |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[kMarkSize + i])) << (8 * i);
-  std::string body = bytes.substr(kHead);
+    sum |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[kMagicSize + i])) << (8 * i);
+  std::string body = bytes.substr(kHeaderSize);
   wire::State w;
   if (checksum(body) != sum || !w.ParseFromString(body)) {
     why = "its checksum does not fit: cut short or spoilt";
--- a/src/aggregator/hot_restart/process_state.hpp
+++ b/src/aggregator/hot_restart/process_state.hpp
@@ -1,4 +1,4 @@
-// What processes of one aggregator tell each other, and its form in a file. No I/O.
+// State that processes of one aggregator exchange during a hot restart, and its file format. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +10,32 @@
 
 namespace winchhall::hot_restart {
 
-// One process. Later ones are greater; started is in ms of Unix time.
+// Identity of a process, ordered by start. `started`: ms since the Unix epoch.
 struct ProcessId {
   std::int64_t started = 0, pid = 0;
   auto operator<=>(const ProcessId&) const = default;
   std::string text() const { return std::to_string(started) + "-" + std::to_string(pid); }
 };
 
+// Published state of one process.
 struct State {
-  std::string name{};
+  std::string name{};  // of the aggregator, from its configuration
   ProcessId id{};
-  std::uint64_t number = 0;  // one more with each writing
-  std::string phase{};
-  bool listens = false;
-  std::vector<ProcessId> known_processes{};
-  long long revision = 0;
+  std::uint64_t number = 0;                  // sequence number, incremented with each write
+  std::string phase{};                       // lifecycle phase, as in the log
+  bool listens = false;                      // accepts client connections
+  std::vector<ProcessId> known_processes{};  // acknowledged by this process
+  long long revision = 0;                    // of the endpoint list `members`
   std::vector<coordination::Member> members{};
 };
 
-constexpr std::size_t kStateMost =
-    4 * 1024 * 1024;  // bytes of a file: a list of 10,000 servers is a quarter of it
+// Maximum size of a state file in bytes; a list of 10,000 servers takes a quarter of it.
+constexpr std::size_t kMaxStateBytes = 4 * 1024 * 1024;
 
-// A file's bytes: a mark with the version, a checksum (xxHash) over all that follows, then the state
-// (protobuf).
+// File format: magic with the format version, XXH3 64-bit checksum (little-endian) of the rest, then the
+// protobuf message of state.proto.
 std::string encode(const State& state);
-// Nothing, and why, where the bytes are no whole state of a version that is known here.
+// Nothing if the bytes aren't a complete state of a known format version; `why` then gives the reason.
 std::optional<State> decode(const std::string& bytes, std::string& why);
 
 }  // namespace winchhall::hot_restart
--- a/src/aggregator/hot_restart/state_folder.cpp
+++ b/src/aggregator/hot_restart/state_folder.cpp
@@ -8,20 +8,20 @@
 
 namespace fs = std::filesystem;
 
-Folder::Folder(const std::string& parent) {
+StateFolder::StateFolder(const std::string& parent) {
   if (parent.empty()) return;
   std::error_code error;
   fs::create_directory(parent + "/winchhall", error);
   if (fs::is_directory(parent + "/winchhall", error)) path_ = parent + "/winchhall";
 }
 
-bool Folder::leave(const State& state) {
+bool StateFolder::leave(const State& state) {
   if (!works()) return false;
   std::string file = file_of(state.id), is_new = file + ".new", bytes = encode(state);
   {
     std::ofstream out(is_new, std::ios::binary | std::ios::trunc);
     out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
-    // Guards against a full disk: what is not there whole must not take the old one's place.
+    // On a full disk an incomplete file must not replace the previous one.
     if (!out.flush()) return false;
   }
   std::error_code error;
@@ -29,28 +29,28 @@
   return !error;
 }
 
-void Folder::remove(const ProcessId& id) {
+void StateFolder::remove(const ProcessId& id) {
   if (!works()) return;
   std::error_code error;
   fs::remove(file_of(id), error);
   fs::remove(file_of(id) + ".new", error);
 }
 
-Folder::FolderScan Folder::scan() const {
+StateFolder::FolderScan StateFolder::scan() const {
   FolderScan found;
   if (!works()) return found;
   std::error_code error;
   for (auto it = fs::directory_iterator(path_, error); !error && it != fs::directory_iterator();
        it.increment(error)) {
     fs::path path = it->path();
-    if (path.extension() != ".state") continue;  // one that is being written, or was set aside
+    if (path.extension() != ".state") continue;  // being written, or set aside
     std::string why = "larger than any state";
     std::optional<State> state;
     std::error_code gone;
     if (!it->is_regular_file(gone)) continue;
     auto size = it->file_size(gone);
-    if (gone) continue;  // it left while we looked
-    if (size <= kStateMost) {
+    if (gone) continue;  // removed during the scan
+    if (size <= kMaxStateBytes) {
       std::ifstream in(path, std::ios::binary);
       std::ostringstream all;
       all << in.rdbuf();
--- a/src/aggregator/hot_restart/state_folder.hpp
+++ b/src/aggregator/hot_restart/state_folder.hpp
@@ -1,5 +1,5 @@
-// The folder in which processes of one aggregator leave their states: written whole or not at all, read as a
-// whole. Blocks on files; meant for a thread beside the loop.
+// The folder in which processes of one aggregator publish their states. Writes are atomic (temporary file and
+// rename). All calls block on file I/O: they belong on a worker thread, not on the event loop.
 #pragma once
 
 #include <set>
@@ -10,20 +10,23 @@
 
 namespace winchhall::hot_restart {
 
-class Folder {
+// One file per process, `<started>-<pid>.state`, in the subfolder `winchhall`. Not thread-safe.
+class StateFolder {
  public:
-  // In `parent`, which must be there; empty: nowhere, and nothing is written or found.
-  explicit Folder(const std::string& parent);
+  // Creates the subfolder in `parent`, which must exist. If that fails, or `parent` is empty, nothing is
+  // written or found, and works() is false.
+  explicit StateFolder(const std::string& parent);
   bool works() const { return !path_.empty(); }
 
-  // False where the folder can't be written to.
+  // Publishes a state. False if it couldn't be written; the previous file then stays.
   bool leave(const State& state);
-  void remove(const ProcessId& id);  // this process leaves in order
+  void remove(const ProcessId& id);  // of a process that shuts down or has expired; errors are ignored
 
   struct FolderScan {
     std::vector<State> states{};
-    std::vector<std::string> set_aside{};  // files that are no state, renamed, and why
+    std::vector<std::string> set_aside{};  // unreadable files, renamed to *.set-aside, with the reason
   };
+  // Reads all states; renames files that can't be decoded.
   FolderScan scan() const;
 
  private:
--- a/src/aggregator/membership/discovery.cpp
+++ b/src/aggregator/membership/discovery.cpp
@@ -8,9 +8,9 @@
 namespace {
 using winchhall::CallEnd;
 using Kind = winchhall::ServerList::Kind;
-// ms until a call's first line: a call waits in its turn for 2 s at the most before the service fails it.
-constexpr event_loop::Millis kFirstAnswer = 2200;
-constexpr std::size_t kLineMost = 4 * 1024 * 1024;
+// ms until a call's first line: the service queues calls for 2 s at most before it fails them.
+constexpr event_loop::Millis kFirstAnswerTimeout = 2200;
+constexpr std::size_t kMaxListBytes = 4 * 1024 * 1024;
 }  // namespace
 
 class Discovery::Call : public event_loop::Stream::Owner, public std::enable_shared_from_this<Call> {
@@ -21,34 +21,36 @@
     auto to = event_loop::parse_address(owner_.address_);
     int error = 0;
     if (to) stream_ = event_loop::Stream::connect(owner_.loop_, *to, *this, error);
-    expect(owner_.connect_timeout_);
+    set_timeout(owner_.connect_timeout_);
     return static_cast<bool>(stream_);
   }
   void connected() override {
     std::string target = "/v1/endpoints";
     if (watch_) target += "?watch=1&after=" + std::to_string(owner_.revision_);
-    asked_ = true;
+    request_sent_ = true;
     stream_->write("GET " + target + " HTTP/1.1\r\nHost: " + owner_.address_ + "\r\n\r\n");
-    expect(kFirstAnswer);
+    set_timeout(kFirstAnswerTimeout);
   }
   void received(std::string& in) override {
     parser_.feed(in);
     HttpMessage& m = parser_.message();
-    if (parser_.failed()) return owner_.over(*this, "an answer that cannot be read");
+    if (parser_.failed()) return owner_.finish_call(*this, "an answer that cannot be read");
     if (parser_.head_done() && m.status != 200)
-      return owner_.over(*this, "status " + std::to_string(m.status));
+      return owner_.finish_call(*this, "status " + std::to_string(m.status));
     if (!parser_.head_done()) return;
     if (watch_) return read_watch(m.body);
-    whole_ += std::exchange(m.body, {});
-    if (whole_.size() > kLineMost) return owner_.over(*this, "a list too long");
+    list_text_ += std::exchange(m.body, {});
+    if (list_text_.size() > kMaxListBytes) return owner_.finish_call(*this, "a list too long");
     if (stream_->open() && parser_.done()) finish("");
   }
   void ended() override {
-    // Before the head was written nobody is there, or nobody takes us in; after that it hung up.
-    const char* how = !asked_ ? "no connection" : answered_ ? "the watch ended" : "closed without an answer";
-    if (!asked_) refused_ = stream_->refused();
-    // Half a line is half of what there was to tell.
-    ended_ = answered_ && !stream_->reset() && cutter_.held() == 0;
+    // Without a request sent the connection failed; otherwise the service closed it.
+    const char* how = !request_sent_ ? "no connection"
+                      : answered_    ? "the watch ended"
+                                     : "closed without an answer";
+    if (!request_sent_) refused_ = stream_->refused();
+    // An incomplete object means that updates were lost.
+    closed_in_order_ = answered_ && !stream_->reset() && splitter_.buffered_bytes() == 0;
     parser_.ended(stream_->reset());
     finish(how);
   }
@@ -57,44 +59,45 @@
   bool answered_ = false;
 
  private:
-  // Objects, each on a line of its own or indented over several, and an empty line every 2 s.
+  // The watch sends JSON objects, on one line or indented over several, and an empty line every 2 s as
+  // keepalive.
   void read_watch(std::string& body) {
-    cutter_.feed(std::exchange(body, {}));
+    splitter_.feed(std::exchange(body, {}));
     std::string object;
     for (JsonObjectSplitter::Token token;
-         stream_->open() && (token = cutter_.next(object)) != JsonObjectSplitter::Token::none;) {
-      if (token == JsonObjectSplitter::Token::bad) return owner_.over(*this, "what is no list");
+         stream_->open() && (token = splitter_.next(object)) != JsonObjectSplitter::Token::none;) {
+      if (token == JsonObjectSplitter::Token::bad) return owner_.finish_call(*this, "what is no list");
       owner_.router_.on_list_keepalive();
       if (!answered_ || token == JsonObjectSplitter::Token::object) owner_.on_update(*this, object);
-      // From here on the module minds the watch: it knows when silence is one.
+      // From the first token on, EndpointListFreshness detects a silent watch.
       if (stream_->open()) owner_.loop_.cancel(timer_);
     }
-    if (cutter_.held() > kLineMost) return owner_.over(*this, "a list too long");
+    if (splitter_.buffered_bytes() > kMaxListBytes) return owner_.finish_call(*this, "a list too long");
     if (!stream_->open() || !parser_.done()) return;
-    ended_ = answered_ && cutter_.held() == 0;
+    closed_in_order_ = answered_ && splitter_.buffered_bytes() == 0;
     finish("the watch ended");
   }
   void finish(const std::string& how) {
-    if (!watch_ && parser_.done()) owner_.on_update(*this, whole_ + parser_.message().body);
-    owner_.over(*this, watch_ || !answered_ ? how : "");
+    if (!watch_ && parser_.done()) owner_.on_update(*this, list_text_ + parser_.message().body);
+    owner_.finish_call(*this, watch_ || !answered_ ? how : "");
   }
-  void expect(event_loop::Millis within) {
+  void set_timeout(event_loop::Millis within) {
     owner_.loop_.cancel(timer_);
     timer_ = owner_.loop_.at(owner_.loop_.now() + within, [this] {
-      owner_.over(*this, "silent for " + std::to_string(static_cast<int>(timed_)) + " ms");
+      owner_.finish_call(*this, "silent for " + std::to_string(static_cast<int>(timeout_)) + " ms");
     });
-    timed_ = within;
+    timeout_ = within;
   }
 
   Discovery& owner_;
   bool watch_;
   HttpParser parser_;
   std::shared_ptr<event_loop::Stream> stream_;
-  std::string whole_;
-  JsonObjectSplitter cutter_;
+  std::string list_text_;
+  JsonObjectSplitter splitter_;
   event_loop::TimerId timer_{};
-  event_loop::Millis timed_ = 0, begun_at_ = owner_.loop_.now();
-  bool asked_ = false, refused_ = false, ended_ = false;
+  event_loop::Millis timeout_ = 0, begun_at_ = owner_.loop_.now();
+  bool request_sent_ = false, refused_ = false, closed_in_order_ = false;
 
   friend class Discovery;
 };
@@ -122,13 +125,13 @@
 void Discovery::start(std::shared_ptr<Call>& slot, bool watch) {
   stop(slot);
   slot = std::make_shared<Call>(*this, watch);
-  if (!slot->begin()) over(*slot, "no socket");
+  if (!slot->begin()) finish_call(*slot, "no socket");
 }
 
 void Discovery::watch(bool on) {
   watch_wanted_ = on;
   if (!on) return stop(watching_);
-  // A call without an answer yet is this call too.
+  // A watch without an answer yet already serves this request.
   if (watching_ && !watching_->answered_) return;
   if (watching_)
     spdlog::warn("discovery watch silent or moved, asked anew after {:.0f} ms",
@@ -136,8 +139,8 @@
   start(watching_, true);
 }
 
-// Guards against drains that are missed: the old service goes on holding its watch for a while and tells
-// nothing any more. The new watch asks for what changed after the revision held, so nothing is lost between.
+// The old service may keep its watch open without sending updates, so that drains would be missed. The new
+// watch asks for changes after the current revision, so that no update is lost.
 void Discovery::move(const std::string& address) {
   if (address == address_) return;
   address_ = address;
@@ -148,15 +151,15 @@
 
 void Discovery::fetch() { start(fetching_, false); }
 
-// The list that is held stays; the module asks again, each time a little later.
-void Discovery::over(Call& call, const std::string& why) {
+// The current list stays in use; the decision module retries with backoff.
+void Discovery::finish_call(Call& call, const std::string& why) {
   auto& slot = call.watch_call() ? watching_ : fetching_;
   if (slot.get() != &call) return;
   event_loop::Millis lasted = loop_.now() - call.begun_at_;
-  CallEnd end = call.ended_     ? CallEnd::ended
-                : call.asked_   ? CallEnd::failed
-                : call.refused_ ? CallEnd::refused
-                                : CallEnd::unresponsive;
+  CallEnd end = call.closed_in_order_ ? CallEnd::ended
+                : call.request_sent_  ? CallEnd::failed
+                : call.refused_       ? CallEnd::refused
+                                      : CallEnd::unresponsive;
   stop(slot);
   if (why.empty()) return;
   spdlog::warn("discovery call failed: {}, after {:.0f} ms", why, lasted);
@@ -167,7 +170,7 @@
   MemberList list;
   if (!trim(text).empty()) {
     auto read = read_members(text);
-    if (!read) return over(call, "a list that cannot be read");
+    if (!read) return finish_call(call, "a list that cannot be read");
     list = std::move(*read);
     revision_ = list.revision;
     spdlog::info("discovery revision {}: {} {}", list.revision, list.members.size(),
--- a/src/aggregator/membership/discovery.hpp
+++ b/src/aggregator/membership/discovery.hpp
@@ -1,4 +1,4 @@
-// The membership source of the platform: one watch, or one fetch of the whole list, at a time.
+// Client of the discovery service (HTTP). At most one watch and one fetch are open at a time.
 #pragma once
 
 #include <memory>
@@ -10,22 +10,28 @@
 
 namespace winchhall::http {
 
+// Delivers endpoint lists to the router. Failed calls are reported as such; retries are up to the decision
+// module (EndpointListFreshness), which asks by watch() and fetch(). Runs on the event loop; destroying it
+// closes the calls without a report.
 class Discovery final : public coordination::MembershipSource {
  public:
+  // `address`: host:port. `revision`: of the list known from an earlier run, or 0. `connect_timeout` in ms.
+  // `loop` and `router` must outlive this object.
   Discovery(event_loop::Loop& loop, coordination::RequestRouter& router, std::string address,
             long long revision, event_loop::Millis connect_timeout);
   ~Discovery();
 
   void watch(bool on) override;
   void fetch() override;
-  // From now on the service is asked there. What is held stays; a call that is open begins anew at once.
+  // Changes the service's address. The current list stays in use; open calls are restarted at the new
+  // address.
   void move(const std::string& address);
 
  private:
   class Call;
   void start(std::shared_ptr<Call>& slot, bool watch);
   void stop(std::shared_ptr<Call>& slot);
-  void over(Call& call, const std::string& why);  // empty: it ended as it should
+  void finish_call(Call& call, const std::string& why);  // `why` is empty after success
   void on_update(Call& call, const std::string& text);
 
   event_loop::Loop& loop_;
@@ -33,7 +39,7 @@
   std::string address_;
   long long revision_;
   event_loop::Millis connect_timeout_;
-  bool watch_wanted_ = false;  // a watch, whether or not one is open just now
+  bool watch_wanted_ = false;  // the last watch() asked for one
   std::shared_ptr<Call> watching_, fetching_;
 };
 
--- a/src/aggregator/membership/endpoint_list_freshness.hpp
+++ b/src/aggregator/membership/endpoint_list_freshness.hpp
@@ -1,13 +1,15 @@
-// When the list of servers is asked for, and until when it may be gone by: one place for choice, drains and
-// cold servers alike. No I/O, no clock of its own: times are milliseconds of the caller's clock, any origin.
+// Freshness of the endpoint list: when it has to be requested, and until when it may be used to select
+// servers. No I/O, no clock: times are in ms on the caller's clock, with any origin. Not thread-safe.
 //
-// A list is told once it was written to us; but whatever the service has and could be asked for counts as
-// told a fixed time later, whether or not it came: behind a watch that fell silent or ended, and after calls
-// that failed, were refused or given up, however many. What an agent beside us has counts at once. So the
-// list is current up to some moment (a line of the watch, an answer, a refusal that shows that nobody could
-// be asked), and so long after it a send may be against a drain that we have not heard of: the list is
-// overdue, and says nothing any more. The wait for silence, the spread of the calls of a whole fleet and a
-// call that fails once have to fit in before that.
+// Rule of the operators: a server's drain counts as notified when an update was delivered to this instance,
+// but also a fixed time (kAssumedDelivery) after the service had it, delivered or not, whether a watch was
+// silent or ended and however many calls failed. For updates pushed by a local agent that time is zero. From
+// the notification on, sends to the server are allowed for `grace` only.
+//
+// Invariant: the list is known to be current up to some time (the last keepalive or answer, or a refused
+// connection, which shows that no update could be requested). It is stale once a drain after that time could
+// count as notified and its grace be over. The detection of a silent watch, the spread of all instances'
+// requests and one failed request must fit in before it is stale.
 #pragma once
 
 #include <cstdint>
@@ -20,53 +22,56 @@
 
 using Millis = double;
 
+// How updates arrive, from the settings.
 struct EndpointListTerms {
-  bool must_poll = false;        // a watch must be held: lists come by it alone
-  bool pushed = false;           // an agent beside us has the list: what it has is told, watch or no watch
-  int brokers = 1;               // how many instances ask the same service
-  Millis max_poll_interval = 0;  // at least this often while there is no watch
-  Millis grace = 0;              // a send still counts as in time this long after its server's drain was told
+  bool must_poll = false;        // a watch must be kept open; if false, the list never gets stale
+  bool pushed = false;           // a local agent pushes updates: they count as notified at once
+  int brokers = 1;               // instances that use the same service
+  Millis max_poll_interval = 0;  // maximum interval between requests without a watch
+  Millis grace = 0;              // sends to a server are allowed this long after its drain was notified
 };
 
 using winchhall::CallEnd;
 
+// State machine of one list: watch, retries and staleness.
 class EndpointListFreshness {
  public:
   EndpointListFreshness(const EndpointListTerms& terms, std::uint64_t seed) : terms_(terms), random_(seed) {}
   void change(const EndpointListTerms& terms) { terms_ = terms; }
 
-  void start(Millis now);                        // with the list of before at the most
-  void on_keepalive(Millis now);                 // the watch wrote something, if only its empty line
-  void on_update(Millis now);                    // a list came in answer to a call, or a change on the watch
-  void on_call_failed(Millis now, CallEnd end);  // a call failed, or the watch ended before our eyes
-  void on_service_moved(Millis now);  // the service is at another address; the old watch tells nothing more
+  void start(Millis now);                        // with a list from an earlier run, or none
+  void on_keepalive(Millis now);                 // the watch delivered data, possibly just a keepalive line
+  void on_update(Millis now);                    // a list was received, or a change on the watch
+  void on_call_failed(Millis now, CallEnd end);  // a request failed or the watch ended
+  void on_service_moved(Millis now);             // new service address; the old watch is lost
 
-  // Is a call due? If so it counts as made.
+  // Whether a request is due now. If true, the caller must send it: it is recorded as sent.
   bool should_request(Millis now);
-  // May the list be gone by?
+  // Whether the list may be used.
   bool is_fresh(Millis now) const { return now < stale_at_; }
+  // When it becomes stale unless confirmed; infinity if never.
   Millis stale_at() const { return stale_at_; }
-  // Until when a server that certainly did not drain at `proved_at` may be chosen: so long as the list may be
-  // gone by, or it is known not to drain otherwise.
+  // Until when a server known not to be draining at `proved_at` may be selected: while the list is fresh, or
+  // while that knowledge itself is recent enough.
   Millis selectable_until(Millis proved_at) const;
-  // ... and a send to it be written: half of our own slack later.
+  // Until when a request to it may still be written: half of kMargin later.
   Millis sendable_until(Millis proved_at) const;
 
  private:
   static constexpr Millis kInfinity = std::numeric_limits<Millis>::infinity();
   Millis safe_after_proof() const;
-  Millis spread(Millis now) const;
-  void current(Millis at);  // all that the service had by then, or nobody could have asked it
-  void plan(Millis now, Millis within, Millis least = 0);
+  Millis request_spread(Millis now) const;
+  void confirm_current(Millis at);  // the list is current as of `at`
+  void schedule_request(Millis now, Millis within, Millis least = 0);
 
   EndpointListTerms terms_;
   std::mt19937_64 random_;
-  bool watching_ = false, open_call_ = false;
-  // A watch fell silent, or the service moved: what came since may count as told before a fixed time is over.
-  bool blind_ = false;
-  Millis last_keepalive_at_ = -kInfinity;  // of the watch; the source may never say
-  Millis last_request_at_ = 0, next_request_at_ = kInfinity, wait_ = 0, stale_at_ = kInfinity;
-  Millis round_ = 0;  // in which each instance of the fleet calls once; 0: no call has failed of late
+  bool watching_ = false, request_pending_ = false;
+  // The watch was silent, or the service moved: updates since then may count as notified already.
+  bool may_have_missed_updates_ = false;
+  Millis last_keepalive_at_ = -kInfinity;  // of the watch; some sources send no keepalives
+  Millis last_request_at_ = 0, next_request_at_ = kInfinity, backoff_ = 0, stale_at_ = kInfinity;
+  Millis retry_round_ = 0;  // ms in which each instance sends one retry; 0: no recent failure
 };
 
 }  // namespace winchhall::membership
--- a/src/aggregator/membership/member_list.cpp
+++ b/src/aggregator/membership/member_list.cpp
@@ -9,8 +9,8 @@
 
 JsonObjectSplitter::Token JsonObjectSplitter::next(std::string& object) {
   object.clear();
-  for (; at_ < held_.size(); ++at_) {
-    char c = held_[at_];
+  for (; at_ < buffer_.size(); ++at_) {
+    char c = buffer_[at_];
     if (in_text_) {
       in_text_ = escaped_ || c != '"';
       escaped_ = !escaped_ && c == '\\';
@@ -20,19 +20,19 @@
       if (--depth_ > 0) continue;
       if (depth_ < 0) return Token::bad;
       std::size_t end = at_ + 1;
-      // The line's end belongs to its object: it is no empty line.
-      if (held_.compare(end, 2, "\r\n") == 0)
+      // The line end belongs to the object, or it would count as an empty line.
+      if (buffer_.compare(end, 2, "\r\n") == 0)
         end += 2;
-      else if (end < held_.size() && held_[end] == '\n')
+      else if (end < buffer_.size() && buffer_[end] == '\n')
         ++end;
-      object = held_.substr(0, end);
-      held_.erase(0, end);
+      object = buffer_.substr(0, end);
+      buffer_.erase(0, end);
       at_ = 0;
       return Token::object;
     } else if (depth_ > 0) {
       in_text_ = c == '"';
     } else if (c == '\n') {
-      held_.erase(0, at_ + 1);
+      buffer_.erase(0, at_ + 1);
       at_ = 0;
       return Token::empty_line;
     } else if (c != ' ' && c != '\t' && c != '\r') {
--- a/src/aggregator/membership/quota_reservation.cpp
+++ b/src/aggregator/membership/quota_reservation.cpp
@@ -5,9 +5,9 @@
 
 namespace winchhall::membership {
 namespace {
-constexpr std::size_t kMaxPendingRequests =
-    64;  // asks without an answer: older ones are given up, their loans dropped
-}
+// Unanswered requests; beyond that the oldest is dropped, and a loan that answers it is ignored.
+constexpr std::size_t kMaxPendingRequests = 64;
+}  // namespace
 
 QuotaReservation::QuotaReservation(QuotaReservationSettings settings) : settings_(settings) {
   if (!(settings.bound >= 0) || settings.fleet < 1 || !(settings.window > 0) || !(settings.lease > 0) ||
@@ -18,27 +18,27 @@
 
 void QuotaReservation::expire(Millis now) {
   auto over = [now](const Entry& e) { return e.until <= now; };
-  std::erase_if(against_, over);
-  std::erase_if(held_, over);
+  std::erase_if(charged_, over);
+  std::erase_if(borrowed_, over);
 }
 
-double QuotaReservation::against() const {
+double QuotaReservation::charged() const {
   double sum = 0;
-  for (const Entry& e : against_) sum += e.amount;
+  for (const Entry& e : charged_) sum += e.amount;
   return sum;
 }
 
 double QuotaReservation::free(Millis now) {
   expire(now);
-  double held = 0;
-  for (const Entry& e : held_) held += e.amount;
-  return own_share() + held - against();
+  double borrowed = 0;
+  for (const Entry& e : borrowed_) borrowed += e.amount;
+  return own_share() + borrowed - charged();
 }
 
 bool QuotaReservation::spend(Millis now, double amount) {
   if (!(amount >= 0) || amount > free(now)) return false;
-  // A window of real time is at most this long on a clock that runs fast.
-  against_.push_back({now + settings_.window * (1 + settings_.drift), amount});
+  // Longest duration of a real-time window on a fast clock.
+  charged_.push_back({now + settings_.window * (1 + settings_.drift), amount});
   return true;
 }
 
@@ -55,21 +55,21 @@
 
 std::optional<Reservation> QuotaReservation::lend(Millis now, const ReservationRequest& request) {
   expire(now);
-  double lendable = std::min(own_share() - against(), request.amount);
+  double lendable = std::min(own_share() - charged(), request.amount);
   if (!(lendable > 0)) return std::nullopt;
-  // Counted against the lender until whatever the borrower spends with it has left every window.
-  against_.push_back({now + (settings_.lease + settings_.window) * (1 + settings_.drift), lendable});
+  // Charged to the lender until everything the borrower may spend of it has left every window.
+  charged_.push_back({now + (settings_.lease + settings_.window) * (1 + settings_.drift), lendable});
   return Reservation{request.number, lendable};
 }
 
 double QuotaReservation::take(Millis now, const Reservation& loan) {
   auto it = pending_requests_.find(loan.number);
-  if (it == pending_requests_.end()) return 0;  // repeated, unknown or given up: never counted twice
+  if (it == pending_requests_.end()) return 0;  // duplicate, unknown or dropped: never credited twice
   Millis until = it->second + settings_.lease * (1 - settings_.drift);
   pending_requests_.erase(it);
   std::erase(request_order_, loan.number);
   if (now >= until || !(loan.amount > 0)) return 0;
-  held_.push_back({until, loan.amount});
+  borrowed_.push_back({until, loan.amount});
   return loan.amount;
 }
 
--- a/src/aggregator/membership/quota_reservation.hpp
+++ b/src/aggregator/membership/quota_reservation.hpp
@@ -1,13 +1,15 @@
-// Escrowed shares of one bound that holds over any window of time, spent by many instances that share no
-// clock.
+// Shares of one rate limit over a sliding time window, used by many instances without a common clock.
 //
-// Method: escrow (P. E. O'Neil, "The QuotaReservation Transactional Method", ACM TODS 11(4), 1986) in the
-// manner of bounded counters (V. Balegas et al., "Putting Consistency Back into Eventual Consistency",
-// EuroSys 2015); a share moves only as a loan that is a lease (C. Gray and D. Cheriton, "Leases", SOSP 1989),
-// counted from the borrower's ask. Why the fleet's sum stays under the bound: docs/fleet-state-design.md.
+// Method: escrow (P. E. O'Neil, "The Escrow Transactional Method", ACM TODS 11(4), 1986) in the form of
+// bounded counters (V. Balegas et al., "Putting Consistency Back into Eventual Consistency", EuroSys 2015). A
+// share moves between instances only as a lease (C. G. Gray and D. R. Cheriton, "Leases", SOSP 1989), whose
+// term counts from the borrower's request.
 //
-// Units: amounts in what the bound counts (attempts, ms of work); times in ms of this instance's own steady
-// clock, whose rate differs from real time by at most `drift`. No I/O; one owner, not for several threads.
+// Invariant: what all instances spend within any window stays within the bound, also when messages are lost,
+// duplicated or delayed (proof: docs/fleet-state-design.md).
+//
+// Units: amounts in the unit of the bound (attempts, or ms of work); times in ms of this instance's own
+// steady clock, whose rate differs from real time by at most `drift`. No I/O; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -20,24 +22,28 @@
 
 using Millis = double;
 
+// Parameters; equal in all instances.
 struct QuotaReservationSettings {
-  double bound = 0;      // what the whole fleet may spend in any window
-  int fleet = 1;         // instances that the settings count: each owns bound / fleet
-  Millis window = 1000;  // ms of the bound's window
-  Millis lease = 2000;   // ms: a loan is used at most so long after its ask
-  double drift = 0.01;   // share by which a clock's rate may be off real time, at most
+  double bound = 0;      // limit for all instances together, in any window
+  int fleet = 1;         // number of instances; each owns bound / fleet
+  Millis window = 1000;  // ms, length of the window
+  Millis lease = 2000;   // ms: a loan may be spent this long after its request
+  double drift = 0.01;   // maximum relative error of a clock's rate
 };
 
+// A request to another instance to lend a part of its share.
 struct ReservationRequest {
-  std::uint64_t number = 0;  // this instance's own count of asks
+  std::uint64_t number = 0;  // sequence number of the requesting instance
   double amount = 0;
 };
 
+// A loan.
 struct Reservation {
-  std::uint64_t number = 0;  // of the ask it answers
+  std::uint64_t number = 0;  // number of the request that it answers
   double amount = 0;
 };
 
+// The account of one instance.
 class QuotaReservation {
  public:
   // Throws std::invalid_argument for a bound below 0, a fleet below 1, a window or lease not above 0, or a
@@ -45,16 +51,16 @@
   explicit QuotaReservation(QuotaReservationSettings settings);
 
   double own_share() const { return settings_.bound / settings_.fleet; }
-  // What may be spent now: the own share and loans held, less what is spent and lent in the window.
+  // Amount that may be spent now: own share plus borrowed, less what was spent and lent within the window.
   double free(Millis now);
-  // Spends `amount` where it fits; else false, and nothing changes.
+  // Spends `amount` if it is available; else returns false and changes nothing.
   bool spend(Millis now, double amount);
-  // An ask for a loan; its time is kept, as the loan's lease counts from it.
+  // Creates a request for a loan and records its time, from which the lease counts.
   ReservationRequest request(Millis now, double amount);
-  // Lends up to what was asked of the own share that is free now, never of loans held; none where nothing is
+  // Lends up to the requested amount from the free own share, never from borrowed amounts; nothing if none is
   // free.
   std::optional<Reservation> lend(Millis now, const ReservationRequest& request);
-  // Takes a loan once, while its lease lasts; returns what was taken (0 for a repeated, unknown or late one).
+  // Accepts a loan and returns its amount; 0 for one that is a duplicate, unknown or past its lease.
   double take(Millis now, const Reservation& loan);
 
  private:
@@ -63,13 +69,13 @@
     double amount = 0;
   };
   void expire(Millis now);
-  double against() const;
+  double charged() const;
 
   QuotaReservationSettings settings_;
-  std::vector<Entry> against_;  // spends and loans given, each until it can no longer count
-  std::vector<Entry> held_;     // loans taken, each until its lease ends
-  std::map<std::uint64_t, Millis> pending_requests_;  // asks not yet answered: when each was made
-  std::deque<std::uint64_t> request_order_;           // to forget the oldest first
+  std::vector<Entry> charged_;                        // spent and lent, each until it leaves every window
+  std::vector<Entry> borrowed_;                       // borrowed, each until its lease ends
+  std::map<std::uint64_t, Millis> pending_requests_;  // unanswered requests: when each was made
+  std::deque<std::uint64_t> request_order_;           // to drop the oldest first
   std::uint64_t next_request_ = 1;
 };
 
--- a/tests/aggregator/compatibility/stored_data_test.cpp
+++ b/tests/aggregator/compatibility/stored_data_test.cpp
@@ -153,7 +153,7 @@
   const DataCopy copy;
   fs::create_directory(copy.root / "winchhall");
   fs::copy(kData / kStateFile, copy.root / "winchhall" / kStateFile);
-  hot_restart::Folder folder(copy.root.string());
+  hot_restart::StateFolder folder(copy.root.string());
   const auto found = folder.scan();
   CHECK(found.set_aside.empty());
   REQUIRE(found.states.size() == 1);
--- a/tests/aggregator/hot_restart/hot_restart_test.cpp
+++ b/tests/aggregator/hot_restart/hot_restart_test.cpp
@@ -68,7 +68,7 @@
 
 TEST_CASE("files that are no state are set aside and named; what is being written is left alone") {
   Scratch scratch;
-  Folder folder(scratch.path);
+  StateFolder folder(scratch.path);
   REQUIRE(folder.works());
   REQUIRE(folder.leave(state(1000)));
   REQUIRE(folder.leave(state(2000)));
@@ -85,8 +85,8 @@
   CHECK(folder.scan().set_aside.empty());
   folder.remove({1000, 7});
   CHECK(folder.scan().states.size() == 1);
-  CHECK_FALSE(Folder("").works());
-  CHECK_FALSE(Folder(scratch.path + "/none/at/all").works());
+  CHECK_FALSE(StateFolder("").works());
+  CHECK_FALSE(StateFolder(scratch.path + "/none/at/all").works());
 }
 
 TEST_CASE("one begins when those before it have heard of it, and without them in a second and a half") {
