--- a/src/aggregator/app/serve.hpp
+++ b/src/aggregator/app/serve.hpp
@@ -1,12 +1,12 @@
-// The serving program: wiring of core, fronts, carriers and sources, from start to exit.
+// Entry point of the serving program.
 #pragma once
 
 #include "aggregator/app/config.hpp"
 
 namespace winchhall::app {
 
-// Returns when the program was asked to end and has. Throws std::runtime_error where it can't begin.
-// Its files are those that the environment names.
+// Serves until the process is asked to shut down and has done so. The environment names the configuration
+// files. Throws std::runtime_error if it can't start.
 void serve();
 
 }  // namespace winchhall::app
