--- a/src/cluster/consensus/leased_shard.cpp
+++ b/src/cluster/consensus/leased_shard.cpp
@@ -79,7 +79,7 @@
 }
 
 void LeasedShard::write(std::vector<ShardChange> changes, std::function<void(ShardWriteOutcome)> done) {
-  if (leads()) return leadership_->write(std::move(changes), std::move(done));
+  if (leads()) return leadership_->write(changes, std::move(done));
   group_.defer([done = std::move(done)] { done(ShardWriteOutcome::lost); });
 }
 
--- a/src/cluster/consensus/shard_leadership.cpp
+++ b/src/cluster/consensus/shard_leadership.cpp
@@ -135,7 +135,8 @@
 
 // ---------------------------------------------------------------- replication
 
-void ShardLeadership::write(std::vector<ShardChange> changes, std::function<void(ShardWriteOutcome)> done) {
+void ShardLeadership::write(const std::vector<ShardChange>& changes,
+                            std::function<void(ShardWriteOutcome)> done) {
   for (const wire::Member& member : group_.record().members()) progress_of(member.id());
   for (const ShardChange& change : changes) {
     records_.put(change.key, change.value ? &*change.value : nullptr);
--- a/src/cluster/consensus/shard_leadership.hpp
+++ b/src/cluster/consensus/shard_leadership.hpp
@@ -63,7 +63,7 @@
   std::uint64_t highest_epoch() const;
 
   // See ReplicatedShard::write. To be called only while `leads()`.
-  void write(std::vector<ShardChange> changes, std::function<void(ShardWriteOutcome)> done);
+  void write(const std::vector<ShardChange>& changes, std::function<void(ShardWriteOutcome)> done);
   // The group's member record, or this node's place in it, has changed.
   void on_membership_changed();
 
