--- a/tests/cluster/membership/sources_test.cpp
+++ b/tests/cluster/membership/sources_test.cpp
@@ -78,10 +78,10 @@
 
 TEST_CASE_METHOD(AgentWithoutSeedsFixture,
                  "an agent whose seeds are all down finds the group by a sampled control node") {
-  CHECK_FALSE(agent->in_touch());
+  CHECK_FALSE(agent->has_quorum_contact());
   agent->set_sampled_control({address_of(3)});
   runtime.run_for(Millis(2'000));
-  CHECK(agent->in_touch());
+  CHECK(agent->has_quorum_contact());
   CHECK(agent->view().version() == 1);
 }
 
@@ -89,7 +89,7 @@
                  "an agent whose seeds are all down finds the group by changed seeds") {
   agent->set_seeds({address_of(4)});
   runtime.run_for(Millis(2'000));
-  CHECK(agent->in_touch());
+  CHECK(agent->has_quorum_contact());
 }
 
 TEST_CASE("seeds and members are preferred to sampled nodes") {
