--- a/src/cluster/store/restored_state.cpp
+++ b/src/cluster/store/restored_state.cpp
@@ -95,7 +95,7 @@
   std::vector<StoreEntry> restored{make_entry(kMembersKey, members)};
   for (const StoreEntry& entry : entries) {
     const StateEntryKind kind = kind_of(entry.key);
-    if (entry.key == kMembersRegisterKey) {
+    if (entry.key == kMembersRegisterEntryKey) {
       old_members_register = parse_value<wire::RegisterState>(entry).value_or(wire::RegisterState());
     } else if (kind == StateEntryKind::register_state) {
       const auto state = parse_value<wire::RegisterState>(entry).value_or(wire::RegisterState());
@@ -108,7 +108,7 @@
     }
   }
   restored.push_back(
-      make_entry(kMembersRegisterKey, restored_members_register(old_members_register, members, new_id)));
+      make_entry(kMembersRegisterEntryKey, restored_members_register(old_members_register, members, new_id)));
   restored.push_back(restored_identity(new_id));
   return restored;
 }
--- a/src/cluster/store/state_entry.hpp
+++ b/src/cluster/store/state_entry.hpp
@@ -14,7 +14,7 @@
 inline const std::string kRegisterPrefix = "register/";
 inline const std::string kShardPrefix = "shard/";
 inline const std::string kRecordPrefix = "record/";
-inline const std::string kMembersRegisterKey = kRegisterPrefix + "members";
+inline const std::string kMembersRegisterEntryKey = kRegisterPrefix + "members";
 
 enum class StateEntryKind { identity, members, register_state, shard_state, shard_record, unknown };
 
