--- a/src/cluster/control/applied_changes.cpp
+++ b/src/cluster/control/applied_changes.cpp
@@ -28,7 +28,7 @@
 
 // An applied change built on a lower version than the one it made, and a dropped one made no version above
 // the newest dropped one. A change on base 0 can only be the first one, which is never dropped.
-bool may_have_been_forgotten(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
+bool may_have_been_dropped(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
   return change.base > 0 && change.base < change.version && change.version <= record.forgotten_version();
 }
 
--- a/src/cluster/control/applied_changes.hpp
+++ b/src/cluster/control/applied_changes.hpp
@@ -15,7 +15,7 @@
 bool was_applied(const ConfigurationChange& change, const wire::ConfigurationRecord& record);
 
 // True if the change may have been applied and dropped from the list since.
-bool may_have_been_forgotten(const ConfigurationChange& change, const wire::ConfigurationRecord& record);
+bool may_have_been_dropped(const ConfigurationChange& change, const wire::ConfigurationRecord& record);
 
 // Adds a change to the record's list and drops the oldest ones above the bound.
 void append_applied_change(const ConfigurationChange& change, wire::ConfigurationRecord& record);
--- a/src/cluster/control/configuration_change.cpp
+++ b/src/cluster/control/configuration_change.cpp
@@ -144,7 +144,7 @@
     return ConfigurationOutcome{ConfigurationOutcomeKind::applied, change.version, {}};
   }
   if (change.base == current.version()) return std::nullopt;
-  if (may_have_been_forgotten(change, current)) return ConfigurationOutcome{};
+  if (may_have_been_dropped(change, current)) return ConfigurationOutcome{};
   return ConfigurationOutcome{ConfigurationOutcomeKind::conflict, current.version(), {}};
 }
 
--- a/src/cluster/control/configuration_follower.cpp
+++ b/src/cluster/control/configuration_follower.cpp
@@ -67,12 +67,12 @@
   for (const VersionWaiter& waiter : reached) waiter.done(true);
 }
 
-void ConfigurationFollower::when_version_reached(std::uint64_t version, Millis limit,
+void ConfigurationFollower::when_version_reached(std::uint64_t version, Millis timeout,
                                                  std::function<void(bool reached)> done) {
   if (state_.version() >= version) return done(true);
   waiters_.push_back({version, std::move(done), nullptr});
   const auto waiter = std::prev(waiters_.end());
-  waiter->timer = runtime_.after(std::max(limit, Millis(1)), [this, waiter] {
+  waiter->timer = runtime_.after(std::max(timeout, Millis(1)), [this, waiter] {
     const auto expired = std::move(waiter->done);
     waiters_.erase(waiter);
     expired(false);
--- a/src/cluster/control/configuration_follower.hpp
+++ b/src/cluster/control/configuration_follower.hpp
@@ -37,8 +37,8 @@
   const ConfigurationState& state() const { return state_; }
 
   // Calls `done` once: with true as soon as `version` or a newer one is held, perhaps from within this call;
-  // with false after `limit`.
-  void when_version_reached(std::uint64_t version, Millis limit, std::function<void(bool reached)> done);
+  // with false after `timeout`.
+  void when_version_reached(std::uint64_t version, Millis timeout, std::function<void(bool reached)> done);
 
  private:
   struct VersionWaiter {
--- a/src/cluster/control/configuration_proposer.cpp
+++ b/src/cluster/control/configuration_proposer.cpp
@@ -41,7 +41,7 @@
   }
   const ConfigurationState& state = follower_.state();
   const bool first = attempt.current.version() == 0;
-  if (!first && !state.is_at(attempt.current)) {
+  if (!first && !state.matches(attempt.current)) {
     attempt.missing = MissingPrerequisite::base;
     return std::nullopt;
   }
--- a/src/cluster/control/configuration_state.cpp
+++ b/src/cluster/control/configuration_state.cpp
@@ -24,7 +24,7 @@
   return document_ ? &document_->configuration() : nullptr;
 }
 
-bool ConfigurationState::is_at(const wire::ConfigurationRecord& record) const {
+bool ConfigurationState::matches(const wire::ConfigurationRecord& record) const {
   return record.version() == version_ && last_change_of(record) == last_change_;
 }
 
--- a/src/cluster/control/configuration_state.hpp
+++ b/src/cluster/control/configuration_state.hpp
@@ -37,7 +37,7 @@
   // lives as long as the state.
   const ConfigurationItemTable& items() const { return items_; }
   // True if the state was made by exactly the changes of `record`: not only the version is the same.
-  bool is_at(const wire::ConfigurationRecord& record) const;
+  bool matches(const wire::ConfigurationRecord& record) const;
 
   // Applies a newer record where nothing is needed but the record and the state.
   RecordOutcome apply(const wire::ConfigurationRecord& record);
--- a/src/cluster/control/control_inspection.cpp
+++ b/src/cluster/control/control_inspection.cpp
@@ -37,12 +37,12 @@
 Leadership ControlInspection::leadership(const std::string& service) const {
   const auto found = services_.find(service);
   if (found == services_.end()) return {LeadershipKind::no_such_service, {}};
-  if (found->second->leads()) return {LeadershipKind::here, {}};
+  if (found->second->leads()) return {LeadershipKind::this_node, {}};
   for (const wire::ShardLeader& leader : group_.leaders()) {
     if (leader.shard() != shard_of_service(service) || leader.holder() == group_.member_id()) continue;
     const wire::Member* member = find_member(group_.members(), leader.holder());
     const bool reachable = member != nullptr && !member->http_address().empty();
-    if (reachable) return {LeadershipKind::redirect, member->http_address()};
+    if (reachable) return {LeadershipKind::other_node, member->http_address()};
   }
   return {LeadershipKind::unknown, {}};
 }
--- a/src/cluster/control/job_request_endpoint.cpp
+++ b/src/cluster/control/job_request_endpoint.cpp
@@ -96,7 +96,7 @@
   }
 }
 
-void JobRequestEndpoint::release(ChangeBatchNumber durable) {
+void JobRequestEndpoint::send_durable_replies(ChangeBatchNumber durable) {
   std::vector<PendingJobReply> released;
   std::erase_if(pending_, [&](PendingJobReply& pending) {
     if (pending.durable_after > durable) return false;
@@ -106,7 +106,7 @@
   for (PendingJobReply& pending : released) pending.reply(job_reply_envelope(std::move(pending.message)));
 }
 
-void JobRequestEndpoint::fail_all(const Address& leader) {
+void JobRequestEndpoint::send_in_doubt_replies(const Address& leader) {
   const std::vector<PendingJobReply> failed = std::exchange(pending_, {});
   for (const PendingJobReply& pending : failed) pending.reply(job_in_doubt_reply(leader));
 }
--- a/src/cluster/control/job_request_endpoint.hpp
+++ b/src/cluster/control/job_request_endpoint.hpp
@@ -25,14 +25,14 @@
   JobRequestEndpoint(Runtime& runtime, std::string service)
       : runtime_(runtime), service_(std::move(service)) {}
 
-  // Carries out a request and replies, now or once `release` is called for its changes. True: the scheduler
-  // may have changed, so that it must plan.
+  // Carries out a request and replies, now or once `send_durable_replies` is called for its changes. True:
+  // the scheduler may have changed, so that it must plan.
   bool handle(Scheduler& scheduler, const wire::JobRequest& request, const ReplyCallback& reply);
   // Sends the replies that wait for changes up to `durable`.
-  void release(ChangeBatchNumber durable);
+  void send_durable_replies(ChangeBatchNumber durable);
   // Sends JOB_IN_DOUBT in place of all replies that are held back. `leader`: address of the new leader;
   // empty: not known. Called when the lease is lost.
-  void fail_all(const Address& leader);
+  void send_in_doubt_replies(const Address& leader);
 
   std::size_t pending_replies() const { return pending_.size(); }
 
--- a/src/cluster/control/node_inspection.hpp
+++ b/src/cluster/control/node_inspection.hpp
@@ -39,15 +39,15 @@
 
 // Which node leads a service.
 enum class LeadershipKind {
-  here,             // this node
-  redirect,         // another node, whose operator API is known
+  this_node,        // this node
+  other_node,       // another node, whose operator API is known
   unknown,          // no node, as far as is known here
   no_such_service,  // the configuration has no such service
 };
 
 struct Leadership {
   LeadershipKind kind = LeadershipKind::no_such_service;
-  std::string http_address;  // of the leader's operator API, for `redirect`
+  std::string http_address;  // of the leader's operator API, for `other_node`
 };
 
 // Jobs and leaves, each with the service that they belong to.
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -91,9 +91,9 @@
                                            const HttpReplyCallback& reply) const {
   const Leadership leadership = inspection_.leadership(service);
   switch (leadership.kind) {
-    case LeadershipKind::here:
+    case LeadershipKind::this_node:
       return false;
-    case LeadershipKind::redirect:
+    case LeadershipKind::other_node:
       reply(redirect_response(leadership.http_address, std::string(request.target())));
       return true;
     case LeadershipKind::unknown:
--- a/src/cluster/control/service_leader.cpp
+++ b/src/cluster/control/service_leader.cpp
@@ -64,7 +64,7 @@
   planning_timer_.reset();
   planning_scheduled_ = false;
   const Address leader = leader_address();
-  job_requests_.fail_all(leader);
+  job_requests_.send_in_doubt_replies(leader);
   worker_reports_.redirect_all(leader);
 }
 
@@ -159,7 +159,7 @@
   if (outcome != ShardWriteOutcome::durable || !scheduler_) return;
   write_times_.add(runtime_.now() - sent_at);
   scheduler_->on_changes_durable(number);
-  if (leads()) job_requests_.release(number);
+  if (leads()) job_requests_.send_durable_replies(number);
   schedule_planning();
 }
 
--- a/src/cluster/worker_agent/leader_finder.cpp
+++ b/src/cluster/worker_agent/leader_finder.cpp
@@ -47,16 +47,16 @@
   timer_.reset();
 }
 
-bool LeaderFinder::is_sampled_turn() const {
-  const bool all_probed = unanswered_probes_ >= nodes_.size();
-  const bool every_other_time = nodes_.empty() || unanswered_probes_ % 2 == 0;
+bool LeaderFinder::should_probe_sampled_node() const {
+  const bool all_probed = probes_without_leader_ >= nodes_.size();
+  const bool every_other_time = nodes_.empty() || probes_without_leader_ % 2 == 0;
   return all_probed && every_other_time && !sampled_.empty();
 }
 
 const Address& LeaderFinder::next_node() {
-  const bool sampled_turn = is_sampled_turn();
-  ++unanswered_probes_;
-  if (sampled_turn) {
+  const bool probe_sampled = should_probe_sampled_node();
+  ++probes_without_leader_;
+  if (probe_sampled) {
     next_sampled_ = (next_sampled_ + 1) % sampled_.size();
     return sampled_[next_sampled_];
   }
@@ -96,7 +96,7 @@
   const FoundLeader leader = newest_leader_in(update);
   if (leader.address.empty() || leader.epoch < min_epoch_) return schedule_retry();
   stop();
-  unanswered_probes_ = 0;
+  probes_without_leader_ = 0;
   on_found_(leader);
 }
 
--- a/src/cluster/worker_agent/leader_finder.hpp
+++ b/src/cluster/worker_agent/leader_finder.hpp
@@ -53,7 +53,7 @@
   void schedule_retry();
   // Precondition: `has_nodes()`.
   const Address& next_node();
-  bool is_sampled_turn() const;
+  bool should_probe_sampled_node() const;
 
   Runtime& runtime_;
   const FoundCallback on_found_;
@@ -63,7 +63,7 @@
   std::vector<Address> sampled_;
   std::size_t next_node_ = 0;
   std::size_t next_sampled_ = 0;
-  std::size_t unanswered_probes_ = 0;  // that named no leader, since one was last found
+  std::size_t probes_without_leader_ = 0;  // that named no leader, since one was last found
   std::string shard_;
   std::uint64_t min_epoch_ = 0;
   bool searching_ = false;
--- a/src/cluster/worker_agent/leader_reporter.cpp
+++ b/src/cluster/worker_agent/leader_reporter.cpp
@@ -72,41 +72,41 @@
   check_timer_ = runtime_.after(soon ? kMinReportInterval : kPollInterval, [this] { send_if_due(); });
 }
 
-wire::WorkerReport LeaderReporter::make_report(ReportInFlight& sent) {
-  sent.report = SentReport{++report_number_, runtime_.now()};
-  sent.target_generation = target_generation_;
-  sent.lists_version = session_.lists_version();
-  sent.lists_included = acknowledged_lists_version_ != sent.lists_version;
+wire::WorkerReport LeaderReporter::make_report(ReportInFlight& in_flight) {
+  in_flight.report = SentReport{++report_number_, runtime_.now()};
+  in_flight.target_generation = target_generation_;
+  in_flight.lists_version = session_.lists_version();
+  in_flight.lists_included = acknowledged_lists_version_ != in_flight.lists_version;
   wire::WorkerReport report;
-  session_.fill_report(report, sent.lists_included, runtime_.now());
-  report.set_report_number(sent.report.number);
-  report.set_lists_as_of(sent.lists_included ? sent.report.number : acknowledged_lists_report_);
+  session_.fill_report(report, in_flight.lists_included, runtime_.now());
+  report.set_report_number(in_flight.report.number);
+  report.set_lists_as_of(in_flight.lists_included ? in_flight.report.number : acknowledged_lists_report_);
   return report;
 }
 
 void LeaderReporter::send() {
-  ReportInFlight sent;
+  ReportInFlight in_flight;
   wire::Envelope request;
-  *request.mutable_worker_report() = make_report(sent);
+  *request.mutable_worker_report() = make_report(in_flight);
   has_unsent_changes_ = false;
   ++reports_in_flight_;
-  sent_at_ = sent.report.sent;
+  sent_at_ = in_flight.report.sent_at;
   if (!response_timer_) check_response_timeout();
   runtime_.call(target_, std::move(request), kReportTimeout,
-                [this, alive = alive_, sent](const CallResult& result) {
-                  if (*alive) on_answer(sent, result);
+                [this, alive = alive_, in_flight](const CallResult& result) {
+                  if (*alive) on_answer(in_flight, result);
                 });
 }
 
-void LeaderReporter::on_answer(const ReportInFlight& sent, const CallResult& result) {
-  const bool at_target = is_at_target(sent);
+void LeaderReporter::on_answer(const ReportInFlight& in_flight, const CallResult& result) {
+  const bool at_target = is_at_target(in_flight);
   if (at_target) {
     --reports_in_flight_;
-    answered_number_ = std::max(answered_number_, sent.report.number);
+    answered_number_ = std::max(answered_number_, in_flight.report.number);
   }
   if (stopped_) return;
   if (result.answer && result.answer->has_worker_orders()) {
-    on_orders(sent, result.answer->worker_orders());
+    on_orders(in_flight, result.answer->worker_orders());
   } else if (at_target) {
     has_unsent_changes_ = true;  // the report may not have arrived
     search();
@@ -114,27 +114,28 @@
   send_if_due();
 }
 
-void LeaderReporter::on_orders(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
-  const ProcessedOrders processed = session_.process_orders(sent.report, orders);
-  if (processed.outcome != OrdersOutcome::accepted) return on_orders_refused(sent, orders);
-  if (is_at_target(sent)) record_leader_response(sent, orders);
+void LeaderReporter::on_orders(const ReportInFlight& in_flight, const wire::WorkerOrders& orders) {
+  const ProcessedOrders processed = session_.process_orders(in_flight.report, orders);
+  if (processed.outcome != OrdersOutcome::accepted) return on_orders_refused(in_flight, orders);
+  if (is_at_target(in_flight)) record_leader_response(in_flight, orders);
   if (processed.report_needed) has_unsent_changes_ = true;
   on_orders_accepted_();
 }
 
-void LeaderReporter::record_leader_response(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
+void LeaderReporter::record_leader_response(const ReportInFlight& in_flight,
+                                            const wire::WorkerOrders& orders) {
   last_response_at_ = runtime_.now();
   finder_.stop();
   if (orders.lists_wanted()) {
     acknowledged_lists_version_ = 0;
-  } else if (sent.lists_included && sent.report.number > acknowledged_lists_report_) {
-    acknowledged_lists_version_ = sent.lists_version;
-    acknowledged_lists_report_ = sent.report.number;
+  } else if (in_flight.lists_included && in_flight.report.number > acknowledged_lists_report_) {
+    acknowledged_lists_version_ = in_flight.lists_version;
+    acknowledged_lists_report_ = in_flight.report.number;
   }
 }
 
-void LeaderReporter::on_orders_refused(const ReportInFlight& sent, const wire::WorkerOrders& orders) {
-  if (!is_at_target(sent)) return;
+void LeaderReporter::on_orders_refused(const ReportInFlight& in_flight, const wire::WorkerOrders& orders) {
+  if (!is_at_target(in_flight)) return;
   const bool taking_over = orders.leader_address() == target_;
   if (taking_over) {
     paused_until_ = runtime_.now() + kTakeoverRetryDelay;
@@ -169,8 +170,8 @@
 
 void LeaderReporter::check_response_timeout() {
   const SteadyClock::duration without_response = runtime_.now() - last_response_at_;
-  const Millis left = std::chrono::duration_cast<Millis>(kResponseTimeout - without_response);
-  response_timer_ = runtime_.after(left.count() > 0 ? left : kResponseCheckInterval, [this] {
+  const Millis remaining = std::chrono::duration_cast<Millis>(kResponseTimeout - without_response);
+  response_timer_ = runtime_.after(remaining.count() > 0 ? remaining : kResponseCheckInterval, [this] {
     if (runtime_.now() - last_response_at_ >= kResponseTimeout) search();
     check_response_timeout();
   });
--- a/src/cluster/worker_agent/leader_reporter.hpp
+++ b/src/cluster/worker_agent/leader_reporter.hpp
@@ -47,18 +47,20 @@
   };
 
   std::string service() const;
-  bool is_at_target(const ReportInFlight& sent) const { return sent.target_generation == target_generation_; }
+  bool is_at_target(const ReportInFlight& in_flight) const {
+    return in_flight.target_generation == target_generation_;
+  }
   bool has_pending_poll() const { return answered_number_ < report_number_; }
   bool is_report_urgent() const { return has_unsent_changes_ || !has_pending_poll(); }
   // Sends a report if one is due, and schedules the next check.
   void send_if_due();
   void schedule_check();
   void send();
-  wire::WorkerReport make_report(ReportInFlight& sent);
-  void on_answer(const ReportInFlight& sent, const CallResult& result);
-  void on_orders(const ReportInFlight& sent, const wire::WorkerOrders& orders);
-  void on_orders_refused(const ReportInFlight& sent, const wire::WorkerOrders& orders);
-  void record_leader_response(const ReportInFlight& sent, const wire::WorkerOrders& orders);
+  wire::WorkerReport make_report(ReportInFlight& in_flight);
+  void on_answer(const ReportInFlight& in_flight, const CallResult& result);
+  void on_orders(const ReportInFlight& in_flight, const wire::WorkerOrders& orders);
+  void on_orders_refused(const ReportInFlight& in_flight, const wire::WorkerOrders& orders);
+  void record_leader_response(const ReportInFlight& in_flight, const wire::WorkerOrders& orders);
   // Sends the reports to `leader` from now on.
   void switch_to(const Address& leader);
   void search();
--- a/src/cluster/worker_agent/leaf_session.cpp
+++ b/src/cluster/worker_agent/leaf_session.cpp
@@ -133,7 +133,7 @@
 // Answers may overtake one another: an older one must not shorten the lease.
 void LeafSession::extend_lease(const SentReport& report, const wire::WorkerOrders& orders) {
   if (orders.grant_ms() == 0) return;
-  const TimePoint granted_until = report.sent + Millis(orders.grant_ms());
+  const TimePoint granted_until = report.sent_at + Millis(orders.grant_ms());
   lease_expires_at_ = std::max(lease_expires_at_.value_or(granted_until), granted_until);
 }
 
@@ -154,14 +154,14 @@
   last_seen_delivered_ = last_seen_sent_;
 }
 
-bool LeafSession::may_start(TimePoint now) const {
+bool LeafSession::may_send_starts(TimePoint now) const {
   return leaf_ && !deregistered_ && !leaf_->draining() && lease_expires_at_ &&
          *lease_expires_at_ - now >= kMinLeaseForStart;
 }
 
 bool LeafSession::needs_prompt_response(TimePoint now) const {
   if (pending_commands_.has_unsent_stops()) return true;
-  if (may_start(now) && pending_commands_.has_unsent_starts()) return true;
+  if (may_send_starts(now) && pending_commands_.has_unsent_starts()) return true;
   return last_seen_ != 0 && lists_.has_finished_up_to(last_seen_);
 }
 
@@ -183,7 +183,7 @@
   last_seen_sent_ = last_seen_;
   if (!with_orders || !orders_by_heartbeat_) return response;
   CommandBatch batch =
-      pending_commands_.take_batch(may_start(now), kMaxStartsPerResponse, kMaxStartBytesPerResponse);
+      pending_commands_.take_batch(may_send_starts(now), kMaxStartsPerResponse, kMaxStartBytesPerResponse);
   orders_in_flight_ = !batch.starts.empty() || !batch.stops.empty();
   response.starts = std::move(batch.starts);
   response.stops = std::move(batch.stops);
--- a/src/cluster/worker_agent/leaf_session.hpp
+++ b/src/cluster/worker_agent/leaf_session.hpp
@@ -23,7 +23,7 @@
 // What processing a leader's answer needs to know of the report that it answers.
 struct SentReport {
   std::uint64_t number = 0;
-  TimePoint sent{};
+  TimePoint sent_at{};
 };
 
 enum class OrdersOutcome {
@@ -91,7 +91,7 @@
   bool advance_reported_epoch();
   void extend_lease(const SentReport& report, const wire::WorkerOrders& orders);
   void update_last_seen_delivered();
-  bool may_start(TimePoint now) const;
+  bool may_send_starts(TimePoint now) const;
   // What is left of the lease, counted from the newest heartbeat; none: it has expired.
   std::optional<Millis> remaining_lease(TimePoint now) const;
 
--- a/tests/cluster/control/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -61,14 +61,14 @@
   }
 
   // Sends a change to one node. `on_response` gets the outcome, unless the response is lost.
-  void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double lost,
+  void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double response_loss,
             std::function<void(ConfigurationOutcomeKind)> on_response = {}) {
     if (!cluster_.running(index)) return;
     ConfigurationService& service = cluster_.extra(index).service;
-    const auto done = [this, request, lost, on_response = std::move(on_response),
+    const auto done = [this, request, response_loss, on_response = std::move(on_response),
                        known_version = newest_](const ConfigurationOutcome& outcome) {
       check(*request, outcome, known_version);
-      if (on_response && !cluster_.simulation().chance(lost)) on_response(outcome.kind);
+      if (on_response && !cluster_.simulation().chance(response_loss)) on_response(outcome.kind);
     };
     const std::string base = std::to_string(request->base);
     if (request->kind == ConfigurationChangeKind::put) return service.put(base, request->body, done);
@@ -146,30 +146,31 @@
 // newest version that it read or that any operator knows. Several operators race.
 class SimulatedOperator {
  public:
-  SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double lost_responses)
-      : cluster_(cluster), history_(history), lost_responses_(lost_responses) {}
+  SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double response_loss)
+      : cluster_(cluster), history_(history), response_loss_(response_loss) {}
 
   void act() {
     Simulation& simulation = cluster_.simulation();
     if (!request_) make_request();
     const auto request = request_;
-    history_.send(any_node(), request, lost_responses_, [this, request](ConfigurationOutcomeKind kind) {
+    history_.send(random_node(), request, response_loss_, [this, request](ConfigurationOutcomeKind kind) {
       if (request != request_ || kind == ConfigurationOutcomeKind::unavailable) return;
       request_.reset();
     });
     if (simulation.chance(0.3))
-      history_.read(any_node(), [this](const ConfigurationRead& read) {
+      history_.read(random_node(), [this](const ConfigurationRead& read) {
         if (read.kind == ConfigurationReadKind::found) base_ = read.version;
       });
-    if (simulation.chance(0.2) && !history_.requests().empty()) history_.send(any_node(), any_request(), 0);
+    if (simulation.chance(0.2) && !history_.requests().empty())
+      history_.send(random_node(), random_request(), 0);
   }
 
  private:
-  std::size_t any_node() {
+  std::size_t random_node() {
     return static_cast<std::size_t>(
         cluster_.simulation().random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
   }
-  const std::shared_ptr<OperatorRequest>& any_request() {
+  const std::shared_ptr<OperatorRequest>& random_request() {
     return history_.requests()[cluster_.simulation().random() % history_.requests().size()];
   }
   void make_request() {
@@ -185,7 +186,7 @@
 
   ConfigurationCluster& cluster_;
   ConfigurationHistory& history_;
-  const double lost_responses_;
+  const double response_loss_;
   std::uint64_t base_ = 0;
   std::shared_ptr<OperatorRequest> request_;
 };
--- a/tests/cluster/control/configuration_history_test.cpp
+++ b/tests/cluster/control/configuration_history_test.cpp
@@ -16,10 +16,10 @@
   std::uint64_t seed = 0;
   std::size_t machines = 5;
   std::size_t operators = 2;
-  double lost_responses = 0.5;
+  double response_loss = 0.5;
   bool long_faults = false;
   bool wipes = false;
-  SimulationOptions terms;
+  SimulationOptions simulation_options;
   std::int64_t duration_ms = 40000;
 };
 
@@ -53,21 +53,21 @@
 // Operators change and read while faults are injected; afterwards every node serves reads, and every change
 // has the outcome that it had before.
 void run_scenario(const Scenario& scenario) {
-  CAPTURE(scenario.seed, scenario.machines, scenario.lost_responses);
-  ConfigurationCluster cluster(scenario.seed, scenario.machines, scenario.terms);
+  CAPTURE(scenario.seed, scenario.machines, scenario.response_loss);
+  ConfigurationCluster cluster(scenario.seed, scenario.machines, scenario.simulation_options);
   ConfigurationHistory history(cluster);
   std::vector<SimulatedOperator> operators(scenario.operators,
-                                           SimulatedOperator(cluster, history, scenario.lost_responses));
-  FaultPlan terms;
-  terms.wipes = scenario.wipes;
-  FaultInjector<ConfigurationNode> faults(cluster, terms);
+                                           SimulatedOperator(cluster, history, scenario.response_loss));
+  FaultPlan fault_plan;
+  fault_plan.wipes = scenario.wipes;
+  FaultInjector<ConfigurationNode> faults(cluster, fault_plan);
   LongFaultInjector<ConfigurationNode> long_faults(cluster);
   Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
   std::int64_t next_fault_ms = 2500;
   const std::int64_t end_ms = simulation.now_ms() + scenario.duration_ms;
   while (simulation.now_ms() < end_ms) {
-    for (SimulatedOperator& acting : operators) acting.act();
+    for (SimulatedOperator& simulated_operator : operators) simulated_operator.act();
     simulation.run_for(Millis(simulation.random_between(20, 300)));
     if (simulation.now_ms() < next_fault_ms) continue;
     if (scenario.long_faults) {
@@ -103,10 +103,10 @@
     Scenario scenario;
     scenario.seed = seed;
     scenario.operators = 3;
-    scenario.lost_responses = 0.8;
-    scenario.terms.duplication = 0.1;
-    scenario.terms.late = 0.05;
-    scenario.terms.loss = seed % 3 == 0 ? 0.05 : 0;
+    scenario.response_loss = 0.8;
+    scenario.simulation_options.duplication = 0.1;
+    scenario.simulation_options.late = 0.05;
+    scenario.simulation_options.loss = seed % 3 == 0 ? 0.05 : 0;
     run_scenario(scenario);
   }
 }
@@ -117,8 +117,8 @@
     scenario.seed = seed;
     scenario.machines = 5;
     scenario.wipes = true;
-    scenario.lost_responses = 0.7;
-    scenario.terms.duplication = 0.05;
+    scenario.response_loss = 0.7;
+    scenario.simulation_options.duplication = 0.05;
     run_scenario(scenario);
   }
 }
@@ -156,11 +156,11 @@
     }
     CHECK(read == 2);
     const ConfigurationService& service = cluster.extra(isolated).service;
-    const auto back = [&] {
+    const auto serves_again = [&] {
       return cluster.group(isolated).has_quorum_contact() && service.newest() &&
              service.newest()->version == 2;
     };
-    REQUIRE(simulation.run_until(back, Millis(healed_ms + 1000 - simulation.now_ms())));
+    REQUIRE(simulation.run_until(serves_again, Millis(healed_ms + 1000 - simulation.now_ms())));
   }
 }
 
--- a/tests/cluster/control/configuration_service_test.cpp
+++ b/tests/cluster/control/configuration_service_test.cpp
@@ -162,14 +162,14 @@
     // One of the earlier changes again, and one that lost a race for the same base.
     retried = 1 + (retried * 7 + version) % version;
     const Outcome again = send(retried);
-    const Outcome lost = put(std::to_string(retried - 1), small_configuration(retried) + " ").kind;
+    const Outcome losing = put(std::to_string(retried - 1), small_configuration(retried) + " ").kind;
     CAPTURE(version, retried);
     REQUIRE((again == Outcome::applied || again == Outcome::unavailable));
-    REQUIRE(lost != Outcome::applied);
+    REQUIRE(losing != Outcome::applied);
     // A change that the record still lists has a definite outcome.
     if (version - retried >= 1000) continue;
     REQUIRE(again == Outcome::applied);
-    REQUIRE(lost == Outcome::conflict);
+    REQUIRE(losing == Outcome::conflict);
   }
   CHECK(send(500) == Outcome::unavailable);
   CHECK(send(1) == Outcome::applied);
@@ -274,14 +274,14 @@
 
 TEST_CASE_METHOD(ConfigurationServiceFixture,
                  "a patch of one route writes a record of the same size with 3,000 routes as with 30") {
-  const auto bytes_of_a_change = [](unsigned routes) {
+  const auto record_bytes_after_patch = [](unsigned routes) {
     ConfigurationServiceFixture fixture;
     REQUIRE(fixture.put("0", configuration_with_routes(5, routes)).kind == Outcome::applied);
     REQUIRE(fixture.patch("5", route_patch(7, "r-2")).kind == Outcome::applied);
     return fixture.registers.value().value.size();
   };
-  CHECK(bytes_of_a_change(3000) < 1000);
-  CHECK(bytes_of_a_change(3000) == bytes_of_a_change(30));
+  CHECK(record_bytes_after_patch(3000) < 1000);
+  CHECK(record_bytes_after_patch(3000) == record_bytes_after_patch(30));
 }
 
 TEST_CASE_METHOD(ConfigurationServiceFixture, "patches are applied across many snapshots") {
--- a/tests/cluster/control/job_history_test.cpp
+++ b/tests/cluster/control/job_history_test.cpp
@@ -129,12 +129,12 @@
   std::size_t acknowledged_ = 0;
 };
 
-std::string id_of(std::uint64_t number) {
+std::string job_id(std::uint64_t number) {
   std::string digits = std::to_string(number);
   return std::string(16 - digits.size(), '0') + digits;
 }
 
-void require_one_leader(LeaderCluster& cluster) {
+void require_at_most_one_leader(LeaderCluster& cluster) {
   std::size_t leaders = 0;
   for (std::size_t index = 0; index < cluster.size(); ++index) {
     if (cluster.running(index) && !cluster.node(index).frozen() && cluster.extra(index).leader.leads())
@@ -149,13 +149,14 @@
   return std::nullopt;
 }
 
-void call_all(LeaderCluster& cluster, JobHistory& history, std::uint64_t& jobs) {
+void send_random_requests(LeaderCluster& cluster, JobHistory& history, std::uint64_t& jobs) {
   Simulation& simulation = cluster.simulation();
-  const auto some_job = [&] { return id_of(simulation.random() % (jobs + 1)); };
+  const auto random_job_id = [&] { return job_id(simulation.random() % (jobs + 1)); };
   for (std::size_t index = 0; index < cluster.size(); ++index) {
-    if (simulation.chance(0.3)) history.submit(index, simulation.chance(0.7) ? id_of(++jobs) : some_job());
-    if (simulation.chance(0.1)) history.cancel(index, some_job());
-    if (simulation.chance(0.4)) history.query(index, some_job());
+    if (simulation.chance(0.3))
+      history.submit(index, simulation.chance(0.7) ? job_id(++jobs) : random_job_id());
+    if (simulation.chance(0.1)) history.cancel(index, random_job_id());
+    if (simulation.chance(0.4)) history.query(index, random_job_id());
     if (simulation.chance(0.3)) history.count(index);
   }
 }
@@ -163,21 +164,21 @@
 // Requests to all nodes while faults are injected; afterwards every accepted job is known and can be
 // canceled.
 void run_scenario(std::uint64_t seed, std::size_t machines, bool with_long_faults,
-                  const SimulationOptions& terms) {
+                  const SimulationOptions& options) {
   CAPTURE(seed, machines, with_long_faults);
-  LeaderCluster cluster(seed, machines, terms);
+  LeaderCluster cluster(seed, machines, options);
   JobHistory history(cluster);
   FaultPlan fault_plan;
   FaultInjector<LeaderNode> faults(cluster, fault_plan);
   LongFaultInjector<LeaderNode> long_faults(cluster);
   Simulation& simulation = cluster.simulation();
-  simulation.on_event([&] { require_one_leader(cluster); });
+  simulation.on_event([&] { require_at_most_one_leader(cluster); });
   cluster.bootstrap();
   std::uint64_t jobs = 0;
   std::int64_t next_fault_ms = 3000;
   const std::int64_t end_ms = simulation.now_ms() + (with_long_faults ? 50000 : 25000);
   while (simulation.now_ms() < end_ms) {
-    call_all(cluster, history, jobs);
+    send_random_requests(cluster, history, jobs);
     simulation.run_for(Millis(simulation.random_between(20, 200)));
     if (simulation.now_ms() < next_fault_ms) continue;
     if (with_long_faults) {
@@ -216,11 +217,11 @@
 
 TEST_CASE("leaders that change often, with messages lost, duplicated and delayed") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    SimulationOptions terms;
-    terms.duplication = 0.1;
-    terms.late = 0.05;
-    terms.loss = seed % 3 == 0 ? 0.05 : 0;
-    run_scenario(seed, seed % 2 == 0 ? 5 : 3, false, terms);
+    SimulationOptions options;
+    options.duplication = 0.1;
+    options.late = 0.05;
+    options.loss = seed % 3 == 0 ? 0.05 : 0;
+    run_scenario(seed, seed % 2 == 0 ? 5 : 3, false, options);
   }
 }
 
--- a/tests/cluster/control/job_request_endpoint_test.cpp
+++ b/tests/cluster/control/job_request_endpoint_test.cpp
@@ -35,7 +35,7 @@
     scheduler->restore(shard_entries(records), runtime.now(), runtime.wall_clock_ms());
   }
   void lose_lease() {
-    endpoint.fail_all({});
+    endpoint.send_in_doubt_replies({});
     scheduler.reset();
   }
   void make_durable() {
@@ -44,7 +44,7 @@
     if (changes.number == 0) return;
     apply_changes(records, changes.changes);
     scheduler->on_changes_durable(changes.number);
-    endpoint.release(changes.number);
+    endpoint.send_durable_replies(changes.number);
   }
 
   static wire::JobRequest submission(const std::string& id, const Message& message) {
@@ -74,14 +74,14 @@
     request.set_id(id);
     send(request);
   }
-  void fill() {
+  void fill_capacity() {
     for (std::uint64_t job = 0; job < kMaxLiveJobs; ++job)
       REQUIRE(submit("filler-" + std::to_string(job), {1, job + 1}) == wire::JOB_OK);
   }
 };
 
 TEST_CASE_METHOD(EndpointFixture, "a duplicate of a rejected submission is rejected once there is capacity") {
-  fill();
+  fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
   CHECK(submit("job", {2, 1}) == wire::JOB_REJECTED);
@@ -89,7 +89,7 @@
 }
 
 TEST_CASE_METHOD(EndpointFixture, "a new attempt of the client under the same id is accepted") {
-  fill();
+  fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
   CHECK(submit("job", {2, 2}) == wire::JOB_OK);
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE_METHOD(EndpointFixture, "a rejection stands under a later lease of the same process") {
-  fill();
+  fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
   lose_lease();
@@ -106,7 +106,7 @@
 }
 
 TEST_CASE_METHOD(EndpointFixture, "a submission that may have been rejected long ago is in doubt") {
-  fill();
+  fill_capacity();
   for (std::uint64_t number = 1; number <= 20000; ++number)
     REQUIRE(submit("job-" + std::to_string(number), {2, number}) == wire::JOB_REJECTED);
   cancel("filler-0");
--- a/tests/cluster/control/operator_api_test.cpp
+++ b/tests/cluster/control/operator_api_test.cpp
@@ -39,8 +39,8 @@
   }
   bool has_quorum_contact() const override { return quorum_contact; }
   Leadership leadership(const std::string& service) const override {
-    if (service == "core") return {LeadershipKind::here, {}};
-    if (service == "fraud") return {LeadershipKind::redirect, "127.0.0.2:8144"};
+    if (service == "core") return {LeadershipKind::this_node, {}};
+    if (service == "fraud") return {LeadershipKind::other_node, "127.0.0.2:8144"};
     if (service == "idle") return {LeadershipKind::unknown, {}};
     return {LeadershipKind::no_such_service, {}};
   }
--- a/tests/cluster/control/restart_test.cpp
+++ b/tests/cluster/control/restart_test.cpp
@@ -62,7 +62,7 @@
   }
   bool led(const std::string& service) const {
     for (std::size_t index = 0; index < kNodes; ++index) {
-      if (nodes[index]->inspection().leadership(service).kind == LeadershipKind::here) return true;
+      if (nodes[index]->inspection().leadership(service).kind == LeadershipKind::this_node) return true;
     }
     return false;
   }
--- a/tests/cluster/worker_agent/property_test.cpp
+++ b/tests/cluster/worker_agent/property_test.cpp
@@ -28,7 +28,7 @@
     agent_->start();
     leaf_.on_start = [this](const Run& run) {
       ++starts;
-      if (leaders_.declared_over.count({leaf_.id(), run}) != 0)
+      if (leaders_.declared_ended.count({leaf_.id(), run}) != 0)
         violations.push_back("a run started after a report had declared it over");
       if (leaf_.has_announced_drain())
         violations.push_back("a run started on a leaf that had announced its drain");
@@ -50,13 +50,13 @@
   std::size_t starts = 0;
 
  private:
-  bool chance(unsigned in) { return generator_() % in == 0; }
+  bool one_in(unsigned count) { return generator_() % count == 0; }
 
   void inject_fault() {
-    if (chance(800)) leaders_.next_epoch();
-    if (chance(1500)) leaf_.crash();
-    if (chance(2500)) leaf_.drain();
-    if (chance(600)) runtime_.suspend(Millis(generator_() % 3000));
+    if (one_in(800)) leaders_.next_epoch();
+    if (one_in(1500)) leaf_.crash();
+    if (one_in(2500)) leaf_.drain();
+    if (one_in(600)) runtime_.suspend(Millis(generator_() % 3000));
   }
 
   void receive_calls() {
@@ -74,14 +74,14 @@
 
   void answer_random_reports() {
     for (auto report = pending_reports_.begin(); report != pending_reports_.end();) {
-      if (!chance(10)) {
+      if (!one_in(10)) {
         ++report;
         continue;
       }
       const PendingReport pending = std::move(*report);
       report = pending_reports_.erase(report);
-      if (chance(10)) continue;  // lost
-      granted_until_ = std::max(granted_until_, pending.sent + kGrant);
+      if (one_in(10)) continue;  // lost
+      granted_until_ = std::max(granted_until_, pending.sent_at + kGrant);
       leaders_.answer(pending.call);
     }
   }
@@ -97,7 +97,7 @@
 
   struct PendingReport {
     ScriptedRuntime::Call call;
-    TimePoint sent;
+    TimePoint sent_at;
   };
 
   std::mt19937_64 generator_;
--- a/tests/cluster/worker_agent/simulated_leaders.hpp
+++ b/tests/cluster/worker_agent/simulated_leaders.hpp
@@ -14,7 +14,7 @@
 
 namespace winchhall::cluster::worker_test {
 
-inline constexpr std::size_t kOrdersRemembered = 60;
+inline constexpr std::size_t kMaxKeptOrders = 60;
 inline constexpr Millis kGrant{4000};
 
 // A sequence of leaders, one for each epoch: each gives random orders and relies on what reports declare.
@@ -32,7 +32,7 @@
       if (order.leaf_id != leaf_id || !order.start) continue;
       const bool declared = order.epoch < report.epoch() ||
                             (order.epoch == report.epoch() && order.revision <= report.orders_settled());
-      if (declared && listed.count(order.run) == 0) declared_over.insert({leaf_id, order.run});
+      if (declared && listed.count(order.run) == 0) declared_ended.insert({leaf_id, order.run});
     }
   }
 
@@ -57,7 +57,7 @@
   }
 
   // Runs that reports have declared over for good, by incarnation of the leaf.
-  std::set<std::pair<std::string, Run>> declared_over;
+  std::set<std::pair<std::string, Run>> declared_ended;
 
  private:
   struct Order {
@@ -80,7 +80,7 @@
   }
 
   void add_random_orders(const wire::WorkerReport& report, std::uint64_t epoch) {
-    while (orders_.size() > kOrdersRemembered) orders_.pop_front();
+    while (orders_.size() > kMaxKeptOrders) orders_.pop_front();
     if (epoch != epoch_ || report.epoch() != epoch) return;
     if (generator_() % 3 == 0) {
       const Run run{"5c0e7a21d94b36f8.0.0." + std::to_string(generator_() % 8), ++run_};
--- a/tests/cluster/worker_agent/simulated_leaf.hpp
+++ b/tests/cluster/worker_agent/simulated_leaf.hpp
@@ -20,7 +20,7 @@
 using testing::ScriptedRuntime;
 
 // Time after which the leaf gives up on a heartbeat and drops its response.
-inline constexpr Millis kCallLimit{1000};
+inline constexpr Millis kHeartbeatTimeout{1000};
 
 // One run of a task on the leaf.
 struct Run {
@@ -40,21 +40,21 @@
       : runtime_(runtime), generator_(generator) {}
 
   void step(WorkerAgent& agent) {
-    take_due_answer();
+    process_due_responses();
     expire_lease();
     end_random_run();
-    const bool call_pending = call_open_ && runtime_.now() - called_at_ < kCallLimit;
+    const bool call_pending = awaiting_response_ && runtime_.now() - called_at_ < kHeartbeatTimeout;
     if (!call_pending && runtime_.now() >= next_call_) call(agent);
   }
 
   void crash() {
     ++incarnation_;
     running_.clear();
-    ended_.clear();
+    finished_.clear();
     sequence_ = 0;
-    next_end_ = 1;
+    next_finished_number_ = 1;
     fence_token_ = 0;
-    call_open_ = false;
+    awaiting_response_ = false;
     draining_ = false;
     lease_expires_at_ = TimePoint{};
     highest_ended_run_.clear();
@@ -75,43 +75,43 @@
     ScriptedHeartbeat heartbeat;
     heartbeat.sequence = ++sequence_;
     for (const Run& run : running_) heartbeat.runs(run.task, run.number, generator_() % 100);
-    for (const auto& [number, run] : ended_) heartbeat.ended(number, run.task, run.number);
+    for (const auto& [number, run] : finished_) heartbeat.ended(number, run.task, run.number);
     boost::json::object body{{"backend", "core"},
                              {"state", draining_ ? "draining" : "ready"},
                              {"sequence", *heartbeat.sequence},
                              {"running", heartbeat.running},
                              {"finished", heartbeat.finished}};
-    call_open_ = true;
+    awaiting_response_ = true;
     called_at_ = runtime_.now();
     const std::uint64_t number = ++call_number_;
-    const TimePoint sent = runtime_.now();
+    const TimePoint sent_at = runtime_.now();
     if (chance(3)) return;  // the heartbeat is lost
     const std::uint64_t drained_incarnation = draining_ ? incarnation_ : 0;
     agent.on_heartbeat(id(), boost::json::serialize(body),
-                       [this, number, sent, drained_incarnation](const LeafResponse& answer) {
+                       [this, number, sent_at, drained_incarnation](const LeafResponse& answer) {
                          if (drained_incarnation != 0) drain_announced_incarnation_ = drained_incarnation;
                          if (chance(8)) return;  // the answer is lost
                          const Millis delay(chance(5) ? 900 + generator_() % 300 : generator_() % 10);
-                         answers_.push_back({number, sent, runtime_.now() + delay,
-                                             boost::json::parse(answer.body).as_object()});
+                         delayed_responses_.push_back({number, sent_at, runtime_.now() + delay,
+                                                       boost::json::parse(answer.body).as_object()});
                        });
   }
 
-  void take_due_answer() {
-    for (auto answer = answers_.begin(); answer != answers_.end();) {
+  void process_due_responses() {
+    for (auto answer = delayed_responses_.begin(); answer != delayed_responses_.end();) {
       if (answer->due > runtime_.now()) {
         ++answer;
         continue;
       }
-      const bool current =
-          call_open_ && answer->call == call_number_ && runtime_.now() - answer->sent < kCallLimit;
-      if (current) execute_response(answer->body, answer->sent);
-      answer = answers_.erase(answer);
+      const bool current = awaiting_response_ && answer->call == call_number_ &&
+                           runtime_.now() - answer->sent_at < kHeartbeatTimeout;
+      if (current) execute_response(answer->body, answer->sent_at);
+      answer = delayed_responses_.erase(answer);
     }
   }
 
-  void execute_response(const boost::json::object& body, TimePoint sent) {
-    call_open_ = false;
+  void execute_response(const boost::json::object& body, TimePoint sent_at) {
+    awaiting_response_ = false;
     const auto number = [&body](const char* field) -> std::uint64_t {
       const boost::json::value* const value = body.if_contains(field);
       return value != nullptr ? value->to_number<std::uint64_t>() : 0;
@@ -120,8 +120,8 @@
     if (number("fence_token") < fence_token_) return;
     fence_token_ = number("fence_token");
     if (body.contains("hold_ms"))
-      lease_expires_at_ = std::max(lease_expires_at_, sent + Millis(number("hold_ms")));
-    ended_.erase(ended_.begin(), ended_.upper_bound(number("last_seen")));
+      lease_expires_at_ = std::max(lease_expires_at_, sent_at + Millis(number("hold_ms")));
+    finished_.erase(finished_.begin(), finished_.upper_bound(number("last_seen")));
     if (body.contains("stopped_at")) {
       for (const boost::json::value& entry : body.at("stopped_at").as_array()) stop(run_of(entry));
     }
@@ -140,7 +140,7 @@
   }
   void stop(const Run run) {
     highest_ended_run_[run.task] = std::max(highest_ended_run_[run.task], run.number);
-    if (running_.erase(run) != 0) ended_[next_end_++] = run;
+    if (running_.erase(run) != 0) finished_[next_finished_number_++] = run;
   }
   void expire_lease() {
     if (runtime_.now() < lease_expires_at_) return;
@@ -152,9 +152,9 @@
     next_call_ = std::min(next_call_, runtime_.now() + Millis(50));
   }
 
-  struct Answer {
+  struct DelayedResponse {
     std::uint64_t call = 0;
-    TimePoint sent;
+    TimePoint sent_at;
     TimePoint due;
     boost::json::object body;
   };
@@ -165,17 +165,17 @@
   std::uint64_t drain_announced_incarnation_ = 0;
   std::uint64_t sequence_ = 0;
   std::uint64_t fence_token_ = 0;
-  std::uint64_t next_end_ = 1;
+  std::uint64_t next_finished_number_ = 1;
   std::uint64_t call_number_ = 0;
-  bool call_open_ = false;
+  bool awaiting_response_ = false;
   bool draining_ = false;
   TimePoint called_at_{};
   TimePoint next_call_{};
   TimePoint lease_expires_at_{};
   std::set<Run> running_;
-  std::map<std::uint64_t, Run> ended_;
+  std::map<std::uint64_t, Run> finished_;
   std::map<std::string, std::uint64_t> highest_ended_run_;
-  std::vector<Answer> answers_;
+  std::vector<DelayedResponse> delayed_responses_;
 };
 
 }  // namespace winchhall::cluster::worker_test
