--- a/src/cluster/control/applied_changes.cpp
+++ b/src/cluster/control/applied_changes.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr int kMaxAppliedChanges = 1024;
-// The first change is never dropped: an operator that builds on no version always gets a definite outcome.
+// Index of the oldest change that may be dropped. The first change is always kept, so that an operator's
+// change without a base version always gets a definite outcome.
 constexpr int kFirstDroppable = 1;
 
 void drop_oldest_changes(wire::ConfigurationRecord& record) {
@@ -26,8 +27,9 @@
                      });
 }
 
-// An applied change built on a lower version than the one it made, and a dropped one made no version above
-// the newest dropped one. A change on base 0 can only be the first one, which is never dropped.
+// An applied change has a lower base version than its own version, and the version of a dropped change is at
+// most that of the newest dropped change. A change with base 0 can only be the first one, which is never
+// dropped.
 bool may_have_been_dropped(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
   return change.base > 0 && change.base < change.version && change.version <= record.forgotten_version();
 }
--- a/src/cluster/control/configuration_change.cpp
+++ b/src/cluster/control/configuration_change.cpp
@@ -10,8 +10,9 @@
 namespace winchhall::cluster {
 namespace {
 
-// Patches kept in the record on top of its snapshot, about a hundred changes of a route. Beyond that, a new
-// snapshot is cheaper than carrying them in every write of the record.
+// Maximum total size of the patches that a record holds on top of its snapshot, enough for about a hundred
+// changes of a route. Above this size, a new snapshot costs less than the patches in every write of the
+// record.
 constexpr std::size_t kMaxPatchBytes = 32u << 10;
 constexpr const char* kPutSource = "Config.Put";
 constexpr const char* kPatchSource = "Config.Patch";
@@ -20,7 +21,7 @@
   return kind == ConfigurationChangeKind::put ? kPutSource : kPatchSource;
 }
 
-// 128 bits of a SHA-1 over kind and body: distinct changes have distinct digests.
+// Returns a digest (128 bits of a SHA-1) of kind and body. Distinct changes have distinct digests.
 std::string digest_of(ConfigurationChangeKind kind, const std::string& body) {
   const boost::uuids::name_generator_sha1 names(boost::uuids::ns::oid());
   const boost::uuids::uuid kind_name = names(source_of(kind));
@@ -46,7 +47,8 @@
                                       "a version above " + std::to_string(current)});
 }
 
-// What a patch changes in `base`; nothing for a put, which was checked when it was parsed.
+// Validates a patch against `base` and returns the resulting edit. A put was validated when it was parsed:
+// its edit is empty.
 leaf::result<ConfigurationEdit> check_patch(const ConfigurationChange& change,
                                             const ConfigurationDocument* base) {
   if (change.kind == ConfigurationChangeKind::put) return ConfigurationEdit();
@@ -54,8 +56,8 @@
   return (base == nullptr ? empty : *base).check(change.patch, kPatchSource);
 }
 
-// Text of the complete configuration that a change makes. A patch of an existing configuration was checked
-// with it; a patch of none must make a valid configuration by itself.
+// Returns the text of the complete configuration that a change creates. A patch of an existing configuration
+// was validated together with it; without one, the patch must be a valid configuration by itself.
 leaf::result<std::string> complete_text(const ConfigurationChange& change, const ConfigurationDocument* base,
                                         const ConfigurationEdit& edit) {
   if (change.kind == ConfigurationChangeKind::put) return change.body;
@@ -66,7 +68,7 @@
   return json;
 }
 
-// Whether a change can be appended to the record as a patch of its snapshot.
+// Returns true if a change can be appended to the record as a patch of its snapshot.
 bool fits_as_patch(const ConfigurationChange& change, const wire::ConfigurationRecord& record) {
   if (change.kind == ConfigurationChangeKind::put || !record.has_snapshot()) return false;
   std::size_t bytes = change.body.size();
@@ -80,8 +82,9 @@
   entry.set_body(change.body);
 }
 
-// Puts a complete configuration into the record: as the id of a snapshot, or as text while a member may not
-// read snapshots. A record that names a snapshot shows that all members did once, and records never go back.
+// Stores a complete configuration in the record: as the id of a snapshot, or as text if a member may be
+// unable to read snapshots. If the record already names a snapshot, all members could read snapshots before,
+// so that the record never returns to text.
 void replace_content(std::uint64_t version, std::string json, bool snapshots_allowed, ChangeResult& result) {
   wire::ConfigurationRecord& record = *result.record;
   const bool had_snapshot = record.has_snapshot();
--- a/src/cluster/control/configuration_follower.cpp
+++ b/src/cluster/control/configuration_follower.cpp
@@ -41,8 +41,8 @@
   snapshots_.read(record.snapshot(), kConfigurationQuorumTimeout, on_read);
 }
 
-// A snapshot that was not found has been replaced by a newer one, or no majority answered: in both cases the
-// newest record known is tried again.
+// A missing snapshot means that a newer one has replaced it or that no majority answered. In both cases the
+// newest known record is retried.
 void ConfigurationFollower::on_snapshot_read(const std::optional<std::string>& json) {
   fetching_ = false;
   if (!pending_record_) return;
@@ -58,7 +58,7 @@
 
 void ConfigurationFollower::on_version_advanced() {
   on_advanced_();
-  // A waiter may add another one, so that those to be called are taken out first.
+  // A callback may add another waiter, so the waiters to be called are removed from the list first.
   std::list<VersionWaiter> reached;
   for (auto next = waiters_.begin(); next != waiters_.end();) {
     const auto waiter = next++;
--- a/src/cluster/control/configuration_follower.hpp
+++ b/src/cluster/control/configuration_follower.hpp
@@ -1,4 +1,4 @@
-// The newest chosen configuration on a control node, followed from record to record.
+// Follows the register "configuration" and keeps the newest chosen configuration on a control node.
 #pragma once
 
 #include <cstdint>
@@ -15,29 +15,30 @@
 
 namespace winchhall::cluster {
 
-// Keeps the configuration of the newest chosen record that became known on this node, and reads the snapshots
-// that records name where the state at hand isn't enough.
+// Keeps the configuration of the newest chosen record that this node knows. Reads the snapshot that a record
+// names if the present state and the patches in the record are not sufficient.
 //
-// Owns the configuration state; everyone else only reads it. Is told of chosen records from several sides
-// (the register watch, the node's own changes and reads), in any order and repeatedly. All calls and
-// callbacks happen on the event loop.
+// Owns the configuration state, which other classes only read. Several sources report chosen records (the
+// register watch, and the node's own changes and reads), in any order and repeatedly. All calls and callbacks
+// happen on the event loop.
 //
-// Invariant: the state's version never goes back. A version that is held was chosen by a majority, since only
-// values that are known to be chosen come in here.
+// Invariant: the version of the state never decreases. Every version that the state reaches was chosen by a
+// majority, since only values that are known to be chosen may be passed in.
 class ConfigurationFollower {
  public:
-  // `on_advanced` is called after each newer version that is held. The references outlive the follower.
+  // `on_advanced` is called each time that the state has reached a newer version. The references must outlive
+  // the follower.
   ConfigurationFollower(Runtime& runtime, ConfigurationSnapshots& snapshots,
                         std::function<void()> on_advanced)
       : runtime_(runtime), snapshots_(snapshots), on_advanced_(std::move(on_advanced)) {}
 
-  // The value of the register "configuration" was chosen. A version that isn't newer is ignored.
+  // Applies a chosen value of the register "configuration". A version that isn't newer is ignored.
   void on_chosen(const RegisterValue& value);
 
   const ConfigurationState& state() const { return state_; }
 
-  // Calls `done` once: with true as soon as `version` or a newer one is held, perhaps from within this call;
-  // with false after `timeout`.
+  // Calls `done` exactly once: with true as soon as the state has reached `version` or a newer one, possibly
+  // before this call returns; with false after `timeout`.
   void when_version_reached(std::uint64_t version, Millis timeout, std::function<void(bool reached)> done);
 
  private:
@@ -57,7 +58,7 @@
   const std::function<void()> on_advanced_;
   ConfigurationState state_;
   std::list<VersionWaiter> waiters_;
-  // Newest chosen record whose snapshot is missing here; none: the state is up to date as far as is known.
+  // Newest chosen record whose snapshot this node lacks; empty if the state is at the newest known record.
   std::optional<wire::ConfigurationRecord> pending_record_;
   std::unique_ptr<Timer> retry_timer_;
   bool fetching_ = false;
--- a/src/cluster/control/configuration_proposer.hpp
+++ b/src/cluster/control/configuration_proposer.hpp
@@ -1,4 +1,4 @@
-// Carries out operators' changes of the configuration by compare-and-swap on the register "configuration".
+// Applies operators' changes of the configuration by compare-and-swap on the register "configuration".
 #pragma once
 
 #include <functional>
@@ -15,25 +15,27 @@
 
 namespace winchhall::cluster {
 
-// Proposes changes until each is chosen, refused or out of time. There is no leader: any control node
-// proposes, and the register decides which of two changes on one base is applied.
+// Proposes each change until it is chosen, rejected or timed out. There is no leader: any control node
+// proposes, and the register decides which of two changes with the same base is applied.
 //
-// An attempt reads the current record through the register, computes the next one and writes it. Where that
-// needs something that is missing on this node (the configuration that the change builds on, or a snapshot on
-// a majority), the attempt leaves the register as it is, gets what is missing and starts again.
+// An attempt reads the current record through the register, computes the next one and writes it. If a
+// prerequisite is missing (the configuration that the change is based on is not on this node, or the new
+// snapshot is not yet durable on a majority), the attempt leaves the register unchanged, establishes the
+// prerequisite and tries again.
 //
 // Invariants:
-// - `applied` is reported only once the record with the change is durable on a majority of the members, also
-//   where an earlier attempt wrote it.
+// - `applied` is reported only once the record with the change is durable on a majority of the members, even
+//   if an earlier attempt wrote it.
 // - A snapshot is durable on a majority before a record that names it is proposed.
 //
-// An attempt is owned by the callback that waits for its register or timer; none of these may be called after
-// the proposer is gone. All calls and callbacks happen on the event loop.
+// An attempt is owned by the pending callback of its register operation or timer. No such callback may run
+// after the proposer is destroyed. All calls and callbacks happen on the event loop.
 class ConfigurationProposer {
  public:
   using ChangeCallback = std::function<void(ConfigurationOutcome)>;
 
-  // `all_members_read_snapshots`: records may name snapshots. The references outlive the proposer.
+  // `all_members_read_snapshots` returns true if records may name snapshots. The references must outlive the
+  // proposer.
   ConfigurationProposer(Runtime& runtime, RegisterClient& registers, ConfigurationSnapshots& snapshots,
                         ConfigurationFollower& follower, std::function<bool()> all_members_read_snapshots)
       : runtime_(runtime),
@@ -42,15 +44,17 @@
         follower_(follower),
         all_members_read_snapshots_(std::move(all_members_read_snapshots)) {}
 
-  // Proposes a change. `done` is called once, perhaps from within this call, with `unavailable` after at most
-  // kConfigurationQuorumTimeout: then the change may or may not take effect, and may be sent again as it is.
+  // Proposes a change. `done` is called exactly once, possibly before this call returns, and at the latest
+  // after kConfigurationQuorumTimeout, then with `unavailable`: the change may or may not take effect, and
+  // the same change may be sent again.
   void propose(ConfigurationChange change, ChangeCallback done);
 
  private:
-  // What the newest try lacked of what it needs.
+  // The prerequisite that the latest try lacked.
   enum class MissingPrerequisite { nothing, base, snapshot };
 
-  // A change on its way. All but the first three members are of the newest try.
+  // A change in progress. `durable_snapshots` covers all tries; the other members after `deadline` describe
+  // the latest one.
   struct ChangeAttempt {
     ConfigurationChange change;
     ChangeCallback done;
@@ -59,14 +63,14 @@
     MissingPrerequisite missing = MissingPrerequisite::nothing;
     wire::ConfigurationRecord current;
     std::string snapshot;
-    // Digests of snapshots that are durable on a majority, of all tries.
+    // Digests of the snapshots that are durable on a majority.
     std::set<std::string> durable_snapshots;
   };
   using ChangeAttemptPtr = std::shared_ptr<ChangeAttempt>;
 
   void update_register(const ChangeAttemptPtr& attempt);
-  // The next value of the register; none: the outcome is certain, or a prerequisite is missing. May be called
-  // several times by one update.
+  // Returns the next value of the register, or nothing if the outcome is already determined or a prerequisite
+  // is missing. One register update may call it several times.
   std::optional<std::string> compute_next(ChangeAttempt& attempt, const std::string& current) const;
   void on_register_updated(const ChangeAttemptPtr& attempt, const std::optional<RegisterValue>& chosen);
   void retry_with_base(const ChangeAttemptPtr& attempt);
--- a/src/cluster/control/configuration_responses.hpp
+++ b/src/cluster/control/configuration_responses.hpp
@@ -6,11 +6,11 @@
 
 namespace winchhall::cluster {
 
-// For a change. Applied: 200 {"version":n}; conflict: 412 {"version":n} with the current version; invalid:
-// 400 {"error":{...}}; unavailable: 503.
+// Response to a change: 200 {"version":n} if it was applied, 412 {"version":n} with the current version on a
+// conflict, 400 {"error":{...}} if it is invalid, 503 if the outcome is unknown.
 HttpResponse change_response(const ConfigurationOutcome& outcome);
 
-// For a read. Found: 200 with the complete configuration; missing: 404; unavailable: 503.
+// Response to a read: 200 with the complete configuration, 404 if there is none, 503 if no majority answered.
 HttpResponse read_response(const ConfigurationRead& read);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/configuration_service.cpp
+++ b/src/cluster/control/configuration_service.cpp
@@ -48,7 +48,8 @@
       });
 }
 
-// A read is an update that changes nothing: what it returns was chosen by a majority after the call began.
+// A read is a register update that changes nothing: the value that it returns was chosen by a majority after
+// the call began.
 void ConfigurationService::get(ReadCallback done) {
   const RegisterChange keep = [](const std::string&) { return std::nullopt; };
   const TimePoint deadline = runtime_.now() + kConfigurationQuorumTimeout;
--- a/src/cluster/control/configuration_service.hpp
+++ b/src/cluster/control/configuration_service.hpp
@@ -1,4 +1,5 @@
-// The operator's configuration on a control node: changes, reads, and delivery to agents and ingresses.
+// The configuration service of a control node: operators' changes and reads, and delivery to agents and
+// ingresses.
 #pragma once
 
 #include <functional>
@@ -18,67 +19,73 @@
 
 namespace winchhall::cluster {
 
-// How a read ended. `missing`: no configuration was ever applied; `unavailable`: no majority answered in
-// time.
-enum class ConfigurationReadKind { found, missing, unavailable };
+// Kind of the result of a read.
+enum class ConfigurationReadKind {
+  found,
+  missing,     // no configuration was ever applied
+  unavailable  // no majority answered in time
+};
 
+// Result of a read. `version` and `json` (the complete configuration) are set only for `found`.
 struct ConfigurationRead {
   ConfigurationReadKind kind = ConfigurationReadKind::unavailable;
   std::uint64_t version = 0;
   std::string json;
 };
 
-// What the service needs of its node besides the registers.
+// Functions of the control node that the service calls, apart from the register client.
 struct ConfigurationDependencies {
-  // Sent to watchers along with the configuration. All three must be set.
+  // State that is sent to watchers together with the configuration. All three must be set.
   std::function<std::vector<wire::ShardLeader>()> leaders;
   std::function<std::vector<wire::Member>()> members;
   std::function<bool()> has_quorum_contact;
-  // True once every member of the control group reads records that name snapshots.
+  // Returns true once every member of the control group can read records that name snapshots.
   std::function<bool()> members_read_snapshots = [] { return true; };
   LocalRegisterReplicas local_registers = {};
 };
 
-// The configuration service of one control node. Every control node runs one, and all of them serve operators
-// and watchers: the configuration has no leader.
+// The configuration service of one control node. Every control node runs one, and each of them serves
+// operators and watchers: the configuration has no leader.
 //
-// Durability: a change is acknowledged as `applied` once its record is chosen, that is durable on a majority
-// of the members; so is the snapshot that the record names. An answer of `unavailable` leaves open whether
-// the change takes effect; the same change may be sent again and ends the same way. A read returns a version
-// that is no older than any that was acknowledged or read before the call began.
+// Durability: a change is acknowledged as `applied` only once its record is chosen, which means that the
+// record and the snapshot that it names are durable on a majority of the members. The outcome `unavailable`
+// leaves open whether the change takes effect; the same change may be sent again, which has the same result.
+// A read returns a version that is no older than any that was acknowledged or read before the call began.
 //
-// Owns the state, the proposer, the watchers and the transfers to fetching callers. Single-threaded: all
-// calls and callbacks happen on the event loop. Pending updates of the register client refer to the service:
-// none of them may call back after the service is gone.
+// Owns the configuration state, the proposer, the watchers and the transfers to fetching callers.
+// Single-threaded: all calls and callbacks happen on the event loop. Pending updates of the register client
+// refer to the service and must not call back after its destruction.
 class ConfigurationService {
  public:
   using ChangeCallback = ConfigurationProposer::ChangeCallback;
   using ReadCallback = std::function<void(ConfigurationRead)>;
   using ConfigurationListener = std::function<void(const Configuration&)>;
 
-  // `runtime` and `registers` outlive the service.
+  // `runtime` and `registers` must outlive the service.
   ConfigurationService(Runtime& runtime, RegisterClient& registers,
                        const ConfigurationDependencies& dependencies);
 
-  // Replaces the whole configuration (`put`) or named items of it (`patch`). `base`: text of the header
-  // X-Winchhall-Base-Version; none: not sent, which counts as version 0. `done` is called once, perhaps from
-  // within this call; with `unavailable` after at most kConfigurationQuorumTimeout.
+  // Replaces the whole configuration (`put`) or named items of it (`patch`). `base` is the text of the header
+  // X-Winchhall-Base-Version; a missing header counts as version 0. `done` is called exactly once, possibly
+  // before this call returns, and with `unavailable` after at most kConfigurationQuorumTimeout.
   void put(const std::optional<std::string>& base, std::string body, ChangeCallback done);
   void patch(const std::optional<std::string>& base, std::string body, ChangeCallback done);
-  // Reads the newest configuration through a majority. `done` as above.
+  // Reads the newest configuration from a majority. `done` is called as for `put`.
   void get(ReadCallback done);
 
-  // A value of the register "configuration" is known to be chosen. Versions that aren't newer are ignored.
+  // Applies a value of the register "configuration" that is known to be chosen. A version that isn't newer is
+  // ignored.
   void on_register_value(const RegisterValue& value) { follower_.on_chosen(value); }
-  // Leaders or members may have changed: answers the watchers that this concerns. Changes are also noticed
-  // without this call, within 50 ms.
+  // Notifies the watchers whose leaders or members are out of date. Without this call, a change is detected
+  // within 50 ms.
   void on_leaders_changed() { watchers_.check(); }
-  // Handles ConfigurationWatch and ConfigurationFetch requests; false: a request of another kind.
+  // Handles ConfigurationWatch and ConfigurationFetch requests. Returns false for requests of other kinds.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
-  // Answers all watchers. Called once, at a graceful shutdown.
+  // Answers all watchers. Called once, during a graceful shutdown.
   void stop() { watchers_.answer_all(); }
 
-  // Newest configuration known on this node, perhaps older than that of a majority; null: none yet.
+  // Returns the newest configuration known on this node, which may be older than that of a majority; null if
+  // none is known yet.
   const Configuration* newest() const { return follower_.state().configuration(); }
   // `listener` is called with each newer configuration that becomes known on this node, before its watchers
   // are answered. Replaces an earlier listener.
--- a/src/cluster/control/configuration_snapshots.cpp
+++ b/src/cluster/control/configuration_snapshots.cpp
@@ -16,14 +16,15 @@
   return boost::uuids::name_generator_sha1(boost::uuids::ns::oid())(json);
 }
 
-// "configuration/snapshot/VERSION/DIGEST", the digest as a UUID. Part of the stored data.
+// Returns the key "configuration/snapshot/VERSION/DIGEST" with the digest in the form of a UUID. Keys are
+// part of the stored data.
 std::string key_of(const wire::ConfigurationSnapshotId& id) {
   boost::uuids::uuid digest{};
   std::copy_n(id.digest().begin(), std::min(id.digest().size(), digest.size()), digest.begin());
   return std::string(kKeyPrefix) + std::to_string(id.version()) + "/" + boost::uuids::to_string(digest);
 }
 
-// The version in a key; none: not the key of a snapshot.
+// Returns the version in a key, or nothing if it is not the key of a snapshot.
 std::optional<std::uint64_t> version_in(std::string_view key) {
   if (!key.starts_with(kKeyPrefix)) return std::nullopt;
   key.remove_prefix(kKeyPrefix.size());
--- a/src/cluster/control/configuration_state.cpp
+++ b/src/cluster/control/configuration_state.cpp
@@ -69,8 +69,8 @@
       [] { return RecordOutcome::unreadable; });
 }
 
-// True if the record consists of the state at hand and patches on top of it: both have the same snapshot, and
-// the version held is the snapshot's or that of one of the record's patches.
+// Returns true if the record consists of the present state and further patches: both are based on the same
+// snapshot, and the version of the state is that of the snapshot or of one of the record's patches.
 bool ConfigurationState::extends_current_state(const wire::ConfigurationRecord& record) const {
   if (!document_ || !same_snapshot(record.snapshot(), snapshot_)) return false;
   return version_ == snapshot_.version() ||
@@ -93,9 +93,9 @@
   snapshot_ = record.snapshot();
 }
 
-// After a patch that could not be applied, document and items may be ahead of the record that was applied
-// last. Without its snapshot's id, no record with a snapshot extends this state: the next one is loaded
-// completely.
+// Called after a patch could not be applied: document and items may be ahead of the last applied record. Once
+// the id of the snapshot is cleared, no record with a snapshot extends this state, so that the next one is
+// loaded from its snapshot.
 void ConfigurationState::require_snapshot() {
   last_change_.clear();
   snapshot_.Clear();
--- a/src/cluster/control/configuration_state.hpp
+++ b/src/cluster/control/configuration_state.hpp
@@ -1,4 +1,4 @@
-// The configuration of one record of the register "configuration", advanced from record to record.
+// The configuration of the newest applied record of the register "configuration".
 #pragma once
 
 #include <optional>
@@ -10,36 +10,39 @@
 
 namespace winchhall::cluster {
 
-// What became of a record that was applied to the state.
+// Result of the application of a record to the state.
 enum class RecordOutcome {
   applied,
-  not_newer,        // its version is held already, or an older one
-  snapshot_needed,  // the record builds on a snapshot that this state doesn't
-  unreadable,       // made by a version of the program that allows more
+  not_newer,        // the state already has this version or a newer one
+  snapshot_needed,  // the record is based on a snapshot that this state isn't based on
+  unreadable,       // not valid for this version of the program: a newer one that allows more has written it
 };
 
-// The newest record that was applied, as a document, as items and with what identifies it. Advancing by
-// patches costs work in proportion to the patches, not to the configuration.
+// The newest applied record, kept as a document, as items, and with the digest of its last change and the id
+// of its snapshot. The application of patches costs time in proportion to the patches, not to the
+// configuration.
 //
-// A plain value without I/O; owned by ConfigurationFollower, which applies chosen records only. The version
-// never goes back.
+// A plain value that does no I/O. Owned by ConfigurationFollower, which applies chosen records only. The
+// version never decreases.
 class ConfigurationState {
  public:
-  // 0 before the first record.
+  // Version of the newest applied record; 0 before the first one.
   std::uint64_t version() const { return version_; }
-  // Null before the first record.
+  // The parsed configuration; null before the first record.
   const Configuration* configuration() const;
-  // The complete configuration as the operator gave it, patches applied; empty before the first record.
+  // The text of the complete configuration as the operator sent it, with all patches applied; empty before
+  // the first record.
   std::string json() const { return document_ ? document_->json() : std::string(); }
-  // Only to be called after the first record.
+  // Must not be called before the first record.
   const ConfigurationDocument& document() const { return *document_; }
-  // The same configuration as items, with the differences between the versions that were held here. The table
-  // lives as long as the state.
+  // The same configuration as items, with the differences between the versions that this state has had. The
+  // table lives as long as the state.
   const ConfigurationItemTable& items() const { return items_; }
-  // True if the state was made by exactly the changes of `record`: not only the version is the same.
+  // Returns true if both the version and the last change of the state are those of `record`. Equal versions
+  // alone do not suffice.
   bool matches(const wire::ConfigurationRecord& record) const;
 
-  // Applies a newer record where nothing is needed but the record and the state.
+  // Applies a newer record if that needs no snapshot besides the record and the state.
   RecordOutcome apply(const wire::ConfigurationRecord& record);
   // Applies a newer record whose snapshot is `json`.
   RecordOutcome apply(const wire::ConfigurationRecord& record, const std::string& json);
@@ -52,9 +55,9 @@
   void require_snapshot();
 
   std::uint64_t version_ = 0;
-  std::string last_change_;  // digest of the change that made this version; empty: not known
+  std::string last_change_;  // digest of the change that created this version; empty if unknown
   std::optional<ConfigurationDocument> document_;
-  wire::ConfigurationSnapshotId snapshot_;  // that the state builds on; empty: none, or not to be relied on
+  wire::ConfigurationSnapshotId snapshot_;  // that the state is based on; empty if there is none to rely on
   ConfigurationItemTable items_;
 };
 
--- a/src/cluster/control/configuration_watchers.hpp
+++ b/src/cluster/control/configuration_watchers.hpp
@@ -1,4 +1,4 @@
-// Long polls of a control node's configuration, leaders and members.
+// Long polls for changes of the configuration, the leaders and the members.
 #pragma once
 
 #include <functional>
@@ -11,30 +11,31 @@
 
 namespace winchhall::cluster {
 
-// State of the control group that is sent to watchers along with the configuration. All must be set.
+// Access to the state of the control group that is sent to watchers together with the configuration. All
+// functions must be set.
 struct GroupStateSource {
   std::function<std::vector<wire::ShardLeader>()> leaders;
   std::function<std::vector<wire::Member>()> members;
   std::function<bool()> has_quorum_contact;
 };
 
-// Holds ConfigurationWatch requests until the configuration is newer, or leaders or members differ, from what
-// the caller has, or its wait (at most 10 s) is over.
+// Holds each ConfigurationWatch request until the configuration is newer than the caller's, the leaders or
+// members differ from the caller's, or the caller's wait time (at most 10 s) is over.
 //
 // Owns the pending requests; reads the configuration state. All calls happen on the event loop. A watcher is
-// answered exactly once; one that is still pending at destruction gets no answer.
+// answered exactly once, but not at all if it is still pending at destruction.
 class ConfigurationWatchers {
  public:
-  // `state` outlives the watchers.
+  // `runtime` and `state` must outlive this object.
   ConfigurationWatchers(Runtime& runtime, const ConfigurationState& state, GroupStateSource group)
       : runtime_(runtime), state_(state), group_(std::move(group)) {}
 
-  // Answers `request` with `reply`, now or once there is something new for the caller.
+  // Answers `request` through `reply`, now or once there is something new for the caller.
   void watch(const wire::ConfigurationWatch& request, ReplyCallback reply);
-  // Answers the watchers whose configuration, leaders or members are out of date. Called at each newer
-  // configuration; leaders and members are also checked every 50 ms while there are watchers.
+  // Answers the watchers whose configuration, leaders or members are out of date. Called for each newer
+  // configuration. While there are watchers, it also runs every 50 ms.
   void check();
-  // Answers all watchers with the present state.
+  // Answers all watchers with the current state.
   void answer_all();
 
  private:
@@ -44,7 +45,7 @@
     TimePoint deadline;
   };
 
-  // Of leaders and members, but not of what remains of the leases: a renewal is no change.
+  // Digest of leaders and members, without the remaining time of the leases: a renewal is no change.
   std::uint64_t leaders_digest() const;
   bool is_due(const Watcher& watcher, std::uint64_t digest) const;
   void answer(const Watcher& watcher, std::uint64_t digest) const;
--- a/src/cluster/control/control_inspection.hpp
+++ b/src/cluster/control/control_inspection.hpp
@@ -1,4 +1,4 @@
-// The operators' view of a running control node.
+// Read access of operators to a running control node.
 #pragma once
 
 #include <map>
@@ -11,14 +11,14 @@
 
 namespace winchhall::cluster {
 
-// By service name.
+// The service leaders of a control node, by service name.
 using ServiceLeaders = std::map<std::string, std::unique_ptr<ServiceLeader>>;
 
-// Implements NodeInspection by reading the parts of a control node. Owns no state; only `cancel` changes
-// anything, by way of the service's leader, as if an agent had sent the request.
+// Implements NodeInspection by reading the parts of a control node. Owns no state. Only `cancel` has an
+// effect: it passes a request to the service's leader as if an agent had sent it.
 class ControlInspection : public NodeInspection {
  public:
-  // All references outlive the inspection.
+  // All references must outlive the inspection.
   ControlInspection(const NodeSettings& settings, const ControlGroup& group,
                     const ConfigurationService& configuration, const ServiceLeaders& services)
       : settings_(settings), group_(group), configuration_(configuration), services_(services) {}
@@ -33,7 +33,7 @@
               std::function<void(CancelOutcome)> done) override;
 
  private:
-  // The leaders among `services_` that hold their lease; `service` empty: of all services.
+  // Returns the leaders of `service` that hold their lease, or those of all services if `service` is empty.
   std::vector<ServiceLeader*> active_leaders(const std::string& service) const;
   ServiceLeader* find_leader_of_job(const std::string& service, const std::string& id) const;
 
--- a/src/cluster/control/control_node.cpp
+++ b/src/cluster/control/control_node.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// After the group was left, for the last replies and the release of leases to be sent.
+// Time between leaving the group and the end, in which the last replies and the lease releases are sent.
 constexpr Millis kLeaseReleaseDelay{150};
 constexpr Millis kSummaryInterval{5000};
-// After a start with stored services, leaders are elected before the configuration is read: parsing thousands
-// of routes keeps a small machine busy for as long as an election takes.
+// Delay of the first read of the configuration after a start with stored services, so that leaders are
+// elected first: parsing thousands of routes takes a small machine as long as an election.
 constexpr Millis kConfigurationReadDelay{400};
 
 }  // namespace
--- a/src/cluster/control/control_node.hpp
+++ b/src/cluster/control/control_node.hpp
@@ -12,40 +12,41 @@
 
 namespace winchhall::cluster {
 
-// What the configuration service needs of the control group on its node. `group` outlives what is returned.
+// Connects the configuration service to the control group on its node. `group` must outlive the result.
 ConfigurationDependencies configuration_dependencies_of(ControlGroup& group);
 
-// Puts the parts of a control process together and hands requests to them: the control group (consensus,
-// membership, leases), the configuration service, one leader for each service of the configuration, the
+// Creates the components of a control process and dispatches requests to them: the control group (consensus,
+// membership, leases), the configuration service, one leader for each service of the configuration, and the
 // operator API.
 //
-// Owns all of these. Parts refer to one another by reference, so that the order of the members matters: the
-// group outlives the parts that use its registers and shards. Single-threaded: all calls come from the event
-// loop.
+// Owns all of these. The components refer to one another by reference, so the order of the members matters:
+// the group outlives the components that use its registers and shards. Single-threaded: all calls come from
+// the event loop.
 //
-// A service is never closed: one that is gone from the configuration keeps its leader until the process ends.
+// A service is never closed: one that is removed from the configuration keeps its leader until the process
+// ends.
 class ControlNode {
  public:
-  // `runtime` and `store` outlive the node.
+  // `runtime` and `store` must outlive the node.
   ControlNode(Runtime& runtime, DurableStore& store, const NodeSettings& settings);
 
-  // Joins the group, opens the services whose shards are stored on this node, and begins to follow the
+  // Joins the group, opens the services whose shards are stored on this node, and starts to follow the
   // configuration. Called once.
   void start();
-  // Addresses of the internal listeners of the seeds, after a change of the settings.
+  // Replaces the seeds (addresses of their internal listeners), after a change of the settings.
   void set_seeds(std::vector<Address> seeds) { group_.set_seeds(std::move(seeds)); }
-  // Control nodes found by peer sampling, a source of contacts besides seeds and members.
+  // Replaces the control nodes found by peer sampling, which are contacted in addition to seeds and members.
   void set_sampled_control(std::vector<Address> nodes) { group_.set_sampled_control(std::move(nodes)); }
-  // Handles a request of another process; false: of no kind that this process handles.
+  // Handles a request of another process. Returns false if this process doesn't handle requests of this kind.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
   // Handles a request to the operator API.
   void handle_http(const HttpRequest& request, const HttpReplyCallback& reply) {
     api_.handle(request, reply);
   }
-  // The operators' view of this node; lives as long as the node.
+  // Read access to this node for the operator API and the metrics; valid as long as the node.
   const NodeInspection& inspection() const { return inspection_; }
-  // Graceful shutdown: gives up all leases, answers pending requests and leaves the group where it can do
-  // without this member. Calls `done` once, after at most a third of the grace period and 150 ms.
+  // Graceful shutdown: gives up all leases, answers pending requests, and leaves the group if the group can
+  // do without this member. Calls `done` once, at the latest after a third of the grace period plus 150 ms.
   void shut_down(std::function<void()> done);
 
  private:
--- a/src/cluster/control/inspection_responses.hpp
+++ b/src/cluster/control/inspection_responses.hpp
@@ -8,13 +8,13 @@
 
 namespace winchhall::cluster {
 
-// Name of a kind of end of a task run, e.g. "done"; "unknown" for kinds of a newer version. The names are
-// part of the API and values of a metric label.
+// Returns the name for how a task run ended, for example "done", or "unknown" for a kind that only a newer
+// version knows. The names are part of the API and the values of a metric label.
 const char* end_kind_name(wire::EndKind kind);
 
-// 503: this node has no contact with a majority, so that what it knows may be out of date.
+// 503: this node has no contact with a majority of the members, so its state may be out of date.
 HttpResponse no_quorum_contact_response();
-// 200 with the member record, the leaders and the figures of every service.
+// 200 with the member record, the leaders and the statistics of every service.
 HttpResponse status_response(const ControlStatus& status);
 // 200 {"services":[{"service","total","jobs":[...]}]}
 HttpResponse jobs_response(const std::vector<ServiceJobs>& services);
@@ -22,11 +22,11 @@
 HttpResponse job_response(const ServiceJob& job);
 // 200 {"services":[{"service","nodes":[...]}]}
 HttpResponse nodes_response(const std::vector<ServiceLeaves>& services);
-// 404: no service that this node leads has such a job.
+// 404: no service that this node leads has a job with this id.
 HttpResponse job_not_found_response(const std::string& id);
-// Canceled: 200 {"id"}; not found: 404; unavailable: 503.
+// 200 {"id"} if the job was canceled, 404 if it was not found, 503 if the outcome is unknown.
 HttpResponse cancel_response(CancelOutcome outcome, const std::string& id);
-// 307 to `target` (path and query) at the operator API of another node ("ip:port").
+// 307 to `target` (path and query) at `http_address` ("ip:port"), the operator API of another node.
 HttpResponse redirect_response(const std::string& http_address, const std::string& target);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/job_request_endpoint.hpp
+++ b/src/cluster/control/job_request_endpoint.hpp
@@ -1,4 +1,5 @@
-// Answers agents' job requests from a service's scheduler, changes only once they are durable.
+// Answers agents' job requests through a service's scheduler, and acknowledges changes only once they are
+// durable.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +12,30 @@
 
 namespace winchhall::cluster {
 
-// The job requests of one service while this node leads it.
+// Handles the job requests of one service while this node leads it.
 //
-// Owns the replies that are held back until the changes of records that they report are durable. The
-// scheduler belongs to the caller, which passes it in only while it holds the lease. Single-threaded.
+// Owns the replies that are held back until the record changes that they report are durable. The scheduler
+// belongs to the caller, which passes it in only while it holds the lease. Single-threaded.
 //
-// Invariant: a reply of JOB_OK to a submission or cancellation leaves only after its changes are durable on a
-// majority. Where that can't be known any more, the reply is JOB_IN_DOUBT. A submission that was rejected
-// stays rejected, however late a duplicate of its message comes, also under a later lease.
+// Invariant: a reply of JOB_OK to a submission or cancellation is sent only after its changes are durable on
+// a majority. If that can no longer be determined, the reply is JOB_IN_DOUBT. A rejected submission stays
+// rejected, however late a duplicate of its message arrives, also under a later lease.
 class JobRequestEndpoint {
  public:
-  // `runtime` outlives the endpoint.
+  // `runtime` must outlive the endpoint.
   JobRequestEndpoint(Runtime& runtime, std::string service)
       : runtime_(runtime), service_(std::move(service)) {}
 
-  // Carries out a request and replies, now or once `send_durable_replies` is called for its changes. True:
-  // the scheduler may have changed, so that it must plan.
+  // Executes a request and replies, either now or once `send_durable_replies` is called for its changes.
+  // Returns true if the scheduler may have changed and must plan.
   bool handle(Scheduler& scheduler, const wire::JobRequest& request, const ReplyCallback& reply);
-  // Sends the replies that wait for changes up to `durable`.
+  // Sends the replies that wait for change batches up to `durable`.
   void send_durable_replies(ChangeBatchNumber durable);
-  // Sends JOB_IN_DOUBT in place of all replies that are held back. `leader`: address of the new leader;
-  // empty: not known. Called when the lease is lost.
+  // Sends JOB_IN_DOUBT in place of all replies that are held back. `leader` is the address of the new leader,
+  // empty if unknown. Called when the lease is lost.
   void send_in_doubt_replies(const Address& leader);
 
+  // Number of replies that are held back.
   std::size_t pending_replies() const { return pending_.size(); }
 
  private:
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -17,7 +17,7 @@
   return std::string(header->value());
 }
 
-// True for calls that are answered from the state of service leaders.
+// Returns true for calls that are answered from the state of service leaders.
 bool requires_service_leader(const OperatorCall& call) {
   switch (call.kind) {
     case OperatorCallKind::list_jobs:
--- a/src/cluster/control/operator_call.hpp
+++ b/src/cluster/control/operator_call.hpp
@@ -8,6 +8,7 @@
 
 namespace winchhall::cluster {
 
+// The calls of the operator API.
 enum class OperatorCallKind {
   unknown,
   configuration_get,
@@ -20,20 +21,21 @@
   list_nodes
 };
 
-// Jobs listed for each service: without `limit`, and the largest `limit` that has effect.
+// Number of jobs listed for each service: the default without `limit`, and the maximum for any `limit`.
 inline constexpr std::size_t kDefaultJobLimit = 200;
 inline constexpr std::size_t kMaxJobLimit = 10000;
 
-// One request: which call it means, and its parameters.
+// A parsed request: the call and its parameters.
 struct OperatorCall {
   OperatorCallKind kind = OperatorCallKind::unknown;
-  bool method_allowed = false;           // false for a known path: 405
+  bool method_allowed = false;           // false for another method than that of the path: response 405
   std::string id;                        // of a job
-  std::string service;                   // empty: none given
-  std::size_t limit = kDefaultJobLimit;  // also where the given limit is 0 or not a number
+  std::string service;                   // empty if none was given
+  std::size_t limit = kDefaultJobLimit;  // the default also applies if the given limit is 0 or not a number
 };
 
-// Parses method, path and query. Unknown paths give `unknown`; unknown parameters are ignored.
+// Parses method, path and query of a request. An unknown path has the kind `unknown`; unknown parameters are
+// ignored.
 OperatorCall parse_operator_call(const HttpRequest& request);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/service_leader.cpp
+++ b/src/cluster/control/service_leader.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Millis kPlanningDelay{1};  // requests that arrive together are planned together
-constexpr Millis kTickInterval{50};  // planning without requests: jobs that fall due, task leases that expire
+constexpr Millis kPlanningDelay{1};  // batches requests that arrive together
+constexpr Millis kTickInterval{50};  // between plans without requests, for due jobs and expired task leases
 
 SchedulerTerms scheduler_terms(const NodeSettings& settings, std::string service) {
   SchedulerTerms terms;
@@ -73,7 +73,7 @@
   stop_leading();
 }
 
-// Address of the leader as far as this node knows it; empty: not known.
+// Returns the address of the leader that this node knows, or an empty one if it knows none.
 Address ServiceLeader::leader_address() const {
   const std::string shard = shard_of_service(terms_.service);
   for (const wire::ShardLeader& leader : group_.leaders()) {
@@ -140,7 +140,7 @@
   if (!leads()) return;
   scheduler_->plan(runtime_.now(), runtime_.wall_clock_ms());
   write_changes();
-  // The lease may have been lost within the write.
+  // The lease may have been lost during the write.
   if (scheduler_) worker_reports_.answer_due_reports(*scheduler_);
 }
 
--- a/src/cluster/control/service_shard.hpp
+++ b/src/cluster/control/service_shard.hpp
@@ -1,4 +1,5 @@
-// Which shard of the control group keeps a service's records. The names are part of the stored data.
+// Names of the control group's shards that store the services' records. The names are part of the stored
+// data.
 #pragma once
 
 #include <string>
@@ -6,9 +7,9 @@
 
 namespace winchhall::cluster {
 
-// Name of the shard that keeps a service's records: "service/NAME".
+// Returns the name of the shard that stores a service's records: "service/NAME".
 std::string shard_of_service(const std::string& service);
-// The services whose shards are among `shards`; other shards are left out.
+// Returns the services whose shards are among `shards`, and ignores other shards.
 std::vector<std::string> services_of(const std::vector<std::string>& shards);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/worker_report_endpoint.hpp
+++ b/src/cluster/control/worker_report_endpoint.hpp
@@ -10,25 +10,25 @@
 
 namespace winchhall::cluster {
 
-// The worker reports of one service while this node leads it: a report takes effect at once, and its reply is
-// held back until there are orders for the leaf or a maximum time (0.3 s) is over.
+// Handles the worker reports of one service while this node leads it. A report takes effect at once. Its
+// reply is held back until there are orders for the leaf or the maximum wait (0.3 s) is over.
 //
 // Owns the replies that are held back, at most one for each worker node. The scheduler belongs to the caller,
 // which passes it in only while it holds the lease. Single-threaded.
 class WorkerReportEndpoint {
  public:
-  // `runtime` outlives the endpoint.
+  // `runtime` must outlive the endpoint.
   WorkerReportEndpoint(Runtime& runtime, std::string service)
       : runtime_(runtime), service_(std::move(service)) {}
 
-  // Gives a report to the scheduler, which must plan afterwards. A reply that is still held back for the same
-  // node is sent.
+  // Passes a report to the scheduler, which must plan afterwards. Sends the reply that may still be held back
+  // for an earlier report of the same node.
   void handle(Scheduler& scheduler, const wire::WorkerReport& report, const ReplyCallback& reply);
-  // Replies to the reports whose leaves have undelivered orders or whose time is over. Called after each
+  // Replies to the reports whose leaves have undelivered orders or whose wait is over. Called after each
   // planning.
   void answer_due_reports(Scheduler& scheduler);
-  // Replies to all reports without orders. `leader`: address of the new leader; empty: not known. Called when
-  // the lease is lost.
+  // Replies to all held back reports without orders. `leader` is the address of the new leader, empty if
+  // unknown. Called when the lease is lost.
   void redirect_all(const Address& leader);
 
  private:
