--- a/src/cluster/worker_agent/heartbeat_json.cpp
+++ b/src/cluster/worker_agent/heartbeat_json.cpp
@@ -12,7 +12,7 @@
 namespace json = boost::json;
 
 constexpr const char* kErrorSource = "Instances.Heartbeat";
-constexpr std::size_t kMaxErrorValueBytes = 80;
+constexpr std::size_t kMaxErrorValueBytes = 80;  // of an invalid value quoted in an error
 constexpr std::size_t kMaxLeafIdBytes = 128;
 constexpr std::size_t kMaxEscapedBytesPerByte = 6;  // as \u00XX
 constexpr std::size_t kMaxOrderOverheadBytes = 64;  // brackets, quotes, commas and numbers
@@ -23,7 +23,7 @@
   return leaf::new_error(InvalidInput{kErrorSource, std::move(field), std::move(shown), std::move(allowed)});
 }
 
-// Null: the field is missing, or its value is null.
+// Returns null if the field is missing or its value is null.
 const json::value* find_field(const json::object& object, std::string_view name) {
   const json::value* const found = object.if_contains(name);
   return found != nullptr && !found->is_null() ? found : nullptr;
@@ -49,7 +49,7 @@
   return invalid(field, value, "a number that is not negative");
 }
 
-// Like `read_number`; numbers beyond 32 bits become the largest 32-bit one.
+// Like `read_number`, but replaces numbers beyond 32 bits by the largest 32-bit number.
 leaf::result<std::uint32_t> read_small_number(const json::value* value, const std::string& field) {
   BOOST_LEAF_AUTO(number, read_number(value, field));
   constexpr std::uint64_t kLargest = std::numeric_limits<std::uint32_t>::max();
@@ -63,7 +63,7 @@
   return &value->get_array();
 }
 
-// One entry of a list of tuples; `min_size`: number of items that it must have.
+// Reads an entry of a list of tuples. It must have at least `min_size` items.
 leaf::result<const json::array*> read_entry(const json::value& entry, const std::string& field,
                                             std::size_t min_size) {
   const json::array* const items = entry.if_array();
@@ -91,7 +91,7 @@
   return task;
 }
 
-// Unknown words are accepted: a newer leaf may have more kinds of ends.
+// Accepts unknown words, since a newer leaf may know more kinds.
 wire::EndKind end_kind(std::string_view how) {
   if (how == "done") return wire::END_DONE;
   if (how == "failed") return wire::END_FAILED;
--- a/src/cluster/worker_agent/leader_finder.cpp
+++ b/src/cluster/worker_agent/leader_finder.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr Millis kProbeTimeout{500};
-constexpr Millis kProbeWait{250};  // a node without newer leaders defers its answer this long
+constexpr Millis kProbeWait{250};  // time for which a node without newer leaders defers its answer
 constexpr unsigned kMaxProbesInFlight = 3;
 constexpr Millis kRetryDelay{100};
 constexpr std::uint64_t kRetryJitterMs = 50;
-constexpr Millis kHedgeDelay{200};
+constexpr Millis kHedgeDelay{200};  // from one probe to the next, while the first is unanswered
 constexpr std::size_t kMaxNodes = 64;
 
 }  // namespace
--- a/src/cluster/worker_agent/leader_finder.hpp
+++ b/src/cluster/worker_agent/leader_finder.hpp
@@ -13,26 +13,26 @@
 
 namespace winchhall::cluster {
 
-// A leader as a control node named it.
+// A leader that a control node has named.
 struct FoundLeader {
   Address address;
   std::uint64_t epoch = 0;
 };
 
-// Probes control nodes one after the other until one names a leader. A node that does not answer soon is
-// hedged by a probe to the next one, with a bounded number of probes in flight. The nodes are the seeds, the
-// members that an answer has listed and, while all of these leave probes without a result, every other time a
+// Probes control nodes one after another until one names a leader. If a node does not answer soon, the next
+// one is probed as well, with a bounded number of probes in flight. The nodes are the seeds and the members
+// that the newest answer listed. Once all of these were probed without a result, every other probe goes to a
 // node from peer sampling. Not thread-safe; calls back on the runtime's thread.
 class LeaderFinder {
  public:
   using FoundCallback = std::function<void(const FoundLeader&)>;
 
-  // `runtime` outlives the finder. `on_found` is called at the end of each successful search.
+  // `runtime` must outlive the finder. `on_found` is called at the end of each successful search.
   LeaderFinder(Runtime& runtime, const NodeSettings& settings, FoundCallback on_found);
   ~LeaderFinder();
 
   // Searches for the leader of `service` until one with an epoch of at least `min_epoch` is found or `stop`
-  // is called. If a search is running, only changes what it looks for. Does nothing while no node is known.
+  // is called. If a search is running already, only changes its target. Does nothing while no node is known.
   void search(const std::string& service, std::uint64_t min_epoch);
   void stop();
   bool searching() const { return searching_; }
@@ -46,7 +46,8 @@
   void probe_next_node();
   void probe(const Address& node);
   void on_answer(const CallResult& result);
-  // The leader of the searched shard with the highest epoch; empty address: the update names none.
+  // Returns the leader of the service's shard with the highest epoch, or an empty address if the update names
+  // none.
   FoundLeader newest_leader_in(const wire::ConfigurationUpdate& update) const;
   void update_members(const wire::ConfigurationUpdate& update);
   void rebuild_nodes();
@@ -63,13 +64,13 @@
   std::vector<Address> sampled_;
   std::size_t next_node_ = 0;
   std::size_t next_sampled_ = 0;
-  std::size_t probes_without_leader_ = 0;  // that named no leader, since one was last found
+  std::size_t probes_without_leader_ = 0;  // since a leader was last found
   std::string shard_;
   std::uint64_t min_epoch_ = 0;
   bool searching_ = false;
   unsigned probes_in_flight_ = 0;     // of this search
-  std::uint64_t leaders_digest_ = 0;  // of the leaders that this search has received last
-  std::uint64_t search_number_ = 0;   // rises with the end of each search
+  std::uint64_t leaders_digest_ = 0;  // of the leaders that this search received last; 0 if none yet
+  std::uint64_t search_number_ = 0;   // incremented at the end of each search
   TimePoint last_probe_at_{};
   std::unique_ptr<Timer> timer_;
   const std::shared_ptr<bool> alive_;  // false once this object is destroyed
--- a/src/cluster/worker_agent/leader_reporter.cpp
+++ b/src/cluster/worker_agent/leader_reporter.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr Millis kReportTimeout{900};
-constexpr Millis kPollInterval{400};     // between reports without changes, while one is outstanding
+constexpr Millis kPollInterval{400};     // between reports without changes, while one is pending
 constexpr Millis kMinReportInterval{5};  // between any two reports
 constexpr Millis kResponseTimeout{600};
 constexpr Millis kResponseCheckInterval{100};
 constexpr Millis kMinRedirectInterval{100};
-constexpr Millis kTakeoverRetryDelay{40};  // for a node that has the lease and does not lead yet
+constexpr Millis kTakeoverRetryDelay{40};  // if the target has the lease but does not lead yet
 constexpr unsigned kMaxReportsInFlight = 3;
 
 }  // namespace
@@ -155,7 +155,7 @@
   if (stopped_) return;
   const bool changed = leader != target_;
   const bool timed_out = runtime_.now() - last_response_at_ >= kResponseTimeout;
-  if (changed || timed_out) {  // a leader that returns has lost what was in flight to it
+  if (changed || timed_out) {  // reports in flight to a leader that was down are lost
     target_ = leader;
     ++target_generation_;
     reports_in_flight_ = 0;
--- a/src/cluster/worker_agent/leader_reporter.hpp
+++ b/src/cluster/worker_agent/leader_reporter.hpp
@@ -15,30 +15,32 @@
 
 namespace winchhall::cluster {
 
-// Keeps one report outstanding at the leader as a long poll, so that the leader can answer with orders at any
-// time; sends changes at once, and follows changes of the leader. Bounds the reports in flight and their
-// rate. A report contains the task lists only if the leader has not answered for their present version.
+// Keeps one report pending at the leader as a long poll, so that the leader can answer with orders at any
+// time. Sends changes at once, and switches to a new leader. Bounds the number of reports in flight and their
+// rate. A report contains the task lists only if the leader has not acknowledged their present version.
 //
-// Answers of a former leader are recognised by the generation of the target that the report was sent to.
-// Not thread-safe; calls back on the runtime's thread.
+// Each report records the generation of the target that it was sent to, so that answers of a former leader
+// are recognized. Not thread-safe; calls back on the runtime's thread.
 class LeaderReporter {
  public:
-  // `session` is reported and processes the orders; `on_orders_accepted` is called after it has accepted
-  // some. All references outlive the reporter.
+  // Reports are made from `session`, which also processes the orders; `on_orders_accepted` is called each
+  // time that it has accepted an answer. All references must outlive the reporter.
   LeaderReporter(Runtime& runtime, const NodeSettings& settings, LeafSession& session,
                  std::function<void()> on_orders_accepted);
   ~LeaderReporter();
 
-  // Starts to look for the leader. No report is sent before the first heartbeat.
+  // Starts the search for the leader. No report is sent before the first heartbeat.
   void start();
-  // Sends a report at once, as far as the bounds allow, since something has changed.
+  // Sends a report as soon as the bounds allow. Called after a change that the leader must know.
   void report_now();
+  // Stops reports and search. Late answers are ignored.
   void stop();
-  // See LeaderFinder.
+  // Both replace the nodes that are probed for the leader; see LeaderFinder.
   void set_seeds(std::vector<Address> seeds) { finder_.set_seeds(std::move(seeds)); }
   void set_sampled_control(std::vector<Address> nodes) { finder_.set_sampled(std::move(nodes)); }
 
  private:
+  // What is needed to process the answer to a report.
   struct ReportInFlight {
     SentReport report;
     std::uint64_t target_generation = 0;
@@ -61,10 +63,10 @@
   void on_orders(const ReportInFlight& in_flight, const wire::WorkerOrders& orders);
   void on_orders_refused(const ReportInFlight& in_flight, const wire::WorkerOrders& orders);
   void record_leader_response(const ReportInFlight& in_flight, const wire::WorkerOrders& orders);
-  // Sends the reports to `leader` from now on.
+  // Sends all further reports to `leader`.
   void switch_to(const Address& leader);
   void search();
-  // Searches for another leader while the present one does not respond. Reschedules itself.
+  // Searches for another leader if the present one does not respond in time. Reschedules itself.
   void check_response_timeout();
 
   Runtime& runtime_;
@@ -74,18 +76,19 @@
   LeaderFinder finder_;
   bool stopped_ = true;
 
-  Address target_;                       // empty: no leader known
-  std::uint64_t target_generation_ = 0;  // rises with every change of the target
+  Address target_;                       // leader that reports are sent to; empty if none is known
+  std::uint64_t target_generation_ = 0;  // incremented with every change of the target
   TimePoint last_redirect_at_{};
   unsigned reports_in_flight_ = 0;  // at the target
   bool has_unsent_changes_ = false;
   std::uint64_t report_number_ = 0;    // of the newest report
   std::uint64_t answered_number_ = 0;  // newest report that the target has answered or will not answer
   TimePoint sent_at_{};
-  TimePoint paused_until_{};      // no report is sent before
-  TimePoint last_response_at_{};  // of the target as a leader; at first, when it became the target
-  std::uint64_t acknowledged_lists_version_ = 0;  // lists that the target has answered for; 0: none
-  std::uint64_t acknowledged_lists_report_ = 0;   // number of the report that held them
+  TimePoint paused_until_{};      // no report is sent before this time
+  TimePoint last_response_at_{};  // of the target as a leader; initially the time that it became the target
+  std::uint64_t acknowledged_lists_version_ =
+      0;  // version of the lists that the target has acknowledged; or 0
+  std::uint64_t acknowledged_lists_report_ = 0;  // number of the report that contained them
   std::unique_ptr<Timer> check_timer_;
   std::unique_ptr<Timer> response_timer_;
   const std::shared_ptr<bool> alive_;  // false once this object is destroyed
--- a/src/cluster/worker_agent/leaf_session.cpp
+++ b/src/cluster/worker_agent/leaf_session.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kMaxEndedIncarnations = 64;
 constexpr std::size_t kMaxStartsPerResponse = 200;
 constexpr std::size_t kMaxStartBytesPerResponse = 3U << 20U;  // a response may hold 4 MiB
-constexpr Millis kMinLeaseForStart{500};  // with less, the lease is likely to expire before it is renewed
+constexpr Millis kMinLeaseForStart{500};  // a shorter lease is likely to expire before it is renewed
 constexpr Millis kProgressReportInterval{500};
 constexpr Millis kBusyRetry{20};
 constexpr Millis kIdleRetry{100};
@@ -130,7 +130,7 @@
   return result;
 }
 
-// Answers may overtake one another: an older one must not shorten the lease.
+// Answers may arrive out of order: an older one must not shorten the lease.
 void LeafSession::extend_lease(const SentReport& report, const wire::WorkerOrders& orders) {
   if (orders.grant_ms() == 0) return;
   const TimePoint granted_until = report.sent_at + Millis(orders.grant_ms());
--- a/src/cluster/worker_agent/leaf_task_lists.cpp
+++ b/src/cluster/worker_agent/leaf_task_lists.cpp
@@ -20,7 +20,7 @@
 TaskListsChange LeafTaskLists::update(std::vector<wire::RunningTask> running,
                                       std::vector<wire::FinishedTask> finished) {
   if (finished.size() >= kMaxFinishedListed) carry_over_unlisted(running, finished);
-  // A leaf may list its tasks in any order: another order alone is no change.
+  // A leaf may list its tasks in any order, so a different order alone is not a change.
   std::sort(running.begin(), running.end(), is_before);
   std::sort(finished.begin(), finished.end(), has_lower_number);
   const TaskListsChange change = compare(running, finished);
@@ -98,7 +98,7 @@
                  return !contains(listed_running, task.task(), task.run()) &&
                         !contains(listed_finished, task.task(), task.run());
                });
-  // Appended only now: the indexes refer to names in `running`, whose elements an insertion may move.
+  // Appended only now, since the indexes refer to names in `running`, whose elements an insertion may move.
   std::move(unlisted.begin(), unlisted.end(), std::back_inserter(running));
 }
 
--- a/src/cluster/worker_agent/leaf_task_lists.hpp
+++ b/src/cluster/worker_agent/leaf_task_lists.hpp
@@ -1,4 +1,4 @@
-// The tasks of a leaf that run and those that have finished, as of its newest heartbeat.
+// The running and the finished tasks of a leaf, as of its newest heartbeat.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 // A heartbeat lists at most this many finished tasks; a list of this length may be truncated.
 inline constexpr std::size_t kMaxFinishedListed = 500;
 
-// What a heartbeat has changed in the lists; the greatest change counts.
+// The change that a heartbeat makes in the lists, in ascending order; the greatest one counts.
 enum class TaskListsChange {
   none,
   progress,          // only percentages or checkpoints
@@ -22,24 +22,26 @@
   runs,              // runs have started or finished
 };
 
-// The lists of the newest heartbeat, with indexes by run. A run is identified by the task's name and the
+// Owns the lists of the newest heartbeat, with indexes by run. A run is identified by the task's name and the
 // run's number. Not thread-safe.
 class LeafTaskLists {
  public:
-  // Replaces the lists by those of a newer heartbeat, in any order. While the list of finished tasks may be
-  // truncated, a run that is in neither list any more is kept as running, since it may have finished without
-  // being listed; it is dropped by the first list that is not truncated.
+  // Replaces the lists by those of a newer heartbeat, which may be in any order. While the list of finished
+  // tasks may be truncated, a running task that is in neither new list is kept as running, since it may have
+  // finished without being listed. It is dropped with the first list that is not truncated.
   TaskListsChange update(std::vector<wire::RunningTask> running, std::vector<wire::FinishedTask> finished);
+  // Removes all tasks.
   void clear();
 
-  const std::vector<wire::RunningTask>& running() const { return running_; }     // by task and run
-  const std::vector<wire::FinishedTask>& finished() const { return finished_; }  // by number
-  // True if finished tasks may be missing from the list.
+  const std::vector<wire::RunningTask>& running() const { return running_; }     // sorted by task and run
+  const std::vector<wire::FinishedTask>& finished() const { return finished_; }  // sorted by number
+  // Returns true if finished tasks may be missing from the list.
   bool is_truncated() const { return finished_.size() >= kMaxFinishedListed; }
+  // Returns true if the run is listed as running.
   bool is_running(std::string_view task, std::uint64_t run) const;
-  // True if the run is listed as running or as finished.
+  // Returns true if the run is listed as running or as finished.
   bool is_listed(std::string_view task, std::uint64_t run) const;
-  // True if a finished task with this number or a lower one is listed.
+  // Returns true if a finished task with this number or a lower one is listed.
   bool has_finished_up_to(std::uint64_t number) const;
 
  private:
@@ -54,7 +56,7 @@
   bool has_same_runs(const std::vector<wire::RunningTask>& running) const;
   bool has_no_new_finished(const std::vector<wire::FinishedTask>& finished) const;
   bool has_same_progress(const std::vector<wire::RunningTask>& running) const;
-  // Appends to `running` the runs of the previous heartbeat that the new one lists nowhere.
+  // Appends to `running` the running tasks of the previous heartbeat that are in neither list of the new one.
   void carry_over_unlisted(std::vector<wire::RunningTask>& running,
                            const std::vector<wire::FinishedTask>& finished) const;
   void rebuild_indexes();
--- a/src/cluster/worker_agent/pending_command_table.cpp
+++ b/src/cluster/worker_agent/pending_command_table.cpp
@@ -32,7 +32,7 @@
 
 void PendingCommandTable::add_start(const wire::StartOrder& order, const LeafTaskLists& lists) {
   received_revision_ = std::max(received_revision_, order.revision());
-  // An earlier process of this node may have sent it already.
+  // An earlier worker-agent process of this node may have sent this order already.
   if (lists.is_listed(order.task(), order.run())) return;
   starts_[order.revision()] = PendingStart{order, false, false};
 }
@@ -54,7 +54,7 @@
 }
 
 void PendingCommandTable::reconcile(const LeafTaskLists& lists) {
-  // Starts first: a stop stays pending for as long as a start that it revokes does.
+  // Starts go first, since a stop stays pending for as long as a start that it revokes.
   reconcile_starts(lists);
   reconcile_stops(lists);
 }
@@ -63,7 +63,7 @@
   for (auto entry = starts_.begin(); entry != starts_.end();) {
     PendingStart& start = entry->second;
     const bool listed = lists.is_listed(start.order.task(), start.order.run());
-    // With a truncated list the run may have finished without being listed.
+    // If the list is truncated, the run may have finished without being listed.
     const bool unknown = start.sent && !listed && lists.is_truncated();
     if (!unknown) start.sent = false;
     const bool resolved = listed || (start.withdrawn && !unknown);
--- a/src/cluster/worker_agent/pending_command_table.hpp
+++ b/src/cluster/worker_agent/pending_command_table.hpp
@@ -1,4 +1,4 @@
-// Start and stop orders of the leader that a leaf has not yet been seen to carry out.
+// Start and stop orders of the leader that no heartbeat of the leaf has acknowledged yet.
 #pragma once
 
 #include <cstdint>
@@ -16,26 +16,26 @@
   std::vector<wire::StopOrder> stops;
 };
 
-// The pending orders of one leader epoch for one incarnation of the leaf, by revision.
+// Owns the pending orders of one leader epoch for one incarnation of the leaf, by revision.
 //
-// Heartbeats and their responses alternate, so a heartbeat acknowledges everything sent before it: a start
-// was carried out if and only if the heartbeat lists its run (running or finished), and a stop was carried
-// out once its run is no longer running. An order that was not carried out is sent again.
+// Heartbeats and their responses alternate, so each heartbeat shows the result of all orders sent before it:
+// a start was executed if and only if the heartbeat lists its run (running or finished), and a stop was
+// executed once its run is no longer running. An order that was not executed is sent again.
 //
 // Invariant: every order received with a revision up to `acknowledged_revision()` is reflected in the lists
 // of the newest heartbeat. Not thread-safe.
 class PendingCommandTable {
  public:
-  // Discards everything, for another epoch or another incarnation of the leaf.
+  // Discards all orders and revisions, for another epoch or another incarnation of the leaf.
   void clear();
 
-  // Adds the orders of a leader's answer whose revision is above the highest one received so far.
-  // `lists`: of the newest heartbeat.
+  // Adds the orders of a leader's answer whose revision is above the highest one received so far. `lists` are
+  // those of the newest heartbeat.
   void receive(const wire::WorkerOrders& orders, const LeafTaskLists& lists);
-  // Removes the orders that the lists of a new heartbeat acknowledge; marks the others as unsent, so that
+  // Removes the orders that the lists of a new heartbeat acknowledge, and marks the others as unsent, so that
   // they are sent again.
   void reconcile(const LeafTaskLists& lists);
-  // Drops the starts that were not sent, and prevents those that were sent from being sent again.
+  // Drops the unsent starts, and prevents that sent ones are sent again.
   void withdraw_unsent_starts();
 
   bool has_unsent_starts() const;
@@ -43,10 +43,10 @@
   bool empty() const { return starts_.empty() && stops_.empty(); }
   // Returns the orders for a response, oldest starts first, and marks them as sent. Stops are part of every
   // response until they are acknowledged. `max_starts` and `max_start_bytes` (encoded size) bound the starts;
-  // without `with_starts` there are none.
+  // if `with_starts` is false, there are none.
   CommandBatch take_batch(bool with_starts, std::size_t max_starts, std::size_t max_start_bytes);
 
-  // Highest revision received from the leader; 0: none.
+  // Highest revision received from the leader; 0 if none.
   std::uint64_t received_revision() const { return received_revision_; }
   // Highest revision up to which all orders are acknowledged.
   std::uint64_t acknowledged_revision() const;
@@ -54,7 +54,7 @@
  private:
   struct PendingStart {
     wire::StartOrder order;
-    bool sent = false;       // since the newest heartbeat, or earlier with an unknown result
+    bool sent = false;       // since the newest heartbeat, or earlier with a result that is still unknown
     bool withdrawn = false;  // must not be sent again
   };
   struct PendingStop {
@@ -66,7 +66,8 @@
   void add_stop(const wire::StopOrder& order, const LeafTaskLists& lists);
   void reconcile_starts(const LeafTaskLists& lists);
   void reconcile_stops(const LeafTaskLists& lists);
-  // Withdraws the starts that a stop revokes: those of the same task with the same run or an earlier one.
+  // Withdraws the starts that a stop revokes, which are those of the same task with the same run or an
+  // earlier one.
   void withdraw_starts_before(const wire::StopOrder& stop);
   bool has_pending_start_for(const wire::StopOrder& stop) const;
 
--- a/src/cluster/worker_agent/worker_agent.cpp
+++ b/src/cluster/worker_agent/worker_agent.cpp
@@ -5,11 +5,11 @@
 namespace winchhall::cluster {
 namespace {
 
-// While tasks are listed, the next heartbeat should follow soon; else a new order should find a response
-// open.
+// How long a response is deferred. It is short while the leaf lists tasks, so that the next heartbeat follows
+// soon, and long otherwise, so that a new order is likely to find a deferred response.
 constexpr Millis kBusyResponseDelay{40};
 constexpr Millis kIdleResponseDelay{200};
-// A leaf drops a response that is later than its time-out, so this one must not carry orders.
+// A leaf drops a response that arrives after its timeout, so a response later than this carries no orders.
 constexpr Millis kMaxDelayWithOrders{700};
 constexpr Millis kShutdownFlushTime{100};
 
@@ -46,7 +46,8 @@
   respond_if_urgent();
 }
 
-// Replaces the reply of an earlier call, which the leaf has given up on: it must not be used any more.
+// Replaces the deferred reply of an earlier call, which must not be used any more: the leaf has given up on
+// that call.
 void WorkerAgent::defer_response(LeafReplyCallback reply) {
   deferred_reply_ = std::move(reply);
   deferred_at_ = runtime_.now();
@@ -62,7 +63,7 @@
   response_delay_timer_.reset();
   if (!deferred_reply_) return;
   const LeafReplyCallback reply = std::exchange(deferred_reply_, nullptr);
-  // The timer fires late where the process was suspended.
+  // The timer fires late if the process was suspended.
   const bool in_time = runtime_.now() - deferred_at_ < kMaxDelayWithOrders;
   const HeartbeatResponse response = session_.make_response(runtime_.now(), in_time && !shutting_down_);
   reply(LeafResponse{200, heartbeat_response_json(response)});
--- a/src/cluster/worker_agent/worker_agent.hpp
+++ b/src/cluster/worker_agent/worker_agent.hpp
@@ -1,4 +1,4 @@
-// The process beside a leaf, between the leaf and the leader of its service.
+// The worker-agent, which runs next to a leaf and connects it to the leader of its service.
 #pragma once
 
 #include <functional>
@@ -19,29 +19,32 @@
   unsigned status = 200;
   std::string body;
 };
-// Responds to a call of the leaf. Destroyed without a call: the leaf gets no response.
+// Responds to a call of the leaf. If it is destroyed without being called, the leaf gets no response.
 using LeafReplyCallback = std::function<void(LeafResponse)>;
 
-// Takes the heartbeats of a leaf, reports them to the leader of its service and responds with the leader's
+// Receives the heartbeats of a leaf, reports them to the leader of its service and responds with the leader's
 // orders. The response to a heartbeat is deferred for a short time in which orders may still arrive.
-// Not thread-safe: all calls are made on the runtime's thread.
+//
+// Owns the session of the leaf, the reporter and the deferred response. Not thread-safe: all calls are made
+// on the runtime's thread.
 class WorkerAgent {
  public:
-  // Both references outlive the agent.
+  // Both references must outlive the agent.
   WorkerAgent(Runtime& runtime, const NodeSettings& settings);
 
-  // Starts to look for the leader, so that it is known when the leaf calls.
+  // Starts the search for the leader, so that it is known when the leaf sends its first heartbeat.
   void start();
   // Replaces the seeds (their internal listeners), after a change of the settings.
   void set_seeds(std::vector<Address> seeds) { reporter_.set_seeds(std::move(seeds)); }
-  // Replaces the control nodes known from peer sampling, which are used besides seeds and members.
+  // Replaces the control nodes known from peer sampling, which are probed in addition to seeds and members.
   void set_sampled_control(std::vector<Address> nodes) { reporter_.set_sampled_control(std::move(nodes)); }
-  // Instances.Heartbeat: responds 400 to a body that cannot be parsed, `{}` to a stale heartbeat. A response
-  // that is still deferred for an earlier call is never sent.
+  // Handles Instances.Heartbeat. Responds 400 to a body that cannot be parsed, and `{}` to a stale heartbeat.
+  // An accepted heartbeat discards the response that is still deferred for an earlier call.
   void on_heartbeat(const std::string& leaf_id, const std::string& body, LeafReplyCallback reply);
-  // Instances.Deregister: always responds 200.
+  // Handles Instances.Deregister. Always responds 200.
   void on_deregister(const std::string& leaf_id, const LeafReplyCallback& reply);
-  // Planned end: sends the deferred response without orders, and calls `done` once it has had time to leave.
+  // Graceful shutdown: sends the deferred response without orders, and calls `done` after a short delay in
+  // which it can be transmitted.
   void shut_down(std::function<void()> done);
 
   const LeafSession& session() const { return session_; }
@@ -55,7 +58,7 @@
   Runtime& runtime_;
   LeafSession session_;
   LeaderReporter reporter_;
-  LeafReplyCallback deferred_reply_;  // to the newest heartbeat; empty: it was sent
+  LeafReplyCallback deferred_reply_;  // to the newest heartbeat; empty once it was sent
   TimePoint deferred_at_{};
   std::unique_ptr<Timer> response_delay_timer_;
   bool shutting_down_ = false;
--- a/src/cluster/worker_agent/worker_http_server.cpp
+++ b/src/cluster/worker_agent/worker_http_server.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kMaxHeartbeatBytes = 4U << 20U;
 constexpr std::uint32_t kIdleTimeoutMs = 60'000;
 
-// The id that follows `prefix` in `path`; none: the path has another prefix.
+// Returns the id that follows `prefix` in `path`, or nothing if the path has another prefix.
 std::optional<std::string> id_after_prefix(std::string_view path, std::string_view prefix) {
   if (path.substr(0, prefix.size()) != prefix) return std::nullopt;
   return std::string(path.substr(prefix.size()));
--- a/src/cluster/worker_agent/worker_http_server.hpp
+++ b/src/cluster/worker_agent/worker_http_server.hpp
@@ -1,4 +1,4 @@
-// The HTTP interface of the worker-agent for its leaf.
+// The HTTP server through which a leaf calls its worker-agent.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,15 +9,16 @@
 
 namespace winchhall::cluster {
 
-// Handles `POST /v1/Instances.Heartbeat/ID` and `POST /v1/Instances.Deregister/ID`; responds 404 to other
-// paths and 405 to other methods. `agent` outlives the handler.
+// Returns a handler for `POST /v1/Instances.Heartbeat/ID` and `POST /v1/Instances.Deregister/ID`. It responds
+// 404 to other paths and 405 to other methods. `agent` must outlive the handler.
 HttpHandler make_worker_http_handler(WorkerAgent& agent);
 
-// Listens for the leaf's calls for as long as the object lives, on the thread that runs `loop`.
+// Owns an HTTP server for the leaf's calls, which listens as long as the object exists and runs on the thread
+// that runs `loop`.
 class WorkerHttpServer {
  public:
-  // `address`: the settings' `control` address. `loop` and `agent` outlive the server. Throws as
-  // `make_http_server` does.
+  // `address` is the `control` address of the settings. `loop` and `agent` must outlive the server. Throws
+  // the same exceptions as `make_http_server`.
   WorkerHttpServer(boost::asio::io_context& loop, const Address& address, WorkerAgent& agent);
 
  private:
