--- a/tests/cluster/control/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -1,4 +1,4 @@
-// Simulated operators of a control group, and an independent check of every response that any of them got.
+// Simulated operators of a control group, and an independent check of every response that they receive.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -24,21 +24,21 @@
 };
 using ConfigurationCluster = ControlCluster<ConfigurationNode>;
 
-// One change, which an operator retries until the response is definite.
+// One change, which an operator retries until it receives a definite response.
 struct OperatorRequest {
   ConfigurationChangeKind kind = ConfigurationChangeKind::put;
   std::uint64_t base = 0;
   std::uint64_t version = 0;
   std::string body;
   bool valid = true;
-  // What is known of it so far.
-  bool applied = false;   // acknowledged, or read
-  bool rejected = false;  // answered with a conflict or as invalid
+  // The outcome as far as it is known from the responses.
+  bool applied = false;   // acknowledged or read
+  bool rejected = false;  // answered as a conflict or as invalid
 };
 
-// Checks each response against the earlier ones. Rules: a change is applied or rejected, never both; of two
-// changes on one base at most one is applied; no response shows an older state than anyone knew before the
-// call; what is read is what was sent.
+// Checks each response against the earlier ones. Rules: a change is never both applied and rejected; of the
+// changes with the same base at most one is applied; no response shows an older version than any response
+// before the call; a configuration that is read is one that was sent.
 class ConfigurationHistory {
  public:
   explicit ConfigurationHistory(ConfigurationCluster& cluster) : cluster_(cluster) {}
@@ -60,7 +60,8 @@
     return request;
   }
 
-  // Sends a change to one node. `on_response` gets the outcome, unless the response is lost.
+  // Sends a change to one node. `on_response` is called with the outcome, unless the response is lost, which
+  // has the probability `response_loss`.
   void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double response_loss,
             std::function<void(ConfigurationOutcomeKind)> on_response = {}) {
     if (!cluster_.running(index)) return;
@@ -120,7 +121,7 @@
       const bool put = request->kind == ConfigurationChangeKind::put;
       if (put && request->body == read.json) return record_applied(*request);
     }
-    // Made by a patch: one of the changes for this version.
+    // The configuration was created by one of the patches with this version.
     REQUIRE(std::any_of(requests_.begin(), requests_.end(), [&](const auto& request) {
       return request->version == read.version && request->kind == ConfigurationChangeKind::patch &&
              request->valid;
@@ -139,11 +140,12 @@
   ConfigurationCluster& cluster_;
   std::vector<std::shared_ptr<OperatorRequest>> requests_;
   std::map<std::uint64_t, OperatorRequest*> by_base_;
-  std::uint64_t newest_ = 0;  // acknowledged, or read by anyone
+  std::uint64_t newest_ = 0;  // newest version that was acknowledged or read
 };
 
-// An operator: sends a change to any node until it gets a definite response, then makes the next one, on the
-// newest version that it read or that any operator knows. Several operators race.
+// An operator that sends a change to random nodes until it receives a definite response, and then makes the
+// next change, based on the newest version that it has read or that any operator knows. Several operators
+// compete.
 class SimulatedOperator {
  public:
   SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double response_loss)
@@ -177,7 +179,8 @@
     Simulation& simulation = cluster_.simulation();
     const std::uint64_t base = simulation.chance(0.7) ? history_.newest() : base_;
     const auto step = static_cast<std::uint64_t>(simulation.random_between(1, 3));
-    // A first patch would have no services that its route may name.
+    // The first change must be a put: a patch of an empty configuration lacks the service that its route
+    // names.
     const bool patch = base > 0 && simulation.chance(0.4);
     const bool valid = simulation.chance(0.9);
     request_ = history_.request(patch ? ConfigurationChangeKind::patch : ConfigurationChangeKind::put, base,
--- a/tests/cluster/control/configuration_history_test.cpp
+++ b/tests/cluster/control/configuration_history_test.cpp
@@ -1,5 +1,5 @@
-// Changes and reads at control nodes that are partitioned, frozen, wiped or superseded: all responses that
-// any operator got are consistent with one history.
+// Configuration changes and reads at control nodes that are partitioned, frozen, stalled, wiped or
+// superseded. All responses that the operators receive must be consistent with one history of versions.
 #include "tests/cluster/control/configuration_history.hpp"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 
 constexpr Millis kStabilizationTimeout{15000};
 
-// Parameters of one simulated run.
+// Parameters of one simulated run. `response_loss` is the probability that a response is lost.
 struct Scenario {
   std::uint64_t seed = 0;
   std::size_t machines = 5;
@@ -34,7 +34,8 @@
   REQUIRE(cluster.simulation().run_until([&] { return found == cluster.size(); }, Millis(6000)));
 }
 
-// Sends every change once more: those applied are acknowledged, all others are rejected.
+// Sends every change once more. The changes that were applied must be acknowledged again, and every change
+// must get a definite response.
 void require_outcomes_unchanged_on_retry(ConfigurationCluster& cluster, ConfigurationHistory& history) {
   std::size_t answered = 0;
   const auto requests = history.requests();
@@ -50,8 +51,8 @@
   }
 }
 
-// Operators change and read while faults are injected; afterwards every node serves reads, and every change
-// has the outcome that it had before.
+// Operators change and read the configuration while faults are injected. Afterwards every node must serve
+// reads, and the outcome of every change must be the same as before.
 void run_scenario(const Scenario& scenario) {
   CAPTURE(scenario.seed, scenario.machines, scenario.response_loss);
   ConfigurationCluster cluster(scenario.seed, scenario.machines, scenario.simulation_options);
--- a/tests/cluster/control/configuration_service_test.cpp
+++ b/tests/cluster/control/configuration_service_test.cpp
@@ -1,5 +1,5 @@
-// The configuration service: operators' changes with lost responses, races, retries and invalid bodies; long
-// polls; snapshots.
+// Tests of the configuration service: operators' changes with lost responses, concurrent changes, retries and
+// invalid bodies; long polls; snapshots.
 #include <catch2/catch.hpp>
 
 #include "cluster/control/configuration_responses.hpp"
@@ -159,7 +159,8 @@
   std::uint64_t retried = 0;
   for (std::uint64_t version = 1; version <= 2100; ++version) {
     REQUIRE(send(version) == Outcome::applied);
-    // One of the earlier changes again, and one that lost a race for the same base.
+    // Sends one of the earlier changes again, and a competing change with the same base, which was never
+    // applied.
     retried = 1 + (retried * 7 + version) % version;
     const Outcome again = send(retried);
     const Outcome losing = put(std::to_string(retried - 1), small_configuration(retried) + " ").kind;
@@ -180,10 +181,10 @@
                  "a change that can't have been applied is rejected, however many changes followed") {
   for (std::uint64_t version = 1; version <= 1500; ++version)
     put(std::to_string(version - 1), small_configuration(version));
-  CHECK(put("0", small_configuration(300)).kind == Outcome::conflict);     // the first one was another
-  CHECK(put("200", small_configuration(1600)).kind == Outcome::conflict);  // never in force
-  CHECK(put("1500", small_configuration(200)).kind == Outcome::invalid);   // an old version
-  CHECK(put("300", small_configuration(300)).kind == Outcome::conflict);   // no version builds on itself
+  CHECK(put("0", small_configuration(300)).kind == Outcome::conflict);     // not the first change
+  CHECK(put("200", small_configuration(1600)).kind == Outcome::conflict);  // the version was never in force
+  CHECK(put("1500", small_configuration(200)).kind == Outcome::invalid);   // the version is too low
+  CHECK(put("300", small_configuration(300)).kind == Outcome::conflict);   // a version is not based on itself
   CHECK(put("1499", small_configuration(1500) + " ").kind == Outcome::conflict);
 }
 
@@ -334,7 +335,7 @@
 TEST_CASE_METHOD(ConfigurationServiceFixture, "no record names a snapshot that isn't durable on a majority") {
   ConfigurationOutcome outcome;
   service.put("0", small_configuration(5), [&](const ConfigurationOutcome& result) { outcome = result; });
-  registers.run_oldest();                        // finds that the snapshot must be written
+  registers.run_oldest();                        // shows that the snapshot must be written first
   registers.run_oldest(Delivery::request_lost);  // no majority accepts it
   CHECK(outcome.kind == Outcome::unavailable);
   CHECK(registers.pending() == 0);
@@ -366,7 +367,7 @@
   registers.run_all();
   CHECK(record().has_snapshot());
   CHECK(record().json().empty());
-  all_read = false;  // a member that is unreachable now could read them before
+  all_read = false;  // as if a member were unreachable; all members could read snapshots before
   service.patch("8", route_patch(9, "r-4"), ignore);
   registers.run_all();
   CHECK(record().patches_size() == 1);
--- a/tests/cluster/control/job_history_test.cpp
+++ b/tests/cluster/control/job_history_test.cpp
@@ -1,5 +1,5 @@
-// Job requests to every control node while leaders are partitioned, frozen or stalled: an accepted job is
-// known to every later request, and no node responses for a service that another one leads.
+// Job requests to every control node while leaders are partitioned, frozen or stalled. An accepted job must
+// be known to every later request, and no node may answer for a service that another node leads.
 #include <catch2/catch.hpp>
 #include <map>
 #include <set>
@@ -21,7 +21,8 @@
 };
 using LeaderCluster = ControlCluster<LeaderNode>;
 
-// What callers know of one job. Times are those of the simulation, not of a node's clock; 0: never.
+// What the responses show about one job. Times are those of the simulation, not of a node's clock, and 0 if
+// the event has not happened.
 struct KnownJob {
   std::int64_t submitted_us = 0;  // first attempt
   std::int64_t accepted_us = 0;
@@ -29,8 +30,8 @@
   std::int64_t canceled_us = 0;
 };
 
-// Sends requests to control nodes and checks each response against those that came before the request was
-// sent. There are no leaves: a job stays queued until it is canceled.
+// Sends requests to control nodes and checks each response against those received before the request was
+// sent. There are no leaves, so a job stays queued until it is canceled.
 class JobHistory {
  public:
   explicit JobHistory(LeaderCluster& cluster) : cluster_(cluster) {}
@@ -65,8 +66,9 @@
     });
   }
   void count(std::size_t index) {
-    // Lower bound: jobs accepted before, which nobody has requested to cancel yet. Upper bound: jobs
-    // submitted by now that are not known to be canceled.
+    // The lower bound counts the jobs accepted before this call whose cancellation was not requested by the
+    // time of the response. The upper bound counts the jobs submitted by the time of the response that were
+    // not known to be canceled before this call.
     std::set<std::string> accepted;
     std::set<std::string> canceled;
     for (const auto& [id, job] : jobs_) {
@@ -113,7 +115,8 @@
       stage.set_count(1);
       stage.set_cpu(100);
     }
-    // A frozen node receives the request when it resumes, before or after the timer that ends its lease.
+    // A frozen node receives the request when it resumes, either before or after the timer that ends its
+    // lease.
     calls_.push_back(cluster_.node(index).after(Millis(0), [this, index, request, id, check] {
       cluster_.extra(index).leader.handle(request, [id, check](const wire::Envelope& answer) {
         CAPTURE(id, answer.job_reply().outcome(), answer.job_reply().state(), answer.job_reply().pending());
@@ -161,8 +164,8 @@
   }
 }
 
-// Requests to all nodes while faults are injected; afterwards every accepted job is known and can be
-// canceled.
+// Sends requests to all nodes while faults are injected. Afterwards every accepted job must be known and must
+// be possible to cancel.
 void run_scenario(std::uint64_t seed, std::size_t machines, bool with_long_faults,
                   const SimulationOptions& options) {
   CAPTURE(seed, machines, with_long_faults);
@@ -209,13 +212,13 @@
 }
 
 TEST_CASE(
-    "leaders that are partitioned, frozen or stalled for 5 to 30 s acknowledge nothing that others don't "
-    "know") {
+    "leaders that are partitioned, frozen or stalled for 5 to 30 s acknowledge nothing that later leaders "
+    "don't know") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed)
     run_scenario(seed, seed % 2 == 0 ? 5 : 3, true, SimulationOptions());
 }
 
-TEST_CASE("leaders that change often, with messages lost, duplicated and delayed") {
+TEST_CASE("no accepted job is lost when leaders change often and messages are lost, duplicated and delayed") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SimulationOptions options;
     options.duplication = 0.1;
--- a/tests/cluster/control/job_request_endpoint_test.cpp
+++ b/tests/cluster/control/job_request_endpoint_test.cpp
@@ -1,4 +1,5 @@
-// Submissions at a leader that has no capacity left: a rejection stands against duplicates of its message.
+// Job submissions to a leader without free capacity. A duplicate of a rejected message, which arrives when
+// there is capacity again, must not be accepted.
 #include "cluster/control/job_request_endpoint.hpp"
 
 #include <catch2/catch.hpp>
@@ -15,7 +16,8 @@
 using test::shard_entries;
 using Message = std::pair<std::uint64_t, std::uint64_t>;  // origin and number
 
-// One service's leader that accepts few jobs; leases come and go, the process stays.
+// The endpoint of a service whose scheduler accepts at most three jobs. The test can lose and regain the
+// lease within the same process.
 struct EndpointFixture {
   static constexpr std::uint32_t kMaxLiveJobs = 3;
 
@@ -80,7 +82,8 @@
   }
 };
 
-TEST_CASE_METHOD(EndpointFixture, "a duplicate of a rejected submission is rejected once there is capacity") {
+TEST_CASE_METHOD(EndpointFixture,
+                 "a duplicate of a rejected submission is rejected even when there is capacity again") {
   fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
@@ -96,7 +99,7 @@
   CHECK(submit("job", {2, 1}) == wire::JOB_REJECTED);
 }
 
-TEST_CASE_METHOD(EndpointFixture, "a rejection stands under a later lease of the same process") {
+TEST_CASE_METHOD(EndpointFixture, "a rejection remains valid under a later lease of the same process") {
   fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
@@ -116,7 +119,7 @@
   CHECK(submit("job-1", {2, 1}) == wire::JOB_OK);  // the job is known by now
 }
 
-TEST_CASE("no message is accepted after it was rejected, however it is duplicated and late") {
+TEST_CASE("no message is accepted after it was rejected, however often and late it is duplicated") {
   std::size_t repeated_rejections = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
--- a/tests/cluster/control/operator_api_test.cpp
+++ b/tests/cluster/control/operator_api_test.cpp
@@ -1,4 +1,4 @@
-// Responses of a control node's operator API, with a fake of the node's inspection.
+// Responses of a control node's operator API, with a fake NodeInspection.
 #include "cluster/control/operator_api.hpp"
 
 #include <boost/json.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A node that leads "core" and knows "fraud" to be led elsewhere and "idle" by nobody.
+// A node that leads the service "core". "fraud" is led by another node, and "idle" has no known leader.
 class FakeNodeInspection : public NodeInspection {
  public:
   ControlStatus status() const override {
@@ -121,8 +121,9 @@
   CHECK(service.at("ends").at("done").to_number<std::uint64_t>() == 9);
 }
 
-TEST_CASE_METHOD(OperatorApiFixture,
-                 "a node without quorum contact says so and answers 503 for jobs and nodes") {
+TEST_CASE_METHOD(
+    OperatorApiFixture,
+    "a node without quorum contact shows that in its status and answers 503 for jobs and nodes") {
   node.quorum_contact = false;
   CHECK_FALSE(get("/v1/status").at("in_touch").as_bool());
   const char* target =
--- a/tests/cluster/control/restart_test.cpp
+++ b/tests/cluster/control/restart_test.cpp
@@ -1,4 +1,4 @@
-// Complete control nodes in a simulation: the order of steps after a restart, and recovery after a crash.
+// Complete control nodes in a simulation: the order of the steps after a restart, and recovery after a crash.
 #include <catch2/catch.hpp>
 
 #include "cluster/control/control_node.hpp"
@@ -16,7 +16,7 @@
   Simulation simulation;
   std::vector<ControlNode*> nodes = std::vector<ControlNode*>(kNodes);
   bool first_start = true;
-  bool drop_chosen_notifications = false;  // RegisterChosen messages are lost
+  bool drop_chosen_notifications = false;  // if true, RegisterChosen messages are lost
 
   explicit ControlNodesFixture(std::uint64_t seed) : simulation(seed, SimulationOptions{}) {
     for (std::size_t index = 0; index < kNodes; ++index) {
@@ -46,7 +46,7 @@
       if (simulation.node(index).running()) simulation.node(index).crash();
     }
   }
-  // Sends a configuration to one node; true once it was acknowledged.
+  // Sends a configuration to one node. The result becomes true once the node has acknowledged it.
   std::shared_ptr<bool> put(std::size_t index, std::uint64_t version, std::uint64_t base) {
     HttpRequest request{boost::beast::http::verb::post, "/v1/Config.Put", 11};
     request.set("X-Winchhall-Base-Version", std::to_string(base));
--- a/tests/cluster/worker_agent/heartbeat_json_test.cpp
+++ b/tests/cluster/worker_agent/heartbeat_json_test.cpp
@@ -1,4 +1,4 @@
-// The JSON encoding of heartbeats and responses.
+// Parsing of heartbeats and encoding of responses, both in JSON.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/worker_agent/worker_fixture.hpp"
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The field that a heartbeat is rejected for; empty: it is accepted.
+// Returns the name of the field for which a heartbeat is rejected, or nothing if it is accepted.
 std::string rejected_field(const std::string& leaf_id, const std::string& body) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
--- a/tests/cluster/worker_agent/leader_reporter_test.cpp
+++ b/tests/cluster/worker_agent/leader_reporter_test.cpp
@@ -1,4 +1,4 @@
-// Reports to the leader of the service, and the search for it.
+// Reports to the leader of the service, and the search for the leader.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
--- a/tests/cluster/worker_agent/leaf_session_test.cpp
+++ b/tests/cluster/worker_agent/leaf_session_test.cpp
@@ -1,4 +1,4 @@
-// The session of a leaf: its lease, epochs of leaders, incarnations of the leaf.
+// The session of a leaf: the lease, the epochs of leaders and the incarnations of the leaf.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/worker_agent/worker_fixture.hpp"
--- a/tests/cluster/worker_agent/leaf_task_lists_test.cpp
+++ b/tests/cluster/worker_agent/leaf_task_lists_test.cpp
@@ -1,11 +1,11 @@
-// The comparison of a leaf's task lists with those of the heartbeat before.
+// Comparison of a leaf's task lists with those of the previous heartbeat.
 #include "cluster/worker_agent/leaf_task_lists.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace winchhall::cluster;
 
-TEST_CASE("another order of the listed tasks is no change") {
+TEST_CASE("a different order of the listed tasks is not a change") {
   LeafTaskLists lists;
   wire::RunningTask one;
   one.set_task("a");
--- a/tests/cluster/worker_agent/pending_command_table_test.cpp
+++ b/tests/cluster/worker_agent/pending_command_table_test.cpp
@@ -1,4 +1,4 @@
-// Orders that a leaf was not yet seen to carry out, step by step.
+// Pending orders of the leader, from their receipt to their acknowledgement by a heartbeat.
 #include "cluster/worker_agent/pending_command_table.hpp"
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
   return entry;
 }
 
-// The table with the lists of the newest heartbeat.
+// The table, and the task lists of the newest heartbeat.
 struct TableWithLists {
   PendingCommandTable table;
   LeafTaskLists lists;
@@ -76,12 +76,12 @@
   CHECK(batch.stops.empty());
 }
 
-TEST_CASE_METHOD(TableWithLists, "a stop stays pending while a start that it revokes may be carried out") {
+TEST_CASE_METHOD(TableWithLists, "a stop stays pending while a start that it revokes may be executed") {
   receive(orders_of(kEpoch, {start_order(1, kTask, 7)}));
   take_batch();
   receive(orders_of(kEpoch, {}, {stop_order(2, kTask, 7)}));
   CHECK(table.acknowledged_revision() == 0);
-  heartbeat({running_task(kTask, 7)});  // it was carried out
+  heartbeat({running_task(kTask, 7)});  // the start was executed
   CHECK(table.has_unsent_stops());
   CHECK(table.acknowledged_revision() == 1);
   take_batch();
@@ -111,13 +111,13 @@
   receive(orders_of(kEpoch, {start_order(1, kTask, 7), start_order(2, kOtherTask, 7)}));
   take_batch(1);
   table.withdraw_unsent_starts();
-  CHECK(table.acknowledged_revision() == 0);  // the first one may yet be carried out
+  CHECK(table.acknowledged_revision() == 0);  // the first start may still be executed
   heartbeat();
   CHECK(take_batch().starts.empty());
   CHECK(table.acknowledged_revision() == 2);
 }
 
-TEST_CASE_METHOD(TableWithLists, "clearing forgets the orders and the revisions") {
+TEST_CASE_METHOD(TableWithLists, "clearing discards the orders and the revisions") {
   receive(orders_of(kEpoch, {start_order(3, kTask, 7)}));
   table.clear();
   CHECK(table.empty());
--- a/tests/cluster/worker_agent/property_test.cpp
+++ b/tests/cluster/worker_agent/property_test.cpp
@@ -1,6 +1,6 @@
-// Property test: random schedules, by seed, of lost, late and duplicate messages around one worker-agent.
-// Invariants: a run that a report has declared over never starts, no lease exceeds its grant, and a leaf that
-// has announced its drain gets no start.
+// Property test: one worker-agent under lost, late and duplicate messages, with a random schedule for each
+// seed. Invariants: a run that a report has declared ended never starts, no lease exceeds its grant, and a
+// leaf that has announced its drain gets no start.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <random>
@@ -29,7 +29,7 @@
     leaf_.on_start = [this](const Run& run) {
       ++starts;
       if (leaders_.declared_ended.count({leaf_.id(), run}) != 0)
-        violations.push_back("a run started after a report had declared it over");
+        violations.push_back("a run started after a report had declared it ended");
       if (leaf_.has_announced_drain())
         violations.push_back("a run started on a leaf that had announced its drain");
     };
@@ -50,6 +50,7 @@
   std::size_t starts = 0;
 
  private:
+  // Returns true with a probability of 1 in `count`.
   bool one_in(unsigned count) { return generator_() % count == 0; }
 
   void inject_fault() {
@@ -112,7 +113,7 @@
 
 }  // namespace
 
-TEST_CASE("reports, leases and drains are honoured despite lost, late and duplicate messages") {
+TEST_CASE("reports, leases and drains take effect despite lost, late and duplicate messages") {
   std::size_t starts = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     WorkerAgentSimulation simulation(seed);
--- a/tests/cluster/worker_agent/simulated_leaders.hpp
+++ b/tests/cluster/worker_agent/simulated_leaders.hpp
@@ -1,4 +1,4 @@
-// Simulated leaders of a service, which give random orders and check what worker reports declare.
+// Simulated leaders of a service, which give random orders and record which runs the reports declare ended.
 #pragma once
 
 #include <algorithm>
@@ -17,13 +17,15 @@
 inline constexpr std::size_t kMaxKeptOrders = 60;
 inline constexpr Millis kGrant{4000};
 
-// A sequence of leaders, one for each epoch: each gives random orders and relies on what reports declare.
+// A sequence of leaders, one for each epoch, which give random orders. A report declares a run ended if it
+// does not list the run and either acknowledges the run's start order or names a newer epoch than that of the
+// order.
 class SimulatedLeaders {
  public:
-  // `generator` outlives the leaders.
+  // `generator` must outlive the leaders.
   explicit SimulatedLeaders(std::mt19937_64& generator) : generator_(generator) {}
 
-  // Records which runs a new report declares over.
+  // Records which runs a new report declares ended.
   void record_report(const wire::WorkerReport& report) {
     const std::string& leaf_id = report.leaf().leaf_id();
     if (report.lists_included()) lists_[report.report_number()] = listed_runs(report);
@@ -36,7 +38,7 @@
     }
   }
 
-  // Answers a report as the leader of the current epoch, or sometimes of the one before.
+  // Answers a report as the leader of the current epoch, or sometimes as that of the previous one.
   void answer(const ScriptedRuntime::Call& call) {
     const wire::WorkerReport& report = call.request.worker_report();
     const std::uint64_t epoch = generator_() % 20 == 0 && epoch_ > 1 ? epoch_ - 1 : epoch_;
@@ -56,7 +58,7 @@
     revision_ = 0;
   }
 
-  // Runs that reports have declared over for good, by incarnation of the leaf.
+  // Runs that reports have declared ended, by incarnation of the leaf. Such a run must never start.
   std::set<std::pair<std::string, Run>> declared_ended;
 
  private:
@@ -111,7 +113,7 @@
   std::uint64_t run_ = 0;
   std::deque<Order> orders_;
   std::map<std::string, std::uint64_t> last_seen_;
-  std::map<std::uint64_t, std::set<Run>> lists_;  // by report
+  std::map<std::uint64_t, std::set<Run>> lists_;  // runs listed in each report, by report number
 };
 
 }  // namespace winchhall::cluster::worker_test
--- a/tests/cluster/worker_agent/simulated_leaf.hpp
+++ b/tests/cluster/worker_agent/simulated_leaf.hpp
@@ -19,7 +19,7 @@
 
 using testing::ScriptedRuntime;
 
-// Time after which the leaf gives up on a heartbeat and drops its response.
+// Time after which the leaf gives up on a heartbeat and ignores its response.
 inline constexpr Millis kHeartbeatTimeout{1000};
 
 // One run of a task on the leaf.
@@ -31,11 +31,11 @@
   }
 };
 
-// A leaf as the protocol describes it: one heartbeat at a time; drops late responses; stops its tasks when
-// its lease expires.
+// A leaf that behaves as the protocol demands: it sends one heartbeat at a time, ignores late responses, and
+// stops its tasks when its lease expires.
 class SimulatedLeaf {
  public:
-  // Both references outlive the leaf.
+  // Both references must outlive the leaf.
   SimulatedLeaf(ScriptedRuntime& runtime, std::mt19937_64& generator)
       : runtime_(runtime), generator_(generator) {}
 
@@ -66,9 +66,11 @@
   TimePoint lease_expires_at() const { return lease_expires_at_; }
   bool has_announced_drain() const { return drain_announced_incarnation_ == incarnation_; }
 
+  // Called before each start of a run. Must be set.
   std::function<void(const Run&)> on_start;
 
  private:
+  // Returns true with a probability of `percent`.
   bool chance(unsigned percent) { return generator_() % 100 < percent; }
 
   void call(WorkerAgent& agent) {
@@ -90,7 +92,7 @@
     agent.on_heartbeat(id(), boost::json::serialize(body),
                        [this, number, sent_at, drained_incarnation](const LeafResponse& answer) {
                          if (drained_incarnation != 0) drain_announced_incarnation_ = drained_incarnation;
-                         if (chance(8)) return;  // the answer is lost
+                         if (chance(8)) return;  // the response is lost
                          const Millis delay(chance(5) ? 900 + generator_() % 300 : generator_() % 10);
                          delayed_responses_.push_back({number, sent_at, runtime_.now() + delay,
                                                        boost::json::parse(answer.body).as_object()});
--- a/tests/cluster/worker_agent/worker_agent_test.cpp
+++ b/tests/cluster/worker_agent/worker_agent_test.cpp
@@ -1,4 +1,4 @@
-// Delivery of the leader's orders to the leaf: lost responses, duplicates, withdrawn starts, stops and
+// Delivery of the leader's orders to the leaf, with lost responses, duplicates, withdrawn starts, stops and
 // drains.
 #include <catch2/catch.hpp>
 
@@ -208,7 +208,7 @@
 }
 
 TEST_CASE_METHOD(WorkerAgentFixture,
-                 "with a truncated list of finished tasks no order counts as not carried out") {
+                 "while the list of finished tasks is truncated no order counts as not executed") {
   complete_first_exchange();
   ScriptedHeartbeat busy;
   busy.runs(kOtherTask, 3);
--- a/tests/cluster/worker_agent/worker_fixture.hpp
+++ b/tests/cluster/worker_agent/worker_fixture.hpp
@@ -1,4 +1,4 @@
-// A worker-agent between a scripted leaf and a scripted leader, with a manual clock.
+// Test fixture: a worker-agent between a scripted leaf and a scripted leader, with a manual clock.
 #pragma once
 
 #include <boost/json/parse.hpp>
@@ -47,7 +47,7 @@
   return order;
 }
 
-// Orders of an epoch for the leaf i-1, with a grant of 10 s.
+// Returns orders of an epoch for the leaf i-1, with a grant of 10 s.
 inline wire::WorkerOrders orders_of(std::uint64_t epoch, std::vector<wire::StartOrder> starts = {},
                                     std::vector<wire::StopOrder> stops = {}) {
   wire::WorkerOrders orders;
@@ -67,10 +67,10 @@
   return orders;
 }
 
-// One heartbeat of the scripted leaf, to be sent with `WorkerAgentFixture::heartbeat`.
+// A heartbeat of the scripted leaf, which is sent with `WorkerAgentFixture::heartbeat`.
 struct ScriptedHeartbeat {
   std::string leaf_id = "i-1";
-  std::optional<std::uint64_t> sequence;  // none: the next one
+  std::optional<std::uint64_t> sequence;  // if empty, the next number is used
   std::string state = "ready";
   boost::json::array running;
   boost::json::array finished;
@@ -86,7 +86,7 @@
   }
 };
 
-// The response to a heartbeat, once it was sent.
+// The response to a heartbeat; valid once `answered` is true.
 struct ReceivedResponse {
   bool answered = false;
   unsigned status = 0;
@@ -107,6 +107,8 @@
   }
 };
 
+// Owns the worker-agent. Its calls to other processes are queued in `runtime.calls` until the test answers
+// them.
 class WorkerAgentFixture {
  public:
   WorkerAgentFixture()
@@ -139,7 +141,7 @@
     return received;
   }
 
-  // The oldest unanswered report, if any.
+  // Returns the oldest unanswered report, if any.
   std::optional<wire::WorkerReport> peek_report() {
     for (const ScriptedRuntime::Call& call : runtime.calls) {
       if (call.request.has_worker_report()) return call.request.worker_report();
@@ -147,7 +149,7 @@
     return std::nullopt;
   }
 
-  // Removes all calls and returns the newest report; older ones are never answered and time out.
+  // Removes all queued calls and returns the newest report. The older ones are never answered and time out.
   ScriptedRuntime::Call take_newest_report() {
     ScriptedRuntime::Call newest;
     for (ScriptedRuntime::Call& call : runtime.calls) {
@@ -164,8 +166,8 @@
     report.done(CallResult{std::move(answer), CallError::timed_out});
   }
 
-  // Answers the newest report and returns it. Waits for the minimum interval between two reports first, so
-  // that it holds all changes until now.
+  // Answers the newest report and returns it. First waits for the minimum interval between two reports, so
+  // that the report contains all changes made so far.
   wire::WorkerReport answer_report(const wire::WorkerOrders& orders) {
     runtime.advance(Millis(12));
     answer_older_reports(orders.epoch());
@@ -175,7 +177,7 @@
     return report.request.worker_report();
   }
 
-  // Answers every report but the newest without orders, as a leader does once a newer one arrives.
+  // Answers every report except the newest one without orders, as a leader does when a newer one arrives.
   void answer_older_reports(std::uint64_t epoch) {
     const std::deque<ScriptedRuntime::Call> waiting = std::exchange(runtime.calls, {});
     std::size_t newest = waiting.size();
@@ -192,7 +194,7 @@
     runtime.calls.push_front(waiting[newest]);
   }
 
-  // Answers the newest probe for the leader; returns the node that was probed.
+  // Answers the newest probe for the leader, and returns the address of the probed node.
   Address answer_probe(const Address& leader = kLeader, std::uint64_t epoch = 5) {
     ScriptedRuntime::Call probe;
     for (ScriptedRuntime::Call& call : runtime.calls) {
@@ -208,7 +210,7 @@
     return probe.peer;
   }
 
-  // The first heartbeat, its report, a grant of epoch 5 and the response.
+  // Runs the first exchange: a heartbeat, its report, an answer of epoch 5 with a grant, and the response.
   void complete_first_exchange() {
     start();
     const auto first = heartbeat({});
--- a/tests/cluster/worker_agent/worker_http_server_test.cpp
+++ b/tests/cluster/worker_agent/worker_http_server_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP interface of the worker-agent.
+// The HTTP server through which a leaf calls its worker-agent.
 #include "cluster/worker_agent/worker_http_server.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 namespace http = boost::beast::http;
 
-// Status of the response to a call; 0: there is none yet.
+// Sends a call and returns the status of the response, which is 0 until the response is sent.
 std::shared_ptr<unsigned> call(WorkerAgent& agent, http::verb method, const std::string& path,
                                const std::string& body = "") {
   HttpRequest request(method, path, 11, body);
