--- a/src/cluster/control/configuration_proposer.cpp
+++ b/src/cluster/control/configuration_proposer.cpp
@@ -33,10 +33,10 @@
                                                                const std::string& current) const {
   attempt.missing = MissingPrerequisite::nothing;
   attempt.current = parse_configuration_record(current);
-  const std::optional<ConfigurationOutcome> certain =
+  const std::optional<ConfigurationOutcome> known_outcome =
       outcome_independent_of_base(attempt.change, attempt.current);
-  if (certain) {
-    attempt.outcome = *certain;
+  if (known_outcome) {
+    attempt.outcome = *known_outcome;
     return std::nullopt;
   }
   const ConfigurationState& state = follower_.state();
--- a/src/cluster/control/configuration_service.cpp
+++ b/src/cluster/control/configuration_service.cpp
@@ -51,9 +51,10 @@
 // A read is a register update that changes nothing: the value that it returns was chosen by a majority after
 // the call began.
 void ConfigurationService::get(ReadCallback done) {
-  const RegisterChange keep = [](const std::string&) { return std::nullopt; };
+  const RegisterChange leave_unchanged = [](const std::string&) { return std::nullopt; };
   const TimePoint deadline = runtime_.now() + kConfigurationQuorumTimeout;
-  const auto finish = [this, deadline, done = std::move(done)](const std::optional<RegisterValue>& chosen) {
+  const auto on_register_read = [this, deadline,
+                                 done = std::move(done)](const std::optional<RegisterValue>& chosen) {
     if (!chosen) return done(ConfigurationRead{});
     on_register_value(*chosen);
     const std::uint64_t version = parse_configuration_record(chosen->value).version();
@@ -65,7 +66,7 @@
       done(ConfigurationRead{ConfigurationReadKind::found, state.version(), state.json()});
     });
   };
-  registers_.update(kConfigurationRegister, keep, kConfigurationQuorumTimeout, finish);
+  registers_.update(kConfigurationRegister, leave_unchanged, kConfigurationQuorumTimeout, on_register_read);
 }
 
 bool ConfigurationService::handle(const wire::Envelope& request, const ReplyCallback& reply) {
@@ -82,7 +83,7 @@
 
 void ConfigurationService::on_version_advanced() {
   if (listener_) listener_(*newest());
-  watchers_.check();
+  watchers_.answer_due_watchers();
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/control/configuration_service.hpp
+++ b/src/cluster/control/configuration_service.hpp
@@ -78,7 +78,7 @@
   void on_register_value(const RegisterValue& value) { follower_.on_chosen(value); }
   // Notifies the watchers whose leaders or members are out of date. Without this call, a change is detected
   // within 50 ms.
-  void on_leaders_changed() { watchers_.check(); }
+  void on_leaders_changed() { watchers_.answer_due_watchers(); }
   // Handles ConfigurationWatch and ConfigurationFetch requests. Returns false for requests of other kinds.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
   // Answers all watchers. Called once, during a graceful shutdown.
--- a/src/cluster/control/configuration_snapshots.cpp
+++ b/src/cluster/control/configuration_snapshots.cpp
@@ -62,8 +62,8 @@
   const std::string key = key_of(id);
   std::optional<std::string> replica = local_.chosen(key);
   if (replica && is_content_of(id, *replica)) return done(std::move(replica));
-  const RegisterChange keep = [](const std::string&) { return std::nullopt; };
-  registers_.update(key, keep, timeout,
+  const RegisterChange leave_unchanged = [](const std::string&) { return std::nullopt; };
+  registers_.update(key, leave_unchanged, timeout,
                     [id, done = std::move(done)](const std::optional<RegisterValue>& chosen) {
                       if (!chosen || !is_content_of(id, chosen->value)) return done(std::nullopt);
                       done(chosen->value);
--- a/src/cluster/control/configuration_watchers.cpp
+++ b/src/cluster/control/configuration_watchers.cpp
@@ -67,7 +67,7 @@
   watcher.reply(std::move(envelope));
 }
 
-void ConfigurationWatchers::check() {
+void ConfigurationWatchers::answer_due_watchers() {
   if (watchers_.empty()) return;
   const std::uint64_t digest = leaders_digest();
   for (auto watcher = watchers_.begin(); watcher != watchers_.end();) {
@@ -83,7 +83,7 @@
 
 void ConfigurationWatchers::schedule_check() {
   check_timer_ = runtime_.after(kLeadersCheckInterval, [this] {
-    check();
+    answer_due_watchers();
     if (watchers_.empty()) {
       check_timer_.reset();
     } else {
--- a/src/cluster/control/configuration_watchers.hpp
+++ b/src/cluster/control/configuration_watchers.hpp
@@ -34,7 +34,7 @@
   void watch(const wire::ConfigurationWatch& request, ReplyCallback reply);
   // Answers the watchers whose configuration, leaders or members are out of date. Called for each newer
   // configuration. While there are watchers, it also runs every 50 ms.
-  void check();
+  void answer_due_watchers();
   // Answers all watchers with the current state.
   void answer_all();
 
--- a/src/cluster/worker_agent/heartbeat_json.cpp
+++ b/src/cluster/worker_agent/heartbeat_json.cpp
@@ -91,7 +91,8 @@
   return task;
 }
 
-// Accepts unknown words, since a newer leaf may know more kinds.
+// Maps unknown words to END_UNKNOWN instead of rejecting them, since a newer leaf may know more kinds of
+// ends.
 wire::EndKind end_kind(std::string_view how) {
   if (how == "done") return wire::END_DONE;
   if (how == "failed") return wire::END_FAILED;
--- a/src/cluster/worker_agent/leader_reporter.hpp
+++ b/src/cluster/worker_agent/leader_reporter.hpp
@@ -86,9 +86,10 @@
   TimePoint sent_at_{};
   TimePoint paused_until_{};      // no report is sent before this time
   TimePoint last_response_at_{};  // of the target as a leader; initially the time that it became the target
-  std::uint64_t acknowledged_lists_version_ =
-      0;  // version of the lists that the target has acknowledged; or 0
-  std::uint64_t acknowledged_lists_report_ = 0;  // number of the report that contained them
+  // Version of the lists that the target has acknowledged, 0 if none, and number of the report with these
+  // lists.
+  std::uint64_t acknowledged_lists_version_ = 0;
+  std::uint64_t acknowledged_lists_report_ = 0;
   std::unique_ptr<Timer> check_timer_;
   std::unique_ptr<Timer> response_timer_;
   const std::shared_ptr<bool> alive_;  // false once this object is destroyed
--- a/src/cluster/worker_agent/pending_command_table.cpp
+++ b/src/cluster/worker_agent/pending_command_table.cpp
@@ -64,9 +64,9 @@
     PendingStart& start = entry->second;
     const bool listed = lists.is_listed(start.order.task(), start.order.run());
     // If the list is truncated, the run may have finished without being listed.
-    const bool unknown = start.sent && !listed && lists.is_truncated();
-    if (!unknown) start.sent = false;
-    const bool resolved = listed || (start.withdrawn && !unknown);
+    const bool result_unknown = start.sent && !listed && lists.is_truncated();
+    if (!result_unknown) start.sent = false;
+    const bool resolved = listed || (start.withdrawn && !result_unknown);
     entry = resolved ? starts_.erase(entry) : std::next(entry);
   }
 }
--- a/src/cluster/worker_agent/pending_command_table.hpp
+++ b/src/cluster/worker_agent/pending_command_table.hpp
@@ -35,7 +35,7 @@
   // Removes the orders that the lists of a new heartbeat acknowledge, and marks the others as unsent, so that
   // they are sent again.
   void reconcile(const LeafTaskLists& lists);
-  // Drops the unsent starts, and prevents that sent ones are sent again.
+  // Drops the unsent starts, and ensures that starts that were already sent are not sent again.
   void withdraw_unsent_starts();
 
   bool has_unsent_starts() const;
--- a/tests/cluster/control/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -87,7 +87,7 @@
 
   std::uint64_t newest() const { return newest_; }
   const std::vector<std::shared_ptr<OperatorRequest>>& requests() const { return requests_; }
-  std::size_t applied() const { return by_base_.size(); }
+  std::size_t applied() const { return applied_by_base_.size(); }
 
  private:
   void check(OperatorRequest& request, const ConfigurationOutcome& outcome, std::uint64_t known_version) {
@@ -131,7 +131,7 @@
   void record_applied(OperatorRequest& request) {
     REQUIRE(request.valid);
     REQUIRE_FALSE(request.rejected);
-    const auto [applied, first] = by_base_.try_emplace(request.base, &request);
+    const auto [applied, first] = applied_by_base_.try_emplace(request.base, &request);
     REQUIRE(applied->second == &request);
     request.applied = true;
     newest_ = std::max(newest_, request.version);
@@ -139,7 +139,7 @@
 
   ConfigurationCluster& cluster_;
   std::vector<std::shared_ptr<OperatorRequest>> requests_;
-  std::map<std::uint64_t, OperatorRequest*> by_base_;
+  std::map<std::uint64_t, OperatorRequest*> applied_by_base_;
   std::uint64_t newest_ = 0;  // newest version that was acknowledged or read
 };
 
