--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -17,7 +17,7 @@
   return std::string(header->value());
 }
 
-// True for calls that are answered from the state of service leaders.
+// Returns true for calls that are answered from the state of service leaders.
 bool requires_service_leader(const OperatorCall& call) {
   switch (call.kind) {
     case OperatorCallKind::list_jobs:
@@ -91,9 +91,9 @@
                                            const HttpReplyCallback& reply) const {
   const Leadership leadership = inspection_.leadership(service);
   switch (leadership.kind) {
-    case LeadershipKind::here:
+    case LeadershipKind::this_node:
       return false;
-    case LeadershipKind::redirect:
+    case LeadershipKind::other_node:
       reply(redirect_response(leadership.http_address, std::string(request.target())));
       return true;
     case LeadershipKind::unknown:
--- a/src/cluster/worker_agent/leader_finder.cpp
+++ b/src/cluster/worker_agent/leader_finder.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr Millis kProbeTimeout{500};
-constexpr Millis kProbeWait{250};  // a node without newer leaders defers its answer this long
+constexpr Millis kProbeWait{250};  // time for which a node without newer leaders defers its answer
 constexpr unsigned kMaxProbesInFlight = 3;
 constexpr Millis kRetryDelay{100};
 constexpr std::uint64_t kRetryJitterMs = 50;
-constexpr Millis kHedgeDelay{200};
+constexpr Millis kHedgeDelay{200};  // from one probe to the next, while the first is unanswered
 constexpr std::size_t kMaxNodes = 64;
 
 }  // namespace
@@ -47,16 +47,16 @@
   timer_.reset();
 }
 
-bool LeaderFinder::is_sampled_turn() const {
-  const bool all_probed = unanswered_probes_ >= nodes_.size();
-  const bool every_other_time = nodes_.empty() || unanswered_probes_ % 2 == 0;
+bool LeaderFinder::should_probe_sampled_node() const {
+  const bool all_probed = probes_without_leader_ >= nodes_.size();
+  const bool every_other_time = nodes_.empty() || probes_without_leader_ % 2 == 0;
   return all_probed && every_other_time && !sampled_.empty();
 }
 
 const Address& LeaderFinder::next_node() {
-  const bool sampled_turn = is_sampled_turn();
-  ++unanswered_probes_;
-  if (sampled_turn) {
+  const bool probe_sampled = should_probe_sampled_node();
+  ++probes_without_leader_;
+  if (probe_sampled) {
     next_sampled_ = (next_sampled_ + 1) % sampled_.size();
     return sampled_[next_sampled_];
   }
@@ -96,7 +96,7 @@
   const FoundLeader leader = newest_leader_in(update);
   if (leader.address.empty() || leader.epoch < min_epoch_) return schedule_retry();
   stop();
-  unanswered_probes_ = 0;
+  probes_without_leader_ = 0;
   on_found_(leader);
 }
 
--- a/tests/cluster/control/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -1,4 +1,4 @@
-// Simulated operators of a control group, and an independent check of every response that any of them got.
+// Simulated operators of a control group, and an independent check of every response that they receive.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -24,21 +24,21 @@
 };
 using ConfigurationCluster = ControlCluster<ConfigurationNode>;
 
-// One change, which an operator retries until the response is definite.
+// One change, which an operator retries until it receives a definite response.
 struct OperatorRequest {
   ConfigurationChangeKind kind = ConfigurationChangeKind::put;
   std::uint64_t base = 0;
   std::uint64_t version = 0;
   std::string body;
   bool valid = true;
-  // What is known of it so far.
-  bool applied = false;   // acknowledged, or read
-  bool rejected = false;  // answered with a conflict or as invalid
+  // The outcome as far as it is known from the responses.
+  bool applied = false;   // acknowledged or read
+  bool rejected = false;  // answered as a conflict or as invalid
 };
 
-// Checks each response against the earlier ones. Rules: a change is applied or rejected, never both; of two
-// changes on one base at most one is applied; no response shows an older state than anyone knew before the
-// call; what is read is what was sent.
+// Checks each response against the earlier ones. Rules: a change is never both applied and rejected; of the
+// changes with the same base at most one is applied; no response shows an older version than any response
+// before the call; a configuration that is read is one that was sent.
 class ConfigurationHistory {
  public:
   explicit ConfigurationHistory(ConfigurationCluster& cluster) : cluster_(cluster) {}
@@ -60,15 +60,16 @@
     return request;
   }
 
-  // Sends a change to one node. `on_response` gets the outcome, unless the response is lost.
-  void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double lost,
+  // Sends a change to one node. `on_response` is called with the outcome, unless the response is lost, which
+  // has the probability `response_loss`.
+  void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double response_loss,
             std::function<void(ConfigurationOutcomeKind)> on_response = {}) {
     if (!cluster_.running(index)) return;
     ConfigurationService& service = cluster_.extra(index).service;
-    const auto done = [this, request, lost, on_response = std::move(on_response),
+    const auto done = [this, request, response_loss, on_response = std::move(on_response),
                        known_version = newest_](const ConfigurationOutcome& outcome) {
       check(*request, outcome, known_version);
-      if (on_response && !cluster_.simulation().chance(lost)) on_response(outcome.kind);
+      if (on_response && !cluster_.simulation().chance(response_loss)) on_response(outcome.kind);
     };
     const std::string base = std::to_string(request->base);
     if (request->kind == ConfigurationChangeKind::put) return service.put(base, request->body, done);
@@ -86,7 +87,7 @@
 
   std::uint64_t newest() const { return newest_; }
   const std::vector<std::shared_ptr<OperatorRequest>>& requests() const { return requests_; }
-  std::size_t applied() const { return by_base_.size(); }
+  std::size_t applied() const { return applied_by_base_.size(); }
 
  private:
   void check(OperatorRequest& request, const ConfigurationOutcome& outcome, std::uint64_t known_version) {
@@ -120,7 +121,7 @@
       const bool put = request->kind == ConfigurationChangeKind::put;
       if (put && request->body == read.json) return record_applied(*request);
     }
-    // Made by a patch: one of the changes for this version.
+    // The configuration was created by one of the patches with this version.
     REQUIRE(std::any_of(requests_.begin(), requests_.end(), [&](const auto& request) {
       return request->version == read.version && request->kind == ConfigurationChangeKind::patch &&
              request->valid;
@@ -130,7 +131,7 @@
   void record_applied(OperatorRequest& request) {
     REQUIRE(request.valid);
     REQUIRE_FALSE(request.rejected);
-    const auto [applied, first] = by_base_.try_emplace(request.base, &request);
+    const auto [applied, first] = applied_by_base_.try_emplace(request.base, &request);
     REQUIRE(applied->second == &request);
     request.applied = true;
     newest_ = std::max(newest_, request.version);
@@ -138,45 +139,48 @@
 
   ConfigurationCluster& cluster_;
   std::vector<std::shared_ptr<OperatorRequest>> requests_;
-  std::map<std::uint64_t, OperatorRequest*> by_base_;
-  std::uint64_t newest_ = 0;  // acknowledged, or read by anyone
+  std::map<std::uint64_t, OperatorRequest*> applied_by_base_;
+  std::uint64_t newest_ = 0;  // newest version that was acknowledged or read
 };
 
-// An operator: sends a change to any node until it gets a definite response, then makes the next one, on the
-// newest version that it read or that any operator knows. Several operators race.
+// An operator that sends a change to random nodes until it receives a definite response, and then makes the
+// next change, based on the newest version that it has read or that any operator knows. Several operators
+// compete.
 class SimulatedOperator {
  public:
-  SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double lost_responses)
-      : cluster_(cluster), history_(history), lost_responses_(lost_responses) {}
+  SimulatedOperator(ConfigurationCluster& cluster, ConfigurationHistory& history, double response_loss)
+      : cluster_(cluster), history_(history), response_loss_(response_loss) {}
 
   void act() {
     Simulation& simulation = cluster_.simulation();
     if (!request_) make_request();
     const auto request = request_;
-    history_.send(any_node(), request, lost_responses_, [this, request](ConfigurationOutcomeKind kind) {
+    history_.send(random_node(), request, response_loss_, [this, request](ConfigurationOutcomeKind kind) {
       if (request != request_ || kind == ConfigurationOutcomeKind::unavailable) return;
       request_.reset();
     });
     if (simulation.chance(0.3))
-      history_.read(any_node(), [this](const ConfigurationRead& read) {
+      history_.read(random_node(), [this](const ConfigurationRead& read) {
         if (read.kind == ConfigurationReadKind::found) base_ = read.version;
       });
-    if (simulation.chance(0.2) && !history_.requests().empty()) history_.send(any_node(), any_request(), 0);
+    if (simulation.chance(0.2) && !history_.requests().empty())
+      history_.send(random_node(), random_request(), 0);
   }
 
  private:
-  std::size_t any_node() {
+  std::size_t random_node() {
     return static_cast<std::size_t>(
         cluster_.simulation().random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
   }
-  const std::shared_ptr<OperatorRequest>& any_request() {
+  const std::shared_ptr<OperatorRequest>& random_request() {
     return history_.requests()[cluster_.simulation().random() % history_.requests().size()];
   }
   void make_request() {
     Simulation& simulation = cluster_.simulation();
     const std::uint64_t base = simulation.chance(0.7) ? history_.newest() : base_;
     const auto step = static_cast<std::uint64_t>(simulation.random_between(1, 3));
-    // A first patch would have no services that its route may name.
+    // The first change must be a put: a patch of an empty configuration lacks the service that its route
+    // names.
     const bool patch = base > 0 && simulation.chance(0.4);
     const bool valid = simulation.chance(0.9);
     request_ = history_.request(patch ? ConfigurationChangeKind::patch : ConfigurationChangeKind::put, base,
@@ -185,7 +189,7 @@
 
   ConfigurationCluster& cluster_;
   ConfigurationHistory& history_;
-  const double lost_responses_;
+  const double response_loss_;
   std::uint64_t base_ = 0;
   std::shared_ptr<OperatorRequest> request_;
 };
--- a/tests/cluster/control/job_history_test.cpp
+++ b/tests/cluster/control/job_history_test.cpp
@@ -1,5 +1,5 @@
-// Job requests to every control node while leaders are partitioned, frozen or stalled: an accepted job is
-// known to every later request, and no node responses for a service that another one leads.
+// Job requests to every control node while leaders are partitioned, frozen or stalled. An accepted job must
+// be known to every later request, and no node may answer for a service that another node leads.
 #include <catch2/catch.hpp>
 #include <map>
 #include <set>
@@ -21,7 +21,8 @@
 };
 using LeaderCluster = ControlCluster<LeaderNode>;
 
-// What callers know of one job. Times are those of the simulation, not of a node's clock; 0: never.
+// What the responses show about one job. Times are those of the simulation, not of a node's clock, and 0 if
+// the event has not happened.
 struct KnownJob {
   std::int64_t submitted_us = 0;  // first attempt
   std::int64_t accepted_us = 0;
@@ -29,8 +30,8 @@
   std::int64_t canceled_us = 0;
 };
 
-// Sends requests to control nodes and checks each response against those that came before the request was
-// sent. There are no leaves: a job stays queued until it is canceled.
+// Sends requests to control nodes and checks each response against those received before the request was
+// sent. There are no leaves, so a job stays queued until it is canceled.
 class JobHistory {
  public:
   explicit JobHistory(LeaderCluster& cluster) : cluster_(cluster) {}
@@ -65,8 +66,9 @@
     });
   }
   void count(std::size_t index) {
-    // Lower bound: jobs accepted before, which nobody has requested to cancel yet. Upper bound: jobs
-    // submitted by now that are not known to be canceled.
+    // The lower bound counts the jobs accepted before this call whose cancellation was not requested by the
+    // time of the response. The upper bound counts the jobs submitted by the time of the response that were
+    // not known to be canceled before this call.
     std::set<std::string> accepted;
     std::set<std::string> canceled;
     for (const auto& [id, job] : jobs_) {
@@ -113,7 +115,8 @@
       stage.set_count(1);
       stage.set_cpu(100);
     }
-    // A frozen node receives the request when it resumes, before or after the timer that ends its lease.
+    // A frozen node receives the request when it resumes, either before or after the timer that ends its
+    // lease.
     calls_.push_back(cluster_.node(index).after(Millis(0), [this, index, request, id, check] {
       cluster_.extra(index).leader.handle(request, [id, check](const wire::Envelope& answer) {
         CAPTURE(id, answer.job_reply().outcome(), answer.job_reply().state(), answer.job_reply().pending());
@@ -129,12 +132,12 @@
   std::size_t acknowledged_ = 0;
 };
 
-std::string id_of(std::uint64_t number) {
+std::string job_id(std::uint64_t number) {
   std::string digits = std::to_string(number);
   return std::string(16 - digits.size(), '0') + digits;
 }
 
-void require_one_leader(LeaderCluster& cluster) {
+void require_at_most_one_leader(LeaderCluster& cluster) {
   std::size_t leaders = 0;
   for (std::size_t index = 0; index < cluster.size(); ++index) {
     if (cluster.running(index) && !cluster.node(index).frozen() && cluster.extra(index).leader.leads())
@@ -149,35 +152,36 @@
   return std::nullopt;
 }
 
-void call_all(LeaderCluster& cluster, JobHistory& history, std::uint64_t& jobs) {
+void send_random_requests(LeaderCluster& cluster, JobHistory& history, std::uint64_t& jobs) {
   Simulation& simulation = cluster.simulation();
-  const auto some_job = [&] { return id_of(simulation.random() % (jobs + 1)); };
+  const auto random_job_id = [&] { return job_id(simulation.random() % (jobs + 1)); };
   for (std::size_t index = 0; index < cluster.size(); ++index) {
-    if (simulation.chance(0.3)) history.submit(index, simulation.chance(0.7) ? id_of(++jobs) : some_job());
-    if (simulation.chance(0.1)) history.cancel(index, some_job());
-    if (simulation.chance(0.4)) history.query(index, some_job());
+    if (simulation.chance(0.3))
+      history.submit(index, simulation.chance(0.7) ? job_id(++jobs) : random_job_id());
+    if (simulation.chance(0.1)) history.cancel(index, random_job_id());
+    if (simulation.chance(0.4)) history.query(index, random_job_id());
     if (simulation.chance(0.3)) history.count(index);
   }
 }
 
-// Requests to all nodes while faults are injected; afterwards every accepted job is known and can be
-// canceled.
+// Sends requests to all nodes while faults are injected. Afterwards every accepted job must be known and must
+// be possible to cancel.
 void run_scenario(std::uint64_t seed, std::size_t machines, bool with_long_faults,
-                  const SimulationOptions& terms) {
+                  const SimulationOptions& options) {
   CAPTURE(seed, machines, with_long_faults);
-  LeaderCluster cluster(seed, machines, terms);
+  LeaderCluster cluster(seed, machines, options);
   JobHistory history(cluster);
   FaultPlan fault_plan;
   FaultInjector<LeaderNode> faults(cluster, fault_plan);
   LongFaultInjector<LeaderNode> long_faults(cluster);
   Simulation& simulation = cluster.simulation();
-  simulation.on_event([&] { require_one_leader(cluster); });
+  simulation.on_event([&] { require_at_most_one_leader(cluster); });
   cluster.bootstrap();
   std::uint64_t jobs = 0;
   std::int64_t next_fault_ms = 3000;
   const std::int64_t end_ms = simulation.now_ms() + (with_long_faults ? 50000 : 25000);
   while (simulation.now_ms() < end_ms) {
-    call_all(cluster, history, jobs);
+    send_random_requests(cluster, history, jobs);
     simulation.run_for(Millis(simulation.random_between(20, 200)));
     if (simulation.now_ms() < next_fault_ms) continue;
     if (with_long_faults) {
@@ -208,19 +212,19 @@
 }
 
 TEST_CASE(
-    "leaders that are partitioned, frozen or stalled for 5 to 30 s acknowledge nothing that others don't "
-    "know") {
+    "leaders that are partitioned, frozen or stalled for 5 to 30 s acknowledge nothing that later leaders "
+    "don't know") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed)
     run_scenario(seed, seed % 2 == 0 ? 5 : 3, true, SimulationOptions());
 }
 
-TEST_CASE("leaders that change often, with messages lost, duplicated and delayed") {
+TEST_CASE("no accepted job is lost when leaders change often and messages are lost, duplicated and delayed") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    SimulationOptions terms;
-    terms.duplication = 0.1;
-    terms.late = 0.05;
-    terms.loss = seed % 3 == 0 ? 0.05 : 0;
-    run_scenario(seed, seed % 2 == 0 ? 5 : 3, false, terms);
+    SimulationOptions options;
+    options.duplication = 0.1;
+    options.late = 0.05;
+    options.loss = seed % 3 == 0 ? 0.05 : 0;
+    run_scenario(seed, seed % 2 == 0 ? 5 : 3, false, options);
   }
 }
 
--- a/tests/cluster/control/job_request_endpoint_test.cpp
+++ b/tests/cluster/control/job_request_endpoint_test.cpp
@@ -1,4 +1,5 @@
-// Submissions at a leader that has no capacity left: a rejection stands against duplicates of its message.
+// Job submissions to a leader without free capacity. A duplicate of a rejected message, which arrives when
+// there is capacity again, must not be accepted.
 #include "cluster/control/job_request_endpoint.hpp"
 
 #include <catch2/catch.hpp>
@@ -15,7 +16,8 @@
 using test::shard_entries;
 using Message = std::pair<std::uint64_t, std::uint64_t>;  // origin and number
 
-// One service's leader that accepts few jobs; leases come and go, the process stays.
+// The endpoint of a service whose scheduler accepts at most three jobs. The test can lose and regain the
+// lease within the same process.
 struct EndpointFixture {
   static constexpr std::uint32_t kMaxLiveJobs = 3;
 
@@ -35,7 +37,7 @@
     scheduler->restore(shard_entries(records), runtime.now(), runtime.wall_clock_ms());
   }
   void lose_lease() {
-    endpoint.fail_all({});
+    endpoint.send_in_doubt_replies({});
     scheduler.reset();
   }
   void make_durable() {
@@ -44,7 +46,7 @@
     if (changes.number == 0) return;
     apply_changes(records, changes.changes);
     scheduler->on_changes_durable(changes.number);
-    endpoint.release(changes.number);
+    endpoint.send_durable_replies(changes.number);
   }
 
   static wire::JobRequest submission(const std::string& id, const Message& message) {
@@ -74,14 +76,15 @@
     request.set_id(id);
     send(request);
   }
-  void fill() {
+  void fill_capacity() {
     for (std::uint64_t job = 0; job < kMaxLiveJobs; ++job)
       REQUIRE(submit("filler-" + std::to_string(job), {1, job + 1}) == wire::JOB_OK);
   }
 };
 
-TEST_CASE_METHOD(EndpointFixture, "a duplicate of a rejected submission is rejected once there is capacity") {
-  fill();
+TEST_CASE_METHOD(EndpointFixture,
+                 "a duplicate of a rejected submission is rejected even when there is capacity again") {
+  fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
   CHECK(submit("job", {2, 1}) == wire::JOB_REJECTED);
@@ -89,15 +92,15 @@
 }
 
 TEST_CASE_METHOD(EndpointFixture, "a new attempt of the client under the same id is accepted") {
-  fill();
+  fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
   CHECK(submit("job", {2, 2}) == wire::JOB_OK);
   CHECK(submit("job", {2, 1}) == wire::JOB_REJECTED);
 }
 
-TEST_CASE_METHOD(EndpointFixture, "a rejection stands under a later lease of the same process") {
-  fill();
+TEST_CASE_METHOD(EndpointFixture, "a rejection remains valid under a later lease of the same process") {
+  fill_capacity();
   REQUIRE(submit("job", {2, 1}) == wire::JOB_REJECTED);
   cancel("filler-0");
   lose_lease();
@@ -106,7 +109,7 @@
 }
 
 TEST_CASE_METHOD(EndpointFixture, "a submission that may have been rejected long ago is in doubt") {
-  fill();
+  fill_capacity();
   for (std::uint64_t number = 1; number <= 20000; ++number)
     REQUIRE(submit("job-" + std::to_string(number), {2, number}) == wire::JOB_REJECTED);
   cancel("filler-0");
@@ -116,7 +119,7 @@
   CHECK(submit("job-1", {2, 1}) == wire::JOB_OK);  // the job is known by now
 }
 
-TEST_CASE("no message is accepted after it was rejected, however it is duplicated and late") {
+TEST_CASE("no message is accepted after it was rejected, however often and late it is duplicated") {
   std::size_t repeated_rejections = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
