--- a/examples/toy_leaf.cpp
+++ b/examples/toy_leaf.cpp
@@ -18,10 +18,10 @@
   void received(std::string& in) override {
     bool bad = false;
     while (auto frame = http::take_frame(in, bad)) {
-      if (frame->message == 'U') stream->write(http::make_frame('U', "inflight=" + std::to_string(held)));
-      if (frame->message == 'I') stream->write(http::make_frame('I', "200"));
-      if (frame->message != 'D') continue;
-      for (std::string rest = frame->rest; !rest.empty();) {
+      if (frame->type == 'U') stream->write(http::make_frame('U', "inflight=" + std::to_string(held)));
+      if (frame->type == 'I') stream->write(http::make_frame('I', "200"));
+      if (frame->type != 'D') continue;
+      for (std::string rest = frame->payload; !rest.empty();) {
         std::size_t line = rest.find('\n');
         char id[200];
         int shard = 0;
@@ -31,7 +31,7 @@
           return stream->close();
         rest.erase(0, line + 1 + size);
         ++held;
-        loop.at(loop.now() + 20, [self = shared_from_this(), name = std::string(id), shard] {
+        loop.run_at(loop.now() + 20, [self = shared_from_this(), name = std::string(id), shard] {
           --self->held;
           self->stream->write(http::make_frame('O', name + " 200 0 inflight=" + std::to_string(self->held) +
                                                         "\n" + "value of shard " + std::to_string(shard)));
@@ -66,5 +66,5 @@
   });
   std::printf("toy leaf on port %d\n", listener.port());
   std::fflush(stdout);
-  for (;;) loop.turn(1000);
+  for (;;) loop.run_once(1000);
 }
--- a/src/aggregator/app/aggregator_process.cpp
+++ b/src/aggregator/app/aggregator_process.cpp
@@ -37,11 +37,11 @@
 // `processes` of this aggregator share its descriptors.
 http::LeafLimits leaf_limits(const Config& config, bool spans, int processes) {
   http::LeafLimits limits;
-  limits.batch = static_cast<std::size_t>(config.batch);
-  limits.streams = static_cast<std::size_t>(config.streams_per_conn);
+  limits.max_parts_per_frame = static_cast<std::size_t>(config.batch);
+  limits.max_parts_per_connection = static_cast<std::size_t>(config.streams_per_conn);
   limits.connect_timeout = config.connect_timeout;
-  limits.idle = config.conn_idle;
-  limits.connections = config.sockets * 2 / 5 / static_cast<std::size_t>(processes);
+  limits.idle_timeout = config.conn_idle;
+  limits.max_connections = config.sockets * 2 / 5 / static_cast<std::size_t>(processes);
   limits.spans = spans;
   return limits;
 }
@@ -157,7 +157,8 @@
   if (config_.ops.flight.enabled && config_.ops.flight.nodes)
     nodes_ = std::make_unique<flight::FlightPool>(
         loop_, *router_,
-        flight::NodeLimits{limits.streams, limits.connect_timeout, limits.idle, limits.connections});
+        flight::NodeLimits{limits.max_parts_per_connection, limits.connect_timeout, limits.idle_timeout,
+                           limits.max_connections});
   else
     leafs_ = std::make_unique<http::LeafPool>(loop_, *router_, limits);
 }
@@ -204,7 +205,7 @@
 }
 
 void AggregatorProcess::create_front_ends() {
-  const http::ClientNames names{router_->settings(), config_.shards, uses_spans()};
+  const http::DecodeContext names{router_->settings(), config_.shards, uses_spans()};
   const sockaddr_in listen = address(config_.listen, "listen on");
   auto admits = [this] { return lifecycle_.admits(); };
   // Beside other processes it listens only once it can serve.
@@ -220,7 +221,7 @@
     spdlog::info("Flight on port {} of {}, nodes over {}", analysts_->port(), config_.ops.flight.listen,
                  nodes_ ? "Flight" : "frames");
   }
-  if (front_->listens())
+  if (front_->is_listening())
     spdlog::info("{} listens on port {} of {}, {} servers known", config_.name, front_->port(),
                  config_.listen, config_.known.size());
   else
@@ -251,7 +252,7 @@
 
 void AggregatorProcess::wait_for_events() {
   Millis now = loop_.now();
-  loop_.turn(std::clamp(std::min(router_->next_due(), settings_transition_->due()) - now, 0.0, 500.0));
+  loop_.run_once(std::clamp(std::min(router_->next_due(), settings_transition_->due()) - now, 0.0, 500.0));
 }
 
 void AggregatorProcess::apply_settings_changes(Millis now) {
@@ -275,9 +276,9 @@
 
 // Opens and closes listeners and connections as the lifecycle's phase requires.
 void AggregatorProcess::apply_lifecycle_phase(Millis now) {
-  if (lifecycle_.admits() && !front_->listens()) open_to_clients(*front_, siblings_.get(), now);
+  if (lifecycle_.admits() && !front_->is_listening()) open_to_clients(*front_, siblings_.get(), now);
   if (admin_server_) admin_server_->serving(lifecycle_.admits());
-  front_->last_answers(lifecycle_.drains());
+  front_->close_after_response(lifecycle_.drains());
   if (lifecycle_.closes_idle(now)) front_->close_idle();
   if (analysts_ && lifecycle_.closes_idle(now) != flight_clients_dismissed_) {
     flight_clients_dismissed_ = !flight_clients_dismissed_;
@@ -305,16 +306,16 @@
 // Puts settings into effect everywhere, as this process's share.
 void AggregatorProcess::apply_settings(const winchhall::Settings& settings) {
   router_->change_settings(hot_restart::share_of(settings, processes_));
-  front_->shards(file_.config().shards);
-  front_->capacity(client_capacity());
-  if (leafs_) leafs_->limit(leaf_limits(file_.config(), uses_spans(), processes_));
+  front_->set_shard_count(file_.config().shards);
+  front_->set_max_connections(client_capacity());
+  if (leafs_) leafs_->set_limits(leaf_limits(file_.config(), uses_spans(), processes_));
 }
 
 // Revision and members must be of the same moment: a successor that got the new revision with the old members
 // would never receive the changes in between.
 void AggregatorProcess::publish_state(hot_restart::State& state) {
   state.phase = lifecycle_.name();
-  state.listens = front_->listens();
+  state.listens = front_->is_listening();
   state.revision = std::max(router_->list_revision(), discovery_ ? config_.known_revision : 0);
   state.members = router_->members();
 }
--- a/src/aggregator/app/ranges_command.cpp
+++ b/src/aggregator/app/ranges_command.cpp
@@ -31,7 +31,7 @@
     if (to) stream_ = event_loop::Stream::connect(loop_, *to, *this, error);
     if (!stream_) throw std::runtime_error(address_ + ": no such file, and no address of a directory");
     event_loop::Millis end = loop_.now() + kPatience;
-    while (!over_ && follower_.map().empty() && loop_.now() < end) loop_.turn(100);
+    while (!over_ && follower_.map().empty() && loop_.now() < end) loop_.run_once(100);
     stream_->close();
     if (!follower_.map().empty()) return follower_.map();
     throw std::runtime_error(address_ + ": " + (fault_.empty() ? "gave no map in 10 s" : fault_));
@@ -45,7 +45,7 @@
     take();
   }
   void ended() override {
-    parser_.ended(stream_->reset());
+    parser_.connection_closed(stream_->reset());
     take();
     if (fault_.empty()) fault_ = "the connection ended before the whole map was there";
     over_ = true;
--- a/src/aggregator/app/sibling_processes.cpp
+++ b/src/aggregator/app/sibling_processes.cpp
@@ -26,7 +26,7 @@
   }
   apply_scan(folder_.scan());
   worker_ = std::make_unique<event_loop::Worker>(loop_);
-  timer_ = loop_.at(loop_.now(), [this] { turn(); });
+  timer_ = loop_.run_at(loop_.now(), [this] { turn(); });
 }
 
 SiblingProcesses::~SiblingProcesses() {
@@ -70,7 +70,7 @@
         // Who has just come is told at once that we know of it: it waits for that.
         bool is_new = std::exchange(again_, false) || registry_.known_processes() != before;
         event_loop::Millis now = loop_.now(), interval = registry_.may_begin(now) ? kEvery : kWaiting;
-        timer_ = loop_.at(now + (is_new ? 0 : interval), [this] { turn(); });
+        timer_ = loop_.run_at(now + (is_new ? 0 : interval), [this] { turn(); });
         changed_();
       });
 }
--- a/src/aggregator/app/statistics_log.cpp
+++ b/src/aggregator/app/statistics_log.cpp
@@ -31,13 +31,13 @@
 
 void log_ranges(const coordination::RequestRouter& router, const http::RangeDirectory& directory) {
   const auto& moves = router.moves();
-  const auto& asked = directory.figures();
+  const auto& statistics = directory.statistics();
   spdlog::info(
       "ranges: revision {} of {} ranges; parts replaced {} joined {} elsewhere {} held back {} denied {} "
       "dropped {}; directory asked {} taken {} refused {} broken {}",
       ranges::text_of(router.map().revision()), router.map().size(), moves.replaced, moves.joined,
-      moves.elsewhere, moves.on_hold, moves.denied, moves.dropped, asked.asked, asked.taken, asked.refused,
-      asked.broken);
+      moves.elsewhere, moves.on_hold, moves.denied, moves.dropped, statistics.requests, statistics.updates,
+      statistics.rejected, statistics.failures);
 }
 
 void log_files(dynamic_config::FileConfigSource& files) {
--- a/src/aggregator/dynamic_config/file_config_source.cpp
+++ b/src/aggregator/dynamic_config/file_config_source.cpp
@@ -121,7 +121,7 @@
       },
       [this, orders, wanted] {
         if (!orders->empty()) carry_out(*orders, *wanted);
-        orders_timer_ = loop_.at(loop_.now() + kOrdersEvery, [this] {
+        orders_timer_ = loop_.run_at(loop_.now() + kOrdersEvery, [this] {
           orders_timer_ = {};
           fetch_operator_commands();
         });
@@ -168,7 +168,7 @@
 void FileConfigSource::arm() {
   loop_.cancel(timer_);
   if (scanning_) return;
-  timer_ = loop_.at(std::max(debouncer_.due(), loop_.now()), [this] {
+  timer_ = loop_.run_at(std::max(debouncer_.due(), loop_.now()), [this] {
     timer_ = {};
     scan();
   });
@@ -256,7 +256,7 @@
     if (auto map = generation_manager_.map()) router_.update_ranges(std::move(*map));
   loop_.cancel(removal_timer_);
   if (event_loop::Millis at = generation_manager_.next_removal(); std::isfinite(at))
-    removal_timer_ = loop_.at(at, [this] {
+    removal_timer_ = loop_.run_at(at, [this] {
       removal_timer_ = {};
       publish_members();
     });
--- a/src/aggregator/event_loop/event_loop.cpp
+++ b/src/aggregator/event_loop/event_loop.cpp
@@ -21,7 +21,7 @@
 
 Millis Loop::now() const { return read<std::chrono::steady_clock>() + offset_; }
 
-TimerId Loop::at(Millis when, std::function<void()> run) {
+TimerId Loop::run_at(Millis when, std::function<void()> run) {
   TimerId id{when, next_++};
   timers_.emplace(id, std::move(run));
   return id;
@@ -42,7 +42,7 @@
 
 void Loop::remove(int fd) { watched_.erase(fd); }
 
-void Loop::turn(Millis longest) {
+void Loop::run_once(Millis longest) {
   Millis wait = deferred_.empty() ? longest : 0;
   if (!timers_.empty()) wait = std::min(wait, timers_.begin()->first.first - now());
   std::vector<pollfd> polled;
--- a/src/aggregator/event_loop/event_loop.hpp
+++ b/src/aggregator/event_loop/event_loop.hpp
@@ -24,7 +24,7 @@
   // that discovery tells and never steps back.
   Millis now() const;
 
-  TimerId at(Millis when, std::function<void()> run);
+  TimerId run_at(Millis when, std::function<void()> run);
   void cancel(TimerId& timer);  // leaves it empty; cancelling an empty or past timer does nothing
 
   void add(int fd, short events, std::function<void(short)> run);
@@ -38,7 +38,7 @@
     defer([dead] {});
   }
 
-  void turn(Millis longest);
+  void run_once(Millis longest);
 
  private:
   struct Watched {
--- a/src/aggregator/event_loop/listener.cpp
+++ b/src/aggregator/event_loop/listener.cpp
@@ -56,7 +56,7 @@
   if (!fd_) return;
   loop_.set_events(fd_.get(), 0);
   loop_.cancel(resume_);
-  resume_ = loop_.at(loop_.now() + time, [this] { loop_.set_events(fd_.get(), POLLIN); });
+  resume_ = loop_.run_at(loop_.now() + time, [this] { loop_.set_events(fd_.get(), POLLIN); });
 }
 
 void Listener::close() {
--- a/src/aggregator/event_loop/stream.cpp
+++ b/src/aggregator/event_loop/stream.cpp
@@ -184,7 +184,7 @@
 void Stream::linger_on(Millis most) {
   if (unsent() == 0) half_close();
   loop_.cancel(linger_);
-  linger_ = loop_.at(loop_.now() + most, [self = shared_from_this()] { self->close(); });
+  linger_ = loop_.run_at(loop_.now() + most, [self = shared_from_this()] { self->close(); });
 }
 
 void Stream::close() {
--- a/src/aggregator/flight/flight_pool.cpp
+++ b/src/aggregator/flight/flight_pool.cpp
@@ -108,7 +108,7 @@
     if (connection->is_idle_since(now - kIdleShare * limits_.idle) ||
         (connection->is_retired() && connection->is_idle()))
       remove(*connection);
-  close_timer_ = loop_.at(now + kCloseInterval, [this] { close_unused(); });
+  close_timer_ = loop_.run_at(now + kCloseInterval, [this] { close_unused(); });
 }
 
 }  // namespace winchhall::flight
--- a/src/aggregator/flight/flight_pool_connection.cpp
+++ b/src/aggregator/flight/flight_pool_connection.cpp
@@ -114,7 +114,7 @@
   auto address = event_loop::parse_address(endpoint_);
   if (!address || !http2_.connect(*address)) return false;
   // A machine that is cut off never answers, without a sign.
-  connect_timer_ = pool_.loop_.at(pool_.loop_.now() + pool_.limits_.connect_timeout, [this] {
+  connect_timer_ = pool_.loop_.run_at(pool_.loop_.now() + pool_.limits_.connect_timeout, [this] {
     connect_timer_ = {};
     on_disconnected();
   });
--- a/src/aggregator/flight/flight_server.cpp
+++ b/src/aggregator/flight/flight_server.cpp
@@ -28,7 +28,7 @@
 void FlightServer::check_connections() {
   const auto connections = connections_;
   for (const auto& connection : connections) connection->check(loop_.now());
-  check_timer_ = loop_.at(loop_.now() + kCheckInterval, [this] { check_connections(); });
+  check_timer_ = loop_.run_at(loop_.now() + kCheckInterval, [this] { check_connections(); });
 }
 
 void FlightServer::accept(event_loop::UniqueFd fd) {
--- a/src/aggregator/flight/flight_server_connection.cpp
+++ b/src/aggregator/flight/flight_server_connection.cpp
@@ -277,7 +277,7 @@
 // kResponseTimeout after the response was given.
 void FlightServer::Connection::limit_response_time(StreamId stream, Call& call) {
   const event_loop::Millis end = std::max(call.deadline, server_.loop_.now() + kResponseTimeout);
-  call.response_timer = server_.loop_.at(end, [this, stream] {
+  call.response_timer = server_.loop_.run_at(end, [this, stream] {
     http2_.reset_stream(stream, NGHTTP2_CANCEL);
     http2_.send_pending();
   });
--- a/src/aggregator/http/frames.cpp
+++ b/src/aggregator/http/frames.cpp
@@ -7,12 +7,12 @@
 
 namespace winchhall::http {
 
-std::string make_frame(char message, std::string_view rest) {
-  std::uint32_t length = static_cast<std::uint32_t>(rest.size() + 1);
+std::string make_frame(char type, std::string_view payload) {
+  std::uint32_t length = static_cast<std::uint32_t>(payload.size() + 1);
   std::string frame;
   for (int shift = 0; shift < 32; shift += 8) frame.push_back(static_cast<char>((length >> shift) & 0xff));
-  frame.push_back(message);
-  return frame.append(rest);
+  frame.push_back(type);
+  return frame.append(payload);
 }
 
 std::optional<Frame> take_frame(std::string& in, bool& bad) {
@@ -88,16 +88,16 @@
 }
 }  // namespace
 
-std::optional<PartAnswer> read_answer(const std::string& rest) {
-  std::size_t line = rest.find('\n');
+std::optional<PartAnswer> read_answer(const std::string& payload) {
+  std::size_t line = payload.find('\n');
   if (line == std::string::npos) return std::nullopt;
-  std::string_view head = std::string_view(rest).substr(0, line), words[4];
+  std::string_view head = std::string_view(payload).substr(0, line), words[4];
   for (auto& word : words) {
     std::size_t space = std::min(head.find(' '), head.size());
     word = head.substr(0, space);
     head.remove_prefix(std::min(space + 1, head.size()));
   }
-  PartAnswer a{std::string(words[0]), 0, {}, rest.substr(line + 1)};
+  PartAnswer a{std::string(words[0]), 0, {}, payload.substr(line + 1)};
   if (words[1] == "200" || words[1] == "500" || words[1] == "503" || words[1] == "421")
     a.end = std::stoi(std::string(words[1]));
   bool scored = !words[2].empty() && words[2].find_first_not_of("+-.0123456789eE") == std::string_view::npos;
--- a/src/aggregator/http/frames.hpp
+++ b/src/aggregator/http/frames.hpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kFrameMost = 64 * 1024 + kLineMost;
 
 struct Frame {
-  char message = 0;
-  std::string rest{};
+  char type = 0;
+  std::string payload{};
 };
 
 struct PartAnswer {  // the rest of an `O` frame
@@ -26,9 +26,10 @@
   std::string value{};
 };
 
-constexpr int kNotMine = 421;  // an END of its own for parts of spans: the node has not what was asked for
+constexpr int kMisdirected =
+    421;  // an END of its own for parts of spans: the node has not what was asked for
 
-std::string make_frame(char message, std::string_view rest);
+std::string make_frame(char type, std::string_view payload);
 // Takes one frame from the front of `in` where it is whole. Sets `bad` for a length no frame has, and for one
 // that can't become any: what comes of it is not waited for, nor held.
 std::optional<Frame> take_frame(std::string& in, bool& bad);
@@ -36,7 +37,7 @@
 // The same for a part of a span: the range's id in the shard's place, the interval and the revision in the
 // list.
 std::string span_lines(std::string_view part, const coordination::AttemptRequest& order, long long wait_ms);
-std::optional<PartAnswer> read_answer(const std::string& rest);
+std::optional<PartAnswer> read_answer(const std::string& payload);
 coordination::Load read_load(std::string_view report);
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/http.cpp
+++ b/src/aggregator/http/http.cpp
@@ -192,7 +192,7 @@
   state_ = mode_ == Mode::request ? State::done : State::until_close;
 }
 
-void HttpParser::ended(bool reset) {
+void HttpParser::connection_closed(bool reset) {
   if (state_ == State::until_close && !reset)
     state_ = State::done;
   else if (state_ != State::done)
--- a/src/aggregator/http/http.hpp
+++ b/src/aggregator/http/http.hpp
@@ -39,7 +39,7 @@
   bool head_done() const { return state_ != State::head && state_ != State::failed; }
   bool begun() const { return begun_; }
   // The connection ended: that completes a body that lasts until then, but a reset is no end.
-  void ended(bool reset);
+  void connection_closed(bool reset);
   int error() const { return error_; }  // the status that a failed request is answered with
   HttpMessage& message() { return message_; }
   void reset() { *this = HttpParser(mode_); }
--- a/src/aggregator/http/http_server.cpp
+++ b/src/aggregator/http/http_server.cpp
@@ -122,7 +122,7 @@
   }
 
   void serve(const HttpMessage& m) {
-    bool keep = m.keep_alive() && !front_.last_answers_;
+    bool keep = m.keep_alive() && !front_.close_after_response_;
     if (m.target == "/ready" || m.target == "/health") {
       if (m.method != "GET" && m.method != "HEAD")
         return reply(error_answer(405, "Allow: GET\r\n", "method " + m.method + ", wanted is GET", keep),
@@ -144,7 +144,7 @@
     id_ = d.query.id;
     query_ = front_.router_.submit(std::move(d.query), [this, keep](coordination::QueryResult v) {
       release();
-      bool still = keep && !overrun_ && !front_.last_answers_;
+      bool still = keep && !overrun_ && !front_.close_after_response_;
       reply(query_response(v, still), still);
     });
   }
@@ -177,12 +177,12 @@
 };
 
 HttpServer::HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router,
-                       const sockaddr_in& address, ClientNames names, std::size_t connections,
+                       const sockaddr_in& address, DecodeContext names, std::size_t max_connections,
                        std::function<bool()> ready, Shared)
     : loop_(loop),
       router_(router),
       names_(names),
-      most_(connections),
+      max_connections_(max_connections),
       ready_(std::move(ready)),
       address_(address),
       shared_(true) {
@@ -190,7 +190,7 @@
 }
 
 HttpServer::HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router,
-                       const sockaddr_in& address, ClientNames names, std::size_t connections,
+                       const sockaddr_in& address, DecodeContext names, std::size_t max_connections,
                        std::function<bool()> ready)
     : HttpServer(loop, router, address, names, connections, std::move(ready), Shared{}) {
   shared_ = false;
@@ -215,10 +215,10 @@
   c->look();
   // Within our descriptors: one that only stands there may be closed between requests; else no more are
   // taken.
-  bool full = connections() >= most_;
+  bool full = connections() >= max_connections_;
   if (full || connections_.size() > roomy()) reject_over_capacity(full);
   // What was shed lingers for a moment, and holds its descriptor until then.
-  if (connections() >= most_ && listener_) listener_->pause(kCrowded);
+  if (connections() >= max_connections_ && listener_) listener_->pause(kCrowded);
 }
 
 void HttpServer::stop_listening() {
@@ -300,7 +300,7 @@
     bad_ = 0;
     listed_at_ = now;
   }
-  sweep_ = loop_.at(now + kSweep, [this] { sweep(); });
+  sweep_ = loop_.run_at(now + kSweep, [this] { sweep(); });
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/leaf_connection.cpp
+++ b/src/aggregator/http/leaf_connection.cpp
@@ -33,9 +33,9 @@
     return false;
   }
   event_loop::Millis now = pool_.loop_.now();
-  late_timer_ = pool_.loop_.at(now + kLateShare * pool_.limits_.connect_timeout, [this] { late(); });
+  late_timer_ = pool_.loop_.run_at(now + kLateShare * pool_.limits_.connect_timeout, [this] { late(); });
   // Guards against a machine that is cut off: its side of the connection never comes up, without a sign.
-  connect_timer_ = pool_.loop_.at(now + pool_.limits_.connect_timeout, [this] {
+  connect_timer_ = pool_.loop_.run_at(now + pool_.limits_.connect_timeout, [this] {
     connect_timer_ = {};
     spdlog::debug("no connection to {} in time", server_);
     // A server that holds another connection of ours is there: this one only came up late.
@@ -129,19 +129,19 @@
   while (auto frame = take_frame(in, bad)) {
     pool_.loop_.cancel(frame_timer_);
     used_at_ = pool_.loop_.now();
-    if (frame->message == 'O') {
-      auto answer = read_answer(frame->rest);
-      if (!answer || (answer->end == kNotMine && !(pool_.limits_.spans && requests_span(answer->part))))
-        return refuse("an answer that cannot be read", frame->rest.substr(0, frame->rest.find(' ')));
+    if (frame->type == 'O') {
+      auto answer = read_answer(frame->payload);
+      if (!answer || (answer->end == kMisdirected && !(pool_.limits_.spans && requests_span(answer->part))))
+        return refuse("an answer that cannot be read", frame->payload.substr(0, frame->payload.find(' ')));
       // Guards against waiting for an answer that has come under another name: the leaf sends no second.
       if (!take(*answer) && !idle()) return refuse("an answer to nothing that it was asked");
-    } else if ((frame->message == 'U' || frame->message == 'I') && !probes_.empty()) {
-      bool ok = frame->rest.substr(0, 3) != "500";
+    } else if ((frame->type == 'U' || frame->type == 'I') && !probes_.empty()) {
+      bool ok = frame->payload.substr(0, 3) != "500";
       pool_.router_.probe_ended(server_, ok ? Outcome::ok : Outcome::error, used_at_ - probes_.front(),
-                                read_load(frame->rest));
+                                read_load(frame->payload));
       probes_.pop_front();
     } else {
-      if (frame->message == 'Z') return complain(frame->rest);
+      if (frame->type == 'Z') return complain(frame->payload);
       return refuse("a frame of no known kind");
     }
   }
@@ -154,7 +154,7 @@
   // Guards against a length that does not fit: the rest never comes, and what follows would be taken for it.
   if (in.empty()) pool_.loop_.cancel(frame_timer_);
   if (!in.empty() && frame_timer_ == event_loop::TimerId{})
-    frame_timer_ = pool_.loop_.at(pool_.loop_.now() + kWholeFrame, [this] {
+    frame_timer_ = pool_.loop_.run_at(pool_.loop_.now() + kWholeFrame, [this] {
       frame_timer_ = {};
       refuse("a frame that does not end");
     });
@@ -230,10 +230,10 @@
   live_.erase(attempt);
   pool_.where_.erase(attempt);
   coordination::Result r;
-  r.outcome = answer.end == 200        ? Outcome::ok
-              : answer.end == 503      ? Outcome::full
-              : answer.end == kNotMine ? Outcome::not_mine
-                                       : Outcome::error;
+  r.outcome = answer.end == 200            ? Outcome::ok
+              : answer.end == 503          ? Outcome::full
+              : answer.end == kMisdirected ? Outcome::not_mine
+                                           : Outcome::error;
   if (r.outcome == Outcome::not_mine)
     r.denial = std::make_shared<const ranges::NotMine>(read_denial(answer.value));
   if (r.outcome == Outcome::ok) r.values.push_back(std::move(answer.value));
--- a/src/aggregator/http/leaf_connection.hpp
+++ b/src/aggregator/http/leaf_connection.hpp
@@ -31,7 +31,7 @@
   }
   bool takes(const coordination::AttemptRequest& order, std::size_t parts) const {
     return !retired_ && goes_to(order.server, order.endpoint) && stream_->usable() &&
-           live_.size() + parts <= pool_.limits_.streams && !by_part_.count(order.part);
+           live_.size() + parts <= pool_.limits_.max_parts_per_connection && !by_part_.count(order.part);
   }
   bool up() const { return !stream_->connecting(); }
   bool idle() const { return live_.empty() && probes_.empty(); }
--- a/src/aggregator/http/leaf_pool.cpp
+++ b/src/aggregator/http/leaf_pool.cpp
@@ -31,7 +31,7 @@
 
 void LeafPool::flush() {
   for (auto& [server, orders] : std::exchange(gathered_, {})) {
-    std::size_t most = std::min(limits_.batch, limits_.streams);
+    std::size_t most = std::min(limits_.max_parts_per_frame, limits_.max_parts_per_connection);
     for (std::size_t at = 0; at < orders.size(); at += most) {
       auto from = orders.begin() + static_cast<std::ptrdiff_t>(at);
       place(Call(from, from + static_cast<std::ptrdiff_t>(std::min(most, orders.size() - at))));
@@ -66,7 +66,7 @@
 }
 
 LeafPool::Connection* LeafPool::open(const std::string& server, const std::string& endpoint) {
-  if (connections() >= limits_.connections && !half_closed_.close_oldest()) {
+  if (connections() >= limits_.max_connections && !half_closed_.close_oldest()) {
     auto idle = std::find_if(connections_.begin(), connections_.end(), [](auto& c) { return c->idle(); });
     if (idle == connections_.end()) return nullptr;
     drop(**idle);
@@ -88,7 +88,7 @@
     return c->goes_to(late.server(), late.endpoint()) && !c->up();
   });
   // Never by closing another: it is only for speed.
-  if (static_cast<std::size_t>(coming) < kComingUpMost && connections() < limits_.connections)
+  if (static_cast<std::size_t>(coming) < kComingUpMost && connections() < limits_.max_connections)
     open(late.server(), late.endpoint());
 }
 
@@ -163,8 +163,8 @@
   event_loop::Millis now = loop_.now();
   auto copy = connections_;
   for (auto& c : copy)
-    if (c->idle_since(now - kIdleShare * limits_.idle) || (c->retired() && c->idle())) drop(*c);
-  sweep_ = loop_.at(now + kSweep, [this] { sweep(); });
+    if (c->idle_since(now - kIdleShare * limits_.idle_timeout) || (c->retired() && c->idle())) drop(*c);
+  sweep_ = loop_.run_at(now + kSweep, [this] { sweep(); });
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/leaf_pool.hpp
+++ b/src/aggregator/http/leaf_pool.hpp
@@ -13,11 +13,11 @@
 namespace winchhall::http {
 
 struct LeafLimits {
-  std::size_t batch = 1;                     // parts in one frame
-  std::size_t streams = 1;                   // parts on one connection
+  std::size_t max_parts_per_frame = 1;       // parts in one frame
+  std::size_t max_parts_per_connection = 1;  // parts on one connection
   event_loop::Millis connect_timeout = 250;  // ms
-  event_loop::Millis idle = 30000;           // ms: the leaf closes a connection that stood idle so long
-  std::size_t connections = 400;             // in all
+  event_loop::Millis idle_timeout = 30000;   // ms: the leaf closes a connection that stood idle so long
+  std::size_t max_connections = 400;         // in all
   bool spans = false;                        // parts of spans are asked for, which a leaf may say not to have
 };
 
@@ -35,7 +35,7 @@
   void retire(const std::string& server) override;
 
   std::size_t connections() const { return connections_.size() + half_closed_.size(); }
-  void limit(const LeafLimits& limits) { limits_ = limits; }  // from the next call on
+  void set_limits(const LeafLimits& limits) { limits_ = limits; }  // from the next call on
 
  private:
   class Connection;
--- a/src/aggregator/http/range_directory.cpp
+++ b/src/aggregator/http/range_directory.cpp
@@ -59,7 +59,7 @@
  private:
   void expect(event_loop::Millis within, const char* what) {
     owner_.loop_.cancel(timer_);
-    timer_ = owner_.loop_.at(owner_.loop_.now() + within, [this, what] {
+    timer_ = owner_.loop_.run_at(owner_.loop_.now() + within, [this, what] {
       timer_ = {};
       owner_.over(what);
     });
@@ -98,7 +98,7 @@
 }
 
 void RangeDirectory::ask() {
-  ++figures_.asked;
+  ++statistics_.requests;
   std::string target = "/v1/ranges?watch=1";
   ranges::Revision held = follower_.map().revision();
   if (!follower_.needs_full_map())
@@ -119,7 +119,7 @@
   std::string fault;
   auto update = read_update(line, fault);
   if (!update) {
-    ++figures_.refused;
+    ++statistics_.rejected;
     spdlog::warn("ranges refused, the old map stays: {}", fault);
     return over("a line that cannot be read");
   }
@@ -127,12 +127,12 @@
   std::size_t changes = update->changes.size();
   Taken taken = follower_.take(std::move(*update), loop_.now());
   if (taken == Taken::taken) {
-    ++figures_.taken;
+    ++statistics_.updates;
     spdlog::debug("ranges revision {}: {} ranges, {} changes", ranges::text_of(told), follower_.map().size(),
                   changes);
     router_.update_ranges(follower_.map());
   } else if (taken != Taken::nothing && taken != Taken::page) {
-    ++figures_.refused;
+    ++statistics_.rejected;
     spdlog::warn("ranges refused ({}), the old map stays: {}", name_of(taken), follower_.fault());
   }
   if (follower_.wants_reopen()) loop_.defer([this] { tick(); });
@@ -143,7 +143,7 @@
   if (!watch_) return;
   watch_->close();
   loop_.destroy_later(std::exchange(watch_, nullptr));
-  ++figures_.broken;
+  ++statistics_.failures;
   spdlog::warn("directory of ranges: {}; revision {} serves on", why,
                ranges::text_of(follower_.map().revision()));
   follower_.broke(loop_.now(), chance());
@@ -160,7 +160,8 @@
     follower_.reopening(now, chance());
   }
   if (!watch_ && now >= follower_.ask_at()) ask();
-  tick_ = loop_.at(watch_ ? now + kPollInterval : std::max(now + 1, follower_.ask_at()), [this] { tick(); });
+  tick_ =
+      loop_.run_at(watch_ ? now + kPollInterval : std::max(now + 1, follower_.ask_at()), [this] { tick(); });
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/range_directory.hpp
+++ b/src/aggregator/http/range_directory.hpp
@@ -30,10 +30,10 @@
   void refresh() override;
   const ranges::Follower& follower() const { return follower_; }
 
-  struct Figures {
-    std::uint64_t asked = 0, taken = 0, refused = 0, broken = 0;
+  struct Statistics {
+    std::uint64_t requests = 0, updates = 0, rejected = 0, failures = 0;
   };
-  const Figures& figures() const { return figures_; }
+  const Statistics& statistics() const { return statistics_; }
 
  private:
   class Watch;
@@ -51,7 +51,7 @@
   std::uint64_t seed_;
   std::shared_ptr<Watch> watch_;
   event_loop::TimerId tick_{};
-  Figures figures_;
+  Statistics statistics_;
 };
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/request.cpp
+++ b/src/aggregator/http/request.cpp
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-Decoded decode_query(const HttpMessage& m, const ClientNames& names, Millis arrived) {
+Decoded decode_query(const HttpMessage& m, const DecodeContext& names, Millis arrived) {
   std::string_view path = m.target;
   std::string_view query = path.substr(std::min(path.find('?'), path.size()));
   path = path.substr(0, path.size() - query.size());
--- a/src/aggregator/http/request.hpp
+++ b/src/aggregator/http/request.hpp
@@ -8,7 +8,7 @@
 
 namespace winchhall::http {
 
-struct ClientNames {  // what a request may name, from the settings
+struct DecodeContext {  // what a request may name, from the settings
   const winchhall::Settings& settings;
   int shards = 0;      // 0: not stated
   bool spans = false;  // a directory of ranges is followed: queries may name accounts
@@ -20,7 +20,7 @@
   coordination::QuerySpec query{};
 };
 
-Decoded decode_query(const HttpMessage& message, const ClientNames& names, coordination::Millis arrived);
+Decoded decode_query(const HttpMessage& message, const DecodeContext& names, coordination::Millis arrived);
 
 std::string http_answer(int status, const std::string& headers, const std::string& body, bool keep);
 // The same with a body that says what was wrong: {"error":"..."}.
--- a/src/aggregator/membership/discovery.cpp
+++ b/src/aggregator/membership/discovery.cpp
@@ -51,7 +51,7 @@
     if (!request_sent_) refused_ = stream_->refused();
     // An incomplete object means that updates were lost.
     closed_in_order_ = answered_ && !stream_->reset() && splitter_.buffered_bytes() == 0;
-    parser_.ended(stream_->reset());
+    parser_.connection_closed(stream_->reset());
     finish(how);
   }
 
@@ -83,7 +83,7 @@
   }
   void set_timeout(event_loop::Millis within) {
     owner_.loop_.cancel(timer_);
-    timer_ = owner_.loop_.at(owner_.loop_.now() + within, [this] {
+    timer_ = owner_.loop_.run_at(owner_.loop_.now() + within, [this] {
       owner_.finish_call(*this, "silent for " + std::to_string(static_cast<int>(timeout_)) + " ms");
     });
     timeout_ = within;
--- a/src/aggregator/membership/endpoint_list_freshness.cpp
+++ b/src/aggregator/membership/endpoint_list_freshness.cpp
@@ -44,7 +44,7 @@
 // Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015).
 Millis EndpointListFreshness::request_spread(Millis now) const {
   Millis first =
-      std::max(terms_.max_poll_interval / 40, kPollSpacingPerInstance * std::max(1, terms_.brokers));
+      std::max(terms_.max_poll_interval / 40, kPollSpacingPerInstance * std::max(1, terms_.instances));
   if (stale_at_ == kInfinity || now >= stale_at_) return first;
   return std::min(first, kDelayShareOfRemaining * (stale_at_ - now));
 }
--- a/src/aggregator/membership/endpoint_list_freshness.hpp
+++ b/src/aggregator/membership/endpoint_list_freshness.hpp
@@ -26,7 +26,7 @@
 struct EndpointListTerms {
   bool must_poll = false;        // a watch must be kept open; if false, the list never gets stale
   bool pushed = false;           // a local agent pushes updates: they count as notified at once
-  int brokers = 1;               // instances that use the same service
+  int instances = 1;             // instances that use the same service
   Millis max_poll_interval = 0;  // maximum interval between requests without a watch
   Millis grace = 0;              // sends to a server are allowed this long after its drain was notified
 };
--- a/testbed/directory.cpp
+++ b/testbed/directory.cpp
@@ -31,7 +31,7 @@
 void Directory::beat() {
   for (Watch& w : watches_)
     if (auto c = w.connection.lock()) c->line("");
-  beat_ = loop_.at(loop_.now() + kBeat, [this] { beat(); });
+  beat_ = loop_.run_at(loop_.now() + kBeat, [this] { beat(); });
 }
 
 void Directory::whole(HttpStandIn::Connection& c, const ranges::RangeMap& map) {
@@ -83,7 +83,7 @@
     } else if (delay_ <= 0) {
       if (auto c = w.connection.lock()) c->line(text);
     } else {
-      loop_.at(loop_.now() + delay_, [connection = w.connection, text] {
+      loop_.run_at(loop_.now() + delay_, [connection = w.connection, text] {
         if (auto c = connection.lock()) c->line(text);
       });
     }
@@ -119,7 +119,7 @@
 void Roster::beat() {
   for (const auto& c : http_.connections())
     if (c->streaming()) c->line("");
-  beat_ = loop_.at(loop_.now() + kBeat, [this] { beat(); });
+  beat_ = loop_.run_at(loop_.now() + kBeat, [this] { beat(); });
 }
 
 std::string Roster::row(const RosterEntry& e) const {
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -132,7 +132,7 @@
   Millis end = loop_.now() + kReadyIn;
   for (Aggregator& a : aggregators_) {
     while (!a.process->said("phase ready")) {
-      loop_.turn(20);
+      loop_.run_once(20);
       int status = 0;
       if (loop_.now() > end || a.process->ended(status))
         throw std::runtime_error("an aggregator does not start:\n" + a.process->log());
@@ -143,7 +143,7 @@
 }
 
 void Fleet::turn(Millis longest) {
-  loop_.turn(longest);
+  loop_.run_once(longest);
   for (std::size_t i = 0; i < aggregators_.size(); ++i) {
     int status = 0;
     if (aggregators_[i].process->ended(status))
--- a/testbed/moving_ranges.cpp
+++ b/testbed/moving_ranges.cpp
@@ -77,7 +77,7 @@
   }
 
  private:
-  void at(double t, std::function<void()> run) { fleet_.loop().at(begin_ + t, std::move(run)); }
+  void at(double t, std::function<void()> run) { fleet_.loop().run_at(begin_ + t, std::move(run)); }
   void share(double of, std::function<void()> run) { at(of * length_, std::move(run)); }
   Fleet& fleet_;
   Random random_;
@@ -121,7 +121,7 @@
     while (!fleet.running(at) || !fleet.process(at).said("phase ready")) at = (at + 1) % fleet.aggregators();
     fleet.ask(at, over_flight, asked);
     // By a schedule of its own: a loop that is late doesn't thin the load.
-    loop.at(next_at += load.exponential(1000 / o.rate), next);
+    loop.run_at(next_at += load.exponential(1000 / o.rate), next);
   };
   next();
   Millis step_at = begin, reshuffle_at = begin + o.reshuffle_ms;
--- a/testbed/node.cpp
+++ b/testbed/node.cpp
@@ -41,10 +41,10 @@
   void received(std::string& in) override {
     bool bad = false;
     while (auto frame = http::take_frame(in, bad)) {
-      if (frame->message == 'K') cancel(frame->rest);
-      if (frame->message == 'U' || frame->message == 'I')
-        stream_->write(http::make_frame(frame->message, node_.load()));
-      if (frame->message == 'D') calls(frame->rest);
+      if (frame->type == 'K') cancel(frame->payload);
+      if (frame->type == 'U' || frame->type == 'I')
+        stream_->write(http::make_frame(frame->type, node_.load()));
+      if (frame->type == 'D') calls(frame->payload);
     }
     if (bad) ended();
   }
@@ -167,10 +167,10 @@
     if (!calls_.count(id) || !http2_.open()) return;
     calls_[id].job = nullptr;  // answered: its end is no cancelling
     using flight::Status;
-    Headers trailers = flight::status_trailers(end == 200              ? Status::ok
-                                               : end == 503            ? Status::unavailable
-                                               : end == http::kNotMine ? Status::failed_precondition
-                                                                       : Status::internal,
+    Headers trailers = flight::status_trailers(end == 200                  ? Status::ok
+                                               : end == 503                ? Status::unavailable
+                                               : end == http::kMisdirected ? Status::failed_precondition
+                                                                           : Status::internal,
                                                "");
     trailers.emplace_back("node-load", node_.load());
     std::string body;
@@ -182,7 +182,7 @@
       body = data_message(flight::schema_message(flight::Layout::spans)) +
              data_message(flight::batch_message({row}, flight::Layout::spans));
     }
-    if (end == http::kNotMine) flight::add_denial(trailers, http::read_denial(value));
+    if (end == http::kMisdirected) flight::add_denial(trailers, http::read_denial(value));
     http2_.submit_response(id, {{":status", "200"}, {"content-type", "application/grpc"}}, body, trailers);
     http2_.send_pending();
   }
@@ -253,11 +253,11 @@
   }
   if (now < deny_until_) {
     ++counts_.denied;
-    return job->reply(http::kNotMine, denial(*job));
+    return job->reply(http::kMisdirected, denial(*job));
   }
   if (!world_.has_data(number_, job->part.span)) {
     ++counts_.denied;
-    return job->reply(http::kNotMine, denial(*job));
+    return job->reply(http::kMisdirected, denial(*job));
   }
   if (queue_.size() >= options_.waiting) {
     ++counts_.full;
@@ -290,7 +290,7 @@
     }
     ++running_;
     double slower = static_cast<double>(options_.cores) / capacity(now);
-    loop_.at(now + job->work * slower, [this, job, life = life_] {
+    loop_.run_at(now + job->work * slower, [this, job, life = life_] {
       if (life == life_) done(job);
     });
   }
@@ -298,7 +298,7 @@
 
 void Node::done(JobPtr job) {
   if (loop_.now() < paused_until_) {  // it stands still: so does what it has in hand
-    loop_.at(paused_until_, [this, job, life = life_] {
+    loop_.run_at(paused_until_, [this, job, life = life_] {
       if (life == life_) done(job);
     });
     return;
@@ -311,7 +311,7 @@
       job->reply(200, truth_.rows(job->part.span, job->part.text));
     } else {
       ++counts_.denied;
-      job->reply(http::kNotMine, denial(*job));
+      job->reply(http::kMisdirected, denial(*job));
     }
   }
   pump();
@@ -319,7 +319,7 @@
 
 void Node::pause(Millis ms) {
   paused_until_ = std::max(paused_until_, loop_.now() + ms);
-  loop_.at(paused_until_, [this, life = life_] {
+  loop_.run_at(paused_until_, [this, life = life_] {
     if (life == life_) pump();
   });
 }
--- a/testbed/operations.cpp
+++ b/testbed/operations.cpp
@@ -56,7 +56,7 @@
     Millis act_at = loop_.now() + 1000;
     while (loop_.now() < end || open() > 0 || (options_.stop_at_end && !final_stop_done_)) {
       Millis before = loop_.now();
-      loop_.turn(5);
+      loop_.run_once(5);
       Millis now = loop_.now();
       bool over = now >= end;
       if (!current_->said("phase ready")) found_.unready_ms += now - before;
@@ -137,7 +137,7 @@
     current_ = launch();
     Millis end = loop_.now() + 30000;
     while (!current_->said("phase ready") || current_->number_after("listens on port ") == 0) {
-      loop_.turn(5);
+      loop_.run_once(5);
       int status = 0;
       if (loop_.now() > end || current_->ended(status))
         throw std::runtime_error("the aggregator does not start:\n" + current_->log());
@@ -348,7 +348,7 @@
     bool dies = random_.chance(0.25);
     Millis dies_at = now + random_.between(0, 800);
     while (!fresh->said("phase ready")) {
-      loop_.turn(5);
+      loop_.run_once(5);
       Millis t = loop_.now();
       for (Client& c : clients_) serve(c, false, t);
       int status = 0;
--- a/testbed/platform_cost.cpp
+++ b/testbed/platform_cost.cpp
@@ -97,7 +97,7 @@
   Process process(loop, program, config(leafs), "");
   Millis begin = loop.now(), end = begin + kGiveUp;
   process.start();
-  while (!process.said("phase ready") && loop.now() < end) loop.turn(1);
+  while (!process.said("phase ready") && loop.now() < end) loop.run_once(1);
   cost.start_ms.push_back(loop.now() - begin);
   int port = process.number_after("listens on port ");
   Usage rest = usage(process.pid());
@@ -119,13 +119,13 @@
     });
   };
   for (int i = 0; i < kAtOnce; ++i) next();
-  while (answered + failed < queries && loop.now() < end) loop.turn(20);
+  while (answered + failed < queries && loop.now() < end) loop.run_once(20);
   if (answered != queries)
     throw std::runtime_error(program + ": " + std::to_string(failed) + " queries failed");
   cost.cpu_us.push_back((usage(process.pid()).cpu_ms - rest.cpu_ms) * 1000 / static_cast<double>(queries));
   process.signal(SIGTERM);  // in order, so that one that is profiled writes what it saw
   int status = 0;
-  while (!process.ended(status) && loop.now() < end) loop.turn(20);
+  while (!process.ended(status) && loop.now() < end) loop.run_once(20);
 }
 
 }  // namespace
--- a/testbed/prompt_leaf.hpp
+++ b/testbed/prompt_leaf.hpp
@@ -33,8 +33,8 @@
       bool bad = false;
       std::string out;
       while (auto frame = http::take_frame(in, bad)) {
-        if (frame->message != 'D') continue;
-        std::string part = frame->rest.substr(0, frame->rest.find(' '));
+        if (frame->type != 'D') continue;
+        std::string part = frame->payload.substr(0, frame->payload.find(' '));
         if (leaf.heard_) leaf.heard_(part);
         out += http::make_frame('O', part + " 200 1 busy_reqs=1\n5be2a07c19f04d63");
       }
--- a/testbed/watched_files.cpp
+++ b/testbed/watched_files.cpp
@@ -72,7 +72,7 @@
       Asked asked = fleet.draw(load, ++number);
       bool over_flight = load.chance(0.5);
       fleet.ask(load.below(fleet.aggregators()), over_flight, asked);
-      loop.at(next_at += load.exponential(1000 / o.rate), next);
+      loop.run_at(next_at += load.exponential(1000 / o.rate), next);
     };
     next();
     Millis step_at = begin, reshuffle_at = begin + 2000;
--- a/tests/aggregator/app/shutdown_integration_test.cpp
+++ b/tests/aggregator/app/shutdown_integration_test.cpp
@@ -140,10 +140,10 @@
 TEST_CASE("a request that crosses the end of its resting connection: no reset, and nothing sent on") {
   Asked s;
   s.until([&] { return s.router.figures()[0].complete == 1; });
-  for (int i = 0; i < 3; ++i) s.loop.turn(1);  // its answer is written
+  for (int i = 0; i < 3; ++i) s.loop.run_once(1);  // its answer is written
   s.front.close_idle();
   s.client.send(Stage::query("q2", R"({"id":2,"w":1})"));  // it has not read the end yet
-  for (int i = 0; i < 3; ++i) s.loop.turn(1);
+  for (int i = 0; i < 3; ++i) s.loop.run_once(1);
   CHECK(s.client.error() == 0);
   char all[4096];
   ssize_t n = ::recv(s.client.fd.get(), all, sizeof all, MSG_WAITALL);  // up to our end
--- a/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
+++ b/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
@@ -72,7 +72,7 @@
   void until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
-      loop.turn(10);
+      loop.run_once(10);
       router.run();
       REQUIRE(loop.now() < give_up);
     }
@@ -241,7 +241,7 @@
       f.write("nodes.xml", text);
     else
       f.rename_over("nodes.xml", text);
-    s.loop.turn(1);
+    s.loop.run_once(1);
     s.router.run();
     std::size_t now = s.in_use();
     CHECK((now >= 20 && now <= 22));
--- a/tests/aggregator/flight/flight_fixture.hpp
+++ b/tests/aggregator/flight/flight_fixture.hpp
@@ -126,7 +126,7 @@
   void until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
-      loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+      loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
       router.run();
       REQUIRE(loop.now() < give_up);
     }
--- a/tests/aggregator/flight/flight_integration_test.cpp
+++ b/tests/aggregator/flight/flight_integration_test.cpp
@@ -48,7 +48,7 @@
     std::string half = StubNode::rows(p.shard);
     p.connection->http2.submit_response(p.stream, {{":status", "200"}, {"content-type", "application/grpc"}},
                                         half + std::string(70000, '\0'), none);
-    s.loop.at(s.loop.now() + 20, [&s, connection = p.connection, id = p.stream, closes_connection] {
+    s.loop.run_at(s.loop.now() + 20, [&s, connection = p.connection, id = p.stream, closes_connection] {
       if (closes_connection) return connection->http2.close();
       connection->http2.reset_stream(id, NGHTTP2_INTERNAL_ERROR);
       connection->http2.send_pending();
@@ -280,7 +280,7 @@
   s.until([&] { return s.front.connections() == 1; });
   // The call arrives after the process has read its sockets and before it checks its connections.
   std::int32_t call = 0;
-  s.loop.at(s.loop.now(), [&] { call = s.get(FlightFixture::command({1})); });
+  s.loop.run_at(s.loop.now(), [&] { call = s.get(FlightFixture::command({1})); });
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
   s.until([&] { return s.lost || s.replies[call].done; });
   CHECK(!s.lost);
--- a/tests/aggregator/http/client_integration_test.cpp
+++ b/tests/aggregator/http/client_integration_test.cpp
@@ -20,7 +20,7 @@
   auto client = s.dial();
   for (char c : Stage::query("q1", kTwoParts)) {
     client->stream->write({&c, 1});
-    s.loop.turn(0);
+    s.loop.run_once(0);
   }
   std::string got = s.answer(*client);
   CHECK(has(got, "200 OK"));
@@ -136,7 +136,7 @@
     REQUIRE(::connect(ended.back().get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0);
     REQUIRE(::send(ended.back().get(), nonsense.data(), nonsense.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(nonsense.size()));
-    s.loop.turn(1);
+    s.loop.run_once(1);
   }
   auto newcomer = s.dial();
   const event_loop::Millis dialled = s.loop.now();
@@ -178,7 +178,7 @@
   for (std::size_t i = 0; i < peers.size(); ++i)
     CHECK(has(s.ask(*peers[i], Stage::query("first-" + std::to_string(i), R"({"id":1,"w":1})")), "200 OK"));
   // The requests arrive after the process has looked at its sockets and before it looks for idle connections.
-  s.loop.at(s.loop.now(), [&] {
+  s.loop.run_at(s.loop.now(), [&] {
     for (std::size_t i = 0; i < peers.size(); ++i)
       peers[i]->stream->write(Stage::query("second-" + std::to_string(i), R"({"id":1,"w":1})"));
   });
--- a/tests/aggregator/membership/endpoint_list_freshness_test.cpp
+++ b/tests/aggregator/membership/endpoint_list_freshness_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-EndpointListTerms on_request(int brokers = 1) { return {true, false, brokers, 10000, 2000}; }
+EndpointListTerms on_request(int instances = 1) { return {true, false, instances, 10000, 2000}; }
 
 // The watch is open, its first line came at `now` and then nothing.
 EndpointListFreshness watching(const EndpointListTerms& terms, Millis now, std::uint64_t seed = 1) {
@@ -99,9 +99,9 @@
 
 TEST_CASE(
     "a watch that ends before our eyes holds its list 6 s from its last line, however often calls fail") {
-  for (int brokers : {1, 3, 30, 300})
+  for (int instances : {1, 3, 30, 300})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      EndpointListFreshness c = watching(on_request(brokers), 0, seed);
+      EndpointListFreshness c = watching(on_request(instances), 0, seed);
       c.on_keepalive(2000);
       c.on_call_failed(2100, CallEnd::failed);
       Millis now = 2100;
@@ -119,8 +119,8 @@
 }
 
 TEST_CASE("a start without an answer holds the list of before 6 s, and asks again and again") {
-  for (int brokers : {3, 300}) {
-    EndpointListFreshness c(on_request(brokers), 5);
+  for (int instances : {3, 300}) {
+    EndpointListFreshness c(on_request(instances), 5);
     c.start(1000);
     CHECK(c.is_fresh(1000 + 6000));
     CHECK_FALSE(c.is_fresh(1000 + 6000 + 2000));
--- a/tests/aggregator/membership/endpoint_list_integration_test.cpp
+++ b/tests/aggregator/membership/endpoint_list_integration_test.cpp
@@ -20,7 +20,7 @@
   void until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
-      loop.turn(20);
+      loop.run_once(20);
       router.run();
       REQUIRE(loop.now() < give_up);
     }
@@ -31,7 +31,7 @@
     until([&] { return ::recv(fd.get(), request, sizeof request, 0) > 0; });
     REQUIRE(::send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
     // It is in the other socket by now: each turn reads it.
-    for (int i = 0; i < 3; ++i) loop.turn(1);
+    for (int i = 0; i < 3; ++i) loop.run_once(1);
   }
   void reset() {
     linger hard{1, 0};
--- a/tests/aggregator/ranges/spans_directory_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_directory_integration_test.cpp
@@ -47,7 +47,7 @@
   void until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;
     while (!done()) {
-      loop.turn(20);
+      loop.run_once(20);
       router.run();
       REQUIRE(loop.now() < give_up);
     }
@@ -91,7 +91,7 @@
   CHECK(s.revision() == Revision{1, 7});
   // It comes back with less than it told: what is held serves on, and its changes are not believed.
   s.say(four());
-  s.until([&] { return s.directory.figures().refused >= 2; });
+  s.until([&] { return s.directory.statistics().rejected >= 2; });
   s.say({1, 8}, {Weigh{{4, 0}, 9}});
   s.until_asked(4);
   CHECK(s.asked[3] == "GET /v1/ranges?watch=1 HTTP/1.1");
@@ -107,13 +107,13 @@
   s.until([&] { return !s.router.map().empty(); });
   s.say("{\"incarnation\":1,\"revision\":6,\"changes\":[{\"op\":\"frob\"}]}");
   s.until_asked(2);
-  CHECK(s.directory.figures().refused == 1);
+  CHECK(s.directory.statistics().rejected == 1);
   CHECK(s.revision() == Revision{1, 5});
   // Away altogether, then back.
   s.listener.reset();
   s.peers.back()->stream->close();
-  std::size_t broken = s.directory.figures().broken;
-  s.until([&] { return s.directory.figures().broken >= broken + 2; });
+  std::size_t broken = s.directory.statistics().failures;
+  s.until([&] { return s.directory.statistics().failures >= broken + 2; });
   CHECK(s.revision() == Revision{1, 5});
   s.listener = std::make_unique<event_loop::Listener>(
       s.loop, loopback(s.port), [&](event_loop::UniqueFd fd) { s.accept(std::move(fd)); });
--- a/tests/aggregator/ranges/spans_wire_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_wire_integration_test.cpp
@@ -30,7 +30,7 @@
   void until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
-      loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+      loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
       router.run();
       REQUIRE(loop.now() < give_up);
     }
@@ -75,12 +75,12 @@
   RawLeaf a(s.loop), b(s.loop);
   std::vector<std::string> asked;
   auto serve = [&](Peer& from, const http::Frame& f) {
-    if (f.message != 'D') return;
-    asked.push_back(f.rest);
-    std::string part = f.rest.substr(0, f.rest.find(' '));
+    if (f.type != 'D') return;
+    asked.push_back(f.payload);
+    std::string part = f.payload.substr(0, f.payload.find(' '));
     std::string words = http::write_denial(
         {{1, 6}, {{{0, 40}, 8, {}, held({"a"}), 0, {}}, {{40, 100}, 9, {}, held({"b"}), 0, {}}}});
-    bool complete = has(f.rest, "from=0,to=100,");
+    bool complete = has(f.payload, "from=0,to=100,");
     from.stream->write(http::make_frame(
         'O', part + (complete ? " 421 1 busy_reqs=1\n" + words : " 200 1 busy_reqs=1\nrows of " + part)));
   };
@@ -135,12 +135,12 @@
   std::string frames;
   leaf.on_frame = [&](Peer& from, const http::Frame& f) {
     // The time to wait differs from run to run; it is the only thing that does.
-    std::string rest = f.rest;
+    std::string rest = f.payload;
     if (std::size_t d = rest.find("d="); d != std::string::npos)
       rest.replace(d, rest.find(' ', d) - d, "d=N");
-    frames += f.message + rest + "\n--\n";
-    if (f.message != 'D') return;
-    std::string part = f.rest.substr(0, f.rest.find(' '));
+    frames += f.type + rest + "\n--\n";
+    if (f.type != 'D') return;
+    std::string part = f.payload.substr(0, f.payload.find(' '));
     from.stream->write(http::make_frame('O', part + " 200 1840277719 inflight=7,util=0.61\n5be2a07c"));
   };
   s.begin({member("a", leaf.listener.port(), 0)});
@@ -153,8 +153,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   // An end that only parts of spans can have is no answer here.
   leaf.on_frame = [&](Peer& from, const http::Frame& f) {
-    if (f.message != 'D') return;
-    from.stream->write(http::make_frame('O', f.rest.substr(0, f.rest.find(' ')) + " 421 1 -\n{}"));
+    if (f.type != 'D') return;
+    from.stream->write(http::make_frame('O', f.payload.substr(0, f.payload.find(' ')) + " 421 1 -\n{}"));
   };
   client->stream->write(Stage::query("9b20", kTwoParts));
   s.until([&] { return leaf.peers.front()->over; });
@@ -259,7 +259,7 @@
   SUBCASE("rows of another interval are no answer") { node.bent = true; }
   event_loop::Millis give_up = loop.now() + 60000;
   while (!client.done) {
-    loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+    loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
     router.run();
     REQUIRE(loop.now() < give_up);
   }
--- a/tests/aggregator/support/program.hpp
+++ b/tests/aggregator/support/program.hpp
@@ -84,7 +84,7 @@
   void until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop_.now() + 60000;  // only ends a test that hangs
     while (!done()) {
-      loop_.turn(20);
+      loop_.run_once(20);
       INFO(log);
       REQUIRE(loop_.now() < give_up);
     }
--- a/tests/aggregator/support/program_fixture.hpp
+++ b/tests/aggregator/support/program_fixture.hpp
@@ -130,10 +130,10 @@
   void read(Peer* from, std::string& in) {
     bool bad = false;
     while (auto frame = http::take_frame(in, bad)) {
-      if (frame->message == 'K') given_up.push_back(frame->rest);
-      if (frame->message != 'D') continue;
+      if (frame->type == 'K') given_up.push_back(frame->payload);
+      if (frame->type != 'D') continue;
       ++frames;
-      for (std::string rest = frame->rest; !rest.empty();) {
+      for (std::string rest = frame->payload; !rest.empty();) {
         std::size_t line = rest.find('\n');
         char id[200], list[200];
         int shard = 0;
@@ -210,7 +210,7 @@
   void until(const std::function<bool()>& done, const char* what = "") {
     event_loop::Millis give_up = loop.now() + 60000;
     while (!done()) {
-      loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
+      loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
       router.run();
       INFO(what);
       REQUIRE(loop.now() < give_up);
