--- a/src/aggregator/event_loop/address.hpp
+++ b/src/aggregator/event_loop/address.hpp
@@ -1,4 +1,4 @@
-// IPv4 addresses and ports as operators write them.
+// Parsing of IPv4 addresses with a port.
 #pragma once
 
 #include <netinet/in.h>
@@ -8,7 +8,7 @@
 
 namespace winchhall::event_loop {
 
-// "127.0.0.1:8815"; nothing for what is none. No name is looked up.
+// Parses an address such as "127.0.0.1:8815"; nothing if the text is malformed. Host names are not resolved.
 std::optional<sockaddr_in> parse_address(std::string_view host_port);
 
 }  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/event_loop.cpp
+++ b/src/aggregator/event_loop/event_loop.cpp
@@ -22,7 +22,7 @@
 Millis Loop::now() const { return read<std::chrono::steady_clock>() + offset_; }
 
 TimerId Loop::run_at(Millis when, std::function<void()> run) {
-  TimerId id{when, next_++};
+  TimerId id{when, next_serial_++};
   timers_.emplace(id, std::move(run));
   return id;
 }
@@ -33,7 +33,7 @@
 }
 
 void Loop::add(int fd, short events, std::function<void(short)> run) {
-  watched_[fd] = {events, next_++, std::make_shared<std::function<void(short)>>(std::move(run))};
+  watched_[fd] = {events, next_serial_++, std::make_shared<std::function<void(short)>>(std::move(run))};
 }
 
 void Loop::set_events(int fd, short events) {
@@ -42,8 +42,8 @@
 
 void Loop::remove(int fd) { watched_.erase(fd); }
 
-void Loop::run_once(Millis longest) {
-  Millis wait = deferred_.empty() ? longest : 0;
+void Loop::run_once(Millis max_wait) {
+  Millis wait = deferred_.empty() ? max_wait : 0;
   if (!timers_.empty()) wait = std::min(wait, timers_.begin()->first.first - now());
   std::vector<pollfd> polled;
   std::vector<std::uint64_t> serials;
@@ -56,7 +56,8 @@
       ::poll(polled.data(), polled.size(), static_cast<int>(std::ceil(std::clamp(wait, 0.0, 60000.0))));
   for (std::size_t i = 0; ready > 0 && i < polled.size(); ++i) {
     if (polled[i].revents == 0) continue;
-    // Guards against a descriptor closed and reused earlier in this turn: the event was the old one's.
+    // A descriptor that was closed and reused earlier in this iteration has another serial: the event
+    // belonged to its predecessor.
     auto it = watched_.find(polled[i].fd);
     if (it == watched_.end() || it->second.serial != serials[i]) continue;
     auto run = it->second.run;
@@ -70,8 +71,8 @@
 }
 
 void Loop::run_deferred() {
-  // Once through: what these put off in their turn waits for the next, or a client that has hundreds of
-  // requests in its buffer would keep all others waiting.
+  // Callbacks deferred by these callbacks wait for the next iteration; otherwise a client with hundreds of
+  // buffered requests would delay all others.
   for (auto& run : std::exchange(deferred_, {})) run();
 }
 
--- a/src/aggregator/event_loop/fd.hpp
+++ b/src/aggregator/event_loop/fd.hpp
@@ -1,4 +1,4 @@
-// Owner of one file descriptor.
+// Owning wrapper of a file descriptor.
 #pragma once
 
 #include <unistd.h>
@@ -7,6 +7,7 @@
 
 namespace winchhall::event_loop {
 
+// Owns one file descriptor, or none (-1), and closes it on destruction. Movable, not copyable.
 class UniqueFd {
  public:
   UniqueFd() = default;
--- a/src/aggregator/event_loop/half_closed_connections.hpp
+++ b/src/aggregator/event_loop/half_closed_connections.hpp
@@ -1,4 +1,5 @@
-// Streams that linger after their owner has ended them: they hold a descriptor until their peer's end.
+// Connections in a lingering close (Stream::linger), which occupy a descriptor until the peer closes its
+// side.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +11,13 @@
 
 namespace winchhall::event_loop {
 
+// Keeps track of the lingering streams of one client or server, so that they count as open descriptors and
+// can be closed early. Closes them on destruction.
 class HalfClosedConnections {
  public:
   explicit HalfClosedConnections(Loop& loop) : loop_(loop) {}
   ~HalfClosedConnections() {
-    for (auto& [since, stream] : streams_) stream->close();
+    for (auto& [added_at, stream] : streams_) stream->close();
   }
   HalfClosedConnections(const HalfClosedConnections&) = delete;
   HalfClosedConnections& operator=(const HalfClosedConnections&) = delete;
@@ -22,14 +25,15 @@
   void add(std::shared_ptr<Stream> stream) {
     if (stream && stream->open()) streams_.emplace_back(loop_.now(), std::move(stream));
   }
+  // Streams still open; drops the others.
   std::size_t size() {
     std::erase_if(streams_, [](const auto& s) { return !s.second->open(); });
     return streams_.size();
   }
-  // Makes room where descriptors are short: the one that has lingered longest, though not before all was
-  // written to it and its peer's end had time to come.
+  // Closes the stream that has lingered longest, to free a descriptor. Only streams without unsent data that
+  // have lingered for kMinLinger are eligible; false if there is none.
   bool close_oldest() {
-    Millis before = loop_.now() - kLeast;
+    Millis before = loop_.now() - kMinLinger;
     auto it = std::find_if(streams_.begin(), streams_.end(), [&](const auto& s) {
       return s.second->open() && s.second->unsent() == 0 && s.first <= before;
     });
@@ -40,10 +44,10 @@
   }
 
  private:
-  static constexpr Millis kLeast = 50;  // ms: a peer that reads has long answered our end by then
+  static constexpr Millis kMinLinger = 50;  // ms: a peer that reads has closed its side well before
 
   Loop& loop_;
-  std::deque<std::pair<Millis, std::shared_ptr<Stream>>> streams_;  // since when
+  std::deque<std::pair<Millis, std::shared_ptr<Stream>>> streams_;  // with the time of add(), oldest first
 };
 
 }  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/listener.cpp
+++ b/src/aggregator/event_loop/listener.cpp
@@ -8,7 +8,7 @@
 
 namespace winchhall::event_loop {
 namespace {
-constexpr Millis kAcceptRetryDelay = 50;  // ms without accepting once descriptors have run out
+constexpr Millis kAcceptRetryDelay = 50;  // ms without accepting after descriptors or memory ran out
 }  // namespace
 
 Listener::Listener(Loop& loop, const sockaddr_in& address, std::function<void(UniqueFd)> accepted,
@@ -36,31 +36,31 @@
       accepted_(std::move(fd));
       continue;
     }
-    // Guards against a busy loop when descriptors run out: the queue stays readable all the while.
+    // The socket stays readable while nothing can be accepted: without the pause the loop would spin.
     if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
       return pause(kAcceptRetryDelay);
     if (errno != EINTR && errno != ECONNABORTED) return;
   }
 }
 
-// A program of one instruction that names a place in the group of sockets, which stand in the order in which
-// they began to listen. A place that is empty by now is no answer, and the kernel chooses as without a
-// program.
-bool Listener::steer_here(int others) {
-  sock_filter here{BPF_RET | BPF_K, 0, 0, static_cast<std::uint32_t>(others)};
-  sock_fprog program{1, &here};
+// The BPF program is a single instruction that returns an index into the SO_REUSEPORT group, whose sockets
+// are ordered by the time of their listen(). If that index is no longer occupied, the kernel selects a socket
+// as if there were no program.
+bool Listener::steer_here(int earlier_listeners) {
+  sock_filter return_index{BPF_RET | BPF_K, 0, 0, static_cast<std::uint32_t>(earlier_listeners)};
+  sock_fprog program{1, &return_index};
   return fd_ && ::setsockopt(fd_.get(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof program) == 0;
 }
 
-void Listener::pause(Millis time) {
+void Listener::pause(Millis duration) {
   if (!fd_) return;
   loop_.set_events(fd_.get(), 0);
-  loop_.cancel(resume_);
-  resume_ = loop_.run_at(loop_.now() + time, [this] { loop_.set_events(fd_.get(), POLLIN); });
+  loop_.cancel(resume_timer_);
+  resume_timer_ = loop_.run_at(loop_.now() + duration, [this] { loop_.set_events(fd_.get(), POLLIN); });
 }
 
 void Listener::close() {
-  loop_.cancel(resume_);
+  loop_.cancel(resume_timer_);
   if (fd_) loop_.remove(fd_.get());
   fd_.reset();
 }
--- a/src/aggregator/event_loop/stream.cpp
+++ b/src/aggregator/event_loop/stream.cpp
@@ -9,17 +9,17 @@
 
 namespace winchhall::event_loop {
 namespace {
-constexpr std::size_t kInMost = 96 * 1024;           // bytes held for an owner that does not take them
-constexpr std::size_t kWriteChunkBytes = 32 * 1024;  // bytes shown to the owner at a time
-constexpr std::size_t kTurnMost = 256 * 1024;        // bytes read in one turn: others come to their turn too
-constexpr std::size_t kKeep = 16 * 1024;  // bytes of an empty buffer that are kept for the next use
+constexpr std::size_t kMaxInputBytes = 96 * 1024;  // buffered for an owner that does not consume them
+constexpr std::size_t kDeliveryBytes = 32 * 1024;  // passed to the owner as soon as so much is buffered
+constexpr std::size_t kMaxReadBytesPerIteration = 256 * 1024;  // so that other connections are served too
+constexpr std::size_t kRetainedCapacityBytes = 16 * 1024;      // of an empty buffer, kept for reuse
 
-// Guards against memory held by connections that were busy once: hundreds of them stand idle.
-void shrink(std::string& buffer) {
-  if (buffer.empty() && buffer.capacity() > kKeep) std::string().swap(buffer);
+// Hundreds of connections are idle at a time: those that were busy once must not keep large buffers.
+void release_excess_capacity(std::string& buffer) {
+  if (buffer.empty() && buffer.capacity() > kRetainedCapacityBytes) std::string().swap(buffer);
 }
 
-void no_delay(int fd) {
+void set_no_delay(int fd) {
   int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -29,7 +29,7 @@
     : loop_(loop), fd_(std::move(fd)), owner_(&owner), connecting_(connecting) {}
 
 std::shared_ptr<Stream> Stream::adopt(Loop& loop, UniqueFd fd, Owner& owner) {
-  no_delay(fd.get());
+  set_no_delay(fd.get());
   auto stream = std::make_shared<Stream>(loop, std::move(fd), owner, false);
   stream->start();
   return stream;
@@ -41,9 +41,9 @@
     error = errno;
     return nullptr;
   }
-  no_delay(fd.get());
-  int done = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to);
-  bool refused = done < 0 && errno != EINPROGRESS;
+  set_no_delay(fd.get());
+  int result = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to);
+  bool refused = result < 0 && errno != EINPROGRESS;
   auto stream = std::make_shared<Stream>(loop, std::move(fd), owner, true);
   stream->start();
   if (refused) stream->fail(true);
@@ -58,10 +58,10 @@
 }
 
 void Stream::update() {
-  if (!open() || broken_) return;
+  if (!open() || failed_) return;
   short events = 0;
   if (connecting_ || unsent() > 0) events |= POLLOUT;
-  if (!connecting_ && in_.size() < kInMost) events |= POLLIN;
+  if (!connecting_ && in_.size() < kMaxInputBytes) events |= POLLIN;
   loop_.set_events(fd_.get(), events);
 }
 
@@ -74,8 +74,9 @@
     connecting_ = false;
     owner_->connected();
   }
-  // Guards against a busy loop: a peer that is gone stays ready, and a full buffer would never be read from.
-  if (open() && in_.size() >= kInMost && (events & (POLLHUP | POLLERR))) return fail(events & POLLERR);
+  // The descriptor of a closed connection stays ready, but a full buffer is never read into: without this the
+  // loop would spin.
+  if (open() && in_.size() >= kMaxInputBytes && (events & (POLLHUP | POLLERR))) return fail(events & POLLERR);
   if (open() && (events & (POLLIN | POLLHUP | POLLERR))) read();
   if (open() && (events & POLLOUT)) flush();
   update();
@@ -83,39 +84,40 @@
 
 void Stream::read() {
   char buffer[16384];
-  if (open() && !owner_ && rested_ && ::recv(fd_.get(), buffer, 1, MSG_PEEK) > 0) return close();
-  bool over = false, reset = false;
-  for (std::size_t taken = 0; open() && !broken_ && in_.size() < kInMost && taken < kTurnMost;) {
+  if (open() && !owner_ && reset_on_input_ && ::recv(fd_.get(), buffer, 1, MSG_PEEK) > 0) return close();
+  bool at_end = false, reset = false;
+  for (std::size_t read_bytes = 0;
+       open() && !failed_ && in_.size() < kMaxInputBytes && read_bytes < kMaxReadBytesPerIteration;) {
     ssize_t n = ::recv(fd_.get(), buffer, sizeof buffer, 0);
     if (n > 0) {
       in_.append(buffer, static_cast<std::size_t>(n));
-      taken += static_cast<std::size_t>(n);
+      read_bytes += static_cast<std::size_t>(n);
       if (!owner_) in_.clear();
-      if (in_.size() >= kWriteChunkBytes) owner_->received(in_);
+      if (in_.size() >= kDeliveryBytes) owner_->received(in_);
       continue;
     }
     if (n < 0 && errno == EINTR) continue;
     reset = n < 0 && errno != EAGAIN && errno != EWOULDBLOCK;
-    over = n == 0 || reset;
+    at_end = n == 0 || reset;
     break;
   }
-  // What came before the end counts, even where both are found at once.
-  if (open() && !broken_ && owner_ && !in_.empty()) owner_->received(in_);
-  shrink(in_);
-  if (over && open()) fail(reset);
+  // Input received before the end is delivered, even if both are found in the same iteration.
+  if (open() && !failed_ && owner_ && !in_.empty()) owner_->received(in_);
+  release_excess_capacity(in_);
+  if (at_end && open()) fail(reset);
 }
 
 void Stream::read_now() {
-  if (!open() || broken_ || connecting_) return;
+  if (!open() || failed_ || connecting_) return;
   read();
   update();
 }
 
 void Stream::half_close() {
-  if (open() && !broken_) ::shutdown(fd_.get(), SHUT_WR);
+  if (open() && !failed_) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-void Stream::show_again() {
+void Stream::redeliver() {
   loop_.defer([weak = weak_from_this()] {
     auto self = weak.lock();
     if (!self || !self->open() || !self->owner_ || self->in_.empty()) return;
@@ -132,22 +134,22 @@
 }
 
 void Stream::flush() {
-  bool had = unsent() > 0;
-  while (open() && !broken_ && unsent() > 0) {
-    ssize_t n = ::send(fd_.get(), out_.data() + out_at_, unsent(), MSG_NOSIGNAL);
+  bool had_unsent = unsent() > 0;
+  while (open() && !failed_ && unsent() > 0) {
+    ssize_t n = ::send(fd_.get(), out_.data() + out_sent_, unsent(), MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
     if (n < 0) return fail(true);
-    out_at_ += static_cast<std::size_t>(n);
+    out_sent_ += static_cast<std::size_t>(n);
     flushed_ += static_cast<std::uint64_t>(n);
   }
-  if (out_at_ == out_.size() || out_at_ > 65536) {
-    out_.erase(0, out_at_);
-    out_at_ = 0;
-    shrink(out_);
+  if (out_sent_ == out_.size() || out_sent_ > 65536) {
+    out_.erase(0, out_sent_);
+    out_sent_ = 0;
+    release_excess_capacity(out_);
   }
-  if (had && unsent() == 0 && open() && !owner_) linger_on(reading_);
-  if (had && unsent() == 0 && open() && owner_) {
+  if (had_unsent && unsent() == 0 && open() && !owner_) restart_linger_timer(linger_read_timeout_);
+  if (had_unsent && unsent() == 0 && open() && owner_) {
     loop_.defer([weak = weak_from_this()] {
       auto self = weak.lock();
       if (self && self->open() && self->owner_ && self->unsent() == 0) self->owner_->drained();
@@ -155,10 +157,10 @@
   }
 }
 
-// The owner hears of it at the end of the turn: it may be in the middle of a write.
+// The owner is notified at the end of the iteration, since it may be inside a call to write().
 void Stream::fail(bool reset) {
-  if (broken_ || !open()) return;
-  broken_ = true;
+  if (failed_ || !open()) return;
+  failed_ = true;
   reset_ = reset;
   loop_.set_events(fd_.get(), 0);
   loop_.remove(fd_.get());
@@ -170,28 +172,29 @@
   });
 }
 
-void Stream::linger(Millis writing, Millis reading, bool rested) {
-  rested_ = rested;
+void Stream::linger(Millis write_timeout, Millis read_timeout, bool reset_on_input) {
+  reset_on_input_ = reset_on_input;
   owner_ = nullptr;
   in_.clear();
   if (!usable() || connecting_) return close();
-  reading_ = reading;
+  linger_read_timeout_ = read_timeout;
   update();
-  linger_on(unsent() > 0 ? writing : reading);
+  restart_linger_timer(unsent() > 0 ? write_timeout : read_timeout);
 }
 
-// Holds itself for so long: nobody else does.
-void Stream::linger_on(Millis most) {
+// The timer holds the only guaranteed reference to a lingering stream.
+void Stream::restart_linger_timer(Millis timeout) {
   if (unsent() == 0) half_close();
-  loop_.cancel(linger_);
-  linger_ = loop_.run_at(loop_.now() + most, [self = shared_from_this()] { self->close(); });
+  loop_.cancel(linger_timer_);
+  linger_timer_ = loop_.run_at(loop_.now() + timeout, [self = shared_from_this()] { self->close(); });
 }
 
 void Stream::close() {
   if (!open()) return;
-  // Not erased under its own feet where it is this timer that closes: then it has left the loop's table.
-  loop_.cancel(linger_);
-  if (!broken_) loop_.remove(fd_.get());
+  // If the linger timer itself is running, the loop has already extracted it, so that cancelling does not
+  // destroy the running callback.
+  loop_.cancel(linger_timer_);
+  if (!failed_) loop_.remove(fd_.get());
   fd_.reset();
 }
 
--- a/src/aggregator/event_loop/worker.cpp
+++ b/src/aggregator/event_loop/worker.cpp
@@ -9,61 +9,61 @@
 
 namespace winchhall::event_loop {
 
-Worker::Worker(Loop& loop) : loop_(loop), bell_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (!bell_) throw std::system_error(errno, std::generic_category(), "eventfd");
-  loop_.add(bell_.get(), POLLIN, [this](short) { deliver(); });
-  thread_ = std::thread([this] { work(); });
+Worker::Worker(Loop& loop) : loop_(loop), completion_event_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  if (!completion_event_) throw std::system_error(errno, std::generic_category(), "eventfd");
+  loop_.add(completion_event_.get(), POLLIN, [this](short) { run_completions(); });
+  thread_ = std::thread([this] { run_jobs(); });
 }
 
 Worker::~Worker() {
   {
     std::lock_guard lock(mutex_);
-    ending_ = true;
-    waiting_.clear();
+    stopping_ = true;
+    pending_.clear();
   }
-  wake_.notify_one();
+  job_available_.notify_one();
   thread_.join();
-  loop_.remove(bell_.get());
+  loop_.remove(completion_event_.get());
 }
 
-void Worker::run(std::function<void()> job, std::function<void()> after) {
+void Worker::run(std::function<void()> job, std::function<void()> on_done) {
   {
     std::lock_guard lock(mutex_);
-    waiting_.push_back({std::move(job), std::move(after)});
+    pending_.push_back({std::move(job), std::move(on_done)});
   }
-  wake_.notify_one();
+  job_available_.notify_one();
 }
 
-void Worker::work() {
+void Worker::run_jobs() {
   for (;;) {
     Task task;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
-      if (ending_) return;
-      task = std::move(waiting_.front());
-      waiting_.pop_front();
+      job_available_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
+      if (stopping_) return;
+      task = std::move(pending_.front());
+      pending_.pop_front();
     }
     task.job();
     {
       std::lock_guard lock(mutex_);
-      done_.push_back(std::move(task.after));
+      completed_.push_back(std::move(task.on_done));
     }
     std::uint64_t one = 1;
-    // It can only fail where the bell has been rung already and not been heard.
-    [[maybe_unused]] ssize_t n = ::write(bell_.get(), &one, sizeof one);
+    // Fails only if the counter is at its maximum, when the event loop is woken anyway.
+    [[maybe_unused]] ssize_t n = ::write(completion_event_.get(), &one, sizeof one);
   }
 }
 
-void Worker::deliver() {
-  std::uint64_t rung = 0;
-  [[maybe_unused]] ssize_t n = ::read(bell_.get(), &rung, sizeof rung);
+void Worker::run_completions() {
+  std::uint64_t count = 0;
+  [[maybe_unused]] ssize_t n = ::read(completion_event_.get(), &count, sizeof count);
   std::deque<std::function<void()>> ready;
   {
     std::lock_guard lock(mutex_);
-    ready.swap(done_);
+    ready.swap(completed_);
   }
-  for (auto& after : ready) after();
+  for (auto& on_done : ready) on_done();
 }
 
 }  // namespace winchhall::event_loop
--- a/src/aggregator/event_loop/worker.hpp
+++ b/src/aggregator/event_loop/worker.hpp
@@ -1,5 +1,4 @@
-// One thread beside the loop, for work that would hold it up: reading and checking large files. Jobs run in
-// order; what follows a job runs on the loop. Jobs must touch nothing that the loop touches.
+// A worker thread for jobs that would block the event loop, such as reading and validating large files.
 #pragma once
 
 #include <condition_variable>
@@ -13,30 +12,32 @@
 
 namespace winchhall::event_loop {
 
+// Owns one thread, which runs jobs in the order of their submission; each job's completion callback runs on
+// the event loop. Jobs must not access data that the event loop's thread uses.
 class Worker {
  public:
-  explicit Worker(Loop& loop);  // throws std::system_error
-  ~Worker();                    // waits for the job in hand; what has not begun is dropped
+  explicit Worker(Loop& loop);  // throws std::system_error if no eventfd or thread can be created
+  ~Worker();                    // waits for the running job; pending jobs are dropped
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // `job` on the thread, then `after` on the loop.
-  void run(std::function<void()> job, std::function<void()> after);
+  // Runs `job` on the thread, then `on_done` on the event loop.
+  void run(std::function<void()> job, std::function<void()> on_done);
 
  private:
   struct Task {
-    std::function<void()> job, after;
+    std::function<void()> job, on_done;
   };
-  void work();
-  void deliver();
+  void run_jobs();         // body of the thread
+  void run_completions();  // on the event loop
 
   Loop& loop_;
-  UniqueFd bell_;
+  UniqueFd completion_event_;
   std::mutex mutex_;
-  std::condition_variable wake_;
-  std::deque<Task> waiting_;
-  std::deque<std::function<void()>> done_;
-  bool ending_ = false;
+  std::condition_variable job_available_;
+  std::deque<Task> pending_;
+  std::deque<std::function<void()>> completed_;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- a/src/aggregator/http/http_server.cpp
+++ b/src/aggregator/http/http_server.cpp
@@ -163,7 +163,7 @@
   void reply(const std::string& bytes, bool keep) {
     since_ = front_.loop_.now();
     stream_->write(bytes);
-    keep ? stream_->show_again() : front_.end(*this);
+    keep ? stream_->redeliver() : front_.end(*this);
   }
 
   HttpServer& front_;
