--- a/src/aggregator/http/http.cpp
+++ b/src/aggregator/http/http.cpp
@@ -6,16 +6,16 @@
 namespace winchhall::http {
 namespace {
 
-bool token_char(char c) {
+bool is_token_char(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
          std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
 
 bool is_token(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), token_char);
+  return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
 }
 
-std::optional<std::size_t> read_number(std::string_view text, int base) {
+std::optional<std::size_t> parse_number(std::string_view text, int base) {
   std::size_t n = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n, base);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -24,11 +24,11 @@
 
 }  // namespace
 
-std::string lower(std::string_view text) {
-  std::string all(text);
-  for (char& c : all)
+std::string to_lower(std::string_view text) {
+  std::string result(text);
+  for (char& c : result)
     if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
-  return all;
+  return result;
 }
 
 std::string_view trim(std::string_view text) {
@@ -49,7 +49,7 @@
     std::string_view rest = value;
     while (!rest.empty()) {
       std::size_t comma = std::min(rest.find(','), rest.size());
-      if (lower(trim(rest.substr(0, comma))) == token) return true;
+      if (to_lower(trim(rest.substr(0, comma))) == token) return true;
       rest.remove_prefix(std::min(comma + 1, rest.size()));
     }
   }
@@ -65,17 +65,17 @@
     std::string line;
     switch (state_) {
       case State::head: {
-        // Blank lines before a request are allowed and mean nothing.
+        // Blank lines before a request are skipped (RFC 9112, section 2.2).
         std::size_t blank = begun_ ? 0 : in.find_first_not_of("\r\n");
         if (blank == std::string::npos) return in.clear();
         in.erase(0, blank);
         begun_ = true;
-        std::size_t end = in.find("\r\n\r\n"), gap = 4;
-        if (std::size_t bare = in.find("\n\n"); bare < end) end = bare, gap = 2;
-        if (std::min(end, in.size()) > kHeadMost) return fail(431);
+        std::size_t end = in.find("\r\n\r\n"), separator_size = 4;
+        if (std::size_t bare = in.find("\n\n"); bare < end) end = bare, separator_size = 2;
+        if (std::min(end, in.size()) > kMaxHeadBytes) return fail(431);
         if (end == std::string::npos) return;
         read_head(std::string_view(in).substr(0, end));
-        in.erase(0, end + gap);
+        in.erase(0, end + separator_size);
         break;
       }
       case State::body:
@@ -83,17 +83,18 @@
         if (!take_body(in)) return;
         break;
       case State::until_close:
-        if (mode_ != Mode::streamed && message_.body.size() + in.size() > kBodyMost) return fail(413);
+        if (mode_ != Mode::streamed && message_.body.size() + in.size() > kMaxBodyBytes) return fail(413);
         message_.body += std::exchange(in, {});
         return;
       case State::chunk_size: {
         if (!take_line(in, line)) return;
-        auto size = read_number(trim(std::string_view(line).substr(0, line.find(';'))), 16);
+        auto size = parse_number(trim(std::string_view(line).substr(0, line.find(';'))), 16);
         if (!size) return fail(400);
-        if (mode_ != Mode::streamed && (*size > kBodyMost || message_.body.size() + *size > kBodyMost))
+        if (mode_ != Mode::streamed &&
+            (*size > kMaxBodyBytes || message_.body.size() + *size > kMaxBodyBytes))
           return fail(413);
-        left_ = *size;
-        state_ = left_ > 0 ? State::chunk_data : State::trailer;
+        remaining_bytes_ = *size;
+        state_ = remaining_bytes_ > 0 ? State::chunk_data : State::trailer;
         break;
       }
       case State::chunk_end:
@@ -103,8 +104,8 @@
         break;
       case State::trailer:
         if (!take_line(in, line)) return;
-        trailer_ += line.size();
-        if (trailer_ > kHeadMost) return fail(431);
+        trailer_bytes_ += line.size();
+        if (trailer_bytes_ > kMaxHeadBytes) return fail(431);
         if (line.empty()) state_ = State::done;
         break;
       case State::done:
@@ -116,7 +117,7 @@
 
 bool HttpParser::take_line(std::string& in, std::string& line) {
   std::size_t end = in.find('\n');
-  if (std::min(end, in.size()) > kHeadMost) fail(400);
+  if (std::min(end, in.size()) > kMaxHeadBytes) fail(400);
   if (end == std::string::npos || failed()) return false;
   line = in.substr(0, end);
   if (!line.empty() && line.back() == '\r') line.pop_back();
@@ -125,11 +126,11 @@
 }
 
 bool HttpParser::take_body(std::string& in) {
-  std::size_t n = std::min(left_, in.size());
+  std::size_t n = std::min(remaining_bytes_, in.size());
   message_.body.append(in, 0, n);
   in.erase(0, n);
-  left_ -= n;
-  if (left_ > 0) return false;
+  remaining_bytes_ -= n;
+  if (remaining_bytes_ > 0) return false;
   state_ = state_ == State::body ? State::done : State::chunk_end;
   return true;
 }
@@ -143,24 +144,24 @@
     std::string_view line = head.substr(0, end);
     std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return fail(400);
-    message_.headers.emplace_back(lower(line.substr(0, colon)), std::string(trim(line.substr(colon + 1))));
+    message_.headers.emplace_back(to_lower(line.substr(0, colon)), std::string(trim(line.substr(colon + 1))));
   }
   if (!failed()) read_framing();
 }
 
 void HttpParser::read_first_line(std::string_view line) {
-  std::size_t one = line.find(' ');
-  if (one == std::string_view::npos) return fail(400);
-  std::string_view version = line.substr(0, one);
+  std::size_t first_space = line.find(' ');
+  if (first_space == std::string_view::npos) return fail(400);
+  std::string_view version = line.substr(0, first_space);
   if (mode_ == Mode::request) {
-    std::size_t two = line.rfind(' ');
-    if (two == one || !is_token(line.substr(0, one))) return fail(400);
-    message_.method = line.substr(0, one);
-    message_.target = line.substr(one + 1, two - one - 1);
-    version = line.substr(two + 1);
+    std::size_t last_space = line.rfind(' ');
+    if (last_space == first_space || !is_token(line.substr(0, first_space))) return fail(400);
+    message_.method = line.substr(0, first_space);
+    message_.target = line.substr(first_space + 1, last_space - first_space - 1);
+    version = line.substr(last_space + 1);
     if (message_.target.empty() || message_.target.find(' ') != std::string::npos) return fail(400);
   } else {
-    auto status = read_number(line.substr(one + 1, 3), 10);
+    auto status = parse_number(line.substr(first_space + 1, 3), 10);
     if (!status || *status < 100) return fail(400);
     message_.status = static_cast<int>(*status);
   }
@@ -171,22 +172,23 @@
 void HttpParser::read_framing() {
   const std::string* length = message_.header("content-length");
   if (message_.header("transfer-encoding")) {
-    // Guards against a message that two readers would cut apart differently, and so hide another in its body:
-    // one coding, told once, and no length beside it.
-    std::size_t told = 0;
-    for (const auto& [key, value] : message_.headers) told += key == "transfer-encoding";
-    if (length || told != 1 || lower(*message_.header("transfer-encoding")) != "chunked") return fail(400);
+    // Request smuggling: messages whose end two parsers could see differently are rejected. Exactly one
+    // transfer coding is allowed, and no Content-Length with it.
+    std::size_t coding_headers = 0;
+    for (const auto& [key, value] : message_.headers) coding_headers += key == "transfer-encoding";
+    if (length || coding_headers != 1 || to_lower(*message_.header("transfer-encoding")) != "chunked")
+      return fail(400);
     state_ = State::chunk_size;
     return;
   }
   if (length) {
     for (const auto& [key, value] : message_.headers)
       if (key == "content-length" && value != *length) return fail(400);
-    auto n = read_number(*length, 10);
+    auto n = parse_number(*length, 10);
     if (!n) return fail(400);
-    if (mode_ != Mode::streamed && *n > kBodyMost) return fail(413);
-    left_ = *n;
-    state_ = left_ > 0 ? State::body : State::done;
+    if (mode_ != Mode::streamed && *n > kMaxBodyBytes) return fail(413);
+    remaining_bytes_ = *n;
+    state_ = remaining_bytes_ > 0 ? State::body : State::done;
     return;
   }
   state_ = mode_ == Mode::request ? State::done : State::until_close;
--- a/src/aggregator/http/http_server.cpp
+++ b/src/aggregator/http/http_server.cpp
@@ -4,51 +4,55 @@
 
 namespace winchhall::http {
 namespace {
-constexpr event_loop::Millis kFirstRequest = 2000;  // ms from connecting to the end of the first request
-constexpr event_loop::Millis kHalfRequest = 2000;   // ms for the rest of a later one, from its first byte
-constexpr event_loop::Millis kSlowReader = 15000;   // ms for a client to take its answer
-constexpr event_loop::Millis kStandIdle = 120000;   // ms between requests where there is room ...
-constexpr event_loop::Millis kMayClose = 2000;      // ... and where it is getting short
-constexpr event_loop::Millis kReservedDescriptors =
-    250;  // ms idle: in the way of a newcomer where room is short
-constexpr event_loop::Millis kLinger =
-    1000;  // ms from our end of a connection to the client's, while more comes
-// Bytes behind a request that is open, from which on all of it is dropped: one whole request fits. Guards
-// against a client that sends much at once and goes: its end stands behind what nobody reads.
-constexpr std::size_t kBehindMost = kHeadMost + kBodyMost;
-constexpr event_loop::Millis kNewConnectionTime =
-    100;  // ms in which a request may still be on its way behind a connection
-constexpr event_loop::Millis kSweep = 200;
-constexpr event_loop::Millis kCrowded = 5;  // ms without accepting while every connection has a query open
-constexpr event_loop::Millis kListedEvery = 10000;  // ms, and of a flood of bad requests ...
-constexpr int kListedMost = 40;                     // ... so many are listed in that time, the others counted
+constexpr event_loop::Millis kFirstRequestTimeout =
+    2000;                                             // ms from connecting to the end of the first request
+constexpr event_loop::Millis kRequestTimeout = 2000;  // ms from the first byte of a later request to its end
+constexpr event_loop::Millis kResponseReadTimeout = 15000;  // ms for a client to read its response
+constexpr event_loop::Millis kIdleTimeout = 120000;         // ms between requests, normally ...
+constexpr event_loop::Millis kCrowdedIdleTimeout = 2000;  // ... and with many connections, see idle_timeout()
+constexpr event_loop::Millis kMinIdleBeforeEviction =
+    250;  // ms idle after a response before a new connection may evict it
+constexpr event_loop::Millis kLingerTimeout =
+    1000;  // ms for the client to close its side after we closed ours
+// Limit of the bytes buffered behind an open request; beyond it all of them are discarded. One whole request
+// fits. Input must go on being read, since the end of the connection is only seen behind it: otherwise a
+// client that sent much and left would go unnoticed.
+constexpr std::size_t kMaxPipelinedBytes = kMaxHeadBytes + kMaxBodyBytes;
+constexpr event_loop::Millis kFirstRequestGrace =
+    100;  // ms after connecting in which the first request may still be on its way
+constexpr event_loop::Millis kSweepInterval = 200;  // ms between checks for overdue connections
+constexpr event_loop::Millis kAcceptPause = 5;  // ms without accepting while the connection limit is reached
+constexpr event_loop::Millis kRejectionLogPeriod = 10000;  // ms
+constexpr int kMaxLoggedRejections = 40;                   // in one period; the others are only counted
 }  // namespace
 
 class HttpServer::Connection : public event_loop::Stream::Owner,
                                public std::enable_shared_from_this<Connection> {
  public:
-  explicit Connection(HttpServer& front)
-      : front_(front), since_(front.loop_.now()), due_(since_ + kFirstRequest) {}
-  void begin(event_loop::UniqueFd fd) {
-    stream_ = event_loop::Stream::adopt(front_.loop_, std::move(fd), *this);
+  explicit Connection(HttpServer& server)
+      : server_(server),
+        state_since_(server.loop_.now()),
+        request_deadline_(state_since_ + kFirstRequestTimeout) {}
+  void start(event_loop::UniqueFd fd) {
+    stream_ = event_loop::Stream::adopt(server_.loop_, std::move(fd), *this);
   }
-  // Guards against real clients crowded out by silent ones: a request that came with its connection counts
-  // before the next connection is taken.
-  void look() { stream_->read_now(); }
+  // A request that arrived together with its connection is read before the next connection is accepted, so
+  // that silent connections do not displace clients that have sent a request.
+  void read_arrived() { stream_->read_now(); }
 
   void received(std::string& in) override {
-    // One request at a time: what follows waits in the buffer until this one is answered.
+    // One request at a time: pipelined requests stay in the buffer until this one is answered.
     if (query_ != 0) {
-      overrun_ = overrun_ || in.size() > kBehindMost;
-      if (overrun_) in.clear();
+      discarding_input_ = discarding_input_ || in.size() > kMaxPipelinedBytes;
+      if (discarding_input_) in.clear();
       return;
     }
     bool is_new = !parser_.begun();
     parser_.feed(in);
     if (is_new && parser_.begun()) {
-      since_ = front_.loop_.now();
-      // From the first byte and from no later one, or a trickle would last for ever.
-      if (asked_) due_ = since_ + kHalfRequest;
+      state_since_ = server_.loop_.now();
+      // Counts from the first byte only: otherwise a client that sends slowly could keep it open for ever.
+      if (had_request_) request_deadline_ = state_since_ + kRequestTimeout;
     }
     if (parser_.failed()) {
       in.clear();
@@ -56,132 +60,134 @@
     }
     if (!parser_.done()) {
       const std::string* expect = parser_.message().header("expect");
-      if (parser_.head_done() && expect && !continued_ && lower(*expect) == "100-continue") {
-        continued_ = true;
+      if (parser_.head_done() && expect && !sent_continue_ && to_lower(*expect) == "100-continue") {
+        sent_continue_ = true;
         stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
       }
       return;
     }
     HttpMessage m = std::move(parser_.message());
     parser_.reset();
-    asked_ = true;
-    continued_ = false;
+    had_request_ = true;
+    sent_continue_ = false;
     serve(m);
   }
 
   void drained() override {
-    if (query_ == 0 && !parser_.begun()) since_ = front_.loop_.now();
+    if (query_ == 0 && !parser_.begun()) state_since_ = server_.loop_.now();
   }
   void ended() override {
-    if (query_ != 0) front_.router_.withdraw(query_);
-    release();
-    front_.drop(*this);
+    if (query_ != 0) server_.router_.withdraw(query_);
+    release_query();
+    server_.remove(*this);
   }
 
-  // Between requests. One that has not asked yet is about to, or goes when its time for that is over.
-  bool used_and_idle() const { return asked_ && query_ == 0 && !parser_.begun() && stream_->unsent() == 0; }
-  // Which goes first where another one needs the place; 0: none of it. `full`: no descriptor is left.
-  // `crowded`: because of connections that are in use, not of those that linger after their end.
-  int is_worth_shedding(event_loop::Millis now, bool full, bool crowded) const {
+  // Between requests. False before the first request, which is expected soon or ends in a timeout.
+  bool is_idle_after_request() const {
+    return had_request_ && query_ == 0 && !parser_.begun() && stream_->unsent() == 0;
+  }
+  // The connection with the highest rank is evicted first; 0: not to be evicted. Parameters: see
+  // HttpServer::eviction_candidate().
+  int eviction_rank(event_loop::Millis now, bool full, bool crowded) const {
     if (query_ != 0 || stream_->unsent() > 0) return 0;
-    if (!asked_) return now - since_ > kNewConnectionTime ? 3 : full && crowded ? 1 : 0;
-    return parser_.begun() || (!full && now - since_ < kReservedDescriptors) ? 0 : 2;
+    if (!had_request_) return now - state_since_ > kFirstRequestGrace ? 3 : full && crowded ? 1 : 0;
+    return parser_.begun() || (!full && now - state_since_ < kMinIdleBeforeEviction) ? 0 : 2;
   }
-  // Ends the connection if it is overdue. A process that is late has not read all that has arrived: that
-  // counts first.
-  void check(event_loop::Millis now) {
+  // Closes the connection if it is overdue. If this process is running late, input that arrived in time may
+  // be unread: it is read first.
+  void close_if_overdue(event_loop::Millis now) {
     if (!is_overdue(now)) return;
-    look();
+    read_arrived();
     if (!is_overdue(now)) return;
     if (parser_.begun() && stream_->unsent() == 0) return reject_client(408, "a request that does not end");
-    front_.end(*this);
+    server_.close_gracefully(*this);
   }
-  event_loop::Millis since() const { return since_; }
+  event_loop::Millis state_since() const { return state_since_; }
   void close() {
-    if (query_ != 0) front_.router_.withdraw(query_);
-    release();
+    if (query_ != 0) server_.router_.withdraw(query_);
+    release_query();
     stream_->close();
   }
-  // Nothing is owed any more, or what is owed is written.
+  // Begins a lingering close and returns the stream, which no longer refers to this object.
   std::shared_ptr<event_loop::Stream> linger() {
-    // Guards against clients that use a connection which we have ended before they look at it: a request that
-    // is read and dropped is theirs no more, one that is not read they send again.
-    bool rested = query_ == 0 && !parser_.begun() && stream_->unsent() == 0 &&
-                  (!asked_ || front_.loop_.now() - since_ >= kReservedDescriptors);
-    stream_->linger(kSlowReader, kLinger, rested);
+    // A client may send a request before it sees that we closed the connection. If it was read and discarded,
+    // the client could not know whether it was processed; after a reset it can send it again.
+    bool reset_on_input = query_ == 0 && !parser_.begun() && stream_->unsent() == 0 &&
+                          (!had_request_ || server_.loop_.now() - state_since_ >= kMinIdleBeforeEviction);
+    stream_->linger(kResponseReadTimeout, kLingerTimeout, reset_on_input);
     return stream_;
   }
 
  private:
-  // Whether the client takes too long to read its answer, to send its next request, or to finish one.
+  // Whether the client takes too long to read its response, to send its next request, or to complete one.
   bool is_overdue(event_loop::Millis now) const {
     if (query_ != 0) return false;
-    if (stream_->unsent() > 0) return now - since_ > kSlowReader;
-    if (asked_ && !parser_.begun()) return now - since_ > front_.stand_idle();
-    return now > due_;
+    if (stream_->unsent() > 0) return now - state_since_ > kResponseReadTimeout;
+    if (had_request_ && !parser_.begun()) return now - state_since_ > server_.idle_timeout();
+    return now > request_deadline_;
   }
 
   void serve(const HttpMessage& m) {
-    bool keep = m.keep_alive() && !front_.close_after_response_;
+    bool keep = m.keep_alive() && !server_.close_after_response_;
     if (m.target == "/ready" || m.target == "/health") {
       if (m.method != "GET" && m.method != "HEAD")
-        return reply(error_answer(405, "Allow: GET\r\n", "method " + m.method + ", wanted is GET", keep),
+        return reply(error_response(405, "Allow: GET\r\n", "method " + m.method + ", wanted is GET", keep),
                      keep);
-      bool ok = m.target == "/health" || front_.ready_();
-      return reply(http_answer(ok ? 200 : 503, "", "", keep), keep);
+      bool ok = m.target == "/health" || server_.ready_();
+      return reply(http_response(ok ? 200 : 503, "", "", keep), keep);
     }
-    // The time counts from the request's last byte at the latest; its first byte is when we knew of it.
-    Decoded d = decode_query(m, front_.names_, since_);
-    if (d.status == 200 && !front_.live_ids_.insert(d.query.id).second) {
-      // Guards against two queries under one name: their parts could not be told apart at a leaf.
+    // The client's timeout counts from the first byte of the request, when it became known to us.
+    DecodedQuery d = decode_query(m, server_.context_, state_since_);
+    if (d.status == 200 && !server_.open_query_ids_.insert(d.query.id).second) {
+      // Leafs could not distinguish the parts of two queries with the same id.
       d.status = 409;
-      d.wrong = "a name that is in use";
+      d.error = "a name that is in use";
     }
     if (d.status != 200) {
-      front_.list_bad(d.status, d.wrong);
-      return reply(error_answer(d.status, d.status == 405 ? "Allow: POST\r\n" : "", d.wrong, keep), keep);
+      server_.log_rejection(d.status, d.error);
+      return reply(error_response(d.status, d.status == 405 ? "Allow: POST\r\n" : "", d.error, keep), keep);
     }
     id_ = d.query.id;
-    query_ = front_.router_.submit(std::move(d.query), [this, keep](coordination::QueryResult v) {
-      release();
-      bool still = keep && !overrun_ && !front_.close_after_response_;
-      reply(query_response(v, still), still);
+    query_ = server_.router_.submit(std::move(d.query), [this, keep](coordination::QueryResult v) {
+      release_query();
+      bool keep_open = keep && !discarding_input_ && !server_.close_after_response_;
+      reply(query_response(v, keep_open), keep_open);
     });
   }
 
   void reject_client(int status, const char* why) {
-    front_.list_bad(status, why);
-    reply(error_answer(status, "", why, false), false);
+    server_.log_rejection(status, why);
+    reply(error_response(status, "", why, false), false);
   }
 
-  void release() {
+  void release_query() {
     query_ = 0;
-    front_.live_ids_.erase(id_);
+    server_.open_query_ids_.erase(id_);
     id_.clear();
   }
 
   void reply(const std::string& bytes, bool keep) {
-    since_ = front_.loop_.now();
+    state_since_ = server_.loop_.now();
     stream_->write(bytes);
-    keep ? stream_->redeliver() : front_.end(*this);
+    keep ? stream_->redeliver() : server_.close_gracefully(*this);
   }
 
-  HttpServer& front_;
+  HttpServer& server_;
   std::shared_ptr<event_loop::Stream> stream_;
   HttpParser parser_{HttpParser::Mode::request};
   coordination::QueryNumber query_ = 0;
   std::string id_;
-  event_loop::Millis since_;  // of the state it is in
-  event_loop::Millis due_;    // when the request that is awaited or half there must be whole
-  bool asked_ = false, continued_ = false, overrun_ = false;
+  event_loop::Millis state_since_;       // start of the current state, or of the response's transfer
+  event_loop::Millis request_deadline_;  // for the end of the first or of a partially received request
+  bool had_request_ = false, sent_continue_ = false, discarding_input_ = false;
 };
 
 HttpServer::HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router,
-                       const sockaddr_in& address, DecodeContext names, std::size_t max_connections,
+                       const sockaddr_in& address, DecodeContext context, std::size_t max_connections,
                        std::function<bool()> ready, Shared)
     : loop_(loop),
       router_(router),
-      names_(names),
+      context_(context),
       max_connections_(max_connections),
       ready_(std::move(ready)),
       address_(address),
@@ -190,9 +196,9 @@
 }
 
 HttpServer::HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router,
-                       const sockaddr_in& address, DecodeContext names, std::size_t max_connections,
+                       const sockaddr_in& address, DecodeContext context, std::size_t max_connections,
                        std::function<bool()> ready)
-    : HttpServer(loop, router, address, names, connections, std::move(ready), Shared{}) {
+    : HttpServer(loop, router, address, context, max_connections, std::move(ready), Shared{}) {
   shared_ = false;
   listen();
 }
@@ -204,21 +210,21 @@
 }
 
 HttpServer::~HttpServer() {
-  loop_.cancel(sweep_);
+  loop_.cancel(sweep_timer_);
   for (auto& c : connections_) c->close();
 }
 
 void HttpServer::accept(event_loop::UniqueFd fd) {
   auto c = std::make_shared<Connection>(*this);
-  c->begin(std::move(fd));
+  c->start(std::move(fd));
   connections_.insert(c);
-  c->look();
-  // Within our descriptors: one that only stands there may be closed between requests; else no more are
-  // taken.
+  c->read_arrived();
+  // Keeps the number of descriptors within the limit: evicts an idle connection; if there is none, pauses
+  // accepting.
   bool full = connections() >= max_connections_;
-  if (full || connections_.size() > roomy()) reject_over_capacity(full);
-  // What was shed lingers for a moment, and holds its descriptor until then.
-  if (connections() >= max_connections_ && listener_) listener_->pause(kCrowded);
+  if (full || connections_.size() > eviction_threshold()) evict_one(full);
+  // An evicted connection lingers and occupies its descriptor until then.
+  if (connections() >= max_connections_ && listener_) listener_->pause(kAcceptPause);
 }
 
 void HttpServer::stop_listening() {
@@ -226,34 +232,34 @@
   listener_.reset();
 }
 
-// Guards against clients that ask once and hold their connection for good: clients have a share of
-// descriptors as we have, and once those hold all of it no other finds a connection, though we could take
-// more.
-event_loop::Millis HttpServer::stand_idle() const {
-  return connections_.size() > roomy() / 2 ? kMayClose : kStandIdle;
+// Clients that send one request and keep their connection open could use up the clients' own share of
+// descriptors: then no other client can connect, although this server would accept more. Hence the shorter
+// timeout from half the eviction threshold on.
+event_loop::Millis HttpServer::idle_timeout() const {
+  return connections_.size() > eviction_threshold() / 2 ? kCrowdedIdleTimeout : kIdleTimeout;
 }
 
-// What lingers first, then those that never asked, then the one idle for longest.
-void HttpServer::reject_over_capacity(bool full) {
+// Order: lingering connections, then those that never sent a request, then the one idle for longest.
+void HttpServer::evict_one(bool full) {
   event_loop::Millis now = loop_.now();
-  // Guards against clients that rest on after our end: what lingers for them gives no newcomer a place.
+  // Clients may keep their side open after we closed ours: those connections must not block new ones.
   half_closed_.close_oldest();
-  // Guards against a newcomer reset before its request arrived while hardly a connection is in use: what
-  // lingers is over within kLinger.
-  const bool crowded = connections_.size() > roomy();
-  while (std::shared_ptr<Connection> connection = least_needed(now, full, crowded)) {
-    connection->look();  // a request that has arrived by now is served
-    if (connection->is_worth_shedding(now, full, crowded) > 0) return end(*connection);
+  // While few connections are in use, a new one is not evicted before its request arrives: lingering
+  // connections are closed within kLingerTimeout.
+  const bool crowded = connections_.size() > eviction_threshold();
+  while (std::shared_ptr<Connection> connection = eviction_candidate(now, full, crowded)) {
+    connection->read_arrived();  // a request that has arrived by now is still served
+    if (connection->eviction_rank(now, full, crowded) > 0) return close_gracefully(*connection);
   }
 }
 
-std::shared_ptr<HttpServer::Connection> HttpServer::least_needed(event_loop::Millis now, bool full,
-                                                                 bool crowded) const {
+std::shared_ptr<HttpServer::Connection> HttpServer::eviction_candidate(event_loop::Millis now, bool full,
+                                                                       bool crowded) const {
   std::shared_ptr<Connection> best;
   int most = 0;
   for (const auto& c : connections_) {
-    int value = c->is_worth_shedding(now, full, crowded);
-    if (value > most || (value > 0 && value == most && c->since() < best->since())) {
+    int value = c->eviction_rank(now, full, crowded);
+    if (value > most || (value > 0 && value == most && c->state_since() < best->state_since())) {
       best = c;
       most = value;
     }
@@ -261,32 +267,33 @@
   return best;
 }
 
-// Guards against an answer that is lost with its connection, and a request that crosses the end of one.
-void HttpServer::end(Connection& connection) {
+// A lingering close: with a plain one, a response could be lost, or a request that crosses the close.
+void HttpServer::close_gracefully(Connection& connection) {
   auto c = connection.shared_from_this();
   if (connections_.erase(c) == 0) return;
   half_closed_.add(c->linger());
   loop_.destroy_later(std::move(c));
 }
 
-void HttpServer::list_bad(int status, const std::string& why) {
-  if (bad_++ < kListedMost) spdlog::warn("request answered with {}: {}", status, why);
+void HttpServer::log_rejection(int status, const std::string& why) {
+  if (rejections_++ < kMaxLoggedRejections)
+    spdlog::warn("client request rejected with status {}: {}", status, why);
 }
 
-void HttpServer::drop(Connection& connection) {
+void HttpServer::remove(Connection& connection) {
   auto c = connection.shared_from_this();
   if (connections_.erase(c) == 0) return;
   c->close();
   loop_.destroy_later(std::move(c));
 }
 
-// Guards against a request that crosses the closing: what has come by now is read and answered first.
+// Requests that have already arrived are read and answered first.
 void HttpServer::close_idle() {
   auto copy = connections_;
   for (const auto& c : copy)
-    if (c->used_and_idle()) c->look();
+    if (c->is_idle_after_request()) c->read_arrived();
   for (const auto& c : copy)
-    if (c->used_and_idle()) end(*c);
+    if (c->is_idle_after_request()) close_gracefully(*c);
 }
 
 bool HttpServer::busy() const { return connections() > 0; }
@@ -294,13 +301,15 @@
 void HttpServer::sweep() {
   event_loop::Millis now = loop_.now();
   auto copy = connections_;
-  for (const auto& c : copy) c->check(now);
-  if (now >= listed_at_ + kListedEvery) {
-    if (bad_ > kListedMost) spdlog::warn("{} further bad requests are not listed", bad_ - kListedMost);
-    bad_ = 0;
-    listed_at_ = now;
+  for (const auto& c : copy) c->close_if_overdue(now);
+  if (now >= rejection_period_start_ + kRejectionLogPeriod) {
+    if (rejections_ > kMaxLoggedRejections)
+      spdlog::warn("{} further client requests rejected, not logged individually",
+                   rejections_ - kMaxLoggedRejections);
+    rejections_ = 0;
+    rejection_period_start_ = now;
   }
-  sweep_ = loop_.run_at(now + kSweep, [this] { sweep(); });
+  sweep_timer_ = loop_.run_at(now + kSweepInterval, [this] { sweep(); });
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/http_server.hpp
+++ b/src/aggregator/http/http_server.hpp
@@ -1,4 +1,4 @@
-// The platform's front: HTTP/1.1 for clients.
+// HTTP/1.1 server for clients.
 #pragma once
 
 #include <functional>
@@ -11,55 +11,67 @@
 
 namespace winchhall::http {
 
+// Accepts client connections, decodes queries, submits them to the router and writes the responses; also
+// answers GET /ready and /health. Owns its listener and connections; destroying it withdraws open queries and
+// closes all connections. Closes idle connections to keep their number within the limit. Runs on the event
+// loop.
 class HttpServer {
  public:
+  // Listens at once. `ready`: whether GET /ready is answered with 200. `max_connections`: limit of client
+  // connections, lingering ones included. Throws std::system_error if the address can't be bound. `loop`,
+  // `router` and the settings in `context` must outlive this object.
   HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router, const sockaddr_in& address,
-             DecodeContext names, std::size_t max_connections, std::function<bool()> ready);
-  // With other processes of this user, and only once listen() is called.
+             DecodeContext context, std::size_t max_connections, std::function<bool()> ready);
+  // Shares the address with other processes of this user, and listens only after listen() was called.
   struct Shared {};
   HttpServer(event_loop::Loop& loop, coordination::RequestRouter& router, const sockaddr_in& address,
-             DecodeContext names, std::size_t max_connections, std::function<bool()> ready, Shared);
+             DecodeContext context, std::size_t max_connections, std::function<bool()> ready, Shared);
   ~HttpServer();
 
-  // While `on`, an answer is the last one on its connection.
+  // While `on`, each response closes its connection.
   void close_after_response(bool on) { close_after_response_ = on; }
-  void close_idle();  // what stands between requests, once what has come on it is read
-  // `shared` with another process: new connections come here from now on, though `others` listen as well.
-  bool steer_here(int others) { return listener_ && listener_->steer_here(others); }
+  // Closes the connections without an open request, after reading requests that have already arrived on them.
+  void close_idle();
+  // On a shared address: directs all new connections to this process, see event_loop::Listener::steer_here().
+  bool steer_here(int earlier_listeners) { return listener_ && listener_->steer_here(earlier_listeners); }
   void set_max_connections(std::size_t max_connections) { max_connections_ = max_connections; }
-  void set_shard_count(int count) { names_.shards = count; }  // of other settings
+  // After a change of the settings.
+  void set_shard_count(int count) { context_.shards = count; }
   void listen();
   bool is_listening() const { return listener_ != nullptr; }
+  // Accepts what is already in the queue, then closes the listener.
   void stop_listening();
-  bool busy() const;  // a connection is there, if only to its client's end
-  int port() const { return listener_ ? listener_->port() : 0; }
+  bool busy() const;  // whether there is any connection, lingering ones included
+  int port() const { return listener_ ? listener_->port() : 0; }  // 0: not listening
   std::size_t connections() const { return connections_.size() + half_closed_.size(); }
 
  private:
   class Connection;
   void accept(event_loop::UniqueFd fd);
-  void drop(Connection& connection);  // its client has ended it
-  void end(Connection& connection);   // we do
-  void reject_over_capacity(bool full);
-  // The connection to close first, or null if every one is needed.
-  std::shared_ptr<Connection> least_needed(event_loop::Millis now, bool full, bool crowded) const;
-  event_loop::Millis stand_idle() const;
-  std::size_t roomy() const { return max_connections_ * 5 / 8; }  // above it, room is made
-  void list_bad(int status, const std::string& why);
+  void remove(Connection& connection);            // after the client closed it
+  void close_gracefully(Connection& connection);  // with a lingering close
+  void evict_one(bool full);
+  // The connection to evict first, or null if none can be. `full`: no descriptor is left. `crowded`: the
+  // connections in use exceed eviction_threshold(), lingering ones not counted.
+  std::shared_ptr<Connection> eviction_candidate(event_loop::Millis now, bool full, bool crowded) const;
+  event_loop::Millis idle_timeout() const;
+  // Above so many connections, a new one evicts an idle one.
+  std::size_t eviction_threshold() const { return max_connections_ * 5 / 8; }
+  void log_rejection(int status, const std::string& why);
   void sweep();
 
   event_loop::Loop& loop_;
   coordination::RequestRouter& router_;
-  DecodeContext names_;
+  DecodeContext context_;
   std::size_t max_connections_;
   std::function<bool()> ready_;
   bool close_after_response_ = false;
   std::set<std::shared_ptr<Connection>> connections_;
   mutable event_loop::HalfClosedConnections half_closed_{loop_};
-  std::set<std::string> live_ids_;
-  event_loop::TimerId sweep_{};
-  int bad_ = 0;  // requests since listed_at_
-  event_loop::Millis listed_at_ = 0;
+  std::set<std::string> open_query_ids_;
+  event_loop::TimerId sweep_timer_{};
+  int rejections_ = 0;  // since rejection_period_start_
+  event_loop::Millis rejection_period_start_ = 0;
   sockaddr_in address_;
   bool shared_ = false;
   std::unique_ptr<event_loop::Listener> listener_;
--- a/src/aggregator/http/request.cpp
+++ b/src/aggregator/http/request.cpp
@@ -13,40 +13,40 @@
 using coordination::Millis;
 using nlohmann::json;
 
-constexpr Millis kTimeoutMost = 24 * 3600e3;  // no client waits a day: a longer time is a mistake
+constexpr Millis kMaxTimeout = 24 * 3600e3;  // ms; no client waits longer than a day: more is an error
 
-constexpr std::size_t kShown = 60;  // signs of a client's own word that are told back to it
+constexpr std::size_t kMaxEchoedBytes = 60;  // of client input quoted in an error response
 
-std::string names_of(const std::vector<winchhall::ClassSettings>& classes) {
+std::string class_names(const std::vector<winchhall::ClassSettings>& classes) {
   std::string all;
   for (const auto& c : classes) all += (all.empty() ? "" : ", ") + c.name;
   return all;
 }
 
-std::optional<std::uint64_t> hex_key(std::string_view text) {
+std::optional<std::uint64_t> parse_key(std::string_view text) {
   std::uint64_t key = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key, 16);
   if (text.empty()) return std::nullopt;
   if (error == std::errc{} && end == text.data() + text.size()) return key;
-  // Any other word names its subject as well: FNV-1a.
+  // Other strings are valid keys as well; they are hashed with FNV-1a.
   key = 1469598103934665603ULL;
   for (unsigned char c : text) key = (key ^ c) * 1099511628211ULL;
   return key;
 }
 
-std::optional<Millis> read_timeout(const std::string& text) {
+std::optional<Millis> parse_timeout(const std::string& text) {
   double n = 0;
   const char* last = text.data() + text.size();
   auto [end, error] = std::from_chars(text.data(), last, n);
   if (error != std::errc{} || last - end != 1 || !(n > 0) || !std::isfinite(n)) return std::nullopt;
   if (*end != 'm' && *end != 'u') return std::nullopt;
   n = *end == 'm' ? n : n / 1000;
-  return n <= kTimeoutMost ? std::optional(n) : std::nullopt;
+  return n <= kMaxTimeout ? std::optional(n) : std::nullopt;
 }
 
-// Empty, or what is wrong with the body.
-std::string read_spans(const json& from, bool served, coordination::QuerySpec& q) {
-  if (!served) return "'spans': no directory of ranges is followed here, a query names parts";
+// These return an error message, or an empty string.
+std::string read_spans(const json& from, bool supported, coordination::QuerySpec& q) {
+  if (!supported) return "'spans': no directory of ranges is followed here, a query names parts";
   if (from.contains("parts")) return "both 'parts' and 'spans'";
   if (!from["spans"].is_array()) return "'spans' is no list";
   for (const json& row : from["spans"]) {
@@ -81,53 +81,56 @@
   return "";
 }
 
-Decoded wrong(int status, std::string why) { return {status, std::move(why), {}}; }
+DecodedQuery rejected(int status, std::string why) { return {status, std::move(why), {}}; }
 
 }  // namespace
 
-Decoded decode_query(const HttpMessage& m, const DecodeContext& names, Millis arrived) {
+DecodedQuery decode_query(const HttpMessage& m, const DecodeContext& context, Millis arrived) {
   std::string_view path = m.target;
   std::string_view query = path.substr(std::min(path.find('?'), path.size()));
   path = path.substr(0, path.size() - query.size());
-  if (path.empty() || path[0] != '/') return wrong(400, "target: a path is wanted");
+  if (path.empty() || path[0] != '/') return rejected(400, "target: a path is wanted");
   path.remove_prefix(1);
   path = path.substr(0, path.find('/'));
-  Decoded d;
+  DecodedQuery d;
   coordination::QuerySpec& q = d.query;
-  q.query_class = coordination::index_by_name(names.settings.classes, std::string(path));
+  q.query_class = coordination::index_by_name(context.settings.classes, std::string(path));
   if (q.query_class < 0)
-    return wrong(404, "no such class: '" + std::string(path.substr(0, kShown)) + "', known are " +
-                          names_of(names.settings.classes));
-  if (m.method != "POST") return wrong(405, "method " + m.method.substr(0, kShown) + ", wanted is POST");
+    return rejected(404, "no such class: '" + std::string(path.substr(0, kMaxEchoedBytes)) + "', known are " +
+                             class_names(context.settings.classes));
+  if (m.method != "POST")
+    return rejected(405, "method " + m.method.substr(0, kMaxEchoedBytes) + ", wanted is POST");
   const std::string* id = m.header("x-request-id");
   if (!id || !coordination::fit_name(*id))
-    return wrong(400, "X-Request-ID: wanted are 1 to 128 signs, none of them a space");
+    return rejected(400, "X-Request-ID: wanted are 1 to 128 signs, none of them a space");
   q.id = *id;
   if (const std::string* tenant = m.header("x-tenant-id"))
-    q.tenant = coordination::index_by_name(names.settings.tenants, *tenant);
-  Millis timeout = names.settings.classes[static_cast<std::size_t>(q.query_class)].deadline;
+    q.tenant = coordination::index_by_name(context.settings.tenants, *tenant);
+  Millis timeout = context.settings.classes[static_cast<std::size_t>(q.query_class)].deadline;
   if (const std::string* text = m.header("x-timeout")) {
-    auto read = read_timeout(*text);
+    auto read = parse_timeout(*text);
     if (!read)
-      return wrong(400, "X-Timeout '" + text->substr(0, kShown) + "': wanted is a number above 0 and m or u");
+      return rejected(
+          400, "X-Timeout '" + text->substr(0, kMaxEchoedBytes) + "': wanted is a number above 0 and m or u");
     timeout = *read;
   }
-  // The client counts from its sending: what the way took and takes is not ours to use.
+  // The client's timeout runs from its sending: time on the network, in either direction, is not available
+  // here.
   q.give_up_at = coordination::due(arrived, timeout);
   const std::string* retried = m.header("x-retried");
   q.repeat = retried && *retried == "1";
   while (!query.empty()) {
     query.remove_prefix(1);
     std::string_view item = query.substr(0, query.find('&'));
-    if (item.substr(0, 2) == "k=") q.key = hex_key(item.substr(2));
+    if (item.substr(0, 2) == "k=") q.key = parse_key(item.substr(2));
     query.remove_prefix(item.size());
   }
-  if (std::string what = read_body(m.body, names.spans, q); !what.empty()) return wrong(400, what);
-  if (std::string what = coordination::unsound(q, names.shards); !what.empty()) return wrong(400, what);
+  if (std::string what = read_body(m.body, context.spans, q); !what.empty()) return rejected(400, what);
+  if (std::string what = coordination::unsound(q, context.shards); !what.empty()) return rejected(400, what);
   return d;
 }
 
-std::string http_answer(int status, const std::string& headers, const std::string& body, bool keep) {
+std::string http_response(int status, const std::string& headers, const std::string& body, bool keep) {
   const char* reason = status == 200   ? "OK"
                        : status == 400 ? "Bad Request"
                        : status == 404 ? "Not Found"
@@ -142,10 +145,10 @@
          "\r\n\r\n" + body;
 }
 
-std::string error_answer(int status, const std::string& headers, const std::string& why, bool keep) {
-  // Bytes of a client that are no text are passed on as signs that stand for them.
+std::string error_response(int status, const std::string& headers, const std::string& why, bool keep) {
+  // Invalid UTF-8 in quoted client input is replaced by U+FFFD.
   std::string body = json{{"error", why}}.dump(-1, ' ', false, json::error_handler_t::replace);
-  return http_answer(status, headers + "Content-Type: application/json\r\n", body, keep);
+  return http_response(status, headers + "Content-Type: application/json\r\n", body, keep);
 }
 
 std::string query_response(const coordination::QueryResult& v, bool keep) {
@@ -155,11 +158,11 @@
     char advice[64] = "";
     if (v.retry_after > 0)
       std::snprintf(advice, sizeof advice, "Retry-After: %.3f\r\n", v.retry_after / 1000);
-    return error_answer(503, advice, why("refused: too much is asked just now, or servers are missing"),
-                        keep);
+    return error_response(503, advice, why("refused: too much is asked just now, or servers are missing"),
+                          keep);
   }
-  if (v.kind == Kind::invalid) return error_answer(400, "", why("cannot be asked"), keep);
-  if (v.kind == Kind::failed) return error_answer(500, "", why("failed: not enough came in in time"), keep);
+  if (v.kind == Kind::invalid) return error_response(400, "", why("cannot be asked"), keep);
+  if (v.kind == Kind::failed) return error_response(500, "", why("failed: not enough came in in time"), keep);
   json rows = json::array();
   bool spans = false;
   for (const coordination::PartialResult& row : v.rows)
@@ -176,10 +179,10 @@
     }
   std::string body = json{{"exact", v.complete}, {"rows", std::move(rows)}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
-  // The protocol's limit on bodies; a cut answer would be none. Spans are no part of that protocol.
-  if (body.size() > (spans ? kSpansBodyMost : kBodyMost))
-    return error_answer(500, "", "the answer is larger than a body may be", keep);
-  return http_answer(200, "Content-Type: application/json\r\n", body, keep);
+  // A body over the protocol's limit can't be truncated, so it is an error. Spans have a limit of their own.
+  if (body.size() > (spans ? kMaxSpansBodyBytes : kMaxBodyBytes))
+    return error_response(500, "", "the answer is larger than a body may be", keep);
+  return http_response(200, "Content-Type: application/json\r\n", body, keep);
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/request.hpp
+++ b/src/aggregator/http/request.hpp
@@ -1,4 +1,4 @@
-// A client's request and its answer, between HTTP and plain values.
+// Decodes client requests to queries and encodes their results as HTTP responses. No I/O.
 #pragma once
 
 #include <string>
@@ -8,23 +8,30 @@
 
 namespace winchhall::http {
 
-struct DecodeContext {  // what a request may name, from the settings
-  const winchhall::Settings& settings;
-  int shards = 0;      // 0: not stated
-  bool spans = false;  // a directory of ranges is followed: queries may name accounts
+// What requests are validated against.
+struct DecodeContext {
+  const winchhall::Settings& settings;  // classes and tenants; not owned
+  int shards = 0;                       // number of shards; 0: not configured, ids are not checked
+  bool spans = false;                   // a range directory is configured: queries may ask for account spans
 };
 
-struct Decoded {
-  int status = 200;  // else what the request is answered with
-  std::string wrong{};
+// `query` is valid if the status is 200; otherwise the request is rejected with `status` and `error`.
+struct DecodedQuery {
+  int status = 200;
+  std::string error{};
   coordination::QuerySpec query{};
 };
 
-Decoded decode_query(const HttpMessage& message, const DecodeContext& names, coordination::Millis arrived);
+// `arrived`: when the request was received (ms), from which its timeout counts.
+DecodedQuery decode_query(const HttpMessage& message, const DecodeContext& context,
+                          coordination::Millis arrived);
 
-std::string http_answer(int status, const std::string& headers, const std::string& body, bool keep);
-// The same with a body that says what was wrong: {"error":"..."}.
-std::string error_answer(int status, const std::string& headers, const std::string& why, bool keep);
+// A complete HTTP response. `headers`: further header lines, each with its CRLF. `keep`: without "Connection:
+// close".
+std::string http_response(int status, const std::string& headers, const std::string& body, bool keep);
+// Likewise with the JSON body {"error":"<why>"}.
+std::string error_response(int status, const std::string& headers, const std::string& why, bool keep);
+// The response with the result of a query, or with the error it ended with.
 std::string query_response(const coordination::QueryResult& result, bool keep);
 
 }  // namespace winchhall::http
