--- a/src/aggregator/event_loop/listener.cpp
+++ b/src/aggregator/event_loop/listener.cpp
@@ -24,7 +24,7 @@
       ::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0 ||
       ::listen(fd_.get(), 512) < 0 ||
       ::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&bound), &size) < 0)
-    throw std::system_error(errno, std::generic_category(), "listen");
+    throw std::system_error(errno, std::generic_category(), "cannot listen");
   port_ = ntohs(bound.sin_port);
   loop_.add(fd_.get(), POLLIN, [this](short) { accept_now(); });
 }
--- a/src/aggregator/http/frames.cpp
+++ b/src/aggregator/http/frames.cpp
@@ -20,27 +20,29 @@
   std::uint32_t length = 0;
   for (std::size_t i = 0; i < 4; ++i)
     length |= static_cast<std::uint32_t>(static_cast<unsigned char>(in[i])) << (8 * i);
-  bad = length == 0 || length > kFrameMost || (in.size() > 4 && !std::strchr("DKIUOZ", in[4])) ||
+  bad = length == 0 || length > kMaxFrameBytes || (in.size() > 4 && !std::strchr("DKIUOZ", in[4])) ||
         (in.size() > 4 && in[4] == '\0');
-  if (!bad && in.size() > 4 + kLineMost && in[4] == 'O') bad = in.find('\n', 5) > 4 + kLineMost;
+  if (!bad && in.size() > 4 + kMaxAnswerLineBytes && in[4] == 'O')
+    bad = in.find('\n', 5) > 4 + kMaxAnswerLineBytes;
   if (bad || in.size() < 4 + std::size_t{length}) return std::nullopt;
   Frame frame{in[4], in.substr(5, length - 1)};
   in.erase(0, 4 + std::size_t{length});
   return frame;
 }
 
-std::string part_lines(std::string_view part, int shard, long long wait_ms, std::string_view text) {
+std::string encode_part(std::string_view part, int shard, long long wait_ms, std::string_view text) {
   std::string line(part);
   line += " " + std::to_string(shard) + " d=" + std::to_string(wait_ms) + " " + std::to_string(text.size());
   return line.append("\n").append(text);
 }
 
-std::string span_lines(std::string_view part, const coordination::AttemptRequest& o, long long wait_ms) {
+std::string encode_span_part(std::string_view part, const coordination::AttemptRequest& request,
+                             long long wait_ms) {
   std::string line(part);
-  line += " " + std::to_string(o.range) + " d=" + std::to_string(wait_ms) +
-          ",from=" + std::to_string(o.span.from) + ",to=" + std::to_string(o.span.to) +
-          ",rev=" + ranges::text_of(o.revision) + " " + std::to_string(o.text->size());
-  return line.append("\n").append(*o.text);
+  line += " " + std::to_string(request.range) + " d=" + std::to_string(wait_ms) +
+          ",from=" + std::to_string(request.span.from) + ",to=" + std::to_string(request.span.to) +
+          ",rev=" + ranges::text_of(request.revision) + " " + std::to_string(request.text->size());
+  return line.append("\n").append(*request.text);
 }
 
 coordination::Load read_load(std::string_view report) {
@@ -56,8 +58,9 @@
     char* end = nullptr;
     double x = std::strtod(value.c_str(), &end);
     if (value.empty() || *end != 0 || !std::isfinite(x) || x < 0) continue;
-    // Guards against reports that are read under the protocol's example names only: leafs use the names that
-    // the settings list under report.fields, and a choice without reports looks sound until there is load.
+    // Both the names of the protocol's example and those that the settings list under report.fields, which
+    // leafs use: without readable reports, servers would be selected by no load at all, which shows only
+    // under load.
     if (name == "busy_reqs" || name == "inflight") load.in_flight = x;
     if (name == "pending" || name == "queue") load.queued = x;
     if (name == "svc_ms" || name == "latency_ms") load.service_ms = x;
@@ -66,8 +69,8 @@
 }
 
 namespace {
-// Guards against noise passed on as a value: what our JSON bodies could not carry unchanged is no value.
-bool is_text(std::string_view s) {
+// Whether `s` is valid UTF-8 without NUL: other values could not be passed on unchanged in a JSON body.
+bool is_valid_text(std::string_view s) {
   for (std::size_t i = 0; i < s.size();) {
     auto c = static_cast<unsigned char>(s[i]);
     std::size_t n = c < 0x80                ? 1
@@ -99,10 +102,11 @@
   }
   PartAnswer a{std::string(words[0]), 0, {}, payload.substr(line + 1)};
   if (words[1] == "200" || words[1] == "500" || words[1] == "503" || words[1] == "421")
-    a.end = std::stoi(std::string(words[1]));
-  bool scored = !words[2].empty() && words[2].find_first_not_of("+-.0123456789eE") == std::string_view::npos;
-  if (a.part.empty() || a.end == 0 || !scored || !is_text(a.value)) return std::nullopt;
-  // A report that cannot be read is none; the answer stands without it.
+    a.status = std::stoi(std::string(words[1]));
+  bool has_score =
+      !words[2].empty() && words[2].find_first_not_of("+-.0123456789eE") == std::string_view::npos;
+  if (a.part.empty() || a.status == 0 || !has_score || !is_valid_text(a.value)) return std::nullopt;
+  // An unreadable load report does not invalidate the response.
   a.load = read_load(words[3]);
   return a;
 }
--- a/src/aggregator/http/leaf_pool.cpp
+++ b/src/aggregator/http/leaf_pool.cpp
@@ -12,9 +12,9 @@
 using coordination::Outcome;
 
 namespace {
-constexpr double kIdleShare = 0.8;           // of the leaf's idle time: we close first
-constexpr event_loop::Millis kSweep = 1000;  // ms between looks for idle connections
-constexpr std::size_t kComingUpMost = 3;  // connections to one server that come up at once, beside late ones
+constexpr double kIdleTimeoutShare = 0.8;            // of the leaf's idle timeout, so that we close first
+constexpr event_loop::Millis kSweepInterval = 1000;  // ms between checks for idle connections
+constexpr std::size_t kMaxConnecting = 3;            // connections to one server being established at a time
 }  // namespace
 
 LeafPool::LeafPool(event_loop::Loop& loop, coordination::RequestRouter& router, LeafLimits limits)
@@ -23,45 +23,49 @@
 }
 
 LeafPool::~LeafPool() {
-  loop_.cancel(sweep_);
+  loop_.cancel(sweep_timer_);
   for (auto& c : connections_) c->close();
 }
 
-void LeafPool::launch(const coordination::AttemptRequest& order) { gathered_[order.server].push_back(order); }
+void LeafPool::launch(const coordination::AttemptRequest& request) {
+  collected_[request.server].push_back(request);
+}
 
 void LeafPool::flush() {
-  for (auto& [server, orders] : std::exchange(gathered_, {})) {
-    std::size_t most = std::min(limits_.max_parts_per_frame, limits_.max_parts_per_connection);
-    for (std::size_t at = 0; at < orders.size(); at += most) {
-      auto from = orders.begin() + static_cast<std::ptrdiff_t>(at);
-      place(Call(from, from + static_cast<std::ptrdiff_t>(std::min(most, orders.size() - at))));
+  for (auto& [server, requests] : std::exchange(collected_, {})) {
+    std::size_t max_parts = std::min(limits_.max_parts_per_frame, limits_.max_parts_per_connection);
+    for (std::size_t at = 0; at < requests.size(); at += max_parts) {
+      auto from = requests.begin() + static_cast<std::ptrdiff_t>(at);
+      dispatch(Batch(from, from + static_cast<std::ptrdiff_t>(std::min(max_parts, requests.size() - at))));
     }
   }
 }
 
-void LeafPool::place(Call call) {
-  Connection* c = room(call.front(), call.size());
-  if (!c) c = open(call.front().server, call.front().endpoint);
-  if (c) return c->add(std::move(call));
-  // Out of descriptors, or of the connections we allow ourselves: nothing was sent.
-  for (const coordination::AttemptRequest& o : call)
-    router_.attempt_ended(o.attempt, {.outcome = Outcome::unsent, .written = false});
+void LeafPool::dispatch(Batch batch) {
+  Connection* c = find_connection(batch.front(), batch.size());
+  if (!c) c = open(batch.front().server, batch.front().endpoint);
+  if (c) return c->add(std::move(batch));
+  // No connection: descriptors or the connection limit are exhausted. Nothing was sent.
+  for (const coordination::AttemptRequest& request : batch)
+    router_.attempt_ended(request.attempt, {.outcome = Outcome::unsent, .written = false});
 }
 
-// One that is up before one that still comes up; of those the fullest that has room: spare connections fall
-// idle and close.
-LeafPool::Connection* LeafPool::room(const coordination::AttemptRequest& first, std::size_t parts) {
+// Prefers established connections, and among those the one with most attempts that has room, so that surplus
+// connections become idle and are closed.
+LeafPool::Connection* LeafPool::find_connection(const coordination::AttemptRequest& first,
+                                                std::size_t parts) {
   for (;;) {
     Connection* best = nullptr;
     for (auto& c : connections_)
-      if (c->takes(first, parts) &&
-          (!best || std::pair(c->up(), c->live()) > std::pair(best->up(), best->live())))
+      if (c->has_room_for(first, parts) &&
+          (!best || std::pair(c->established(), c->attempt_count()) >
+                        std::pair(best->established(), best->attempt_count())))
         best = c.get();
-    if (!best || !best->up() || !best->idle()) return best;
-    // Guards against a part written to a connection that its leaf has closed as idle: it may have run then,
-    // as far as anybody can tell.
-    best->look();
-    if (best->takes(first, parts)) return best;
+    if (!best || !best->established() || !best->idle()) return best;
+    // Detects whether the leaf has already closed the connection as idle: of a part written to it, nobody
+    // could tell whether it was executed.
+    best->read_arrived();
+    if (best->has_room_for(first, parts)) return best;
   }
 }
 
@@ -72,38 +76,41 @@
     drop(**idle);
   }
   auto c = std::make_shared<Connection>(*this, server, endpoint);
-  if (!c->begin()) return nullptr;
+  if (!c->start()) return nullptr;
   connections_.push_back(c);
   return c.get();
 }
 
-bool LeafPool::has_up(const Connection& beside) const {
+bool LeafPool::has_other_established(const Connection& connection) const {
   return std::any_of(connections_.begin(), connections_.end(), [&](const auto& c) {
-    return c.get() != &beside && c->goes_to(beside.server(), beside.endpoint()) && c->up() && !c->retired();
+    return c.get() != &connection && c->connects_to(connection.server(), connection.endpoint()) &&
+           c->established() && !c->retired();
   });
 }
 
-void LeafPool::open_additional(Connection& late) {
-  auto coming = std::count_if(connections_.begin(), connections_.end(), [&](const auto& c) {
-    return c->goes_to(late.server(), late.endpoint()) && !c->up();
+void LeafPool::open_additional(Connection& slow) {
+  auto connecting = std::count_if(connections_.begin(), connections_.end(), [&](const auto& c) {
+    return c->connects_to(slow.server(), slow.endpoint()) && !c->established();
   });
-  // Never by closing another: it is only for speed.
-  if (static_cast<std::size_t>(coming) < kComingUpMost && connections() < limits_.max_connections)
-    open(late.server(), late.endpoint());
+  // Only an optimization of latency, so it never closes another connection.
+  if (static_cast<std::size_t>(connecting) < kMaxConnecting && connections() < limits_.max_connections)
+    open(slow.server(), slow.endpoint());
 }
 
-// What waits for others that still come up goes out on this one, as far as it has room.
-void LeafPool::came_up(Connection& first) {
+// Moves attempts queued on connections still being established to this one, as far as it has room.
+void LeafPool::on_established(Connection& connection) {
   auto copy = connections_;
   for (auto& c : copy) {
-    if (c.get() == &first || c->up() || !c->goes_to(first.server(), first.endpoint())) continue;
-    for (Call& call : c->take_waiting()) {
-      bool fits = std::all_of(call.begin(), call.end(), [&](const coordination::AttemptRequest& o) {
-        return first.takes(o, call.size());
+    if (c.get() == &connection || c->established() ||
+        !c->connects_to(connection.server(), connection.endpoint()))
+      continue;
+    for (Batch& batch : c->take_queued()) {
+      bool fits = std::all_of(batch.begin(), batch.end(), [&](const coordination::AttemptRequest& request) {
+        return connection.has_room_for(request, batch.size());
       });
-      (fits ? first : *c).add(std::move(call));
+      (fits ? connection : *c).add(std::move(batch));
     }
-    if (c->idle()) drop(*c);  // nothing needs it any more
+    if (c->idle()) drop(*c);  // no longer needed
   }
 }
 
@@ -118,29 +125,29 @@
 }
 
 bool LeafPool::recall(AttemptNumber attempt) {
-  std::size_t gathered = 0;
-  for (auto& [server, orders] : gathered_)
-    gathered += std::erase_if(orders, [&](auto& o) { return o.attempt == attempt; });
-  if (gathered > 0) return true;
-  auto it = where_.find(attempt);
-  if (it == where_.end() || !it->second->recall(attempt)) return false;
-  where_.erase(it);
+  std::size_t removed = 0;
+  for (auto& [server, requests] : collected_)
+    removed += std::erase_if(requests, [&](auto& request) { return request.attempt == attempt; });
+  if (removed > 0) return true;
+  auto it = connection_of_attempt_.find(attempt);
+  if (it == connection_of_attempt_.end() || !it->second->recall(attempt)) return false;
+  connection_of_attempt_.erase(it);
   return true;
 }
 
 void LeafPool::abandon(AttemptNumber attempt) {
-  for (auto& [server, orders] : gathered_)
-    std::erase_if(orders, [&](auto& o) { return o.attempt == attempt; });
-  auto it = where_.find(attempt);
-  if (it == where_.end()) return;
+  for (auto& [server, requests] : collected_)
+    std::erase_if(requests, [&](auto& request) { return request.attempt == attempt; });
+  auto it = connection_of_attempt_.find(attempt);
+  if (it == connection_of_attempt_.end()) return;
   Connection* c = it->second;
-  where_.erase(it);
+  connection_of_attempt_.erase(it);
   c->abandon(attempt);
 }
 
 void LeafPool::probe(const std::string& server, const std::string& endpoint) {
   coordination::AttemptRequest any{.server = server, .endpoint = endpoint};
-  Connection* c = room(any, 0);
+  Connection* c = find_connection(any, 0);
   if (!c) c = open(server, endpoint);
   if (c) return c->probe();
   router_.probe_ended(server, Outcome::unsent, 0, {});
@@ -158,13 +165,14 @@
   close_idle(server);
 }
 
-// A leaf closes what stood idle for its time; a part written from then on would end as a reset.
+// Leafs close idle connections after their timeout; a part written after that would end with a reset.
 void LeafPool::sweep() {
   event_loop::Millis now = loop_.now();
   auto copy = connections_;
   for (auto& c : copy)
-    if (c->idle_since(now - kIdleShare * limits_.idle_timeout) || (c->retired() && c->idle())) drop(*c);
-  sweep_ = loop_.run_at(now + kSweep, [this] { sweep(); });
+    if (c->idle_since(now - kIdleTimeoutShare * limits_.idle_timeout) || (c->retired() && c->idle()))
+      drop(*c);
+  sweep_timer_ = loop_.run_at(now + kSweepInterval, [this] { sweep(); });
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/range_directory.cpp
+++ b/src/aggregator/http/range_directory.cpp
@@ -10,21 +10,21 @@
 namespace winchhall::http {
 namespace {
 using ranges::Taken;
-constexpr event_loop::Millis kFirstAnswer = 3000;    // ms from the question to the first line
-constexpr event_loop::Millis kPollInterval = 500;    // ms between looks for silence
-constexpr std::size_t kLineMost = 16 * 1024 * 1024;  // bytes: a page of ranges; a longer line is a mistake
+constexpr event_loop::Millis kFirstLineTimeout = 3000;     // ms from the request to the first line
+constexpr event_loop::Millis kSilenceCheckInterval = 500;  // ms between checks for a silent watch
+constexpr std::size_t kMaxLineBytes = 16 * 1024 * 1024;    // a page of ranges is smaller; more is an error
 }  // namespace
 
 class RangeDirectory::Watch : public event_loop::Stream::Owner {
  public:
   explicit Watch(RangeDirectory& owner) : owner_(owner), parser_(HttpParser::Mode::streamed) {}
 
-  bool begin(std::string target) {
+  bool start(std::string target) {
     target_ = std::move(target);
     auto to = event_loop::parse_address(owner_.address_);
     int error = 0;
     if (to) stream_ = event_loop::Stream::connect(owner_.loop_, *to, *this, error);
-    expect(owner_.limits_.connect_timeout, "no connection in time");
+    set_timeout(owner_.limits_.connect_timeout, "connect timeout");
     return static_cast<bool>(stream_);
   }
   void close() {
@@ -33,35 +33,35 @@
   }
   void connected() override {
     stream_->write("GET " + target_ + " HTTP/1.1\r\nHost: " + owner_.address_ + "\r\n\r\n");
-    expect(kFirstAnswer, "no answer in time");
+    set_timeout(kFirstLineTimeout, "no response within 3 s");
   }
   void received(std::string& in) override {
     parser_.feed(in);
     HttpMessage& m = parser_.message();
-    if (parser_.failed()) return owner_.over("an answer that cannot be read");
+    if (parser_.failed()) return owner_.on_watch_ended("malformed response");
     if (!parser_.head_done()) return;
-    if (m.status != 200) return owner_.over("status " + std::to_string(m.status));
+    if (m.status != 200) return owner_.on_watch_ended("status " + std::to_string(m.status));
     owner_.loop_.cancel(timer_);
     std::size_t at = 0, end;
-    while (stream_->open() && (end = m.body.find('\n', std::max(at, searched_))) != std::string::npos) {
+    while (stream_->open() && (end = m.body.find('\n', std::max(at, searched_bytes_))) != std::string::npos) {
       std::string line = m.body.substr(at, end - at);
       at = end + 1;
-      searched_ = 0;
-      owner_.told(line);
+      searched_bytes_ = 0;
+      owner_.on_line(line);
     }
     m.body.erase(0, at);
-    searched_ = m.body.size();
-    if (m.body.size() > kLineMost) return owner_.over("a line without an end");
-    if (stream_->open() && parser_.done()) owner_.over("the watch ended");
+    searched_bytes_ = m.body.size();
+    if (m.body.size() > kMaxLineBytes) return owner_.on_watch_ended("line longer than 16 MiB");
+    if (stream_->open() && parser_.done()) owner_.on_watch_ended("closed by the directory");
   }
-  void ended() override { owner_.over("the connection broke"); }
+  void ended() override { owner_.on_watch_ended("connection lost or refused"); }
 
  private:
-  void expect(event_loop::Millis within, const char* what) {
+  void set_timeout(event_loop::Millis within, const char* what) {
     owner_.loop_.cancel(timer_);
     timer_ = owner_.loop_.run_at(owner_.loop_.now() + within, [this, what] {
       timer_ = {};
-      owner_.over(what);
+      owner_.on_watch_ended(what);
     });
   }
 
@@ -69,7 +69,7 @@
   HttpParser parser_;
   std::shared_ptr<event_loop::Stream> stream_;
   std::string target_;
-  std::size_t searched_ = 0;  // of the body, that has no end of a line
+  std::size_t searched_bytes_ = 0;  // length of the body prefix known to contain no line end
   event_loop::TimerId timer_{};
 };
 
@@ -83,21 +83,21 @@
       seed_(seed | 1) {}
 
 RangeDirectory::~RangeDirectory() {
-  loop_.cancel(tick_);
+  loop_.cancel(timer_);
   if (watch_) watch_->close();
 }
 
-void RangeDirectory::start() { tick(); }
+void RangeDirectory::start() { run_due(); }
 
-// xorshift64 (Marsaglia 2003): spreads questions in time, nothing more.
-double RangeDirectory::chance() {
+// xorshift64 (G. Marsaglia, "Xorshift RNGs", J. Stat. Softw. 8(14), 2003); only spreads requests over time.
+double RangeDirectory::random_share() {
   seed_ ^= seed_ << 13;
   seed_ ^= seed_ >> 7;
   seed_ ^= seed_ << 17;
   return static_cast<double>(seed_ >> 11) * 0x1p-53;
 }
 
-void RangeDirectory::ask() {
+void RangeDirectory::open_watch() {
   ++statistics_.requests;
   std::string target = "/v1/ranges?watch=1";
   ranges::Revision held = follower_.map().revision();
@@ -105,63 +105,64 @@
     target += "&incarnation=" + std::to_string(held.incarnation) + "&after=" + std::to_string(held.number);
   follower_.opened(loop_.now());
   watch_ = std::make_shared<Watch>(*this);
-  if (!watch_->begin(target)) over("no socket");
+  if (!watch_->start(target)) on_watch_ended("no connection started");
 }
 
 void RangeDirectory::refresh() {
   follower_.refresh(loop_.now());
-  loop_.defer([this] { tick(); });
+  loop_.defer([this] { run_due(); });
 }
 
-void RangeDirectory::told(const std::string& line) {
+void RangeDirectory::on_line(const std::string& line) {
   follower_.heard(loop_.now());
   if (trim(line).empty()) return;
   std::string fault;
   auto update = read_update(line, fault);
   if (!update) {
     ++statistics_.rejected;
-    spdlog::warn("ranges refused, the old map stays: {}", fault);
-    return over("a line that cannot be read");
+    spdlog::warn("range directory: update rejected, current map stays in use: {}", fault);
+    return on_watch_ended("malformed update");
   }
-  ranges::Revision told = update->revision;
+  ranges::Revision revision = update->revision;
   std::size_t changes = update->changes.size();
   Taken taken = follower_.take(std::move(*update), loop_.now());
   if (taken == Taken::taken) {
     ++statistics_.updates;
-    spdlog::debug("ranges revision {}: {} ranges, {} changes", ranges::text_of(told), follower_.map().size(),
-                  changes);
+    spdlog::debug("range directory: revision {} applied, {} ranges, {} changes", ranges::text_of(revision),
+                  follower_.map().size(), changes);
     router_.update_ranges(follower_.map());
   } else if (taken != Taken::nothing && taken != Taken::page) {
     ++statistics_.rejected;
-    spdlog::warn("ranges refused ({}), the old map stays: {}", name_of(taken), follower_.fault());
+    spdlog::warn("range directory: update rejected ({}), current map stays in use: {}", name_of(taken),
+                 follower_.fault());
   }
-  if (follower_.wants_reopen()) loop_.defer([this] { tick(); });
+  if (follower_.wants_reopen()) loop_.defer([this] { run_due(); });
 }
 
-// Ends the watch; the follower says when the next one begins.
-void RangeDirectory::over(const std::string& why) {
+// Closes the watch; the follower decides when the next one is opened.
+void RangeDirectory::on_watch_ended(const std::string& why) {
   if (!watch_) return;
   watch_->close();
   loop_.destroy_later(std::exchange(watch_, nullptr));
   ++statistics_.failures;
-  spdlog::warn("directory of ranges: {}; revision {} serves on", why,
+  spdlog::warn("range directory: watch ended: {}; map revision {} stays in use", why,
                ranges::text_of(follower_.map().revision()));
-  follower_.broke(loop_.now(), chance());
-  loop_.defer([this] { tick(); });
+  follower_.broke(loop_.now(), random_share());
+  loop_.defer([this] { run_due(); });
 }
 
-void RangeDirectory::tick() {
-  loop_.cancel(tick_);
+void RangeDirectory::run_due() {
+  loop_.cancel(timer_);
   event_loop::Millis now = loop_.now();
-  if (watch_ && follower_.silent(now)) return over("silent");
+  if (watch_ && follower_.silent(now)) return on_watch_ended("no keepalive");
   if (watch_ && follower_.wants_reopen()) {
     watch_->close();
     loop_.destroy_later(std::exchange(watch_, nullptr));
-    follower_.reopening(now, chance());
+    follower_.reopening(now, random_share());
   }
-  if (!watch_ && now >= follower_.ask_at()) ask();
-  tick_ =
-      loop_.run_at(watch_ ? now + kPollInterval : std::max(now + 1, follower_.ask_at()), [this] { tick(); });
+  if (!watch_ && now >= follower_.ask_at()) open_watch();
+  timer_ = loop_.run_at(watch_ ? now + kSilenceCheckInterval : std::max(now + 1, follower_.ask_at()),
+                        [this] { run_due(); });
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/range_protocol.cpp
+++ b/src/aggregator/http/range_protocol.cpp
@@ -11,41 +11,42 @@
 using nlohmann::json;
 
 // Thrown and caught in this file only.
-struct Bad : std::runtime_error {
+struct ParseError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 const json& member(const json& row, const char* key) {
-  if (!row.is_object()) throw Bad("an object is wanted");
+  if (!row.is_object()) throw ParseError("an object is wanted");
   auto it = row.find(key);
-  if (it == row.end()) throw Bad(std::string("'") + key + "' is missing");
+  if (it == row.end()) throw ParseError(std::string("'") + key + "' is missing");
   return *it;
 }
 
-std::uint64_t complete(const json& row, const char* key) {
+std::uint64_t integer(const json& row, const char* key) {
   const json& v = member(row, key);
-  // 2^53 itself is the end of the last range.
+  // 2^53 itself is valid as the end of the last range.
   if (!v.is_number_integer() || v.get<std::int64_t>() < 0 || v.get<std::uint64_t>() > kKeyEnd)
-    throw Bad(std::string("'") + key + "' is " + v.dump() + ", wanted is a whole number from 0 to 2^53");
+    throw ParseError(std::string("'") + key + "' is " + v.dump() +
+                     ", wanted is a whole number from 0 to 2^53");
   return v.get<std::uint64_t>();
 }
 
 double number(const json& row, const char* key) {
   const json& v = member(row, key);
   if (!v.is_number() || !std::isfinite(v.get<double>()))
-    throw Bad(std::string("'") + key + "' is " + v.dump() + ", wanted is a number");
+    throw ParseError(std::string("'") + key + "' is " + v.dump() + ", wanted is a number");
   return v.get<double>();
 }
 
 std::string text(const json& row, const char* key) {
   const json& v = member(row, key);
-  if (!v.is_string()) throw Bad(std::string("'") + key + "' is " + v.dump() + ", wanted is a text");
+  if (!v.is_string()) throw ParseError(std::string("'") + key + "' is " + v.dump() + ", wanted is a text");
   return v.get<std::string>();
 }
 
 const json& list(const json& row, const char* key) {
   const json& v = member(row, key);
-  if (!v.is_array()) throw Bad(std::string("'") + key + "' is no list");
+  if (!v.is_array()) throw ParseError(std::string("'") + key + "' is no list");
   return v;
 }
 
@@ -58,7 +59,7 @@
     }
     std::string role = row.contains("role") ? text(row, "role") : "serving";
     if (role != "serving" && role != "copying" && role != "leaving")
-      throw Bad("role '" + role + "', wanted is serving, copying or leaving");
+      throw ParseError("role '" + role + "', wanted is serving, copying or leaving");
     holders.push_back({text(row, "server"), role == "serving"   ? Role::serving
                                             : role == "copying" ? Role::copying
                                                                 : Role::leaving});
@@ -74,8 +75,8 @@
 
 Range read_range(const json& row) {
   Range r;
-  r.id = complete(row, "id");
-  r.span = {complete(row, "from"), complete(row, "to")};
+  r.id = integer(row, "id");
+  r.span = {integer(row, "from"), integer(row, "to")};
   r.weight = row.contains("weight") ? number(row, "weight") : 1;
   r.holders = std::make_shared<const Holders>(read_holders(list(row, "holders")));
   return r;
@@ -83,16 +84,16 @@
 
 Change read_change(const json& row) {
   std::string op = text(row, "op");
-  Target target{complete(row, "range"), complete(row, "from")};
+  Target target{integer(row, "range"), integer(row, "from")};
   if (op == "split")
     return Split{target,
-                 complete(row, "at"),
-                 complete(row, "left"),
-                 complete(row, "right"),
+                 integer(row, "at"),
+                 integer(row, "left"),
+                 integer(row, "right"),
                  number(row, "left_weight"),
                  number(row, "right_weight")};
   if (op == "merge") {
-    Merge m{target, {complete(row, "with"), complete(row, "with_from")}, complete(row, "merged"), {}};
+    Merge m{target, {integer(row, "with"), integer(row, "with_from")}, integer(row, "merged"), {}};
     if (row.contains("holders")) m.holders = read_holders(list(row, "holders"));
     return m;
   }
@@ -101,7 +102,7 @@
   if (op == "promote") return Promote{target, text(row, "server")};
   if (op == "retire") return Retire{target, text(row, "server")};
   if (op == "remove") return Remove{target, text(row, "server")};
-  throw Bad("op '" + op + "', wanted is split, merge, add, promote, retire, remove or weigh");
+  throw ParseError("op '" + op + "', wanted is split, merge, add, promote, retire, remove or weigh");
 }
 
 json change_json(const Change& change) {
@@ -149,12 +150,12 @@
 
 }  // namespace
 
-std::optional<Update> read_update(const std::string& words, std::string& fault) {
+std::optional<Update> read_update(const std::string& json_text, std::string& fault) {
   Update u;
   std::string where;
   try {
-    json from = json::parse(words);
-    u.revision = {complete(from, "incarnation"), complete(from, "revision")};
+    json from = json::parse(json_text);
+    u.revision = {integer(from, "incarnation"), integer(from, "revision")};
     u.complete = from.contains("ranges");
     u.more = from.contains("more") && from["more"].is_boolean() && from["more"].get<bool>();
     const json& rows = list(from, u.complete ? "ranges" : "changes");
@@ -166,7 +167,7 @@
         u.changes.push_back(read_change(rows[i]));
     }
     return u;
-  } catch (const std::exception& error) {  // ours, or the JSON library's with line and column
+  } catch (const std::exception& error) {  // ParseError, or the JSON library's with line and column
     fault = where + error.what();
     return std::nullopt;
   }
@@ -182,11 +183,11 @@
   return all.dump();
 }
 
-NotMine read_denial(const std::string& words) {
+NotMine read_denial(const std::string& json_text) {
   NotMine denial;
   try {
-    json from = json::parse(words);
-    denial.revision = {complete(from, "incarnation"), complete(from, "revision")};
+    json from = json::parse(json_text);
+    denial.revision = {integer(from, "incarnation"), integer(from, "revision")};
     if (from.contains("successors"))
       for (const json& row : list(from, "successors")) {
         Range r = read_range(row);
