--- a/src/aggregator/admin/admin_server.cpp
+++ b/src/aggregator/admin/admin_server.cpp
@@ -79,7 +79,7 @@
       ::bind(listener_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0 ||
       ::listen(listener_.get(), kBacklog) < 0 ||
       ::getsockname(listener_.get(), reinterpret_cast<sockaddr*>(&bound), &size) < 0)
-    throw std::system_error(errno, std::generic_category(), "the operators' door");
+    throw std::system_error(errno, std::generic_category(), "admin port: cannot listen");
   port_ = ntohs(bound.sin_port);
   loop_.add(to_loop_.get(), POLLIN, [this](short) { execute_commands(); });
   thread_ = std::thread([this] { run_admin_thread(); });
--- a/src/aggregator/membership/discovery.cpp
+++ b/src/aggregator/membership/discovery.cpp
@@ -34,19 +34,20 @@
   void received(std::string& in) override {
     parser_.feed(in);
     HttpMessage& m = parser_.message();
-    if (parser_.failed()) return owner_.finish_call(*this, "an answer that cannot be read");
+    if (parser_.failed()) return owner_.finish_call(*this, "malformed response");
     if (parser_.head_done() && m.status != 200)
       return owner_.finish_call(*this, "status " + std::to_string(m.status));
     if (!parser_.head_done()) return;
     if (watch_) return read_watch(m.body);
     list_text_ += std::exchange(m.body, {});
-    if (list_text_.size() > kMaxListBytes) return owner_.finish_call(*this, "a list too long");
+    if (list_text_.size() > kMaxListBytes)
+      return owner_.finish_call(*this, "endpoint list longer than 4 MiB");
     if (stream_->open() && parser_.done()) finish("");
   }
   void ended() override {
     // Without a request sent the connection failed; otherwise the service closed it.
-    const char* how = !request_sent_ ? "no connection"
-                      : answered_    ? "the watch ended"
+    const char* how = !request_sent_ ? "connection not established"
+                      : answered_    ? "watch closed by the service"
                                      : "closed without an answer";
     if (!request_sent_) refused_ = stream_->refused();
     // An incomplete object means that updates were lost.
@@ -66,16 +67,18 @@
     std::string object;
     for (JsonObjectSplitter::Token token;
          stream_->open() && (token = splitter_.next(object)) != JsonObjectSplitter::Token::none;) {
-      if (token == JsonObjectSplitter::Token::bad) return owner_.finish_call(*this, "what is no list");
+      if (token == JsonObjectSplitter::Token::bad)
+        return owner_.finish_call(*this, "malformed endpoint list");
       owner_.router_.on_list_keepalive();
       if (!answered_ || token == JsonObjectSplitter::Token::object) owner_.on_update(*this, object);
       // From the first token on, EndpointListFreshness detects a silent watch.
       if (stream_->open()) owner_.loop_.cancel(timer_);
     }
-    if (splitter_.buffered_bytes() > kMaxListBytes) return owner_.finish_call(*this, "a list too long");
+    if (splitter_.buffered_bytes() > kMaxListBytes)
+      return owner_.finish_call(*this, "endpoint list longer than 4 MiB");
     if (!stream_->open() || !parser_.done()) return;
     closed_in_order_ = answered_ && splitter_.buffered_bytes() == 0;
-    finish("the watch ended");
+    finish("watch closed by the service");
   }
   void finish(const std::string& how) {
     if (!watch_ && parser_.done()) owner_.on_update(*this, list_text_ + parser_.message().body);
@@ -84,7 +87,7 @@
   void set_timeout(event_loop::Millis within) {
     owner_.loop_.cancel(timer_);
     timer_ = owner_.loop_.run_at(owner_.loop_.now() + within, [this] {
-      owner_.finish_call(*this, "silent for " + std::to_string(static_cast<int>(timeout_)) + " ms");
+      owner_.finish_call(*this, "no response for " + std::to_string(static_cast<int>(timeout_)) + " ms");
     });
     timeout_ = within;
   }
@@ -125,7 +128,7 @@
 void Discovery::start(std::shared_ptr<Call>& slot, bool watch) {
   stop(slot);
   slot = std::make_shared<Call>(*this, watch);
-  if (!slot->begin()) finish_call(*slot, "no socket");
+  if (!slot->begin()) finish_call(*slot, "no connection started");
 }
 
 void Discovery::watch(bool on) {
@@ -134,7 +137,7 @@
   // A watch without an answer yet already serves this request.
   if (watching_ && !watching_->answered_) return;
   if (watching_)
-    spdlog::warn("discovery watch silent or moved, asked anew after {:.0f} ms",
+    spdlog::warn("discovery watch silent or moved, reopened after {:.0f} ms",
                  loop_.now() - watching_->begun_at_);
   start(watching_, true);
 }
@@ -170,7 +173,7 @@
   MemberList list;
   if (!trim(text).empty()) {
     auto read = read_members(text);
-    if (!read) return finish_call(call, "a list that cannot be read");
+    if (!read) return finish_call(call, "malformed endpoint list");
     list = std::move(*read);
     revision_ = list.revision;
     spdlog::info("discovery revision {}: {} {}", list.revision, list.members.size(),
--- a/src/aggregator/membership/endpoint_list_freshness.hpp
+++ b/src/aggregator/membership/endpoint_list_freshness.hpp
@@ -37,6 +37,7 @@
 class EndpointListFreshness {
  public:
   EndpointListFreshness(const EndpointListTerms& terms, std::uint64_t seed) : terms_(terms), random_(seed) {}
+  // Applies changed settings.
   void change(const EndpointListTerms& terms) { terms_ = terms; }
 
   void start(Millis now);                        // with a list from an earlier run, or none
--- a/src/aggregator/membership/quota_reservation.cpp
+++ b/src/aggregator/membership/quota_reservation.cpp
@@ -13,7 +13,8 @@
   if (!(settings.bound >= 0) || settings.fleet < 1 || !(settings.window > 0) || !(settings.lease > 0) ||
       !(settings.drift >= 0 && settings.drift < 0.5))
     throw std::invalid_argument(
-        "escrow: bound >= 0, fleet >= 1, window > 0, lease > 0, 0 <= drift < 0.5 wanted");
+        "quota reservation settings: bound >= 0, fleet >= 1, window > 0, lease > 0 and 0 <= drift < 0.5 "
+        "required");
 }
 
 void QuotaReservation::expire(Millis now) {
