--- a/src/aggregator/membership/quota_reservation.cpp
+++ b/src/aggregator/membership/quota_reservation.cpp
@@ -10,10 +10,10 @@
 }  // namespace
 
 QuotaReservation::QuotaReservation(QuotaReservationSettings settings) : settings_(settings) {
-  if (!(settings.bound >= 0) || settings.fleet < 1 || !(settings.window > 0) || !(settings.lease > 0) ||
+  if (!(settings.bound >= 0) || settings.instances < 1 || !(settings.window > 0) || !(settings.lease > 0) ||
       !(settings.drift >= 0 && settings.drift < 0.5))
     throw std::invalid_argument(
-        "quota reservation settings: bound >= 0, fleet >= 1, window > 0, lease > 0 and 0 <= drift < 0.5 "
+        "quota reservation settings: bound >= 0, instances >= 1, window > 0, lease > 0 and 0 <= drift < 0.5 "
         "required");
 }
 
--- a/src/aggregator/membership/quota_reservation.hpp
+++ b/src/aggregator/membership/quota_reservation.hpp
@@ -25,7 +25,7 @@
 // Parameters; equal in all instances.
 struct QuotaReservationSettings {
   double bound = 0;      // limit for all instances together, in any window
-  int fleet = 1;         // number of instances; each owns bound / fleet
+  int instances = 1;     // number of instances; each owns bound / instances
   Millis window = 1000;  // ms, length of the window
   Millis lease = 2000;   // ms: a loan may be spent this long after its request
   double drift = 0.01;   // maximum relative error of a clock's rate
@@ -46,11 +46,11 @@
 // The account of one instance.
 class QuotaReservation {
  public:
-  // Throws std::invalid_argument for a bound below 0, a fleet below 1, a window or lease not above 0, or a
-  // drift outside [0, 0.5).
+  // Throws std::invalid_argument for a bound below 0, less than one instance, a window or lease not above 0,
+  // or a drift outside [0, 0.5).
   explicit QuotaReservation(QuotaReservationSettings settings);
 
-  double own_share() const { return settings_.bound / settings_.fleet; }
+  double own_share() const { return settings_.bound / settings_.instances; }
   // Amount that may be spent now: own share plus borrowed, less what was spent and lent within the window.
   double free(Millis now);
   // Spends `amount` if it is available; else returns false and changes nothing.
--- a/tests/aggregator/http/client_integration_test.cpp
+++ b/tests/aggregator/http/client_integration_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the platform's front and its clients. Each guards against one failure.
+// The HTTP server with real client connections: parsing, limits, timeouts, eviction and withdrawn queries.
 #include <chrono>
 #include <thread>
 
@@ -7,7 +7,7 @@
 using namespace winchhall;
 using namespace winchhall::testing;
 
-TEST_CASE("a query is served though every byte comes alone") {
+TEST_CASE("a query is served even if it and the responses arrive byte by byte") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   leaf.on_part = [&](const ScriptedLeaf::Part& p) {
@@ -29,7 +29,7 @@
   CHECK(leaf.parts[0].list.substr(0, 2) == "d=");
 }
 
-TEST_CASE("two requests written at once are answered in turn on one connection") {
+TEST_CASE("pipelined requests are answered in order on one connection") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
@@ -40,7 +40,7 @@
   CHECK(s.pool.connections() == 1);
 }
 
-TEST_CASE("malformed requests get their status, and the program goes on") {
+TEST_CASE("malformed requests get the right status, and later requests are served") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
@@ -96,8 +96,8 @@
   CHECK(leaf.parts.size() == 2);
 }
 
-TEST_CASE("clients that say nothing, or half of something, crowd nobody out and are let go") {
-  Stage s;  // holds 100 connections of clients
+TEST_CASE("silent clients and incomplete requests do not block others and are closed") {
+  Stage s;  // at most 100 client connections
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
   std::vector<std::shared_ptr<Peer>> crowd;
@@ -110,7 +110,7 @@
   CHECK(s.front.connections() <= 100);
   event_loop::Millis written = 0;
   s.until([&] {
-    // Slowly enough that its head does not grow too long before its time is up.
+    // Slowly enough that its head does not exceed the size limit before the timeout.
     if (!trickle->over && s.loop.now() > written + 50) {
       trickle->stream->write("x");
       written = s.loop.now();
@@ -119,15 +119,15 @@
     for (const auto& peer : crowd) all = all && (peer->over || has(peer->text, "408"));
     return all;
   });
-  auto late = s.dial();  // the other may have been closed between its requests
+  auto late = s.dial();  // the first may have been closed as idle
   CHECK(has(s.ask(*late, Stage::query("p", kTwoParts)), "\"exact\":true"));
 }
 
-TEST_CASE("connections that linger after their end turn no newcomer away before its request arrives") {
-  Stage s;  // holds 100 connections of clients
+TEST_CASE("lingering connections do not cause a new one to be evicted before its request arrives") {
+  Stage s;  // at most 100 client connections
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
-  // Each is answered 400 and ended, and holds its own end open: none of them reads.
+  // Each gets status 400 and is closed by the server, but keeps its own side open and reads nothing.
   std::vector<event_loop::UniqueFd> ended;
   const std::string nonsense = "nonsense\r\n\r\n";
   const sockaddr_in to = loopback(s.front.port());
@@ -138,15 +138,15 @@
             static_cast<ssize_t>(nonsense.size()));
     s.loop.run_once(1);
   }
-  auto newcomer = s.dial();
-  const event_loop::Millis dialled = s.loop.now();
-  s.until([&] { return s.loop.now() > dialled + 50; });  // accepted by then, with no request
-  CHECK_FALSE(newcomer->over);
-  CHECK(has(s.ask(*newcomer, Stage::query("q", kTwoParts)), "\"exact\":true"));
+  auto new_client = s.dial();
+  const event_loop::Millis connected_at = s.loop.now();
+  s.until([&] { return s.loop.now() > connected_at + 50; });  // by then accepted, without a request
+  CHECK_FALSE(new_client->over);
+  CHECK(has(s.ask(*new_client, Stage::query("q", kTwoParts)), "\"exact\":true"));
 }
 
-TEST_CASE("clients that ask once and hold their connection leave room for others") {
-  Stage s;  // holds 100 connections of clients
+TEST_CASE("idle connections of clients that sent one request are evicted for new ones") {
+  Stage s;  // at most 100 client connections
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
   std::vector<std::shared_ptr<Peer>> holders;
@@ -160,24 +160,24 @@
     holders.push_back(s.dial());
     CHECK(has(s.ask(*holders.back(), Stage::query("r" + std::to_string(i), R"({"id":1,"w":1})")), "200 OK"));
   }
-  CHECK(s.front.connections() <= 71);  // each newcomer took an idle one's place
+  CHECK(s.front.connections() <= 71);  // each new connection evicted an idle one
   s.until([&] { return s.front.connections() < 40; });
   auto client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "\"exact\":true"));
 }
 
 TEST_CASE(
-    "a request that a late process has not read yet is served, though its connection was to be closed as "
+    "a request that arrived while the process was delayed is served, although its connection is overdue as "
     "idle") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
-  // So many connections that idle ones are closed after 2 s.
+  // Enough connections for the short idle timeout of 2 s.
   std::vector<std::shared_ptr<Peer>> peers;
   for (int i = 0; i < 60; ++i) peers.push_back(s.dial());
   for (std::size_t i = 0; i < peers.size(); ++i)
     CHECK(has(s.ask(*peers[i], Stage::query("first-" + std::to_string(i), R"({"id":1,"w":1})")), "200 OK"));
-  // The requests arrive after the process has looked at its sockets and before it looks for idle connections.
+  // The requests arrive after poll() and before the check for idle connections.
   s.loop.run_at(s.loop.now(), [&] {
     for (std::size_t i = 0; i < peers.size(); ++i)
       peers[i]->stream->write(Stage::query("second-" + std::to_string(i), R"({"id":1,"w":1})"));
@@ -190,8 +190,8 @@
 }
 
 TEST_CASE(
-    "a request that has arrived is served, though its idle connection was to make room for a newcomer") {
-  Stage s;  // makes room above 62 connections of clients
+    "a request that has arrived is served, although its idle connection is to be evicted for a new one") {
+  Stage s;  // evicts above 62 client connections
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
   const char* part = R"({"id":1,"w":1})";
@@ -202,21 +202,23 @@
   }
   event_loop::Millis idle_since = s.loop.now();
   s.until([&] { return s.loop.now() > idle_since + 300; });
-  // The newcomer is accepted before the requests are read: all come in one turn of the loop.
+  // All arrive in one iteration of the loop, in which the new connection is accepted before the requests are
+  // read.
   for (std::size_t i = 0; i < peers.size(); ++i)
     peers[i]->stream->write(Stage::query("second-" + std::to_string(i), part));
-  auto newcomer = s.dial();
+  auto new_client = s.dial();
   for (auto& peer : peers) {
     s.until([&] { return !peer->text.empty() || peer->over; });
     CHECK(has(peer->text, "200 OK"));
   }
 }
 
-TEST_CASE("a client that goes on sending after its error still reads it, and none of that is held") {
+TEST_CASE(
+    "a client that keeps sending after an error response can still read it, and its input is not buffered") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
-  // It reads nothing before it has sent all it has.
+  // The client reads nothing before it has sent everything.
   event_loop::UniqueFd client(::socket(AF_INET, SOCK_STREAM, 0));
   sockaddr_in to = loopback(s.front.port());
   REQUIRE(::connect(client.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
@@ -235,7 +237,7 @@
   s.until([&] { return s.front.connections() == 0; });
 }
 
-TEST_CASE("a name in use is not taken twice, and is free once answered") {
+TEST_CASE("a query id in use is rejected, and accepted again after the response") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   std::vector<ScriptedLeaf::Part> held;
@@ -251,7 +253,7 @@
   CHECK(has(s.ask(*two, Stage::query("same", R"({"id":1,"w":1})")), "200 OK"));
 }
 
-TEST_CASE("a client that goes away has its parts given up, and nothing is kept of it") {
+TEST_CASE("when a client disconnects, its parts are cancelled and its query is withdrawn") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   leaf.on_part = [](const ScriptedLeaf::Part&) {};
--- a/tests/aggregator/http/connection_integration_test.cpp
+++ b/tests/aggregator/http/connection_integration_test.cpp
@@ -1,11 +1,12 @@
-// Connections to leafs that come up late, rest, end in the wrong moment; attempts that never left.
+// Connections to leafs: slow to connect, idle, or closed at a bad moment; and attempts that were never
+// written.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "tests/aggregator/support/admin_server_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
 
-TEST_CASE("a part goes out on the connection that is up, not on a fuller one that still comes up") {
+TEST_CASE("a part is written to an established connection, not to a fuller one that is still connecting") {
   Stage s(patient(), {1, 2, 60000, 60000, 50});
   LateDoor door;
   ScriptedLeaf leaf(s.loop);
@@ -18,7 +19,7 @@
   leaf.take(s.loop, std::move(first));
   s.until([&] { return leaf.parts.size() == 2; });
   door.shut();
-  auto waits = s.dial();  // the first connection is full, a second one is called and does not come up
+  auto waits = s.dial();  // the first connection is full, and a second one is never established
   waits->stream->write(Stage::query("q2", R"({"id":5,"w":1})", "lookup", 60000));
   s.until([&] { return s.router.attempts_out() == 3; });
   for (int i = 0; i < 2; ++i) ScriptedLeaf::answer(leaf.parts[static_cast<std::size_t>(i)]);
@@ -28,7 +29,7 @@
   CHECK(leaf.parts[2].id == "q3.6");
 }
 
-TEST_CASE("what waits for a connection that comes up late goes out on the one called beside it") {
+TEST_CASE("a part queued on a connection that is slow to connect causes a second connection") {
   Stage s(patient(), {1, 32, 500, 60000, 50});
   LateDoor door;
   ScriptedLeaf leaf(s.loop);
@@ -36,11 +37,11 @@
   s.begin({member("a", door.port(), 0)});
   auto client = s.dial();
   client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.pool.connections() == 2; }, "one beside the late one");
+  s.until([&] { return s.pool.connections() == 2; }, "a second connection beside the slow one");
   CHECK(leaf.parts.empty());
 }
 
-TEST_CASE("a part is not written after the time that it must be out by, and those behind it are") {
+TEST_CASE("a part is not written after its send_by time, while later ones in the queue are") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
@@ -63,14 +64,15 @@
 }
 
 TEST_CASE(
-    "a connection that its leaf has closed as idle is not written to, though nobody has read that yet") {
+    "no part is written to a connection that its leaf has closed as idle, even if the close is still "
+    "unread") {
   Stage s(patient());
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
   auto client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000)), "\"v1\""));
   REQUIRE(leaf.peers.size() == 1);
-  // The end of it comes after the loop has looked and before the part is written.
+  // The close arrives after poll() and before the part is written.
   bool ended = false;
   coordination::QuerySpec q{
       .id = "q2", .give_up_at = s.loop.now() + 60000, .text = "c41e77d0", .parts = {{1, 1, {}}}};
@@ -83,11 +85,11 @@
   s.router.run();
   s.until([&] { return ended; });
   CHECK(result.kind == coordination::QueryResult::Kind::answered);
-  CHECK(s.router.figures()[0].attempts == 2);  // none was lost on the closed one
+  CHECK(s.router.figures()[0].attempts == 2);  // none was lost on the closed connection
 }
 
-TEST_CASE("attempts that were never written count for none of a part's three") {
-  // Three servers refuse the connection, and one that comes later takes the part.
+TEST_CASE("attempts that were never written do not count towards the limit of three per part") {
+  // Three servers refuse the connection, and one that is added later gets the part.
   Stage s(patient());
   std::vector<int> closed;
   for (int i = 0; i < 3; ++i) {
--- a/tests/aggregator/http/leaf_integration_test.cpp
+++ b/tests/aggregator/http/leaf_integration_test.cpp
@@ -1,11 +1,11 @@
-// Stories of the platform's leafs and the connections to them. Each guards against one failure.
+// Parts sent to scripted leafs: broken connections, damaged responses, unresponsive and replaced leafs.
 #include "tests/aggregator/support/program_fixture.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
 using winchhall::ServerState;
 
-TEST_CASE("a connection that breaks under a part, or is refused, costs an attempt and no answer") {
+TEST_CASE("a broken or refused connection costs an attempt, not the response") {
   Stage s;
   ScriptedLeaf breaks(s.loop), sound(s.loop);
   breaks.on_part = [](const ScriptedLeaf::Part& p) { p.from->stream->close(); };
@@ -27,12 +27,12 @@
   CHECK(s.router.figures()[0].attempts > 12);
 }
 
-TEST_CASE("each way an attempt ends is told as the protocol's table has it") {
+TEST_CASE("each status of a response has the outcome that the protocol defines") {
   CHECK(http::read_answer("x.1 200 5 -\nvalue")->value == "value");
   CHECK(http::read_answer("x.1 503 5 inflight=9\n")->load.in_flight == 9);
   CHECK(!http::read_answer("x.1 999 5 -\n"));
   CHECK(!http::read_answer("x.1 200 5 -"));
-  // A leaf that turns parts away, or errs, is left for the other replica.
+  // After a rejection or an error of one leaf, the other replica is used.
   for (int end : {503, 500}) {
     Stage s;
     ScriptedLeaf bad(s.loop), good(s.loop);
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_CASE("a load report is read under the settings' names, and under those of the protocol's example") {
+TEST_CASE("load reports are parsed with the names of the settings and of the protocol's example") {
   CHECK(http::read_answer("x.1 200 5 busy_reqs=4.774\nv")->load.in_flight == 4.774);
   CHECK(http::read_answer("x.1 200 5 util=0.61,inflight=7\nv")->load.in_flight == 7);
   CHECK(http::read_load("pending=2,svc_ms=8.5").queued == 2);
@@ -53,59 +53,59 @@
   CHECK(!http::read_load("busy_reqs=,busy_reqs=x,=3,,").in_flight);
 }
 
-TEST_CASE("a leaf that speaks nonsense loses its connection and nothing else") {
+TEST_CASE("after invalid frames only the connection of that leaf is closed") {
   Stage s;
-  ScriptedLeaf mad(s.loop), sound(s.loop);
+  ScriptedLeaf faulty(s.loop), sound(s.loop);
   std::string words;
-  SUBCASE("length nought") { words = std::string(8, '\0'); }
+  SUBCASE("length zero") { words = std::string(8, '\0'); }
   SUBCASE("length of gigabytes") { words = "\xff\xff\xff\x7fO"; }
-  SUBCASE("unknown letter") { words = http::make_frame('Q', "?"); }
-  SUBCASE("complaint") { words = http::make_frame('Z', "no such frame"); }
-  SUBCASE("unreadable answer") { words = http::make_frame('O', "only words"); }
-  mad.on_part = [&](const ScriptedLeaf::Part& p) { p.from->stream->write(words); };
-  s.begin({member("a", mad.listener.port(), 0), member("b", sound.listener.port(), 1)});
+  SUBCASE("unknown type") { words = http::make_frame('Q', "?"); }
+  SUBCASE("error message") { words = http::make_frame('Z', "no such frame"); }
+  SUBCASE("malformed response") { words = http::make_frame('O', "only words"); }
+  faulty.on_part = [&](const ScriptedLeaf::Part& p) { p.from->stream->write(words); };
+  s.begin({member("a", faulty.listener.port(), 0), member("b", sound.listener.port(), 1)});
   auto client = s.dial();
   for (int i = 0; i < 3; ++i)
     CHECK(has(s.ask(*client, Stage::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
 }
 
-TEST_CASE("a spoilt answer is an attempt that failed at once, and its leaf stays trusted") {
+TEST_CASE("a damaged response fails one attempt at once, and its leaf stays selectable") {
   Stage s(patient());
   ScriptedLeaf a(s.loop), b(s.loop);
-  auto framed = [](const ScriptedLeaf::Part& p, const std::string& rest) {
+  auto send_frame = [](const ScriptedLeaf::Part& p, const std::string& rest) {
     p.from->stream->write(http::make_frame('O', rest));
   };
-  std::function<void(const ScriptedLeaf::Part&)> spoil;
+  std::function<void(const ScriptedLeaf::Part&)> send_damaged;
   SUBCASE("another id") {
-    spoil = [&](const ScriptedLeaf::Part& p) { framed(p, "0123456789abcdef.3 200 7 -\nv"); };
+    send_damaged = [&](const ScriptedLeaf::Part& p) { send_frame(p, "0123456789abcdef.3 200 7 -\nv"); };
   }
-  SUBCASE("an end that is none") {
-    spoil = [&](const ScriptedLeaf::Part& p) { framed(p, p.id + " ? 7 -\nv"); };
+  SUBCASE("an unknown status") {
+    send_damaged = [&](const ScriptedLeaf::Part& p) { send_frame(p, p.id + " ? 7 -\nv"); };
   }
-  SUBCASE("a value that no body can carry") {
-    spoil = [&](const ScriptedLeaf::Part& p) { framed(p, p.id + " 200 7 -\n\xff\xfe"); };
+  SUBCASE("a value that is not UTF-8") {
+    send_damaged = [&](const ScriptedLeaf::Part& p) { send_frame(p, p.id + " 200 7 -\n\xff\xfe"); };
   }
-  SUBCASE("a line that never ends") {
-    spoil = [&](const ScriptedLeaf::Part& p) {
+  SUBCASE("a first line without an end") {
+    send_damaged = [&](const ScriptedLeaf::Part& p) {
       p.from->stream->write(std::string("\x00\xff\x00\x00O", 5) + std::string(9000, 'x'));
     };
   }
-  SUBCASE("a length that does not fit") {
-    spoil = [&](const ScriptedLeaf::Part& p) {
+  SUBCASE("a length that is too large") {
+    send_damaged = [&](const ScriptedLeaf::Part& p) {
       p.from->stream->write(std::string("\x60\x00\x00\x00O", 5) + p.id + " 200 7 -\nv");
     };
   }
-  SUBCASE("a value said to be of gigabytes") {
-    spoil = [&](const ScriptedLeaf::Part& p) {
+  SUBCASE("a length of gigabytes") {
+    send_damaged = [&](const ScriptedLeaf::Part& p) {
       p.from->stream->write("\xd0\x5e\xd0\xb2O" + p.id + " 200 7 -\n" + std::string(30000, 'x'));
     };
   }
-  // Three parts are out on the connection when one answer on it is spoilt.
+  // Three parts are open on the connection when one of their responses is damaged.
   s.begin({member("a", a.listener.port(), 0)});
   std::vector<ScriptedLeaf::Part> held;
   a.on_part = [&](const ScriptedLeaf::Part& p) {
     held.push_back(p);
-    if (held.size() == 3) spoil(held[1]);
+    if (held.size() == 3) send_damaged(held[1]);
   };
   auto client = s.dial();
   client->stream->write(
@@ -121,22 +121,22 @@
   CHECK(a.parts.size() > 10);
 }
 
-TEST_CASE("what stands behind a good answer spoils no later one, nor does a report that cannot be read") {
+TEST_CASE("surplus bytes after a response do not damage later ones, nor does an unreadable load report") {
   Stage s(patient());
   ScriptedLeaf leaf(s.loop);
-  std::string behind, report = "-";
-  SUBCASE("the front of a frame") { behind = std::string("\x40\x00\x00\x00O", 5); }
-  SUBCASE("noise") {
-    behind =
+  std::string surplus, report = "-";
+  SUBCASE("the beginning of a frame") { surplus = std::string("\x40\x00\x00\x00O", 5); }
+  SUBCASE("random bytes") {
+    surplus =
         "j\xd5\x8c\xb5"
         "E\x90)*\r\n\r\n";
   }
-  SUBCASE("a second copy") { behind = "copy"; }
+  SUBCASE("a second copy") { surplus = "copy"; }
   SUBCASE("no report") { report = "%%%"; }
-  SUBCASE("a report that is no number") { report = "busy_reqs=nan,pending=-3"; }
+  SUBCASE("a report without valid numbers") { report = "busy_reqs=nan,pending=-3"; }
   leaf.on_part = [&](const ScriptedLeaf::Part& p) {
     std::string good = http::make_frame('O', p.id + " 200 7 " + report + "\nv");
-    p.from->stream->write(good + (behind == "copy" ? good : behind));
+    p.from->stream->write(good + (surplus == "copy" ? good : surplus));
   };
   s.begin({member("a", leaf.listener.port(), 0)});
   auto client = s.dial();
@@ -148,18 +148,18 @@
   CHECK(!http::read_load("busy_reqs=nan,pending=-3,svc_ms=inf").queued);
 }
 
-TEST_CASE("connections to a server that is gone are closed, and one of a new name is called") {
+TEST_CASE("connections to a removed server are closed, and its replacement is used") {
   Stage s;
   ScriptedLeaf old(s.loop), fresh(s.loop);
   s.begin({member("a", old.listener.port(), 0)});
   auto client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "200 OK"));
-  bool named = false;
-  SUBCASE("not in the whole list") {}
-  SUBCASE("named as gone") { named = true; }
+  bool listed_as_removed = false;
+  SUBCASE("absent from a complete list") {}
+  SUBCASE("listed as removed") { listed_as_removed = true; }
   auto removed = member("a", old.listener.port(), 0, ServerState::removed);
   auto next = member("b", fresh.listener.port(), 0);
-  if (named)
+  if (listed_as_removed)
     s.router.list(winchhall::ServerList::Kind::changes, {removed, next});
   else
     s.router.list(winchhall::ServerList::Kind::complete, {next});
@@ -169,7 +169,7 @@
   CHECK(fresh.parts.size() == 2);
 }
 
-TEST_CASE("more parts than a connection carries go on a further one, and calls hold no more than a batch") {
+TEST_CASE("parts beyond the limit of a connection open another one, and frames keep their limit of parts") {
   Stage s(two_classes(), {2, 4, 250, 30000, 50});
   ScriptedLeaf leaf(s.loop);
   std::vector<ScriptedLeaf::Part> held;
@@ -187,7 +187,7 @@
   CHECK(has(s.answer(*client), "\"exact\":true"));
 }
 
-TEST_CASE("an idle connection is closed before the leaf does it") {
+TEST_CASE("an idle connection is closed before the idle timeout of the leaf") {
   Stage s(two_classes(), {1, 32, 250, 500, 50});
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
@@ -198,27 +198,27 @@
   CHECK(leaf.peers.size() == 2);
 }
 
-TEST_CASE("a connection that falls silent is left, and its leaf is called on a new one") {
+TEST_CASE("an unresponsive connection is retired, and its leaf is used on a new one") {
   winchhall::Settings settings = patient();
-  settings.classes[0].latency_target = 400;  // patience is half of it
+  settings.classes[0].latency_target = 400;  // half of it is the wait for a response
   Stage s(settings);
   ScriptedLeaf leaf(s.loop), other(s.loop);
   s.begin({member("a", leaf.listener.port(), 0), member("b", other.listener.port(), 1)});
   auto client = s.dial();
-  // The first connection to the leaf answers nothing, ever; all later ones do.
+  // The first connection to the leaf never responds; all later ones do.
   leaf.on_part = [&](const ScriptedLeaf::Part& p) {
     if (p.from != leaf.peers[0].get()) ScriptedLeaf::answer(p, 200, "-");
   };
   other.on_part = [](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, 200, "-"); };
   int asked = 0;
-  // The leaf is set aside for a while, and then tried with a part.
-  event_loop::Millis give_up = s.loop.now() + 30000;  // only ends a test that fails
+  // The leaf is not selected for a while, and then tried with a part.
+  event_loop::Millis give_up = s.loop.now() + 30000;  // only ends a failing test
   while (leaf.peers.size() < 2 && s.loop.now() < give_up)
     s.ask(*client, Stage::query("q" + std::to_string(++asked), kTwoParts, "lookup", 50000));
   CHECK(leaf.peers.size() == 2);
 }
 
-TEST_CASE("a machine that came back is called on new connections") {
+TEST_CASE("a restarted server is used on new connections") {
   Stage s;
   ScriptedLeaf leaf(s.loop);
   coordination::Member m = member("a", leaf.listener.port(), 0);
--- a/tests/aggregator/membership/discovery_integration_test.cpp
+++ b/tests/aggregator/membership/discovery_integration_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the platform's discovery. Each guards against one failure.
+// The discovery client with a scripted service.
 #include "aggregator/membership/member_list.hpp"
 #include "tests/aggregator/support/program_fixture.hpp"
 
@@ -6,7 +6,7 @@
 using namespace winchhall::testing;
 using winchhall::ServerState;
 
-TEST_CASE("discovery that fails is asked again, the list is kept, and a drain is obeyed") {
+TEST_CASE("failed discovery calls are retried, the list is kept, and a drain takes effect") {
   winchhall::Settings settings = two_classes();
   settings.list_on_request = true;
   settings.max_poll_interval = 1000;
@@ -45,7 +45,7 @@
   auto client = s.dial();
   s.until([&] { return calls >= 2; });
   CHECK(has(s.ask(*client, Stage::query("kept", kTwoParts)), "\"exact\":true"));
-  s.until([&] { return s.router.lists_delivered() >= 4; });  // the cached one, two failures, the drain
+  s.until([&] { return s.router.lists_delivered() >= 4; });  // the initial list, two failures, the drain
   CHECK(has(after, "GET /v1/endpoints?watch=1&after=5 "));
   std::size_t at_drain = a.parts.size();
   for (int i = 0; i < 10; ++i)
@@ -53,7 +53,7 @@
   CHECK(a.parts.size() == at_drain);
 }
 
-TEST_CASE("a list that cannot be read changes nothing") {
+TEST_CASE("malformed endpoint lists are rejected") {
   CHECK(!http::read_members("{"));
   CHECK(!http::read_members("[]"));
   CHECK(!http::read_members(R"({"revision":1})"));
--- a/tests/aggregator/membership/endpoint_list_integration_test.cpp
+++ b/tests/aggregator/membership/endpoint_list_integration_test.cpp
@@ -1,4 +1,4 @@
-// The list of servers at its narrow moments, over real connections.
+// Endpoint lists over real connections that end or are reset in the middle of a list.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <sys/socket.h>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Discovery at the other end of one call: what it writes and how it ends is the test's.
+// The discovery service on one connection; the test decides what it writes and how the connection ends.
 struct Call {
   Call() : listener(loop, loopback(0), [this](event_loop::UniqueFd accepted) { fd = std::move(accepted); }) {
     spdlog::set_level(spdlog::level::off);
@@ -18,7 +18,7 @@
                                                   "127.0.0.1:" + std::to_string(listener.port()), 0, 250);
   }
   void until(const std::function<bool()>& done) {
-    event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
+    event_loop::Millis give_up = loop.now() + 60000;  // only ends a hanging test
     while (!done()) {
       loop.run_once(20);
       router.run();
@@ -26,11 +26,11 @@
     }
   }
   void write(const std::string& text) {
-    // What is left unread would make a reset of our end.
+    // Closing with unread input would send a reset.
     char request[4096];
     until([&] { return ::recv(fd.get(), request, sizeof request, 0) > 0; });
     REQUIRE(::send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
-    // It is in the other socket by now: each turn reads it.
+    // The text is in the other socket by now; the iterations read it.
     for (int i = 0; i < 3; ++i) loop.run_once(1);
   }
   void reset() {
@@ -54,21 +54,21 @@
 
 }  // namespace
 
-TEST_CASE("a list without a length is whole at the end of its connection, and not at a reset") {
+TEST_CASE("a list without a length is complete when its connection is closed, but not when it is reset") {
   Call c;
   c.discovery->fetch();
   c.until([&] { return static_cast<bool>(c.fd); });
   c.write(std::string("HTTP/1.1 200 OK\r\n\r\n") + kList);
-  std::size_t told = c.router.lists_delivered();
+  std::size_t delivered = c.router.lists_delivered();
   bool resets = false;
   SUBCASE("reset") { resets = true; }
   SUBCASE("end") {}
   resets ? c.reset() : c.fd.reset();
-  c.until([&] { return c.router.lists_delivered() > told; });
+  c.until([&] { return c.router.lists_delivered() > delivered; });
   CHECK(c.router.known_servers() == (resets ? 0 : 1));
 }
 
-TEST_CASE("half an object of a watch is no news, whether it is reset or ended behind it") {
+TEST_CASE("an incomplete object of a watch is not applied, whether the watch is closed or reset after it") {
   Call c;
   c.discovery->watch(true);
   c.until([&] { return static_cast<bool>(c.fd); });
@@ -76,8 +76,8 @@
   bool resets = false;
   SUBCASE("reset") { resets = true; }
   SUBCASE("end") {}
-  std::size_t told = c.router.lists_delivered();
+  std::size_t delivered = c.router.lists_delivered();
   resets ? c.reset() : c.fd.reset();
-  c.until([&] { return c.router.lists_delivered() > told; });  // that the call failed
+  c.until([&] { return c.router.lists_delivered() > delivered; });  // the failed call
   CHECK(c.router.known_servers() == 0);
 }
