--- a/tests/aggregator/http/client_integration_test.cpp
+++ b/tests/aggregator/http/client_integration_test.cpp
@@ -100,10 +100,10 @@
   Stage s;  // at most 100 client connections
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
-  std::vector<std::shared_ptr<Peer>> crowd;
+  std::vector<std::shared_ptr<Peer>> stalled_clients;
   for (int i = 0; i < 150; ++i) {
-    crowd.push_back(s.dial());
-    if (i % 3 == 0) crowd.back()->stream->write("POST /lookup HTTP/1.1\r\nX-Request-ID: ");
+    stalled_clients.push_back(s.dial());
+    if (i % 3 == 0) stalled_clients.back()->stream->write("POST /lookup HTTP/1.1\r\nX-Request-ID: ");
   }
   auto trickle = s.dial(), client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "\"exact\":true"));
@@ -116,7 +116,7 @@
       written = s.loop.now();
     }
     bool all = trickle->over || has(trickle->text, "408");
-    for (const auto& peer : crowd) all = all && (peer->over || has(peer->text, "408"));
+    for (const auto& peer : stalled_clients) all = all && (peer->over || has(peer->text, "408"));
     return all;
   });
   auto late = s.dial();  // the first may have been closed as idle
