--- a/bench/ranges_bench.cpp
+++ b/bench/ranges_bench.cpp
@@ -97,7 +97,7 @@
   std::size_t i = 0;
   std::string why;
   for (auto _ : state) {
-    Place p = map.find(list[i++ & 0xffff]);
+    RangeView p = map.find(list[i++ & 0xffff]);
     auto next = apply(
         map,
         Split{{p.id, p.span.from}, p.span.from + p.span.size() / 2, map.next_id(), map.next_id() + 1, 1, 1},
--- a/src/aggregator/app/aggregator_process.cpp
+++ b/src/aggregator/app/aggregator_process.cpp
@@ -105,12 +105,12 @@
   dynamic_config::FileConfigOptions o;
   o.folder = config.folder;
   o.store = config.store;
-  o.most_bytes = config.most_bytes;
+  o.max_file_bytes = config.most_bytes;
   o.bounds.zones = {config.zones.begin(), config.zones.end()};
   o.bounds.cells = config.cells;
-  o.limits.drop_share = config.drop_share;
+  o.limits.max_removed_share = config.drop_share;
   o.limits.drain_time = config.drain_time;
-  o.read = read_set;
+  o.parse_files = read_set;
   return o;
 }
 
--- a/src/aggregator/app/files_command.cpp
+++ b/src/aggregator/app/files_command.cpp
@@ -21,8 +21,9 @@
                                                 const dynamic_config::Bounds& bounds,
                                                 std::vector<dynamic_config::Fault>& faults) {
   dynamic_config::FolderContents look = dynamic_config::read_config_folder(folder, kFileMost);
-  if (!look.there) throw std::runtime_error(folder + ": no such folder");
-  if (look.disturbed) throw std::runtime_error(folder + ": somebody writes to it just now, try again");
+  if (!look.exists) throw std::runtime_error(folder + ": no such folder");
+  if (look.changed_while_read)
+    throw std::runtime_error(folder + ": somebody writes to it just now, try again");
   faults = look.faults;
   if (!faults.empty()) return nullptr;
   dynamic_config::Rows rows;
@@ -62,11 +63,11 @@
     throw std::runtime_error("'" + digest +
                              "' is no generation: 16 hex digits are wanted, as `files history` has them");
   auto store = open_store(path);
-  auto id = store->leave(word, std::stoull(digest, nullptr, 16));
+  auto id = store->add_command(word, std::stoull(digest, nullptr, 16));
   if (!id) throw std::runtime_error(path + ": " + store->fault());
   for (int i = 0; i < kMaxAnswerPolls; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
-    auto order = store->order(*id);
+    auto order = store->find_command(*id);
     if (!order || order->answer.empty()) continue;
     std::cout << word << " " << digest << ": " << order->answer << "\n";
     return order->answer == "done" ? 0 : 1;
@@ -84,7 +85,7 @@
   if (o.json) {
     nlohmann::json rows = nlohmann::json::array();
     for (const auto& f : faults)
-      rows.push_back({{"file", dynamic_config::file_of(f.kind)}, {"line", f.line}, {"what", f.what}});
+      rows.push_back({{"file", dynamic_config::file_name(f.kind)}, {"line", f.line}, {"what", f.what}});
     nlohmann::json all{{"folder", o.folder}, {"sound", made != nullptr}, {"faults", rows}};
     if (made) all["generation"] = dynamic_config::digest_text(made->digest);
     std::cout << all.dump() << "\n";
--- a/src/aggregator/app/ranges_command.cpp
+++ b/src/aggregator/app/ranges_command.cpp
@@ -66,7 +66,8 @@
   void line(const std::string& text) {
     if (http::trim(text).empty()) return;
     auto update = http::read_update(text, fault_);
-    if (update && follower_.take(std::move(*update), 0) != Taken::taken) fault_ = follower_.fault();
+    if (update && follower_.apply_update(std::move(*update), 0) != UpdateResult::applied)
+      fault_ = follower_.fault();
   }
 
   std::string address_, fault_;
@@ -118,7 +119,7 @@
 
 std::string show_map(const RangeMap& map, const Span& within, bool as_json) {
   Update u{map.revision(), true, false, {}, {}};
-  map.visit(within, [&](const Place& p) {
+  map.visit(within, [&](const RangeView& p) {
     u.ranges.push_back({p.id, p.span, p.weight, *p.holders});
     return true;
   });
@@ -136,7 +137,7 @@
                     {"from", p.span.from},
                     {"to", p.span.to},
                     {"weight", p.weight},
-                    {"holders", serving(*p.holders)}});
+                    {"holders", serving_servers(*p.holders)}});
     if (p.hint) rows.back()["hint_us"] = *p.hint * 1000;
     char share[32];
     std::snprintf(share, sizeof share, "%.4f", p.weight);
--- a/src/aggregator/app/xml/operator_module.cpp
+++ b/src/aggregator/app/xml/operator_module.cpp
@@ -118,7 +118,7 @@
     });
     if (!doc) continue;
     xmlNode* root = xmlDocGetRootElement(doc.get());
-    std::string wanted = file_of(kind);
+    std::string wanted = file_name(kind);
     wanted.resize(wanted.size() - 4);
     if (xml::name_of(root) != wanted) {
       faults.push_back(
--- a/src/aggregator/coordination/request_router.cpp
+++ b/src/aggregator/coordination/request_router.cpp
@@ -84,7 +84,7 @@
       const QueryPart& p = state.parts[i].spec;
       e.parts.push_back({part_id(number, i), p.shard, p.weight, p.hint, {}});
       if (const auto& span = state.parts[i].span)
-        e.parts.back().holders = ranges::serving(*span->planned.holders);
+        e.parts.back().holders = ranges::serving_servers(*span->planned.holders);
     }
     handle(std::move(e));
     // The range map may have changed since planning, when update_ranges() skipped this query.
@@ -280,7 +280,7 @@
   if (p.span) {
     ++p.span->out;
     p.span->asked = p.span->planned.revision;
-    q.coverage->sent(p.span->planned.span);
+    q.coverage->on_sent(p.span->planned.span);
   }
   attempt_ends_.insert({state.until, attempt});
   attempts_[attempt] = state;
@@ -319,7 +319,7 @@
     q.parts[a.part].values = std::move(r.values);
   }
   bool denies = q.coverage && open && r.outcome == Outcome::not_mine;
-  if (denies && !r.denial) r.denial = std::make_shared<const ranges::NotMine>();
+  if (denies && !r.denial) r.denial = std::make_shared<const ranges::Denial>();
   if (denies)
     denied(a.query, a.part, r, false);
   else if (q.coverage && q.parts[a.part].span->on_hold && open && !ok)
--- a/src/aggregator/coordination/request_router.hpp
+++ b/src/aggregator/coordination/request_router.hpp
@@ -103,8 +103,8 @@
   Outcome outcome = Outcome::ok;
   std::vector<std::string> values{};
   Load load{};
-  std::shared_ptr<const ranges::NotMine> denial{};  // Outcome::not_mine
-  bool written = true;                              // false: the request was not completely written
+  std::shared_ptr<const ranges::Denial> denial{};  // Outcome::not_mine
+  bool written = true;                             // false: the request was not completely written
 };
 
 // Detects a connection that is open but no longer answers, while its server would answer on a new one.
--- a/src/aggregator/coordination/request_router_ranges.cpp
+++ b/src/aggregator/coordination/request_router_ranges.cpp
@@ -74,24 +74,24 @@
     case Decision::Kind::keep:
       if (p.on_hold) holders(number, d.parts[0], false);
       return;
-    case Decision::Kind::hold_back: {
+    case Decision::Kind::defer: {
       range_migrations_.on_hold += !p.on_hold;
       p.on_hold = true;
       // The replicas of its successors. While the attempt is in flight, the coordinator uses them only to
       // decide whether to abandon an unresponsive server.
       HoldersChanged e{part_id(number, d.parts[0]), {}};
       for (const PlannedPart& s : d.successors)
-        for (std::string& server : ranges::serving(*s.holders))
+        for (std::string& server : ranges::serving_servers(*s.holders))
           if (std::find(e.holders.begin(), e.holders.end(), server) == e.holders.end())
             e.holders.push_back(std::move(server));
       return handle(e);
     }
-    case Decision::Kind::elsewhere:
+    case Decision::Kind::reassign:
       ++range_migrations_.elsewhere;
       p.planned = d.successors[0];
       return holders(number, d.parts[0], false);
     case Decision::Kind::replace:
-    case Decision::Kind::join:
+    case Decision::Kind::merge:
       // An earlier decision of this loop may have caused an attempt (for a spare), and the coordinator
       // ignores the replacement of parts in flight. These are replanned when their attempts end.
       if (std::any_of(d.parts.begin(), d.parts.end(),
@@ -99,7 +99,7 @@
         for (std::size_t i : d.parts) q.parts[i].span->on_hold |= q.parts[i].span->out > 0;
         return;
       }
-      ++(d.kind == Decision::Kind::join ? range_migrations_.joined : range_migrations_.replaced);
+      ++(d.kind == Decision::Kind::merge ? range_migrations_.joined : range_migrations_.replaced);
       return replace(number, d);
   }
 }
@@ -108,7 +108,7 @@
   SpanPart& p = *queries_.at(number).parts[part].span;
   p.on_hold = on_hold;
   HoldersChanged e{part_id(number, part), {}};
-  if (!on_hold) e.holders = ranges::serving(*p.planned.holders);
+  if (!on_hold) e.holders = ranges::serving_servers(*p.planned.holders);
   handle(e);
 }
 
@@ -121,7 +121,7 @@
   }
   for (const PlannedPart& s : d.successors) {
     e.successors.push_back(
-        {part_id(number, q.parts.size()), 0, s.weight, s.hint, ranges::serving(*s.holders)});
+        {part_id(number, q.parts.size()), 0, s.weight, s.hint, ranges::serving_servers(*s.holders)});
     q.parts.push_back(span_part(s));
     ++q.held;
     ++held_;
@@ -135,7 +135,7 @@
 void RequestRouter::denied(QueryNumber number, std::size_t part, const Result& r, bool coordinator_notified) {
   QueryState& q = queries_.at(number);
   if (!q.on_complete) return;
-  auto answer = ranges::not_mine(map_, *q.coverage, open_part(q, part), *r.denial);
+  auto answer = ranges::handle_denial(map_, *q.coverage, open_part(q, part), *r.denial);
   if (coordinator_notified) {
     if (answer.decision && answer.decision->kind == Decision::Kind::replace)
       carry_out(number, *answer.decision);
@@ -143,7 +143,7 @@
   }
   ++range_migrations_.denied;
   if (answer.refresh_directory && range_source_) range_source_->refresh();
-  if (answer.decision && answer.decision->kind == Decision::Kind::elsewhere)
+  if (answer.decision && answer.decision->kind == Decision::Kind::reassign)
     return carry_out(number, *answer.decision);
   bool wait = answer.refresh_directory && r.denial->revision > map_.revision() && range_source_;
   if (!answer.decision && !wait) return;  // retried at another replica, or later at the same
@@ -166,13 +166,13 @@
 bool RequestRouter::on_span_attempt_ended(QueryState& q, const AttemptState& a, Result& r) {
   SpanPart& p = *q.parts[a.part].span;
   if (r.outcome != Outcome::ok) {
-    if (p.out == 0) q.coverage->back(p.planned.span);
+    if (p.out == 0) q.coverage->on_attempt_failed(p.planned.span);
     return false;
   }
-  if (q.coverage->take(p.planned.span)) return true;
+  if (q.coverage->add_answer(p.planned.span)) return true;
   ++range_migrations_.dropped;
   std::string in;
-  for (const ranges::Span& span : q.coverage->in().spans()) in += " " + ranges::text_of(span);
+  for (const ranges::Span& span : q.coverage->answered().spans()) in += " " + ranges::text_of(span);
   log_("an answer dropped: some of its accounts are in already: query " + q.spec.id + " part " +
        std::to_string(a.part) + " " + ranges::text_of(p.planned.span) + ", in are" + in);
   r.outcome = Outcome::error;
@@ -191,7 +191,7 @@
     }
   if (!q.coverage) return v;
   // Final check of the coordinator's result against the account ranges actually received.
-  v.share = q.coverage->in_share();
+  v.share = q.coverage->answered_share();
   v.complete = complete && q.coverage->complete();
   const ClassSettings& c = settings_.classes[q.spec.query_class];
   if (complete != v.complete || v.share < c.floor - kShareSlack) {
--- a/src/aggregator/dynamic_config/config_generation.cpp
+++ b/src/aggregator/dynamic_config/config_generation.cpp
@@ -8,8 +8,8 @@
 namespace winchhall::dynamic_config {
 namespace {
 
-constexpr std::size_t kNameMost = 128;
-constexpr std::size_t kLinesMost = 200;  // of a difference
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr std::size_t kMaxDifferenceLines = 200;  // of a difference
 
 class Checker {
  public:
@@ -27,10 +27,10 @@
 
  private:
   void fault(Kind kind, long line, std::string what) {
-    if (faults_.size() < kFaultsMost) faults_.push_back({kind, line, std::move(what)});
+    if (faults_.size() < kMaxFaults) faults_.push_back({kind, line, std::move(what)});
   }
   static bool fit(const std::string& name) {
-    return !name.empty() && name.size() <= kNameMost &&
+    return !name.empty() && name.size() <= kMaxNameBytes &&
            std::all_of(name.begin(), name.end(), [](unsigned char c) { return c > 32 && c < 127; });
   }
 
@@ -91,10 +91,11 @@
       std::snprintf(value, sizeof value, "%g", row.weight);
       if (!std::isfinite(row.weight) || row.weight <= 0)
         fault(Kind::weights, row.line, std::string("weight ") + value + ", wanted is a number above 0");
-      else if (row.weight > bounds_.weight_span * median || row.weight * bounds_.weight_span < median)
+      else if (row.weight > bounds_.max_weight_ratio * median ||
+               row.weight * bounds_.max_weight_ratio < median)
         fault(Kind::weights, row.line,
               std::string("weight ") + value + " is more than " +
-                  std::to_string(static_cast<int>(bounds_.weight_span)) + " times off the median");
+                  std::to_string(static_cast<int>(bounds_.max_weight_ratio)) + " times off the median");
       if (auto [it, fresh] = named.emplace(row.node, row.line); !fresh)
         fault(Kind::weights, row.line,
               "node '" + row.node + "' has a weight at line " + std::to_string(it->second) + " too");
@@ -202,7 +203,7 @@
 std::vector<std::string> differences(const ConfigGeneration& a, const ConfigGeneration& b) {
   std::vector<std::string> lines;
   auto say = [&](std::string line) {
-    if (lines.size() < kLinesMost) lines.push_back(std::move(line));
+    if (lines.size() < kMaxDifferenceLines) lines.push_back(std::move(line));
   };
   for (const coordination::Member& m : a.members)
     if (!b.member(m.entry.server)) say("- node " + m.entry.server + " " + m.endpoint);
--- a/src/aggregator/dynamic_config/config_generation.hpp
+++ b/src/aggregator/dynamic_config/config_generation.hpp
@@ -16,7 +16,7 @@
 struct Bounds {
   std::size_t nodes = 100'000, ranges = 2'000'000, tenants = 10'000;  // maximum number of rows
   // A weight that differs from the median by more than this factor is rejected as a mistake.
-  double weight_span = 100;
+  double max_weight_ratio = 100;
   // Zones of the installation; empty: any zone is valid.
   std::set<std::string> zones{};
   // Valid cells are 0 to `cells` - 1; 0: any cell is valid.
@@ -45,9 +45,9 @@
 using ConfigGenerationPtr = std::shared_ptr<const ConfigGeneration>;
 
 // Faults that `check` reports at most.
-inline constexpr std::size_t kFaultsMost = 50;
+inline constexpr std::size_t kMaxFaults = 50;
 // Validates the rows of all files, each by itself and against the others. Null if they are invalid: `faults`
-// then has every fault that was found, up to kFaultsMost. Thread-safe.
+// then has every fault that was found, up to kMaxFaults. Thread-safe.
 ConfigGenerationPtr check(const Rows& rows, std::uint64_t digest, const Bounds& bounds,
                           std::vector<Fault>& faults);
 
--- a/src/aggregator/dynamic_config/config_generation_manager.cpp
+++ b/src/aggregator/dynamic_config/config_generation_manager.cpp
@@ -42,7 +42,7 @@
   if (!faults.empty()) {
     f.verdict = ValidationOutcome::refused;
     f.faults = std::move(faults);
-    f.doubtful = true;
+    f.may_be_partial = true;
     refused_digest_ = digest;
     held_ = nullptr;
     remember(now, f);
@@ -68,16 +68,16 @@
   std::size_t stored = 0;
   for (const coordination::Member& m : current_->members) stored += next.member(m.entry.server) != nullptr;
   std::size_t before = current_->members.size(), dropped = before - stored;
-  if (static_cast<double>(dropped) > limits_.drop_share * static_cast<double>(before))
+  if (static_cast<double>(dropped) > limits_.max_removed_share * static_cast<double>(before))
     return "it drops " + std::to_string(dropped) + " of " + std::to_string(before) + " nodes, more than " +
-           std::to_string(static_cast<int>(std::lround(100 * limits_.drop_share))) + "%";
+           std::to_string(static_cast<int>(std::lround(100 * limits_.max_removed_share))) + "%";
   if (current_->map && !next.map) return "it drops the map of ranges";
   if (!current_->map || !next.map) return "";
   std::string why;
-  next.map->visit({0, ranges::kKeyEnd}, [&](const ranges::Place& p) {
+  next.map->visit({0, ranges::kKeyEnd}, [&](const ranges::RangeView& p) {
     // Without a holder in common nobody could have transferred these keys to the new holders.
     bool shared = false;
-    current_->map->visit(p.span, [&](const ranges::Place& old) {
+    current_->map->visit(p.span, [&](const ranges::RangeView& old) {
       for (const ranges::Holder& h : **old.holders)
         shared = shared || (h.role != ranges::Role::leaving &&
                             std::any_of((**p.holders).begin(), (**p.holders).end(),
@@ -133,7 +133,7 @@
 
 std::optional<ranges::RangeMap> ConfigGenerationManager::map() const {
   if (!current_ || !current_->map) return std::nullopt;
-  return current_->map->at({1, number_}, current_->map->next_id());
+  return current_->map->with_revision({1, number_}, current_->map->next_id());
 }
 
 std::vector<coordination::Member> ConfigGenerationManager::members(Millis now) {
--- a/src/aggregator/dynamic_config/config_generation_manager.hpp
+++ b/src/aggregator/dynamic_config/config_generation_manager.hpp
@@ -12,7 +12,7 @@
 using Millis = double;
 
 struct ConfigGenerationLimits {
-  double drop_share =
+  double max_removed_share =
       0.25;  // a generation that removes a larger share of the nodes needs an operator's approval
   Millis drain_time =
       10000;  // ms for which a removed node is draining before it is removed from the member list
@@ -33,7 +33,8 @@
   std::uint64_t digest = 0;
   std::vector<Fault> faults{};  // of a rejected generation
   std::string why{};            // it is held, or was applied at an operator's command
-  bool doubtful = false;  // the faults may be those of a partly written set: it should be read again soon
+  bool may_be_partial =
+      false;  // the faults may be those of a partly written set: it should be read again soon
 };
 
 // Validates candidates and holds the active generation.
--- a/src/aggregator/dynamic_config/file_config_source.cpp
+++ b/src/aggregator/dynamic_config/file_config_source.cpp
@@ -42,7 +42,7 @@
 void FileConfigSource::start() {
   if (!options_.store.empty()) restore();
   folder_ = std::make_unique<FolderWatch>(loop_, options_.folder, [this] {
-    debouncer_.event(loop_.now());
+    debouncer_.on_event(loop_.now());
     arm();
   });
   if (!folder_->working())
@@ -55,7 +55,7 @@
                                                             std::uint64_t digest) {
   dynamic_config::Rows rows;
   std::vector<Fault> faults;
-  options.read(bytes, rows, faults);
+  options.parse_files(bytes, rows, faults);
   return faults.empty() ? dynamic_config::check(rows, digest, options.bounds, faults) : nullptr;
 }
 
@@ -113,9 +113,9 @@
   auto wanted = std::make_shared<std::vector<dynamic_config::ConfigGenerationPtr>>();
   worker_.run(
       [opened = store_, orders, wanted, options = &options_] {
-        *orders = opened->store->open_orders();
+        *orders = opened->store->pending_commands();
         for (const dynamic_config::OperatorCommand& o : *orders) {
-          auto stored = o.word == "rollback" ? opened->store->find(o.digest) : std::nullopt;
+          auto stored = o.action == "rollback" ? opened->store->find(o.digest) : std::nullopt;
           wanted->push_back(stored ? parse(*options, stored->bytes, stored->digest) : nullptr);
         }
       },
@@ -134,24 +134,24 @@
   for (std::size_t i = 0; i < orders.size(); ++i) {
     dynamic_config::OperatorCommand& o = orders[i];
     std::string digest = dynamic_config::digest_text(o.digest);
-    bool done = o.word == "accept"     ? generation_manager_.accept(o.digest, now)
-                : o.word == "rollback" ? generation_manager_.rollback(wanted[i], now)
-                                       : false;
-    o.answer = done                   ? "done"
-               : o.word == "accept"   ? "no generation of that digest is held"
-               : o.word != "rollback" ? "no such order"
-               : wanted[i]            ? "that generation is in use"
-                                      : "the store has no sound generation of that digest";
-    spdlog::info("files: an operator's word: {} {}: {}", o.word, digest, o.answer);
+    bool done = o.action == "accept"     ? generation_manager_.accept(o.digest, now)
+                : o.action == "rollback" ? generation_manager_.rollback(wanted[i], now)
+                                         : false;
+    o.answer = done                     ? "done"
+               : o.action == "accept"   ? "no generation of that digest is held"
+               : o.action != "rollback" ? "no such order"
+               : wanted[i]              ? "that generation is in use"
+                                        : "the store has no sound generation of that digest";
+    spdlog::info("files: an operator's word: {} {}: {}", o.action, digest, o.answer);
     if (!done) continue;
     ++figures_.taken;
     publish_members();
     // Stored once more as applied: a restart begins with it, and the earlier entry stays in the history.
     worker_.run(
-        [opened = store_, digest_number = o.digest, at = now, word = o.word] {
+        [opened = store_, digest_number = o.digest, at = now, action = o.action] {
           if (auto stored = opened->store->find(digest_number)) {
             stored->verdict = "taken";
-            stored->why = word + " by an operator";
+            stored->why = action + " by an operator";
             stored->at = at;
             opened->store->put(*stored);
           }
@@ -168,7 +168,7 @@
 void FileConfigSource::arm() {
   loop_.cancel(timer_);
   if (scanning_) return;
-  timer_ = loop_.at(std::max(debouncer_.due(), loop_.now()), [this] {
+  timer_ = loop_.at(std::max(debouncer_.next_scan_at(), loop_.now()), [this] {
     timer_ = {};
     scan();
   });
@@ -184,14 +184,14 @@
   auto found = std::make_shared<Read>();
   worker_.run(
       [found, options = &options_, last = last_digest_] {
-        found->scan = read_config_folder(options->folder, options->most_bytes);
-        if (found->scan.disturbed || !found->scan.there) return;
+        found->scan = read_config_folder(options->folder, options->max_file_bytes);
+        if (found->scan.changed_while_read || !found->scan.exists) return;
         found->digest = dynamic_config::digest_of(found->scan.bytes);
         found->faults = found->scan.faults;
         found->known = found->digest == last && found->faults.empty();
         if (found->known || !found->faults.empty()) return;
         dynamic_config::Rows rows;
-        options->read(found->scan.bytes, rows, found->faults);
+        options->parse_files(found->scan.bytes, rows, found->faults);
         if (found->faults.empty())
           found->checked = dynamic_config::check(rows, found->digest, options->bounds, found->faults);
       },
@@ -204,15 +204,15 @@
 
 void FileConfigSource::on_scanned(Read& read, event_loop::Millis first_event) {
   event_loop::Millis now = loop_.now();
-  if (!read.scan.there) {
+  if (!read.scan.exists) {
     if (std::exchange(there_, false))
       spdlog::warn("files: {} is gone, what is in use stays", options_.folder);
     return;
   }
   if (!std::exchange(there_, true)) spdlog::info("files: {} is back", options_.folder);
-  if (read.scan.disturbed) {
+  if (read.scan.changed_while_read) {
     ++figures_.disturbed;
-    return debouncer_.disturbed(now);
+    return debouncer_.on_changed_during_scan(now);
   }
   if (read.known) return;
   last_digest_ = read.digest;
@@ -229,7 +229,7 @@
         spdlog::warn("files refused: {}/{}", options_.folder, found.faults[i].text());
       if (found.faults.size() > kLoggedMost)
         spdlog::warn("files refused: {} further faults", found.faults.size() - kLoggedMost);
-      if (found.doubtful) debouncer_.doubtful(now);
+      if (found.may_be_partial) debouncer_.schedule_retry(now);
       return;
     case ValidationOutcome::held:
       ++figures_.held;
@@ -271,7 +271,7 @@
 void FileConfigSource::fetch() { watch(true); }
 
 void FileConfigSource::refresh() {
-  debouncer_.event(loop_.now());
+  debouncer_.on_event(loop_.now());
   arm();
 }
 
--- a/src/aggregator/dynamic_config/file_config_source.hpp
+++ b/src/aggregator/dynamic_config/file_config_source.hpp
@@ -15,14 +15,14 @@
 
 struct FileConfigOptions {
   std::string folder{};
-  std::string store{};                // database file, see store.hpp; empty: nothing outlives the process
-  std::size_t most_bytes = 32 << 20;  // maximum size of a file
+  std::string store{};                    // database file, see store.hpp; empty: nothing outlives the process
+  std::size_t max_file_bytes = 32 << 20;  // maximum size of a file
   dynamic_config::Bounds bounds{};
   dynamic_config::ConfigGenerationLimits limits{};
   // Parses the bytes of all files into rows and faults. Called on the worker's thread, one call at a time.
   std::function<void(const dynamic_config::Bytes&, dynamic_config::Rows&,
                      std::vector<dynamic_config::Fault>&)>
-      read{};
+      parse_files{};
 };
 
 // Reads, parses and validates the files on a worker thread, lets ConfigGenerationManager decide what is
--- a/src/aggregator/dynamic_config/folder_watch.cpp
+++ b/src/aggregator/dynamic_config/folder_watch.cpp
@@ -99,23 +99,23 @@
   if (any) changed_();
 }
 
-FolderContents read_config_folder(const std::string& folder, std::size_t most_bytes) {
+FolderContents read_config_folder(const std::string& folder, std::size_t max_file_bytes) {
   FolderContents look;
   event_loop::UniqueFd dir(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!dir) return look;
-  look.there = true;
+  look.exists = true;
   std::map<Kind, Stamp> before;
-  for (Kind kind : dynamic_config::kKinds) before[kind] = stamp(dir.get(), file_of(kind));
+  for (Kind kind : dynamic_config::kKinds) before[kind] = stamp(dir.get(), file_name(kind));
   for (Kind kind : dynamic_config::kKinds) {
     if (!before[kind].there) continue;
     auto fault = [&](const std::string& what) { look.faults.push_back({kind, 0, what}); };
     // O_NOFOLLOW: no link out of the directory. O_NONBLOCK: opening a pipe doesn't wait for its writer.
     event_loop::UniqueFd file(
-        ::openat(dir.get(), file_of(kind), O_RDONLY | O_NOFOLLOW | O_NONBLOCK | O_CLOEXEC));
+        ::openat(dir.get(), file_name(kind), O_RDONLY | O_NOFOLLOW | O_NONBLOCK | O_CLOEXEC));
     struct stat info {};
     if (!file || fstat(file.get(), &info) != 0) {
       if (errno == ENOENT)
-        look.disturbed = true;
+        look.changed_while_read = true;
       else
         fault(errno == ELOOP ? "is a symbolic link, which is not followed out of the folder"
                              : std::string("cannot be read: ") + std::strerror(errno));
@@ -130,22 +130,22 @@
     ssize_t n = 0;
     while ((n = ::read(file.get(), buffer, sizeof buffer)) > 0) {
       text.append(buffer, static_cast<std::size_t>(n));
-      if (text.size() > most_bytes) break;
+      if (text.size() > max_file_bytes) break;
     }
     if (n < 0) fault(std::string("cannot be read: ") + std::strerror(errno));
-    if (text.size() > most_bytes) {
-      fault("is larger than " + std::to_string(most_bytes) + " bytes");
+    if (text.size() > max_file_bytes) {
+      fault("is larger than " + std::to_string(max_file_bytes) + " bytes");
       text.clear();
     }
   }
   for (Kind kind : dynamic_config::kKinds)
-    if (!(stamp(dir.get(), file_of(kind)) == before[kind])) look.disturbed = true;
+    if (!(stamp(dir.get(), file_name(kind)) == before[kind])) look.changed_while_read = true;
   // The directory may have been replaced while its files were read.
   struct stat opened {
   }, named{};
   if (fstat(dir.get(), &opened) != 0 || ::stat(folder.c_str(), &named) != 0 ||
       opened.st_ino != named.st_ino || opened.st_dev != named.st_dev)
-    look.disturbed = true;
+    look.changed_while_read = true;
   return look;
 }
 
--- a/src/aggregator/dynamic_config/folder_watch.hpp
+++ b/src/aggregator/dynamic_config/folder_watch.hpp
@@ -43,12 +43,12 @@
 struct FolderContents {
   dynamic_config::Bytes bytes{};
   std::vector<dynamic_config::Fault> faults{};  // files that are too large, not regular, or unreadable
-  bool disturbed = false;                       // a file changed while it was read: to be read again
-  bool there = false;                           // the directory exists
+  bool changed_while_read = false;              // a file changed while it was read: to be read again
+  bool exists = false;                          // the directory exists
 };
 
-// Reads the files named by `file_of` in this directory; symbolic links out of it are not followed. Blocks;
+// Reads the files named by `file_name` in this directory; symbolic links out of it are not followed. Blocks;
 // thread-safe.
-FolderContents read_config_folder(const std::string& folder, std::size_t most_bytes);
+FolderContents read_config_folder(const std::string& folder, std::size_t max_file_bytes);
 
 }  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/rows.hpp
+++ b/src/aggregator/dynamic_config/rows.hpp
@@ -15,7 +15,7 @@
 enum class Kind { nodes, weights, ranges, tenants };
 inline constexpr Kind kKinds[] = {Kind::nodes, Kind::weights, Kind::ranges, Kind::tenants};
 // The file's name, such as "nodes.xml".
-const char* file_of(Kind kind);
+const char* file_name(Kind kind);
 
 struct NodeRow {
   std::string id{}, address{}, zone{};
@@ -59,7 +59,7 @@
   std::string what{};
   // "FILE:LINE: what"
   std::string text() const {
-    return std::string(file_of(kind)) + (line > 0 ? ":" + std::to_string(line) : "") + ": " + what;
+    return std::string(file_name(kind)) + (line > 0 ? ":" + std::to_string(line) : "") + ": " + what;
   }
 };
 
--- a/src/aggregator/dynamic_config/sqlite_store.cpp
+++ b/src/aggregator/dynamic_config/sqlite_store.cpp
@@ -122,14 +122,14 @@
     return list;
   }
 
-  std::optional<std::int64_t> leave(const std::string& word, std::uint64_t digest) override {
+  std::optional<std::int64_t> add_command(const std::string& action, std::uint64_t digest) override {
     Statement insert(db_.get(), "INSERT INTO orders(word, digest) VALUES (?, ?)");
-    if (insert.text(1, word).text(2, hex(digest)).done()) return sqlite3_last_insert_rowid(db_.get());
+    if (insert.text(1, action).text(2, hex(digest)).done()) return sqlite3_last_insert_rowid(db_.get());
     fault_ = sqlite3_errmsg(db_.get());
     return std::nullopt;
   }
 
-  std::vector<OperatorCommand> open_orders() override {
+  std::vector<OperatorCommand> pending_commands() override {
     Statement select(db_.get(),
                      "SELECT id, word, digest FROM orders WHERE answer IS NULL ORDER BY id LIMIT 20");
     std::vector<OperatorCommand> list;
@@ -145,7 +145,7 @@
     return ok;
   }
 
-  std::optional<OperatorCommand> order(std::int64_t id) override {
+  std::optional<OperatorCommand> find_command(std::int64_t id) override {
     Statement select(db_.get(), "SELECT id, word, digest, answer FROM orders WHERE id = ?");
     select.number(1, id);
     if (!select.row()) return std::nullopt;
@@ -188,7 +188,7 @@
     int count = 0;
     while (select.row()) {
       bytes += select.number(1);
-      if (++count > 2 && (count > kMaxStoredSets || bytes > kBytesMost)) {
+      if (++count > 2 && (count > kMaxStoredSets || bytes > kMaxStoredBytes)) {
         last = select.number(0);
         break;
       }
--- a/src/aggregator/dynamic_config/store.hpp
+++ b/src/aggregator/dynamic_config/store.hpp
@@ -24,7 +24,7 @@
 // A command that an operator left for the running aggregator.
 struct OperatorCommand {
   std::int64_t id = 0;
-  std::string word{};        // "accept" or "rollback"
+  std::string action{};      // "accept" or "rollback"
   std::uint64_t digest = 0;  // of the generation that is meant
   std::string answer{};      // empty: not carried out yet
 };
@@ -46,18 +46,19 @@
   // At most `most` entries without their bytes, newest first.
   virtual std::vector<StoredSet> history(int most) = 0;
   // Leaves a command for the running aggregator and returns its id; none: it was not stored.
-  virtual std::optional<std::int64_t> leave(const std::string& word, std::uint64_t digest) = 0;
+  virtual std::optional<std::int64_t> add_command(const std::string& action, std::uint64_t digest) = 0;
   // Commands that have not been answered, oldest first.
-  virtual std::vector<OperatorCommand> open_orders() = 0;
+  virtual std::vector<OperatorCommand> pending_commands() = 0;
   // Answers a command. False: the answer was not stored.
   virtual bool answer(std::int64_t id, const std::string& words) = 0;
   // A command by its id; none: there is none, or it was answered long ago.
-  virtual std::optional<OperatorCommand> order(std::int64_t id) = 0;
+  virtual std::optional<OperatorCommand> find_command(std::int64_t id) = 0;
   // Why the last call failed.
   virtual const std::string& fault() const = 0;
 
-  static constexpr int kMaxStoredSets = 32;              // entries
-  static constexpr std::int64_t kBytesMost = 256 << 20;  // of all entries together, except for the newest two
+  static constexpr int kMaxStoredSets = 32;  // entries
+  static constexpr std::int64_t kMaxStoredBytes =
+      256 << 20;  // of all entries together, except for the newest two
 };
 
 struct OpenedStore {
--- a/src/aggregator/flight/flight_pool_connection.cpp
+++ b/src/aggregator/flight/flight_pool_connection.cpp
@@ -96,7 +96,7 @@
     result.outcome = Outcome::full;
   } else if (!has_data && !span_.empty() && has_status(headers_, Status::failed_precondition)) {
     result.outcome = Outcome::not_mine;
-    result.denial = std::make_shared<const ranges::NotMine>(read_denial(headers_));
+    result.denial = std::make_shared<const ranges::Denial>(read_denial(headers_));
   }
   return result;
 }
--- a/src/aggregator/flight/grpc.cpp
+++ b/src/aggregator/flight/grpc.cpp
@@ -135,7 +135,7 @@
   return std::nullopt;
 }
 
-void add_denial(Headers& trailers, const ranges::NotMine& denial) {
+void add_denial(Headers& trailers, const ranges::Denial& denial) {
   RangeDenial message;
   message.set_incarnation(denial.revision.incarnation);
   message.set_revision(denial.revision.number);
@@ -144,16 +144,16 @@
     successor->set_id(part.range);
     successor->set_from(part.span.from);
     successor->set_to(part.span.to);
-    for (const std::string& server : ranges::serving(*part.holders)) successor->add_holders(server);
+    for (const std::string& server : ranges::serving_servers(*part.holders)) successor->add_holders(server);
   }
   trailers.emplace_back("range-denial-bin", encode_base64(message.SerializeAsString()));
 }
 
-ranges::NotMine read_denial(const Headers& trailers) {
+ranges::Denial read_denial(const Headers& trailers) {
   const std::string* text = find_header(trailers, "range-denial-bin");
   auto bytes = text ? decode_base64(*text) : std::nullopt;
   RangeDenial message;
-  ranges::NotMine denial;
+  ranges::Denial denial;
   if (!bytes || !message.ParseFromString(*bytes)) return denial;
   denial.revision = {message.incarnation(), message.revision()};
   for (const auto& successor : message.successors()) {
--- a/src/aggregator/flight/grpc.hpp
+++ b/src/aggregator/flight/grpc.hpp
@@ -46,8 +46,8 @@
 
 // A node's rejection of a part whose range it doesn't own, in the trailer range-denial-bin. What can't be
 // read is returned as a rejection without a revision.
-void add_denial(Headers& trailers, const ranges::NotMine& denial);
-ranges::NotMine read_denial(const Headers& trailers);
+void add_denial(Headers& trailers, const ranges::Denial& denial);
+ranges::Denial read_denial(const Headers& trailers);
 
 // Base64 without padding, as gRPC sends binary headers; padding is accepted when decoding.
 std::string encode_base64(std::string_view bytes);
--- a/src/aggregator/http/leaf_connection.cpp
+++ b/src/aggregator/http/leaf_connection.cpp
@@ -235,7 +235,7 @@
               : answer.end == kNotMine ? Outcome::not_mine
                                        : Outcome::error;
   if (r.outcome == Outcome::not_mine)
-    r.denial = std::make_shared<const ranges::NotMine>(read_denial(answer.value));
+    r.denial = std::make_shared<const ranges::Denial>(read_denial(answer.value));
   if (r.outcome == Outcome::ok) r.values.push_back(std::move(answer.value));
   r.load = answer.load;
   pool_.router_.attempt_ended(attempt, std::move(r));
--- a/src/aggregator/http/range_directory.cpp
+++ b/src/aggregator/http/range_directory.cpp
@@ -9,7 +9,7 @@
 
 namespace winchhall::http {
 namespace {
-using ranges::Taken;
+using ranges::UpdateResult;
 constexpr event_loop::Millis kFirstAnswer = 3000;    // ms from the question to the first line
 constexpr event_loop::Millis kPollInterval = 500;    // ms between looks for silence
 constexpr std::size_t kLineMost = 16 * 1024 * 1024;  // bytes: a page of ranges; a longer line is a mistake
@@ -103,7 +103,7 @@
   ranges::Revision held = follower_.map().revision();
   if (!follower_.needs_full_map())
     target += "&incarnation=" + std::to_string(held.incarnation) + "&after=" + std::to_string(held.number);
-  follower_.opened(loop_.now());
+  follower_.on_watch_opened(loop_.now());
   watch_ = std::make_shared<Watch>(*this);
   if (!watch_->begin(target)) over("no socket");
 }
@@ -114,7 +114,7 @@
 }
 
 void RangeDirectory::told(const std::string& line) {
-  follower_.heard(loop_.now());
+  follower_.on_keepalive(loop_.now());
   if (trim(line).empty()) return;
   std::string fault;
   auto update = read_update(line, fault);
@@ -125,17 +125,17 @@
   }
   ranges::Revision told = update->revision;
   std::size_t changes = update->changes.size();
-  Taken taken = follower_.take(std::move(*update), loop_.now());
-  if (taken == Taken::taken) {
+  UpdateResult taken = follower_.apply_update(std::move(*update), loop_.now());
+  if (taken == UpdateResult::applied) {
     ++figures_.taken;
     spdlog::debug("ranges revision {}: {} ranges, {} changes", ranges::text_of(told), follower_.map().size(),
                   changes);
     router_.update_ranges(follower_.map());
-  } else if (taken != Taken::nothing && taken != Taken::page) {
+  } else if (taken != UpdateResult::unchanged && taken != UpdateResult::page) {
     ++figures_.refused;
     spdlog::warn("ranges refused ({}), the old map stays: {}", name_of(taken), follower_.fault());
   }
-  if (follower_.wants_reopen()) loop_.defer([this] { tick(); });
+  if (follower_.needs_reopen()) loop_.defer([this] { tick(); });
 }
 
 // Ends the watch; the follower says when the next one begins.
@@ -146,21 +146,22 @@
   ++figures_.broken;
   spdlog::warn("directory of ranges: {}; revision {} serves on", why,
                ranges::text_of(follower_.map().revision()));
-  follower_.broke(loop_.now(), chance());
+  follower_.on_watch_lost(loop_.now(), chance());
   loop_.defer([this] { tick(); });
 }
 
 void RangeDirectory::tick() {
   loop_.cancel(tick_);
   event_loop::Millis now = loop_.now();
-  if (watch_ && follower_.silent(now)) return over("silent");
-  if (watch_ && follower_.wants_reopen()) {
+  if (watch_ && follower_.keepalive_timed_out(now)) return over("silent");
+  if (watch_ && follower_.needs_reopen()) {
     watch_->close();
     loop_.destroy_later(std::exchange(watch_, nullptr));
-    follower_.reopening(now, chance());
+    follower_.on_watch_closed(now, chance());
   }
-  if (!watch_ && now >= follower_.ask_at()) ask();
-  tick_ = loop_.at(watch_ ? now + kPollInterval : std::max(now + 1, follower_.ask_at()), [this] { tick(); });
+  if (!watch_ && now >= follower_.next_request_at()) ask();
+  tick_ = loop_.at(watch_ ? now + kPollInterval : std::max(now + 1, follower_.next_request_at()),
+                   [this] { tick(); });
 }
 
 }  // namespace winchhall::http
--- a/src/aggregator/http/range_protocol.cpp
+++ b/src/aggregator/http/range_protocol.cpp
@@ -96,7 +96,7 @@
     if (row.contains("holders")) m.holders = read_holders(list(row, "holders"));
     return m;
   }
-  if (op == "weigh") return Weigh{target, number(row, "weight")};
+  if (op == "weigh") return SetWeight{target, number(row, "weight")};
   if (op == "add") return AddHolder{target, text(row, "server")};
   if (op == "promote") return Promote{target, text(row, "server")};
   if (op == "retire") return Retire{target, text(row, "server")};
@@ -118,7 +118,7 @@
       if (!c.holders.empty()) row["holders"] = holders_json(c.holders);
       return row;
     }
-    json operator()(const Weigh& c) const { return {{"weight", c.weight}}; }
+    json operator()(const SetWeight& c) const { return {{"weight", c.weight}}; }
     json operator()(const AddHolder& c) const { return {{"server", c.server}}; }
     json operator()(const Promote& c) const { return {{"server", c.server}}; }
     json operator()(const Retire& c) const { return {{"server", c.server}}; }
@@ -182,8 +182,8 @@
   return all.dump();
 }
 
-NotMine read_denial(const std::string& words) {
-  NotMine denial;
+Denial read_denial(const std::string& words) {
+  Denial denial;
   try {
     json from = json::parse(words);
     denial.revision = {complete(from, "incarnation"), complete(from, "revision")};
@@ -198,11 +198,13 @@
   return denial;
 }
 
-std::string write_denial(const NotMine& denial) {
+std::string write_denial(const Denial& denial) {
   json all{{"incarnation", denial.revision.incarnation}, {"revision", denial.revision.number}};
   for (const PlannedPart& s : denial.successors)
-    all["successors"].push_back(
-        {{"id", s.range}, {"from", s.span.from}, {"to", s.span.to}, {"holders", serving(*s.holders)}});
+    all["successors"].push_back({{"id", s.range},
+                                 {"from", s.span.from},
+                                 {"to", s.span.to},
+                                 {"holders", serving_servers(*s.holders)}});
   return all.dump();
 }
 
--- a/src/aggregator/http/range_protocol.hpp
+++ b/src/aggregator/http/range_protocol.hpp
@@ -23,7 +23,7 @@
 std::string write_update(const ranges::Update& update);
 
 // A denial that can't be read is one without revision or successors: the node still has said no.
-ranges::NotMine read_denial(const std::string& text);
-std::string write_denial(const ranges::NotMine& denial);
+ranges::Denial read_denial(const std::string& text);
+std::string write_denial(const ranges::Denial& denial);
 
 }  // namespace winchhall::http
--- a/src/aggregator/ranges/change.cpp
+++ b/src/aggregator/ranges/change.cpp
@@ -16,9 +16,9 @@
     fault = std::move(why);
     return std::nullopt;
   }
-  std::optional<Place> place(const Target& t) const {
+  std::optional<RangeView> place(const Target& t) const {
     if (t.from < kKeyEnd && !map.empty())
-      if (Place p = map.find(t.from); p.id == t.range && p.span.from == t.from) return p;
+      if (RangeView p = map.find(t.from); p.id == t.range && p.span.from == t.from) return p;
     fault = "no range " + std::to_string(t.range) + " begins at " + std::to_string(t.from);
     return std::nullopt;
   }
@@ -34,13 +34,13 @@
   }
   RangeMap next(const RangeMap& made, RangeId used = 0) const {
     Revision r = map.revision();
-    return made.at({r.incarnation, r.number + 1}, std::max(map.next_id(), used + 1));
+    return made.with_revision({r.incarnation, r.number + 1}, std::max(map.next_id(), used + 1));
   }
-  std::optional<RangeMap> with_holders(const Place& p, Holders holders) const {
+  std::optional<RangeMap> with_holders(const RangeView& p, Holders holders) const {
     if (std::string why = holders_fault(holders); !why.empty())
       return no("range " + std::to_string(p.id) + " would be left with " + why);
     Entry e{p.id, p.weight, std::make_shared<const Holders>(std::move(holders))};
-    return next(map.with(p.span.from, e), map.next_id() - 1);
+    return next(map.with_range(p.span.from, e), map.next_id() - 1);
   }
 
   std::optional<RangeMap> operator()(const Split& c) const {
@@ -51,8 +51,8 @@
     if (c.left == c.right) return no("both halves have id " + std::to_string(c.left));
     if (!fresh(c.left) || !fresh(c.right)) return std::nullopt;
     HoldersPtr holders = *p->holders;
-    RangeMap made = map.with(c.target.from, {c.left, c.left_weight, holders})
-                        .with(c.at, {c.right, c.right_weight, holders});
+    RangeMap made = map.with_range(c.target.from, {c.left, c.left_weight, holders})
+                        .with_range(c.at, {c.right, c.right_weight, holders});
     return next(made, std::max(c.left, c.right));
   }
 
@@ -78,7 +78,8 @@
     if (std::string why = holders_fault(kept); !why.empty())
       return no("the merged range would be left with " + why);
     auto holders = kept == **l->holders ? *l->holders : std::make_shared<const Holders>(std::move(kept));
-    RangeMap made = map.without(c.right.from).with(c.left.from, {c.merged, l->weight + r->weight, holders});
+    RangeMap made =
+        map.without_range(c.right.from).with_range(c.left.from, {c.merged, l->weight + r->weight, holders});
     return next(made, c.merged);
   }
 
@@ -117,10 +118,10 @@
       return no("range " + std::to_string(p->id) + " has no holder " + c.server);
     return with_holders(*p, std::move(list));
   }
-  std::optional<RangeMap> operator()(const Weigh& c) const {
+  std::optional<RangeMap> operator()(const SetWeight& c) const {
     auto p = place(c.target);
     if (!p || !weight(c.weight)) return std::nullopt;
-    return next(map.with(p->span.from, {p->id, c.weight, *p->holders}), map.next_id() - 1);
+    return next(map.with_range(p->span.from, {p->id, c.weight, *p->holders}), map.next_id() - 1);
   }
 };
 
--- a/src/aggregator/ranges/change.hpp
+++ b/src/aggregator/ranges/change.hpp
@@ -42,11 +42,11 @@
   Target target{};
   std::string server{};
 };
-struct Weigh {
+struct SetWeight {
   Target target{};
   double weight = 0;
 };
-using Change = std::variant<Split, Merge, AddHolder, Promote, Retire, Remove, Weigh>;
+using Change = std::variant<Split, Merge, AddHolder, Promote, Retire, Remove, SetWeight>;
 
 const char* name_of(const Change& change);
 
--- a/src/aggregator/ranges/coverage.cpp
+++ b/src/aggregator/ranges/coverage.cpp
@@ -4,20 +4,21 @@
 
 namespace winchhall::ranges {
 
-Coverage::Coverage(std::vector<Piece> pieces) : pieces_(std::move(pieces)) {
+Coverage::Coverage(std::vector<WeightedSpan> pieces) : pieces_(std::move(pieces)) {
   std::sort(pieces_.begin(), pieces_.end(),
-            [](const Piece& a, const Piece& b) { return a.span.from < b.span.from; });
+            [](const WeightedSpan& a, const WeightedSpan& b) { return a.span.from < b.span.from; });
   double sum = 0;
-  for (const Piece& p : pieces_) {
-    asked_.add(p.span);
+  for (const WeightedSpan& p : pieces_) {
+    requested_.add(p.span);
     sum += p.weight;
   }
-  for (Piece& p : pieces_) p.weight = sum > 0 ? p.weight / sum : 1.0 / static_cast<double>(pieces_.size());
+  for (WeightedSpan& p : pieces_)
+    p.weight = sum > 0 ? p.weight / sum : 1.0 / static_cast<double>(pieces_.size());
 }
 
 double Coverage::share(const Span& span) const {
   auto it = std::partition_point(pieces_.begin(), pieces_.end(),
-                                 [&](const Piece& p) { return p.span.to <= span.from; });
+                                 [&](const WeightedSpan& p) { return p.span.to <= span.from; });
   double sum = 0;
   for (; it != pieces_.end() && it->span.from < span.to; ++it) {
     Span both{std::max(it->span.from, span.from), std::min(it->span.to, span.to)};
@@ -26,11 +27,11 @@
   return sum;
 }
 
-bool Coverage::take(const Span& span) {
-  if (span.empty() || !asked_.contains(span) || in_.overlaps(span)) return false;
-  in_.add(span);
-  out_.remove(span);
-  in_share_ = complete() ? 1 : in_share_ + share(span);
+bool Coverage::add_answer(const Span& span) {
+  if (span.empty() || !requested_.contains(span) || answered_.overlaps(span)) return false;
+  answered_.add(span);
+  in_flight_.remove(span);
+  answered_share_ = complete() ? 1 : answered_share_ + share(span);
   return true;
 }
 
--- a/src/aggregator/ranges/coverage.hpp
+++ b/src/aggregator/ranges/coverage.hpp
@@ -11,7 +11,7 @@
 
 namespace winchhall::ranges {
 
-struct Piece {  // of a query's spans, of one density
+struct WeightedSpan {  // of a query's spans, of one density
   Span span{};
   double weight = 0;
 };
@@ -19,29 +19,31 @@
 class Coverage {
  public:
   Coverage() = default;
-  explicit Coverage(std::vector<Piece> pieces);  // disjoint, in any order
+  explicit Coverage(std::vector<WeightedSpan> pieces);  // disjoint, in any order
 
   // The share of the complete query that the span is, by density; what lies outside the query counts nothing.
   double share(const Span& span) const;
 
-  void sent(const Span& span) { out_.add(span); }
-  void back(const Span& span) { out_.remove(span); }  // its attempt ended without an answer
+  void on_sent(const Span& span) { in_flight_.add(span); }
+  void on_attempt_failed(const Span& span) {
+    in_flight_.remove(span);
+  }  // its attempt ended without an answer
 
   // Takes an answer for this interval, or drops it: one that holds any key that is in already, as a parent's
   // after a child's or a duplicate, and one that reaches outside the query. The first that covers wins.
-  bool take(const Span& span);
+  bool add_answer(const Span& span);
 
-  bool complete() const { return in_ == asked_; }
-  double in_share() const { return in_share_; }
-  const SpanSet& in() const { return in_; }
-  const SpanSet& out() const { return out_; }
-  const SpanSet& asked() const { return asked_; }
-  SpanSet to_ask() const { return asked_.minus(in_).minus(out_); }
+  bool complete() const { return answered_ == requested_; }
+  double answered_share() const { return answered_share_; }
+  const SpanSet& answered() const { return answered_; }
+  const SpanSet& in_flight() const { return in_flight_; }
+  const SpanSet& requested() const { return requested_; }
+  SpanSet unassigned() const { return requested_.minus(answered_).minus(in_flight_); }
 
  private:
-  std::vector<Piece> pieces_;  // in order, weights sum to 1
-  SpanSet asked_, in_, out_;
-  double in_share_ = 0;
+  std::vector<WeightedSpan> pieces_;  // in order, weights sum to 1
+  SpanSet requested_, answered_, in_flight_;
+  double answered_share_ = 0;
 };
 
 }  // namespace winchhall::ranges
--- a/src/aggregator/ranges/map.cpp
+++ b/src/aggregator/ranges/map.cpp
@@ -169,7 +169,7 @@
 }
 
 // False where the visitor wants no more.
-bool walk(const Node& node, const Span& span, Key end, const std::function<bool(const Place&)>& visit) {
+bool walk(const Node& node, const Span& span, Key end, const std::function<bool(const RangeView&)>& visit) {
   for (std::size_t i = node.search(span.from); i < node.count && node.from[i] < span.to; ++i) {
     Key to = i + 1 < node.count ? node.from[i + 1] : end;
     if (node.leaf) {
@@ -185,11 +185,11 @@
 }  // namespace
 
 std::string holders_fault(const Holders& holders) {
-  if (holders.size() > kHoldersMost) return "more than " + std::to_string(kHoldersMost) + " holders";
+  if (holders.size() > kMaxHolders) return "more than " + std::to_string(kMaxHolders) + " holders";
   bool any = false;
   for (std::size_t i = 0; i < holders.size(); ++i) {
     const Holder& h = holders[i];
-    if (h.server.empty() || h.server.size() > kNameMost) return "a holder without a fit name";
+    if (h.server.empty() || h.server.size() > kMaxNameBytes) return "a holder without a fit name";
     for (std::size_t j = 0; j < i; ++j)
       if (holders[j].server == h.server) return "holder " + h.server + " twice";
     any = any || h.role == Role::serving;
@@ -263,7 +263,7 @@
 
 std::size_t RangeMap::bytes() const { return root_ ? bytes_of(*root_) : 0; }
 
-Place RangeMap::find(Key key) const {
+RangeView RangeMap::find(Key key) const {
   const Node* node = root_.get();
   Key end = kKeyEnd;
   for (;;) {
@@ -277,21 +277,21 @@
   }
 }
 
-void RangeMap::visit(const Span& span, const std::function<bool(const Place&)>& visit) const {
+void RangeMap::visit(const Span& span, const std::function<bool(const RangeView&)>& visit) const {
   if (root_ && !span.empty()) walk(*root_, span, kKeyEnd, visit);
 }
 
 std::vector<Range> RangeMap::all() const {
   std::vector<Range> list;
   list.reserve(size_);
-  visit({0, kKeyEnd}, [&](const Place& p) {
+  visit({0, kKeyEnd}, [&](const RangeView& p) {
     list.push_back({p.id, p.span, p.weight, *p.holders});
     return true;
   });
   return list;
 }
 
-RangeMap RangeMap::with(Key from, const Entry& entry) const {
+RangeMap RangeMap::with_range(Key from, const Entry& entry) const {
   RangeMap made = *this;
   bool there = find(from).span.from == from;
   Grown grown = insert(root_, from, entry);
@@ -310,7 +310,7 @@
   return made;
 }
 
-RangeMap RangeMap::without(Key from) const {
+RangeMap RangeMap::without_range(Key from) const {
   RangeMap made = *this;
   if (from == 0 || size_ < 2 || find(from).span.from != from) return made;
   made.root_ = erase(root_, from);
@@ -322,7 +322,7 @@
   return made;
 }
 
-RangeMap RangeMap::at(Revision revision, RangeId next_id) const {
+RangeMap RangeMap::with_revision(Revision revision, RangeId next_id) const {
   RangeMap made = *this;
   made.revision_ = revision;
   made.next_id_ = next_id;
--- a/src/aggregator/ranges/map.hpp
+++ b/src/aggregator/ranges/map.hpp
@@ -19,7 +19,7 @@
 namespace winchhall::ranges {
 
 // What stands at one place of the key space, without copying it. Valid as long as the map it came from.
-struct Place {
+struct RangeView {
   RangeId id = 0;
   Span span{};
   double weight = 0;
@@ -42,9 +42,9 @@
   std::size_t depth() const { return depth_; }
   std::size_t bytes() const;  // held by the nodes of this revision, shared ones included
 
-  Place find(Key key) const;  // key below kKeyEnd, the map not empty
+  RangeView find(Key key) const;  // key below kKeyEnd, the map not empty
   // Each range that overlaps the span, in order; `visit` returns false to end.
-  void visit(const Span& span, const std::function<bool(const Place&)>& visit) const;
+  void visit(const Span& span, const std::function<bool(const RangeView&)>& visit) const;
   std::vector<Range> all() const;
 
   // ---- For changes (change.cpp), which check first. Each gives a new map and leaves this one as it is.
@@ -53,9 +53,9 @@
     double weight = 0;
     HoldersPtr holders{};
   };
-  RangeMap with(Key from, const Entry& entry) const;  // puts or replaces the range that begins there
-  RangeMap without(Key from) const;                   // the range before it then reaches up to its end
-  RangeMap at(Revision revision, RangeId next_id) const;
+  RangeMap with_range(Key from, const Entry& entry) const;  // puts or replaces the range that begins there
+  RangeMap without_range(Key from) const;                   // the range before it then reaches up to its end
+  RangeMap with_revision(Revision revision, RangeId next_id) const;
 
   struct Node;
   using Ptr = std::shared_ptr<const Node>;
--- a/src/aggregator/ranges/planner.cpp
+++ b/src/aggregator/ranges/planner.cpp
@@ -4,7 +4,7 @@
 
 namespace winchhall::ranges {
 namespace {
-constexpr double kLeastShare = 1e-6;  // of what is divided: far above what sums are off by
+constexpr double kMinShare = 1e-6;  // of what is divided: far above what sums are off by
 
 Span cut(const Span& range, const Span& span) {
   return {std::max(range.from, span.from), std::min(range.to, span.to)};
@@ -18,10 +18,10 @@
     return std::nullopt;
   }
   Plan made;
-  std::vector<Piece> pieces;
+  std::vector<WeightedSpan> pieces;
   bool fits = true;
   for (const Span& span : spans) {
-    map.visit(span, [&](const Place& place) {
+    map.visit(span, [&](const RangeView& place) {
       if (!(fits = made.parts.size() < most)) return false;
       Span s = cut(place.span, span);
       double weight = place.weight * (static_cast<double>(s.size()) / static_cast<double>(place.span.size()));
@@ -34,29 +34,29 @@
     fault = "spans over more than " + std::to_string(most) + " ranges";
     return std::nullopt;
   }
-  divide(made.parts, hint, 1);
+  distribute_weight(made.parts, hint, 1);
   made.coverage = Coverage(std::move(pieces));
   return made;
 }
 
-std::vector<PlannedPart> plan_again(const RangeMap& map, const std::vector<Span>& pieces,
-                                    const Coverage& coverage, std::optional<double> hint, double weight) {
+std::vector<PlannedPart> replan_spans(const RangeMap& map, const std::vector<Span>& pieces,
+                                      const Coverage& coverage, std::optional<double> hint, double weight) {
   std::vector<PlannedPart> parts;
   for (const Span& span : pieces)
-    map.visit(span, [&](const Place& place) {
+    map.visit(span, [&](const RangeView& place) {
       Span s = cut(place.span, span);
       parts.push_back({s, place.id, map.revision(), *place.holders, coverage.share(s), std::nullopt});
       return true;
     });
-  divide(parts, hint, weight);
+  distribute_weight(parts, hint, weight);
   return parts;
 }
 
-void divide(std::vector<PlannedPart>& parts, std::optional<double> hint, double weight) {
+void distribute_weight(std::vector<PlannedPart>& parts, std::optional<double> hint, double weight) {
   double sum = 0, all = 0;
   for (const PlannedPart& p : parts) sum += p.weight;
   for (PlannedPart& p : parts) {
-    p.weight = std::max(sum > 0 ? p.weight / sum : 0, kLeastShare);
+    p.weight = std::max(sum > 0 ? p.weight / sum : 0, kMinShare);
     all += p.weight;
   }
   for (PlannedPart& p : parts) {
--- a/src/aggregator/ranges/planner.hpp
+++ b/src/aggregator/ranges/planner.hpp
@@ -34,10 +34,10 @@
 
 // The same for a piece of a query under way: its weight and hint are divided among the successors by the
 // shares that the query's coverage has.
-std::vector<PlannedPart> plan_again(const RangeMap& map, const std::vector<Span>& pieces,
-                                    const Coverage& coverage, std::optional<double> hint, double weight);
+std::vector<PlannedPart> replan_spans(const RangeMap& map, const std::vector<Span>& pieces,
+                                      const Coverage& coverage, std::optional<double> hint, double weight);
 
 // Divides weight and hint by the parts' weights so far, which are shares of any sum.
-void divide(std::vector<PlannedPart>& parts, std::optional<double> hint, double weight);
+void distribute_weight(std::vector<PlannedPart>& parts, std::optional<double> hint, double weight);
 
 }  // namespace winchhall::ranges
--- a/src/aggregator/ranges/replan.cpp
+++ b/src/aggregator/ranges/replan.cpp
@@ -18,27 +18,27 @@
   Decision d{Decision::Kind::keep, {part.number}, {}};
   // Some of it came in with another answer: only the rest is asked, as an answer for all of it would be
   // dropped.
-  if (coverage.in().overlaps(old.span)) {
-    if (part.out) return d;
+  if (coverage.answered().overlaps(old.span)) {
+    if (part.in_flight) return d;
     d.kind = Decision::Kind::replace;
     SpanSet rest;
     rest.add(old.span);
-    rest = rest.minus(coverage.in());
+    rest = rest.minus(coverage.answered());
     double left = 0, all = std::max(coverage.share(old.span), 1e-300);
     for (const Span& s : rest.spans()) left += coverage.share(s) / all;
     auto hint = old.hint ? std::optional(*old.hint * left) : std::nullopt;
-    d.successors = plan_again(map, rest.spans(), coverage, hint, old.weight * left);
+    d.successors = replan_spans(map, rest.spans(), coverage, hint, old.weight * left);
     return d;
   }
-  auto now = plan_again(map, {old.span}, coverage, old.hint, old.weight);
+  auto now = replan_spans(map, {old.span}, coverage, old.hint, old.weight);
   if (now.size() != 1) {
-    d.kind = part.out ? Decision::Kind::hold_back : Decision::Kind::replace;
+    d.kind = part.in_flight ? Decision::Kind::defer : Decision::Kind::replace;
     d.successors = std::move(now);
     return d;
   }
   bool same = now[0].range == old.range && (now[0].holders == old.holders || *now[0].holders == *old.holders);
   if (same) return d;
-  d.kind = Decision::Kind::elsewhere;
+  d.kind = Decision::Kind::reassign;
   d.successors = std::move(now);
   return d;
 }
@@ -52,11 +52,11 @@
   const OpenPart* before = nullptr;  // the part that the last decision is about, where it may be joined
   for (const OpenPart& part : parts) {
     Decision d = decide(map, coverage, part);
-    bool waits = !part.out && d.kind == Decision::Kind::elsewhere;
+    bool waits = !part.in_flight && d.kind == Decision::Kind::reassign;
     // Both halves of a merge wait: one call does for both. Where one is out it is left to end by itself.
     if (waits && before && before->planned.span.to == part.planned.span.from &&
         list.back().successors[0].range == d.successors[0].range) {
-      list.back().kind = Decision::Kind::join;
+      list.back().kind = Decision::Kind::merge;
       list.back().parts.push_back(part.number);
       list.back().successors[0] = joined(list.back().successors[0], d.successors[0]);
     } else {
@@ -67,8 +67,9 @@
   return list;
 }
 
-Answer not_mine(const RangeMap& map, const Coverage& coverage, const OpenPart& part, const NotMine& word) {
-  Answer a;
+DenialDecision handle_denial(const RangeMap& map, const Coverage& coverage, const OpenPart& part,
+                             const Denial& word) {
+  DenialDecision a;
   const PlannedPart& old = part.planned;
   // Where the map has moved on since the part was planned, that is the answer, whatever the node says.
   if (map.revision() > old.revision) {
@@ -97,9 +98,9 @@
     p.weight = coverage.share(p.span);
   }
   if (reached != old.span.to) return a;
-  divide(next, old.hint, old.weight);
+  distribute_weight(next, old.hint, old.weight);
   a.decision = Decision{
-      next.size() == 1 ? Decision::Kind::elsewhere : Decision::Kind::replace, {part.number}, std::move(next)};
+      next.size() == 1 ? Decision::Kind::reassign : Decision::Kind::replace, {part.number}, std::move(next)};
   return a;
 }
 
--- a/src/aggregator/ranges/types.cpp
+++ b/src/aggregator/ranges/types.cpp
@@ -21,7 +21,7 @@
                      [&](const Holder& h) { return h.role == Role::serving && h.server == server; });
 }
 
-std::vector<std::string> serving(const Holders& holders) {
+std::vector<std::string> serving_servers(const Holders& holders) {
   std::vector<std::string> list;
   for (const Holder& h : holders)
     if (h.role == Role::serving) list.push_back(h.server);
--- a/src/aggregator/ranges/types.hpp
+++ b/src/aggregator/ranges/types.hpp
@@ -8,10 +8,10 @@
 
 namespace winchhall::ranges {
 
-using Key = std::uint64_t;                       // an account number
-inline constexpr Key kKeyEnd = Key{1} << 53;     // keys are below this: JSON's numbers hold them exactly
-inline constexpr std::size_t kHoldersMost = 16;  // holders of one range; more is a mistake in a directory
-inline constexpr std::size_t kNameMost = 128;    // bytes of a server's name
+using Key = std::uint64_t;                         // an account number
+inline constexpr Key kKeyEnd = Key{1} << 53;       // keys are below this: JSON's numbers hold them exactly
+inline constexpr std::size_t kMaxHolders = 16;     // holders of one range; more is a mistake in a directory
+inline constexpr std::size_t kMaxNameBytes = 128;  // bytes of a server's name
 
 // A half-open interval [from, to).
 struct Span {
@@ -59,6 +59,6 @@
 std::string text_of(const Span& span);          // "[17, 40)"
 std::string text_of(const Revision& revision);  // "3.41"
 bool serves(const Holders& holders, const std::string& server);
-std::vector<std::string> serving(const Holders& holders);
+std::vector<std::string> serving_servers(const Holders& holders);
 
 }  // namespace winchhall::ranges
--- a/testbed/checker.cpp
+++ b/testbed/checker.cpp
@@ -50,7 +50,7 @@
   auto weigh = [&](const ranges::RangeMap& map) {
     auto sum = [&](const ranges::Span& span) {
       double w = 0;
-      map.visit(span, [&](const ranges::Place& p) {
+      map.visit(span, [&](const ranges::RangeView& p) {
         ranges::Span both{std::max(p.span.from, span.from), std::min(p.span.to, span.to)};
         w += p.weight * static_cast<double>(both.size()) / static_cast<double>(p.span.size());
         return true;
--- a/testbed/node.cpp
+++ b/testbed/node.cpp
@@ -269,9 +269,9 @@
 
 std::string Node::denial(const Job& job) const {
   const ranges::RangeMap& known = world_.map_at(loop_.now() - lag_);
-  ranges::NotMine words{known.revision(), {}};
+  ranges::Denial words{known.revision(), {}};
   if (known.revision() > job.part.revision)
-    known.visit(job.part.span, [&](const ranges::Place& p) {
+    known.visit(job.part.span, [&](const ranges::RangeView& p) {
       words.successors.push_back({p.span, p.id, {}, *p.holders, 0, {}});
       return true;
     });
--- a/testbed/simulated_deployment.cpp
+++ b/testbed/simulated_deployment.cpp
@@ -55,10 +55,10 @@
   return true;
 }
 
-Place World::pick() { return map_.find(random_.below(kKeyEnd)); }
+RangeView World::pick() { return map_.find(random_.below(kKeyEnd)); }
 
 void World::split(Millis now) {
-  Place p = pick();
+  RangeView p = pick();
   if (map_.size() >= options_.ranges_most || p.span.size() < 1000) return;
   Key at = p.span.from + 1 + random_.below(p.span.size() - 1);
   double left = static_cast<double>(at - p.span.from) / static_cast<double>(p.span.size());
@@ -68,9 +68,9 @@
 }
 
 void World::merge(Millis now) {
-  Place p = pick();
+  RangeView p = pick();
   if (map_.size() <= options_.ranges_least || p.span.to == kKeyEnd) return;
-  Place q = map_.find(p.span.to);
+  RangeView q = map_.find(p.span.to);
   std::size_t shared = 0;
   for (const Holder& h : **p.holders) shared += h.role == Role::serving && serves(**q.holders, h.server);
   if (shared == 0) return;
@@ -87,14 +87,14 @@
 }
 
 void World::move(Millis now) {
-  Place p = pick();
+  RangeView p = pick();
   std::size_t node = random_.below(options_.nodes);
   auto is = [&](const Holder& h) { return h.server == node_name(node); };
   const Holders holders = **p.holders;
   if (std::any_of(holders.begin(), holders.end(), is) || holders.size() > kHolders) return;
   if (!apply(AddHolder{{p.id, p.span.from}, node_name(node)}, now)) return;
   ++counts_.moves;
-  auto serving_now = serving(holders);
+  auto serving_now = serving_servers(holders);
   std::string leaves =
       serving_now.size() >= kHolders ? serving_now[random_.below(serving_now.size())] : std::string();
   steps_.push_back({now + options_.copy_time, Step::Kind::promote, node, p.span, leaves});
@@ -105,8 +105,8 @@
   for (std::size_t i = 0; i < options_.merges; ++i) merge(now);
   for (std::size_t i = 0; i < options_.moves; ++i) move(now);
   for (std::size_t i = 0; i < options_.weighs; ++i) {
-    Place p = pick();
-    counts_.weighs += apply(Weigh{{p.id, p.span.from}, p.weight * random_.between(0.5, 2)}, now);
+    RangeView p = pick();
+    counts_.weighs += apply(SetWeight{{p.id, p.span.from}, p.weight * random_.between(0.5, 2)}, now);
   }
   // Ranges that merges left with few holders get further ones.
   std::vector<Range> thin;
@@ -135,7 +135,7 @@
   // The range may have been split or merged meanwhile: what lies inside its old span goes on.
   std::vector<Range> list;
   std::string name = node_name(s.node);
-  map_.visit(s.span, [&](const Place& p) {
+  map_.visit(s.span, [&](const RangeView& p) {
     if (s.span.contains(p.span)) list.push_back({p.id, p.span, p.weight, *p.holders});
     return true;
   });
@@ -158,7 +158,7 @@
 }
 
 void World::forget_data(std::size_t node, const Span& span) {
-  map_.visit(span, [&](const Place& p) {
+  map_.visit(span, [&](const RangeView& p) {
     Span s{std::max(p.span.from, span.from), std::min(p.span.to, span.to)};
     bool keeps = std::any_of((**p.holders).begin(), (**p.holders).end(), [&](const Holder& h) {
       return h.server == node_name(node) && h.role != Role::copying;
@@ -182,7 +182,7 @@
 
 void World::new_incarnation(Millis now) {
   Revision r = map_.revision();
-  map_ = map_.at({r.incarnation + 1, 1}, map_.next_id());
+  map_ = map_.with_revision({r.incarnation + 1, 1}, map_.next_id());
   first_number_ = 1;
   changes_.clear();
   history_.emplace_back(now, map_);
--- a/testbed/simulated_deployment.hpp
+++ b/testbed/simulated_deployment.hpp
@@ -57,7 +57,7 @@
     std::string retire{};  // promote: who leaves in exchange
   };
   bool apply(const ranges::Change& change, Millis now);
-  ranges::Place pick();
+  ranges::RangeView pick();
   void split(Millis now);
   void merge(Millis now);
   void move(Millis now);
--- a/tests/aggregator/compatibility/stored_data_test.cpp
+++ b/tests/aggregator/compatibility/stored_data_test.cpp
@@ -51,7 +51,7 @@
 dynamic_config::Bytes recorded_files() {
   dynamic_config::Bytes bytes;
   for (const Kind kind : dynamic_config::kKinds) {
-    bytes[kind] = read_file(kData / "files" / dynamic_config::file_of(kind));
+    bytes[kind] = read_file(kData / "files" / dynamic_config::file_name(kind));
   }
   return bytes;
 }
@@ -112,15 +112,15 @@
   REQUIRE(held);
   CHECK(held->bytes.at(Kind::tenants) == "<other/>");
 
-  const auto done = opened.store->order(1);
+  const auto done = opened.store->find_command(1);
   REQUIRE(done);
-  CHECK(done->word == "accept");
+  CHECK(done->action == "accept");
   CHECK(done->digest == kHeldDigest);
   CHECK(done->answer == "done");
-  const auto open = opened.store->open_orders();
+  const auto open = opened.store->pending_commands();
   REQUIRE(open.size() == 1);
   CHECK(open[0].id == 2);
-  CHECK(open[0].word == "rollback");
+  CHECK(open[0].action == "rollback");
   CHECK(open[0].digest == kTakenDigest);
 
   dynamic_config::StoredSet next;
@@ -166,7 +166,7 @@
   const DataCopy copy;
   const dynamic_config::FolderContents look =
       dynamic_config::read_config_folder(copy.path("files"), kMostBytes);
-  CHECK(look.there);
+  CHECK(look.exists);
   CHECK(look.faults.empty());
   CHECK(look.bytes == recorded_files());
   CHECK(dynamic_config::digest_of(look.bytes) == kTakenDigest);
--- a/tests/aggregator/dynamic_config/config_generation_manager_test.cpp
+++ b/tests/aggregator/dynamic_config/config_generation_manager_test.cpp
@@ -113,7 +113,7 @@
   for (auto& row : r.nodes) row.id = "bad id";
   std::vector<Fault> faults;
   CHECK_FALSE(check(r, 1, {}, faults));
-  CHECK(faults.size() == kFaultsMost);
+  CHECK(faults.size() == kMaxFaults);
 }
 
 TEST_CASE("taken, the same again, refused with what was in use kept, back and forth") {
@@ -125,7 +125,7 @@
   auto refused = k.evaluate(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 20);
   CHECK(refused.verdict == ValidationOutcome::refused);
   CHECK(refused.faults[0].text() == "nodes.xml:3: half a file");
-  CHECK(refused.doubtful);
+  CHECK(refused.may_be_partial);
   CHECK(k.current()->members.size() == 4);
   // It stays as it is: told once. It changes back: nothing to take.
   CHECK(k.evaluate(Rows{}, 2, {{Kind::nodes, 3, "half a file"}}, 30).verdict == ValidationOutcome::same);
@@ -229,18 +229,18 @@
 TEST_CASE("a burst is one look; a busy writer can't put it off for ever; silence is looked at now and then") {
   Debouncer s;
   s.on_scan_started(0);
-  CHECK(s.due() == Debouncer::kAnyway);
-  s.event(1000);
-  CHECK(s.due() == 1000 + Debouncer::kQuiet);
-  for (Millis t = 1000; t < 3000; t += 10) s.event(t);
-  CHECK(s.due() == 1000 + Debouncer::kLongest);
+  CHECK(s.next_scan_at() == Debouncer::kPollInterval);
+  s.on_event(1000);
+  CHECK(s.next_scan_at() == 1000 + Debouncer::kQuietPeriod);
+  for (Millis t = 1000; t < 3000; t += 10) s.on_event(t);
+  CHECK(s.next_scan_at() == 1000 + Debouncer::kMaxDelay);
   s.on_scan_started(1400);
-  CHECK(s.due() == 1400 + Debouncer::kAnyway);
-  s.event(1401);  // while it was looked at
-  CHECK(s.due() == 1401 + Debouncer::kQuiet);
+  CHECK(s.next_scan_at() == 1400 + Debouncer::kPollInterval);
+  s.on_event(1401);  // while it was looked at
+  CHECK(s.next_scan_at() == 1401 + Debouncer::kQuietPeriod);
   s.on_scan_started(1441);
-  s.doubtful(1441);
-  CHECK(s.due() == 1441 + Debouncer::kAgain);
+  s.schedule_retry(1441);
+  CHECK(s.next_scan_at() == 1441 + Debouncer::kRetryDelay);
 }
 
 TEST_CASE("differences are told by line") {
--- a/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
+++ b/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
@@ -65,8 +65,8 @@
   static dynamic_config::FileConfigOptions options(const Folder& folder, std::size_t most) {
     dynamic_config::FileConfigOptions o;
     o.folder = folder.path;
-    o.most_bytes = most;
-    o.read = app::read_set;
+    o.max_file_bytes = most;
+    o.parse_files = app::read_set;
     return o;
   }
   void until(const std::function<bool()>& done) {
--- a/tests/aggregator/dynamic_config/store_integration_test.cpp
+++ b/tests/aggregator/dynamic_config/store_integration_test.cpp
@@ -93,15 +93,15 @@
   auto program = opened(p);
   auto tool = dynamic_config::open(p.path, true);
   REQUIRE(tool.store);
-  auto id = tool.store->leave("accept", 77);
+  auto id = tool.store->add_command("accept", 77);
   REQUIRE(id);
-  auto open = program.store->open_orders();
+  auto open = program.store->pending_commands();
   REQUIRE(open.size() == 1);
-  CHECK(open[0].word == "accept");
+  CHECK(open[0].action == "accept");
   CHECK(open[0].digest == 77);
   CHECK(program.store->answer(*id, "done"));
-  CHECK(program.store->open_orders().empty());
-  CHECK(tool.store->order(*id)->answer == "done");
+  CHECK(program.store->pending_commands().empty());
+  CHECK(tool.store->find_command(*id)->answer == "done");
 }
 
 TEST_CASE(
--- a/tests/aggregator/ranges/changes_test.cpp
+++ b/tests/aggregator/ranges/changes_test.cpp
@@ -78,7 +78,7 @@
   map = after(map, Split{{1, 100}, 150, 6, 7, 1, 1});
   auto d = replan(map, p.coverage, open);
   REQUIRE(d.size() == 2);
-  CHECK(d[0].kind == Decision::Kind::hold_back);  // it is out: its answer may still come
+  CHECK(d[0].kind == Decision::Kind::defer);  // it is out: its answer may still come
   REQUIRE(d[1].kind == Decision::Kind::replace);
   CHECK(d[1].successors[0].span == Span{100, 150});
   CHECK(d[1].successors[1].span == Span{150, 200});
@@ -89,12 +89,12 @@
   open = {{2, true, d[0].successors[0]}, {3, true, d[0].successors[1]}};
   map = after(map, Split{{4, 0}, 10, 8, 9, 1, 1});
   d = replan(map, p.coverage, open);
-  CHECK(d[0].kind == Decision::Kind::hold_back);
+  CHECK(d[0].kind == Decision::Kind::defer);
   CHECK(d[1].kind == Decision::Kind::keep);
   // The first child's answer still counts, and nothing of what replaced it may count again.
-  CHECK(p.coverage.take({0, 40}));
-  CHECK_FALSE(p.coverage.take({0, 10}));
-  CHECK_FALSE(p.coverage.take({0, 100}));
+  CHECK(p.coverage.add_answer({0, 40}));
+  CHECK_FALSE(p.coverage.add_answer({0, 10}));
+  CHECK_FALSE(p.coverage.add_answer({0, 100}));
 }
 
 TEST_CASE("a merge: both halves out are left to end, waiting ones are joined, a mixed pair is not") {
@@ -103,12 +103,12 @@
   map = after(map, Merge{{1, 100}, {2, 200}, 4, {}});
   auto both_out = replan(map, p.coverage, {{0, true, p.parts[0]}, {1, true, p.parts[1]}});
   REQUIRE(both_out.size() == 2);
-  CHECK(both_out[0].kind == Decision::Kind::elsewhere);
-  CHECK(both_out[1].kind == Decision::Kind::elsewhere);
+  CHECK(both_out[0].kind == Decision::Kind::reassign);
+  CHECK(both_out[1].kind == Decision::Kind::reassign);
   CHECK(both_out[0].successors[0].span == Span{100, 200});
   auto both_wait = replan(map, p.coverage, {{0, false, p.parts[0]}, {1, false, p.parts[1]}});
   REQUIRE(both_wait.size() == 1);
-  CHECK(both_wait[0].kind == Decision::Kind::join);
+  CHECK(both_wait[0].kind == Decision::Kind::merge);
   CHECK(both_wait[0].successors[0].span == Span{100, 300});
   CHECK(both_wait[0].successors[0].weight == doctest::Approx(1));
   auto mixed = replan(map, p.coverage, {{0, true, p.parts[0]}, {1, false, p.parts[1]}});
@@ -130,19 +130,19 @@
 TEST_CASE("parent's and child's answers in either order, and duplicates: the first that covers wins") {
   Plan p = planned(small(), {{0, 300}});
   Coverage c = p.coverage;
-  CHECK(c.take({0, 50}));
-  CHECK_FALSE(c.take({0, 100}));  // the parent, after a child
-  CHECK_FALSE(c.take({0, 50}));   // a duplicate
-  CHECK(c.take({50, 100}));
-  CHECK(c.in_share() == doctest::Approx(1.0 / 3));
-  CHECK(c.take({100, 200}));
-  CHECK_FALSE(c.take({100, 150}));  // a child, after its parent
+  CHECK(c.add_answer({0, 50}));
+  CHECK_FALSE(c.add_answer({0, 100}));  // the parent, after a child
+  CHECK_FALSE(c.add_answer({0, 50}));   // a duplicate
+  CHECK(c.add_answer({50, 100}));
+  CHECK(c.answered_share() == doctest::Approx(1.0 / 3));
+  CHECK(c.add_answer({100, 200}));
+  CHECK_FALSE(c.add_answer({100, 150}));  // a child, after its parent
   CHECK_FALSE(c.complete());
-  CHECK(c.to_ask().spans() == std::vector<Span>{{200, 300}});
-  CHECK_FALSE(c.take({200, 301}));  // reaches outside the query
-  CHECK(c.take({200, 300}));
+  CHECK(c.unassigned().spans() == std::vector<Span>{{200, 300}});
+  CHECK_FALSE(c.add_answer({200, 301}));  // reaches outside the query
+  CHECK(c.add_answer({200, 300}));
   CHECK(c.complete());
-  CHECK(c.in_share() == 1);
+  CHECK(c.answered_share() == 1);
 }
 
 TEST_CASE("shares are those of the plan, though weights shift under it") {
@@ -151,32 +151,32 @@
   Plan p = planned(map, {{0, 200}});
   CHECK(p.parts[0].weight == doctest::Approx(0.7));
   // The first range, 70% of the report when it was asked for, becomes light and is split.
-  map = after(map, Weigh{{0, 0}, 0.1});
+  map = after(map, SetWeight{{0, 0}, 0.1});
   map = after(map, Split{{0, 0}, 50, 3, 4, 0.01, 0.09});
   auto d = replan(map, p.coverage, {{0, false, p.parts[0]}, {1, false, p.parts[1]}});
   REQUIRE(d[0].kind == Decision::Kind::replace);
   CHECK(d[0].successors[0].weight == doctest::Approx(0.35));
   CHECK(d[0].successors[1].weight == doctest::Approx(0.35));
-  CHECK(p.coverage.take({0, 50}));
-  CHECK(p.coverage.take({50, 100}));
-  CHECK(p.coverage.in_share() == doctest::Approx(0.7));
+  CHECK(p.coverage.add_answer({0, 50}));
+  CHECK(p.coverage.add_answer({50, 100}));
+  CHECK(p.coverage.answered_share() == doctest::Approx(0.7));
 }
 
 TEST_CASE("not mine: a node behind gets a moment, one ahead sends us to the directory") {
-  RangeMap map = small().at({1, 5}, 4);
+  RangeMap map = small().with_revision({1, 5}, 4);
   Plan p = planned(map, {{0, 100}});
   OpenPart part{0, false, p.parts[0]};
-  auto behind = not_mine(map, p.coverage, part, {{1, 3}, {}});
+  auto behind = handle_denial(map, p.coverage, part, {{1, 3}, {}});
   CHECK_FALSE(behind.refresh_directory);
   CHECK_FALSE(behind.decision);
-  auto ahead = not_mine(map, p.coverage, part, {{1, 6}, {}});
+  auto ahead = handle_denial(map, p.coverage, part, {{1, 6}, {}});
   CHECK(ahead.refresh_directory);
   CHECK_FALSE(ahead.decision);
-  auto later_begin = not_mine(map, p.coverage, part, {{2, 1}, {}});
+  auto later_begin = handle_denial(map, p.coverage, part, {{2, 1}, {}});
   CHECK(later_begin.refresh_directory);
   SUBCASE("successors that cover the part are used") {
-    NotMine word{{1, 6}, {{{0, 60}, 8, {}, held({"c"}), 0, {}}, {{60, 100}, 9, {}, held({"d"}), 0, {}}}};
-    auto a = not_mine(map, p.coverage, part, word);
+    Denial word{{1, 6}, {{{0, 60}, 8, {}, held({"c"}), 0, {}}, {{60, 100}, 9, {}, held({"d"}), 0, {}}}};
+    auto a = handle_denial(map, p.coverage, part, word);
     REQUIRE(a.decision);
     CHECK(a.decision->kind == Decision::Kind::replace);
     CHECK(a.decision->successors[0].weight == doctest::Approx(0.6));
@@ -191,19 +191,19 @@
         {{{0, 60}, 8, {}, held({"c"}), 0, {}}, {{60, 100}, 9, {}, none, 0, {}}},
         {{{0, 100}, 8, {}, nullptr, 0, {}}}};
     for (const auto& bad : bads) {
-      auto a = not_mine(map, p.coverage, part, {{1, 6}, bad});
+      auto a = handle_denial(map, p.coverage, part, {{1, 6}, bad});
       CHECK(a.refresh_directory);
       CHECK_FALSE(a.decision);
     }
   }
   SUBCASE("a node and a directory of one revision that contradict each other: the directory's word holds") {
-    auto a = not_mine(map, p.coverage, part, {{1, 5}, {{{0, 100}, 8, {}, held({"c"}), 0, {}}}});
+    auto a = handle_denial(map, p.coverage, part, {{1, 5}, {{{0, 100}, 8, {}, held({"c"}), 0, {}}}});
     CHECK(a.refresh_directory);
     CHECK_FALSE(a.decision);
   }
   SUBCASE("the map has moved on since the part was planned: that is the answer") {
     RangeMap now = after(map, Split{{0, 0}, 50, 4, 5, 1, 1});
-    auto a = not_mine(now, p.coverage, part, {{1, 6}, {}});
+    auto a = handle_denial(now, p.coverage, part, {{1, 6}, {}});
     REQUIRE(a.decision);
     CHECK(a.decision->kind == Decision::Kind::replace);
   }
@@ -215,7 +215,7 @@
   RangeMap before = map;
   RangeId next = map.next_id();
   for (int i = 0; i < 1000; ++i) {
-    Place p = map.find(static_cast<Key>(i) * (kKeyEnd / 1000) + 5);
+    RangeView p = map.find(static_cast<Key>(i) * (kKeyEnd / 1000) + 5);
     map = after(map, Split{{p.id, p.span.from}, p.span.from + p.span.size() / 2, next, next + 1, 1, 1});
     next += 2;
   }
--- a/tests/aggregator/ranges/follower_test.cpp
+++ b/tests/aggregator/ranges/follower_test.cpp
@@ -25,60 +25,62 @@
     u.changes = std::move(list);
     return u;
   };
-  f.opened(0);
-  CHECK(f.take(changes({3, 7}, {Weigh{{0, 0}, 2}}), 1) == Taken::gap);
-  CHECK(f.wants_reopen());
-  f.reopening(1, 0.5);
-  CHECK(f.ask_at() > 1);  // not at once: a directory that speaks nonsense is not asked without end
-  f.opened(50);
-  CHECK(f.take(complete({3, 7}), 50) == Taken::taken);
-  CHECK(f.take(changes({3, 8}, {Weigh{{0, 0}, 2}}), 51) == Taken::taken);
+  f.on_watch_opened(0);
+  CHECK(f.apply_update(changes({3, 7}, {SetWeight{{0, 0}, 2}}), 1) == UpdateResult::gap);
+  CHECK(f.needs_reopen());
+  f.on_watch_closed(1, 0.5);
+  CHECK(f.next_request_at() > 1);  // not at once: a directory that speaks nonsense is not asked without end
+  f.on_watch_opened(50);
+  CHECK(f.apply_update(complete({3, 7}), 50) == UpdateResult::applied);
+  CHECK(f.apply_update(changes({3, 8}, {SetWeight{{0, 0}, 2}}), 51) == UpdateResult::applied);
   CHECK(f.map().revision() == Revision{3, 8});
-  CHECK(f.take(changes({3, 8}, {Weigh{{0, 0}, 2}}), 52) == Taken::nothing);
+  CHECK(f.apply_update(changes({3, 8}, {SetWeight{{0, 0}, 2}}), 52) == UpdateResult::unchanged);
   // Two of which one is held already.
-  CHECK(f.take(changes({3, 9}, {Weigh{{0, 0}, 2}, Weigh{{0, 0}, 3}}), 53) == Taken::taken);
+  CHECK(f.apply_update(changes({3, 9}, {SetWeight{{0, 0}, 2}, SetWeight{{0, 0}, 3}}), 53) ==
+        UpdateResult::applied);
   CHECK(f.map().find(0).weight == 3);
-  CHECK(f.take(changes({3, 12}, {Weigh{{0, 0}, 4}}), 54) == Taken::gap);
+  CHECK(f.apply_update(changes({3, 12}, {SetWeight{{0, 0}, 4}}), 54) == UpdateResult::gap);
   CHECK(f.map().find(0).weight == 3);
-  f.reopening(54, 0.5);
-  f.opened(60);
-  CHECK(f.take(complete({2, 99}), 61) == Taken::stale);
+  f.on_watch_closed(54, 0.5);
+  f.on_watch_opened(60);
+  CHECK(f.apply_update(complete({2, 99}), 61) == UpdateResult::stale);
   CHECK(f.fault().find("older incarnation") != std::string::npos);
   CHECK(f.map().revision() == Revision{3, 9});
   // One change of a line is impossible: none of the line is taken.
-  CHECK(f.take(changes({3, 11}, {Weigh{{0, 0}, 5}, Remove{{0, 0}, "zz"}}), 62) == Taken::impossible);
+  CHECK(f.apply_update(changes({3, 11}, {SetWeight{{0, 0}, 5}, Remove{{0, 0}, "zz"}}), 62) ==
+        UpdateResult::impossible);
   CHECK(f.map().find(0).weight == 3);
   CHECK(f.needs_full_map());
-  f.reopening(62, 0.5);
-  f.opened(200);
-  CHECK(f.take(complete({3, 11}), 201) == Taken::taken);
+  f.on_watch_closed(62, 0.5);
+  f.on_watch_opened(200);
+  CHECK(f.apply_update(complete({3, 11}), 201) == UpdateResult::applied);
   CHECK_FALSE(f.needs_full_map());
-  CHECK(f.take(complete({4, 1}), 202) == Taken::taken);
+  CHECK(f.apply_update(complete({4, 1}), 202) == UpdateResult::applied);
 }
 
 TEST_CASE("a directory that comes back with an older revision is not believed until it is newer and whole") {
   Follower f;
-  f.opened(0);
+  f.on_watch_opened(0);
   Update u;
   u.revision = {1, 50};
   u.complete = true;
   u.ranges = small().all();
-  CHECK(f.take(u, 0) == Taken::taken);
+  CHECK(f.apply_update(u, 0) == UpdateResult::applied);
   u.revision = {1, 45};
-  CHECK(f.take(u, 10) == Taken::stale);
+  CHECK(f.apply_update(u, 10) == UpdateResult::stale);
   // It counts on from there: its 51 is not ours.
   Update c;
   c.revision = {1, 51};
-  c.changes = {Weigh{{0, 0}, 9}};
-  CHECK(f.take(c, 20) == Taken::gap);
+  c.changes = {SetWeight{{0, 0}, 9}};
+  CHECK(f.apply_update(c, 20) == UpdateResult::gap);
   CHECK(f.map().find(0).weight == 1);
   u.revision = {1, 51};
-  CHECK(f.take(u, 30) == Taken::taken);
+  CHECK(f.apply_update(u, 30) == UpdateResult::applied);
 }
 
 TEST_CASE("a map in pages is taken with its last page, and a broken one leaves nothing behind") {
   Follower f;
-  f.opened(0);
+  f.on_watch_opened(0);
   auto all = even(9);
   auto page = [&](std::size_t from, std::size_t to, bool more, std::uint64_t number = 4) {
     Update u;
@@ -88,17 +90,17 @@
     u.ranges.assign(all.begin() + static_cast<long>(from), all.begin() + static_cast<long>(to));
     return u;
   };
-  CHECK(f.take(page(0, 3, true), 0) == Taken::page);
+  CHECK(f.apply_update(page(0, 3, true), 0) == UpdateResult::page);
   CHECK(f.map().empty());
-  f.broke(1, 0.5);  // in the middle of it
-  f.opened(60);
-  CHECK(f.take(page(0, 3, true), 60) == Taken::page);
-  CHECK(f.take(page(3, 6, true, 5), 61) == Taken::page);  // another revision begins in between
-  CHECK(f.take(page(6, 9, false, 5), 62) == Taken::impossible);
-  f.reopening(62, 0.5);
-  f.opened(300);
-  CHECK(f.take(page(0, 3, true, 6), 300) == Taken::page);
-  CHECK(f.take(page(3, 9, false, 6), 301) == Taken::taken);
+  f.on_watch_lost(1, 0.5);  // in the middle of it
+  f.on_watch_opened(60);
+  CHECK(f.apply_update(page(0, 3, true), 60) == UpdateResult::page);
+  CHECK(f.apply_update(page(3, 6, true, 5), 61) == UpdateResult::page);  // another revision begins in between
+  CHECK(f.apply_update(page(6, 9, false, 5), 62) == UpdateResult::impossible);
+  f.on_watch_closed(62, 0.5);
+  f.on_watch_opened(300);
+  CHECK(f.apply_update(page(0, 3, true, 6), 300) == UpdateResult::page);
+  CHECK(f.apply_update(page(3, 9, false, 6), 301) == UpdateResult::applied);
   CHECK(f.map().size() == 9);
 }
 
@@ -106,18 +108,18 @@
   Follower f;
   double last = 0;
   for (int i = 0; i < 12; ++i) {
-    f.broke(1000, 0.0);
-    CHECK(f.ask_at() - 1000 >= last);
-    last = f.ask_at() - 1000;
+    f.on_watch_lost(1000, 0.0);
+    CHECK(f.next_request_at() - 1000 >= last);
+    last = f.next_request_at() - 1000;
   }
-  CHECK(last <= Follower::kLongestWait);
+  CHECK(last <= Follower::kMaxBackoff);
   f.refresh(1000);
-  CHECK(f.ask_at() == 1000);
-  f.opened(1000);
-  CHECK_FALSE(f.silent(1000 + Follower::kResponseTimeout));
-  CHECK(f.silent(1001 + Follower::kResponseTimeout));
+  CHECK(f.next_request_at() == 1000);
+  f.on_watch_opened(1000);
+  CHECK_FALSE(f.keepalive_timed_out(1000 + Follower::kKeepaliveTimeout));
+  CHECK(f.keepalive_timed_out(1001 + Follower::kKeepaliveTimeout));
   f.refresh(1050);  // a burst is one question
-  CHECK_FALSE(f.wants_reopen());
+  CHECK_FALSE(f.needs_reopen());
   f.refresh(1200);
-  CHECK(f.wants_reopen());
+  CHECK(f.needs_reopen());
 }
--- a/tests/aggregator/ranges/histories_test.cpp
+++ b/tests/aggregator/ranges/histories_test.cpp
@@ -42,7 +42,7 @@
     // Look-ups, at borders and inside, against the plain map's own.
     for (auto it = model.rows.begin(); it != model.rows.end(); ++it)
       for (Key key : {it->first, model.end(it) - 1, it->first + (model.end(it) - it->first) / 2}) {
-        Place p = map.find(key);
+        RangeView p = map.find(key);
         RC_ASSERT(p.id == it->second.id);
         RC_ASSERT(p.span == (Span{it->first, model.end(it)}));
       }
@@ -107,7 +107,7 @@
     auto answer = [&](const Span& span) {
       bool overlap = false;
       for (Key k = span.from; k < span.to; ++k) overlap = overlap || counted[k] > 0;
-      bool taken = p.coverage.take(span);
+      bool taken = p.coverage.add_answer(span);
       RC_ASSERT(taken == !overlap);
       if (taken) share += p.coverage.share(span);
       for (Key k = span.from; taken && k < span.to; ++k) ++counted[k];
@@ -119,23 +119,23 @@
         for (std::size_t n : d.parts) {
           auto it = std::find_if(open.begin(), open.end(), [&](auto& o) { return o.number == n; });
           RC_ASSERT(it != open.end());
-          if (d.kind == Decision::Kind::replace || d.kind == Decision::Kind::join) RC_ASSERT(!it->out);
+          if (d.kind == Decision::Kind::replace || d.kind == Decision::Kind::merge) RC_ASSERT(!it->in_flight);
           before.add(it->planned.span);
           SpanSet rest(std::vector<Span>{it->planned.span});
-          rest = rest.minus(p.coverage.in());
+          rest = rest.minus(p.coverage.answered());
           double left = 0;
           for (const Span& s : rest.spans()) left += p.coverage.share(s);
           weight += it->planned.weight * left / p.coverage.share(it->planned.span);
-          if (d.kind == Decision::Kind::elsewhere) it->planned = d.successors[0];
-          if (d.kind == Decision::Kind::replace || d.kind == Decision::Kind::join) open.erase(it);
+          if (d.kind == Decision::Kind::reassign) it->planned = d.successors[0];
+          if (d.kind == Decision::Kind::replace || d.kind == Decision::Kind::merge) open.erase(it);
         }
-        if (d.kind == Decision::Kind::keep || d.kind == Decision::Kind::hold_back) continue;
-        before = before.minus(p.coverage.in());
+        if (d.kind == Decision::Kind::keep || d.kind == Decision::Kind::defer) continue;
+        before = before.minus(p.coverage.answered());
         for (const PlannedPart& s : d.successors) {
           RC_ASSERT(!later.overlaps(s.span));
           later.add(s.span);
           weight_after += s.weight;
-          if (d.kind != Decision::Kind::elsewhere) open.push_back({number++, false, s});
+          if (d.kind != Decision::Kind::reassign) open.push_back({number++, false, s});
         }
         RC_ASSERT(before == later);
         RC_ASSERT(std::abs(weight - weight_after) < 1e-9);
@@ -154,28 +154,29 @@
         }
       } else if (!late.empty() && d.one_in(4)) {
         answer(late[d.below(late.size())]);
-        std::erase_if(open, [&](const OpenPart& o) { return p.coverage.in().contains(o.planned.span); });
+        std::erase_if(open,
+                      [&](const OpenPart& o) { return p.coverage.answered().contains(o.planned.span); });
       } else if (!open.empty()) {
         std::size_t at = d.below(open.size());
         OpenPart& part = open[at];
-        if (!part.out) {
-          part.out = true;
-          p.coverage.sent(part.planned.span);
-        } else if (d.one_in(2) && !p.coverage.in().overlaps(part.planned.span)) {
+        if (!part.in_flight) {
+          part.in_flight = true;
+          p.coverage.on_sent(part.planned.span);
+        } else if (d.one_in(2) && !p.coverage.answered().overlaps(part.planned.span)) {
           answer(part.planned.span);
           late.push_back(part.planned.span);
           open.erase(open.begin() + static_cast<long>(at));
         } else {  // it fails, or what it brings is dropped as some of it is in
-          p.coverage.back(part.planned.span);
+          p.coverage.on_attempt_failed(part.planned.span);
           late.push_back(part.planned.span);
-          part.out = false;
+          part.in_flight = false;
           carry_out(replan(map, p.coverage, open));
         }
       }
-      RC_ASSERT(std::abs(share - p.coverage.in_share()) < 1e-6);
+      RC_ASSERT(std::abs(share - p.coverage.answered_share()) < 1e-6);
     }
     // Then all that is out fails, and what is planned instead is answered.
-    for (OpenPart& part : open) part.out = false;
+    for (OpenPart& part : open) part.in_flight = false;
     carry_out(replan(map, p.coverage, open));
     while (!open.empty()) {
       answer(open.back().planned.span);
@@ -183,7 +184,7 @@
     }
     for (Key k = 0; k < kKeys; ++k) RC_ASSERT(counted[k] == (k >= from && k < to ? 1 : 0));
     RC_ASSERT(p.coverage.complete());
-    RC_ASSERT(p.coverage.in_share() == 1);
+    RC_ASSERT(p.coverage.answered_share() == 1);
   }));
 }
 
@@ -218,25 +219,26 @@
       bool lost = d.one_in(4);  // this word doesn't arrive
       bool bent = d.one_in(5);
       if (bent && complete) u.ranges.erase(u.ranges.begin() + static_cast<long>(d.below(u.ranges.size())));
-      if (bent && !complete) u.changes.push_back(Weigh{{77'777, 1}, 1});
+      if (bent && !complete) u.changes.push_back(SetWeight{{77'777, 1}, 1});
       if (lost) continue;
-      Taken taken = follower.take(u, now);
-      if (taken == Taken::taken) {
+      UpdateResult taken = follower.apply_update(u, now);
+      if (taken == UpdateResult::applied) {
         RC_ASSERT(!bent);
         RC_ASSERT(plain(follower.map()).rows == plain(truth).rows);
         RC_ASSERT(follower.map().revision() == truth.revision());
       } else {
         RC_ASSERT(plain(follower.map()).rows == plain(held).rows);
-        if (taken != Taken::nothing && taken != Taken::page) RC_ASSERT(!follower.fault().empty());
+        if (taken != UpdateResult::unchanged && taken != UpdateResult::page)
+          RC_ASSERT(!follower.fault().empty());
       }
-      if (follower.wants_reopen()) {
-        follower.reopening(now, 0.5);
-        follower.opened(now);
+      if (follower.needs_reopen()) {
+        follower.on_watch_closed(now, 0.5);
+        follower.on_watch_opened(now);
         Update all;
         all.revision = truth.revision();
         all.complete = true;
         all.ranges = truth.all();
-        follower.take(all, now);
+        follower.apply_update(all, now);
         RC_ASSERT(follower.map().revision() == truth.revision());
       }
       (void)from;
--- a/tests/aggregator/ranges/ranges_fixture.hpp
+++ b/tests/aggregator/ranges/ranges_fixture.hpp
@@ -193,7 +193,7 @@
       double weight = d.one_in(4) ? 0 : 0.5 + static_cast<double>(d.below(10));
       possible = right_target && weight > 0;
       if (possible) row.weight = weight;
-      return Weigh{target, weight};
+      return SetWeight{target, weight};
     }
   }
 }
--- a/tests/aggregator/ranges/spans_directory_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_directory_integration_test.cpp
@@ -82,17 +82,17 @@
   s.peers.back()->stream->close();
   s.until_asked(2);
   CHECK(s.asked[1] == "GET /v1/ranges?watch=1&incarnation=1&after=6 HTTP/1.1");
-  s.say({1, 7}, {Weigh{{4, 0}, 3}});
+  s.say({1, 7}, {SetWeight{{4, 0}, 3}});
   s.until([&] { return s.revision() == Revision{1, 7}; });
   // A change is lost on the way.
-  s.say({1, 9}, {Weigh{{4, 0}, 5}});
+  s.say({1, 9}, {SetWeight{{4, 0}, 5}});
   s.until_asked(3);
   CHECK(s.asked[2] == "GET /v1/ranges?watch=1&incarnation=1&after=7 HTTP/1.1");
   CHECK(s.revision() == Revision{1, 7});
   // It comes back with less than it told: what is held serves on, and its changes are not believed.
   s.say(four());
   s.until([&] { return s.directory.figures().refused >= 2; });
-  s.say({1, 8}, {Weigh{{4, 0}, 9}});
+  s.say({1, 8}, {SetWeight{{4, 0}, 9}});
   s.until_asked(4);
   CHECK(s.asked[3] == "GET /v1/ranges?watch=1 HTTP/1.1");
   CHECK(s.revision() == Revision{1, 7});
--- a/tests/aggregator/ranges/spans_moves_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_moves_integration_test.cpp
@@ -205,7 +205,7 @@
   d.ask_spans(1, 6000, {{0, 200}});
   REQUIRE(d.out.size() == 2);
   // The first range becomes light, and is split; what was asked for stays what it was.
-  d.update_ranges(after_all(map, {Weigh{{0, 0}, 0.1}, Split{{0, 0}, 50, 3, 4, 0.05, 0.05}}));
+  d.update_ranges(after_all(map, {SetWeight{{0, 0}, 0.1}, Split{{0, 0}, 50, 3, 4, 0.05, 0.05}}));
   d.end(d.out_for({100, 200}), Outcome::ok);
   d.pass(400);  // past the aim, with 40%
   CHECK(d.verdicts.empty());
--- a/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
@@ -167,7 +167,7 @@
   };
   for (int round = 0; round < 600; ++round) {
     if (d.router.open_queries() < 6) d.ask_spans(0, 4000, {{below(150), 151 + below(149)}});
-    Place p = map.find(below(300));
+    RangeView p = map.find(below(300));
     if (below(2) == 0 && p.span.size() > 4 && p.span.to <= 300)
       map = after(
           map,
--- a/tests/aggregator/support/router_fixture.hpp
+++ b/tests/aggregator/support/router_fixture.hpp
@@ -75,10 +75,10 @@
   bool is_out(const ranges::Span& span) const {
     return std::any_of(out.begin(), out.end(), [&](const auto& o) { return o.second.span == span; });
   }
-  void deny(coordination::AttemptNumber n, ranges::NotMine words) {
+  void deny(coordination::AttemptNumber n, ranges::Denial words) {
     out.erase(n);
     coordination::Result r{.outcome = coordination::Outcome::not_mine};
-    r.denial = std::make_shared<const ranges::NotMine>(std::move(words));
+    r.denial = std::make_shared<const ranges::Denial>(std::move(words));
     router.attempt_ended(n, r);
     router.run();
   }
--- a/tests/fuzz/store_fuzz.cpp
+++ b/tests/fuzz/store_fuzz.cpp
@@ -27,7 +27,7 @@
     if (auto kept = opened.store->newest_taken())
       if (dynamic_config::digest_of(kept->bytes) != kept->digest) std::abort();
     opened.store->history(10);
-    opened.store->open_orders();
+    opened.store->pending_commands();
     dynamic_config::StoredSet k;
     k.bytes[dynamic_config::Kind::nodes] = "x";
     k.digest = dynamic_config::digest_of(k.bytes);
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -20,10 +20,10 @@
   first.complete = true;
   first.ranges.push_back(
       {0, {0, ranges::kKeyEnd}, 1, std::make_shared<const ranges::Holders>(ranges::Holders{{"a"}})});
-  follower.take(first, 0);
+  follower.apply_update(first, 0);
   auto before = follower.map().revision();
-  auto taken = follower.take(*update, 1);
-  if (taken != ranges::Taken::taken && follower.map().revision() != before) std::abort();
+  auto taken = follower.apply_update(*update, 1);
+  if (taken != ranges::UpdateResult::applied && follower.map().revision() != before) std::abort();
   std::string why;
   if (!ranges::RangeMap::build({1, 1}, follower.map().all(), why)) std::abort();
   return 0;
