--- a/src/aggregator/ranges/change.hpp
+++ b/src/aggregator/ranges/change.hpp
@@ -1,4 +1,4 @@
-// Changes of the map: each is checked against the map it is for, and is taken whole or refused with a reason.
+// Changes of a range map. Each is validated against the map and applied as a whole or not at all.
 #pragma once
 
 #include <string>
@@ -9,48 +9,59 @@
 
 namespace winchhall::ranges {
 
-// A range is named by its id and its first key: both must fit, so a change that was meant for another map is
-// found at once.
+// Identifies a range by its id and its first key. Both must match, so that a change that was made for another
+// map is detected.
 struct Target {
   RangeId range = 0;
   Key from = 0;
 };
+// Replaces a range by two with the same holders.
 struct Split {
   Target target{};
-  Key at = 0;                   // inside the range: the right one begins here
-  RangeId left = 0, right = 0;  // new ids
+  Key at = 0;                   // first key of the right range; inside the range that is split
+  RangeId left = 0, right = 0;  // ids that have never been used
   double left_weight = 0, right_weight = 0;
 };
+// Replaces two neighbouring ranges by one, whose weight is the sum of theirs.
 struct Merge {
-  Target left{}, right{};  // neighbours
+  Target left{}, right{};
   RangeId merged = 0;
-  Holders holders{};  // empty: those that both have, in the lesser of their two roles
+  // The holders of the merged range; those with role `serving` must serve both ranges. Empty: the servers
+  // that hold both. One with different roles is `copying` if it is that in either range, else `leaving`.
+  Holders holders{};
 };
-struct AddHolder {  // begins to copy
+// Adds a holder with role `copying`.
+struct AddHolder {
   Target target{};
   std::string server{};
 };
-struct Promote {  // has all of it now (copying), or stays after all (leaving): serving
+// Makes a holder `serving`: a copying one that has the whole range now, or a leaving one that stays.
+struct Promote {
   Target target{};
   std::string server{};
 };
-struct Retire {  // serving to leaving
+// Makes a serving holder `leaving`.
+struct Retire {
   Target target{};
   std::string server{};
 };
+// Removes a holder.
 struct Remove {
   Target target{};
   std::string server{};
 };
+// Changes the weight of a range.
 struct SetWeight {
   Target target{};
   double weight = 0;
 };
 using Change = std::variant<Split, Merge, AddHolder, Promote, Retire, Remove, SetWeight>;
 
+// The name of the change's type, as in the directory's protocol: "split", "weigh", ...
 const char* name_of(const Change& change);
 
-// The map after the change, at the next revision. Nothing, and the reason, where the change is impossible.
+// Returns the map after the change, at the next revision; none if the change is impossible, for the reason in
+// `fault`.
 std::optional<RangeMap> apply(const RangeMap& map, const Change& change, std::string& fault);
 
 }  // namespace winchhall::ranges
--- a/src/aggregator/ranges/coverage.cpp
+++ b/src/aggregator/ranges/coverage.cpp
@@ -4,25 +4,25 @@
 
 namespace winchhall::ranges {
 
-Coverage::Coverage(std::vector<WeightedSpan> pieces) : pieces_(std::move(pieces)) {
-  std::sort(pieces_.begin(), pieces_.end(),
+Coverage::Coverage(std::vector<WeightedSpan> spans) : spans_(std::move(spans)) {
+  std::sort(spans_.begin(), spans_.end(),
             [](const WeightedSpan& a, const WeightedSpan& b) { return a.span.from < b.span.from; });
   double sum = 0;
-  for (const WeightedSpan& p : pieces_) {
+  for (const WeightedSpan& p : spans_) {
     requested_.add(p.span);
     sum += p.weight;
   }
-  for (WeightedSpan& p : pieces_)
-    p.weight = sum > 0 ? p.weight / sum : 1.0 / static_cast<double>(pieces_.size());
+  for (WeightedSpan& p : spans_)
+    p.weight = sum > 0 ? p.weight / sum : 1.0 / static_cast<double>(spans_.size());
 }
 
 double Coverage::share(const Span& span) const {
-  auto it = std::partition_point(pieces_.begin(), pieces_.end(),
+  auto it = std::partition_point(spans_.begin(), spans_.end(),
                                  [&](const WeightedSpan& p) { return p.span.to <= span.from; });
   double sum = 0;
-  for (; it != pieces_.end() && it->span.from < span.to; ++it) {
-    Span both{std::max(it->span.from, span.from), std::min(it->span.to, span.to)};
-    sum += it->weight * (static_cast<double>(both.size()) / static_cast<double>(it->span.size()));
+  for (; it != spans_.end() && it->span.from < span.to; ++it) {
+    Span overlap{std::max(it->span.from, span.from), std::min(it->span.to, span.to)};
+    sum += it->weight * (static_cast<double>(overlap.size()) / static_cast<double>(it->span.size()));
   }
   return sum;
 }
--- a/src/aggregator/ranges/follower.hpp
+++ b/src/aggregator/ranges/follower.hpp
@@ -1,5 +1,4 @@
-// Follows a directory of ranges: takes its word or refuses it, and says when to ask it again. It holds the
-// map; what carries the words is not known here, nor the time but as it is told.
+// Keeps a copy of the range map up to date from the directory's updates. Independent of the transport.
 #pragma once
 
 #include <cstdint>
@@ -12,70 +11,88 @@
 
 using Millis = double;
 
+// One message of the directory: a page of the full map, or a sequence of changes.
 struct Update {
-  Revision revision{};            // of the map once all of this is applied
-  bool complete = false;          // the whole map; else changes
-  bool more = false;              // complete: further pages of it follow
-  std::vector<Range> ranges{};    // complete
-  std::vector<Change> changes{};  // else, one revision each, the last of them giving `revision`
+  Revision revision{};            // of the map after the update
+  bool complete = false;          // a full map, else changes
+  bool more = false;              // full map: further pages follow
+  std::vector<Range> ranges{};    // full map: the ranges of this page
+  std::vector<Change> changes{};  // one revision each, the last of which is `revision`
 };
 
+// What became of an update. The last three mean that it was rejected.
 enum class UpdateResult {
-  applied,     // there is a new map
-  page,        // a page of a whole map, others follow
-  unchanged,   // nothing new: the directory repeats what is held, or only lives
-  gap,         // changes are missing between: ask for what was missed
-  stale,       // an older revision or incarnation than what is held
-  impossible,  // contradicts itself, or the map that is held
+  applied,     // the map was replaced by a newer one
+  page,        // a page of a full map was stored, further ones follow
+  unchanged,   // the update repeats the revision that is held
+  gap,         // changes are missing between the revision that is held and the update's
+  stale,       // of an older revision or incarnation than the one that is held
+  impossible,  // contradicts itself or the map that is held
 };
-const char* name_of(UpdateResult taken);
+// The result's name in logs.
+const char* name_of(UpdateResult result);
 
+// Holds the newest valid map, validates each update against it, and decides when the directory has to be
+// asked again and for what. The owner opens and closes the watch (a request whose response is a stream of
+// updates) and reports its events here. No I/O; the caller passes the time `now`, in milliseconds of a steady
+// clock. Not thread-safe.
 class Follower {
  public:
-  // `max_ranges`: the most ranges that are held, so that a directory can't take all memory.
+  // `max_ranges`: larger maps are rejected, so that a faulty directory can't exhaust the memory.
   explicit Follower(std::size_t max_ranges = 2'000'000) : max_ranges_(max_ranges) {}
 
+  // The newest valid map; empty before the first one.
   const RangeMap& map() const { return map_; }
 
-  // Takes an update whole or not at all; where it isn't taken, fault() says why and map() stays as it was.
+  // Applies an update atomically. If it is rejected, map() stays unchanged and fault() has the reason.
   UpdateResult apply_update(Update update, Millis now);
   const std::string& fault() const { return fault_; }
 
-  // What became of the watch, and when to open one.
+  // The owner has sent the request for a watch.
   void on_watch_opened(Millis now);
+  // The directory sent anything, which may be an empty line.
   void on_keepalive(Millis now) { last_keepalive_at_ = now; }
-  void on_watch_lost(Millis now, double chance);  // chance in [0, 1): spreads the return of many
-  void refresh(Millis now);  // a node is ahead of us: ask now, if that wasn't done just before
-  // Where needs_reopen(), its owner ends the watch and says so here.
-  void on_watch_closed(Millis now, double chance);
+  // The watch has failed or could not be opened. `jitter` in [0, 1) is random: it keeps many followers from
+  // reconnecting at the same time.
+  void on_watch_lost(Millis now, double jitter);
+  // The owner has closed the watch because needs_reopen() was true.
+  void on_watch_closed(Millis now, double jitter);
+  // A node has a newer map than this one: the directory is asked at once, unless that was done within the
+  // last kMinRefreshInterval.
+  void refresh(Millis now);
   bool watching() const { return watching_; }
   bool keepalive_timed_out(Millis now) const {
     return watching_ && now - last_keepalive_at_ > kKeepaliveTimeout;
   }
-  // Ask again from then on, where no watch is open: for changes after the revision held, or for the whole
-  // map.
+  // While no watch is open: the time from which the next one is to be opened.
   Millis next_request_at() const { return next_request_at_; }
+  // The next watch has to begin with the full map, else with the changes after the revision that is held.
   bool needs_full_map() const { return map_.empty() || needs_full_map_; }
-  bool needs_reopen() const { return needs_reopen_; }  // the watch that is open tells less than there is
+  // The open watch has missed or rejected changes, or a newer map is known to exist: it has to be closed.
+  bool needs_reopen() const { return needs_reopen_; }
+  // Since when no watch is open; -1: one is open.
   Millis stale_since() const { return watching_ ? -1 : disconnected_since_; }
 
-  static constexpr Millis kKeepaliveTimeout = 5000;  // ms: a line comes every 2 s, so two are missing
-  static constexpr Millis kInitialBackoff = 50;      // ms: after a first break
-  static constexpr Millis kMaxBackoff = 5000;        // ms: doubling ends there; a directory is back within it
-  static constexpr Millis kMinRefreshInterval = 100;  // ms: a burst of nodes that are ahead is one question
+  // The directory sends a line every 2 s: two of them are missing.
+  static constexpr Millis kKeepaliveTimeout = 5000;
+  static constexpr Millis kInitialBackoff = 50;  // after the first failure; doubled after each further one
+  static constexpr Millis kMaxBackoff = 5000;    // a directory that is back is found within this time
+  // A burst of reports from nodes with a newer map causes one request.
+  static constexpr Millis kMinRefreshInterval = 100;
 
  private:
-  UpdateResult refuse(UpdateResult why, std::string text);
-  UpdateResult complete(Update& update);
+  UpdateResult reject(UpdateResult why, std::string text);
+  UpdateResult apply_full_map(Update& update);
 
   std::size_t max_ranges_;
   RangeMap map_;
   std::string fault_;
-  std::vector<Range> pages_;
+  std::vector<Range> pages_;  // of the full map that is being received
   Revision pages_revision_{};
   bool watching_ = false, needs_reopen_ = false, update_rejected_ = false;
-  // The directory told the same incarnation with an older revision, or what can't be: it may have lost
-  // changes that we hold and now number others alike. Only a whole map that is newer is believed then.
+  // Set when the directory sends a full map with an older revision of the same incarnation, or an impossible
+  // update: it may have lost changes that this map has, and have reused their numbers for other ones. Until
+  // it sends a newer full map, its changes are rejected.
   bool needs_full_map_ = false;
   Millis next_request_at_ = 0, backoff_ = 0, last_keepalive_at_ = 0, last_refresh_at_ = -1e18,
          disconnected_since_ = 0;
--- a/src/aggregator/ranges/map.cpp
+++ b/src/aggregator/ranges/map.cpp
@@ -8,20 +8,20 @@
 
 namespace winchhall::ranges {
 namespace {
-constexpr std::size_t kWide = 32;    // keys in a node: four cache lines to search, and cheap to copy
-constexpr std::size_t kFilled = 24;  // of them used when a map is built: room for splits to come
-constexpr std::size_t kSparse = 8;   // below it a node is joined with a neighbour that has room
+constexpr std::size_t kNodeCapacity = 32;  // keys of a node: four cache lines to search, cheap to copy
+constexpr std::size_t kBulkLoadKeys = 24;  // keys of a node when a map is built: leaves room for later splits
+constexpr std::size_t kMinKeys = 8;        // a node with fewer keys is merged with a neighbour that has room
 }  // namespace
 
 struct RangeMap::Node {
   std::uint16_t count = 0;
   bool leaf = true;
-  std::array<Key, kWide> from{};  // of each range, or the lowest of each child
+  std::array<Key, kNodeCapacity> from{};  // first key of each range, or lowest key of each child
   explicit Node(bool is_leaf) : leaf(is_leaf) {}
   Node(const Node&) = default;
 
-  // The last place whose key is not above `key`; the first where all are. Without branches on the keys: their
-  // outcome can't be foretold, and a wrong guess costs more than the whole search.
+  // Index of the last entry whose key is at most `key`; 0 if there is none. Has no branches that depend on
+  // the keys: they can't be predicted, and a misprediction costs more than the whole search.
   std::size_t search(Key key) const {
     const Key* base = from.data();
     std::size_t length = count;
@@ -41,26 +41,26 @@
 using Entry = RangeMap::Entry;
 
 struct Leaf : Node {
-  std::array<Entry, kWide> entry{};
+  std::array<Entry, kNodeCapacity> entry{};
   Leaf() : Node(true) {}
 };
 
 struct Inner : Node {
-  std::array<Ptr, kWide> child{};
+  std::array<Ptr, kNodeCapacity> child{};
   Inner() : Node(false) {}
 };
 
 const Leaf& leaf(const Node& n) { return static_cast<const Leaf&>(n); }
 const Inner& inner(const Node& n) { return static_cast<const Inner&>(n); }
 
-// What a changed node became: itself, none, or two.
-struct Grown {
+// Result of an insertion into a node: its new version, and a second node if it had to be split.
+struct InsertResult {
   Ptr first{}, second{};
 };
 
-// Puts a slot into a node of type T, or replaces it; splits where it is full.
+// Inserts or replaces a slot of a node of type T; splits the node if it is full.
 template <class T, class Slot, class Slots>
-Grown put(const T& old, std::size_t at, bool replace, Key key, Slot slot, Slots slots) {
+InsertResult put_slot(const T& old, std::size_t at, bool replace, Key key, Slot slot, Slots slots) {
   auto made = std::make_shared<T>(old);
   auto& list = slots(*made);
   if (replace) {
@@ -70,16 +70,16 @@
   }
   std::shared_ptr<T> right;
   T* into = made.get();
-  if (old.count == kWide) {
+  if (old.count == kNodeCapacity) {
     right = std::make_shared<T>();
-    constexpr std::size_t half = kWide / 2;
-    for (std::size_t i = half; i < kWide; ++i) {
+    constexpr std::size_t half = kNodeCapacity / 2;
+    for (std::size_t i = half; i < kNodeCapacity; ++i) {
       right->from[i - half] = made->from[i];
       slots(*right)[i - half] = std::move(list[i]);
       list[i] = {};
     }
     made->count = half;
-    right->count = kWide - half;
+    right->count = kNodeCapacity - half;
     if (at > half) {
       into = right.get();
       at -= half;
@@ -97,7 +97,7 @@
 }
 
 template <class T, class Slots>
-std::shared_ptr<T> cut(const T& old, std::size_t at, Slots slots) {
+std::shared_ptr<T> without_slot(const T& old, std::size_t at, Slots slots) {
   auto made = std::make_shared<T>(old);
   auto& list = slots(*made);
   for (std::size_t i = at; i + 1 < made->count; ++i) {
@@ -110,7 +110,7 @@
 }
 
 template <class T, class Slots>
-Ptr joined(const T& left, const T& right, Slots slots) {
+Ptr concatenated(const T& left, const T& right, Slots slots) {
   auto made = std::make_shared<T>(left);
   for (std::size_t i = 0; i < right.count; ++i) {
     made->from[made->count] = right.from[i];
@@ -123,42 +123,44 @@
 constexpr auto entries = [](auto& n) -> auto& { return n.entry; };
 constexpr auto children = [](auto& n) -> auto& { return n.child; };
 
-Grown insert(const Ptr& node, Key key, const Entry& entry) {
+InsertResult insert(const Ptr& node, Key key, const Entry& entry) {
   std::size_t at = node->search(key);
   if (node->leaf) {
     bool same = node->count > 0 && node->from[at] == key;
     bool after = node->count > 0 && node->from[at] < key;
-    return put(leaf(*node), same ? at : at + after, same, key, entry, entries);
+    return put_slot(leaf(*node), same ? at : at + after, same, key, entry, entries);
   }
   const Inner& n = inner(*node);
-  Grown below = insert(n.child[at], key, entry);
-  Grown here = put(n, at, true, below.first->from[0], below.first, children);
+  InsertResult below = insert(n.child[at], key, entry);
+  InsertResult here = put_slot(n, at, true, below.first->from[0], below.first, children);
   if (!below.second) return here;
-  return put(inner(*here.first), at + 1, false, below.second->from[0], below.second, children);
+  return put_slot(inner(*here.first), at + 1, false, below.second->from[0], below.second, children);
 }
 
-// Nothing where the node became empty.
+// Null if the node became empty.
 Ptr erase(const Ptr& node, Key key) {
   std::size_t at = node->search(key);
   if (node->leaf) {
     if (node->count == 0 || node->from[at] != key) return node;
     if (node->count == 1) return nullptr;
-    return cut(leaf(*node), at, entries);
+    return without_slot(leaf(*node), at, entries);
   }
   const Inner& n = inner(*node);
   Ptr below = erase(n.child[at], key);
-  if (!below) return n.count == 1 ? nullptr : Ptr(cut(n, at, children));
+  if (!below) return n.count == 1 ? nullptr : Ptr(without_slot(n, at, children));
   auto made = std::make_shared<Inner>(n);
   made->from[at] = below->from[0];
   made->child[at] = below;
-  // A neighbour with room takes a node that has become sparse, or a map that only merges would keep its size.
-  if (below->count >= kSparse || n.count == 1) return made;
+  // A node with few keys is merged with a neighbour that has room. Otherwise a map would keep its size when
+  // its ranges are merged.
+  if (below->count >= kMinKeys || n.count == 1) return made;
   std::size_t left = at > 0 ? at - 1 : 0;
   const Ptr &a = made->child[left], &b = made->child[left + 1];
-  if (a->count + b->count > kWide) return made;
-  Ptr both = a->leaf ? joined(leaf(*a), leaf(*b), entries) : joined(inner(*a), inner(*b), children);
+  if (a->count + b->count > kNodeCapacity) return made;
+  Ptr both =
+      a->leaf ? concatenated(leaf(*a), leaf(*b), entries) : concatenated(inner(*a), inner(*b), children);
   made->child[left] = both;
-  return cut(*made, left + 1, children);
+  return without_slot(*made, left + 1, children);
 }
 
 std::size_t bytes_of(const Node& node) {
@@ -168,14 +170,15 @@
   return sum;
 }
 
-// False where the visitor wants no more.
-bool walk(const Node& node, const Span& span, Key end, const std::function<bool(const RangeView&)>& visit) {
+// Returns false if the visitor has ended the iteration.
+bool visit_node(const Node& node, const Span& span, Key end,
+                const std::function<bool(const RangeView&)>& visit) {
   for (std::size_t i = node.search(span.from); i < node.count && node.from[i] < span.to; ++i) {
     Key to = i + 1 < node.count ? node.from[i + 1] : end;
     if (node.leaf) {
       const Entry& e = leaf(node).entry[i];
       if (!visit({e.id, {node.from[i], to}, e.weight, &e.holders})) return false;
-    } else if (!walk(*inner(node).child[i], span, to, visit)) {
+    } else if (!visit_node(*inner(node).child[i], span, to, visit)) {
       return false;
     }
   }
@@ -198,7 +201,7 @@
 }
 
 std::optional<RangeMap> RangeMap::build(Revision revision, std::vector<Range> ranges, std::string& fault) {
-  auto wrong = [&](const Range& r, const std::string& what) -> std::optional<RangeMap> {
+  auto invalid = [&](const Range& r, const std::string& what) -> std::optional<RangeMap> {
     fault = "range " + std::to_string(r.id) + " " + text_of(r.span) + ": " + what;
     return std::nullopt;
   };
@@ -209,7 +212,7 @@
   std::sort(ranges.begin(), ranges.end(),
             [](const Range& a, const Range& b) { return a.span.from < b.span.from; });
   std::unordered_set<RangeId> ids;
-  std::map<Holders, HoldersPtr, bool (*)(const Holders&, const Holders&)> same(
+  std::map<Holders, HoldersPtr, bool (*)(const Holders&, const Holders&)> known_holders(
       [](const Holders& a, const Holders& b) {
         return std::lexicographical_compare(a.begin(), a.end(), b.begin(), b.end(),
                                             [](const Holder& x, const Holder& y) {
@@ -219,41 +222,41 @@
   Key reached = 0;
   RangeMap map;
   std::vector<Ptr> level;
-  std::shared_ptr<Leaf> filling;
+  std::shared_ptr<Leaf> leaf_node;
   for (Range& r : ranges) {
-    if (r.span.empty() || r.span.to > kKeyEnd) return wrong(r, "not within [0, 2^53)");
-    if (r.span.from > reached) return wrong(r, "a gap before it, from " + std::to_string(reached));
-    if (r.span.from < reached) return wrong(r, "overlaps the range before it");
-    if (!std::isfinite(r.weight) || r.weight <= 0) return wrong(r, "a weight that is not above 0");
-    if (!ids.insert(r.id).second) return wrong(r, "an id that another range has");
-    if (!r.holders) return wrong(r, "no serving holder");
-    auto known = same.find(*r.holders);
-    if (known == same.end()) {
-      if (std::string what = holders_fault(*r.holders); !what.empty()) return wrong(r, what);
-      known = same.emplace(*r.holders, r.holders).first;
+    if (r.span.empty() || r.span.to > kKeyEnd) return invalid(r, "not within [0, 2^53)");
+    if (r.span.from > reached) return invalid(r, "a gap before it, from " + std::to_string(reached));
+    if (r.span.from < reached) return invalid(r, "overlaps the range before it");
+    if (!std::isfinite(r.weight) || r.weight <= 0) return invalid(r, "a weight that is not above 0");
+    if (!ids.insert(r.id).second) return invalid(r, "an id that another range has");
+    if (!r.holders) return invalid(r, "no serving holder");
+    auto shared = known_holders.find(*r.holders);
+    if (shared == known_holders.end()) {
+      if (std::string what = holders_fault(*r.holders); !what.empty()) return invalid(r, what);
+      shared = known_holders.emplace(*r.holders, r.holders).first;
     }
     reached = r.span.to;
     map.next_id_ = std::max(map.next_id_, r.id + 1);
-    if (!filling || filling->count == kFilled) {
-      filling = std::make_shared<Leaf>();
-      level.push_back(filling);
+    if (!leaf_node || leaf_node->count == kBulkLoadKeys) {
+      leaf_node = std::make_shared<Leaf>();
+      level.push_back(leaf_node);
     }
-    filling->from[filling->count] = r.span.from;
-    filling->entry[filling->count++] = {r.id, r.weight, known->second};
+    leaf_node->from[leaf_node->count] = r.span.from;
+    leaf_node->entry[leaf_node->count++] = {r.id, r.weight, shared->second};
   }
-  if (reached != kKeyEnd) return wrong(ranges.back(), "the map ends there and not at 2^53");
+  if (reached != kKeyEnd) return invalid(ranges.back(), "the map ends there and not at 2^53");
   map.size_ = ranges.size();
   map.revision_ = revision;
   for (map.depth_ = 1; level.size() > 1; ++map.depth_) {
     std::vector<Ptr> above;
-    std::shared_ptr<Inner> inner_filling;
+    std::shared_ptr<Inner> inner_node;
     for (const Ptr& child : level) {
-      if (!inner_filling || inner_filling->count == kFilled) {
-        inner_filling = std::make_shared<Inner>();
-        above.push_back(inner_filling);
+      if (!inner_node || inner_node->count == kBulkLoadKeys) {
+        inner_node = std::make_shared<Inner>();
+        above.push_back(inner_node);
       }
-      inner_filling->from[inner_filling->count] = child->from[0];
-      inner_filling->child[inner_filling->count++] = child;
+      inner_node->from[inner_node->count] = child->from[0];
+      inner_node->child[inner_node->count++] = child;
     }
     level = std::move(above);
   }
@@ -278,7 +281,7 @@
 }
 
 void RangeMap::visit(const Span& span, const std::function<bool(const RangeView&)>& visit) const {
-  if (root_ && !span.empty()) walk(*root_, span, kKeyEnd, visit);
+  if (root_ && !span.empty()) visit_node(*root_, span, kKeyEnd, visit);
 }
 
 std::vector<Range> RangeMap::all() const {
@@ -293,20 +296,20 @@
 
 RangeMap RangeMap::with_range(Key from, const Entry& entry) const {
   RangeMap made = *this;
-  bool there = find(from).span.from == from;
-  Grown grown = insert(root_, from, entry);
-  made.root_ = grown.first;
-  if (grown.second) {
+  bool replaces = find(from).span.from == from;
+  InsertResult inserted = insert(root_, from, entry);
+  made.root_ = inserted.first;
+  if (inserted.second) {
     auto top = std::make_shared<Inner>();
     top->count = 2;
-    top->from[0] = grown.first->from[0];
-    top->from[1] = grown.second->from[0];
-    top->child[0] = grown.first;
-    top->child[1] = grown.second;
+    top->from[0] = inserted.first->from[0];
+    top->from[1] = inserted.second->from[0];
+    top->child[0] = inserted.first;
+    top->child[1] = inserted.second;
     made.root_ = top;
     ++made.depth_;
   }
-  if (!there) ++made.size_;
+  if (!replaces) ++made.size_;
   return made;
 }
 
--- a/src/aggregator/ranges/replan.cpp
+++ b/src/aggregator/ranges/replan.cpp
@@ -5,7 +5,7 @@
 namespace winchhall::ranges {
 namespace {
 
-PlannedPart joined(const PlannedPart& a, const PlannedPart& b) {
+PlannedPart merged(const PlannedPart& a, const PlannedPart& b) {
   PlannedPart both = b;
   both.span.from = a.span.from;
   both.weight = a.weight + b.weight;
@@ -16,8 +16,8 @@
 Decision decide(const RangeMap& map, const Coverage& coverage, const OpenPart& part) {
   const PlannedPart& old = part.planned;
   Decision d{Decision::Kind::keep, {part.number}, {}};
-  // Some of it came in with another answer: only the rest is asked, as an answer for all of it would be
-  // dropped.
+  // Another answer has covered some of its keys. Only the remaining ones are requested, because an answer for
+  // all of them would be rejected.
   if (coverage.answered().overlaps(old.span)) {
     if (part.in_flight) return d;
     d.kind = Decision::Kind::replace;
@@ -49,55 +49,56 @@
   std::sort(parts.begin(), parts.end(),
             [](const OpenPart& a, const OpenPart& b) { return a.planned.span.from < b.planned.span.from; });
   std::vector<Decision> list;
-  const OpenPart* before = nullptr;  // the part that the last decision is about, where it may be joined
+  const OpenPart* previous = nullptr;  // the previous part, if it may be merged with this one
   for (const OpenPart& part : parts) {
     Decision d = decide(map, coverage, part);
-    bool waits = !part.in_flight && d.kind == Decision::Kind::reassign;
-    // Both halves of a merge wait: one call does for both. Where one is out it is left to end by itself.
-    if (waits && before && before->planned.span.to == part.planned.span.from &&
+    bool mergeable = !part.in_flight && d.kind == Decision::Kind::reassign;
+    // Both parts of a merged range are waiting: one request replaces them. If one of them is in flight, each
+    // stays a part of its own.
+    if (mergeable && previous && previous->planned.span.to == part.planned.span.from &&
         list.back().successors[0].range == d.successors[0].range) {
       list.back().kind = Decision::Kind::merge;
       list.back().parts.push_back(part.number);
-      list.back().successors[0] = joined(list.back().successors[0], d.successors[0]);
+      list.back().successors[0] = merged(list.back().successors[0], d.successors[0]);
     } else {
       list.push_back(std::move(d));
     }
-    before = waits ? &part : nullptr;
+    previous = mergeable ? &part : nullptr;
   }
   return list;
 }
 
 DenialDecision handle_denial(const RangeMap& map, const Coverage& coverage, const OpenPart& part,
-                             const Denial& word) {
+                             const Denial& denial) {
   DenialDecision a;
   const PlannedPart& old = part.planned;
-  // Where the map has moved on since the part was planned, that is the answer, whatever the node says.
+  // If the map is newer than the part's plan, it decides, whatever the node says.
   if (map.revision() > old.revision) {
     Decision d = decide(map, coverage, part);
-    a.refresh_directory = word.revision > map.revision();
+    a.refresh_directory = denial.revision > map.revision();
     if (d.kind != Decision::Kind::keep) {
       a.decision = std::move(d);
       return a;
     }
   }
-  if (word.revision < map.revision()) return a;  // behind: it will hear of it soon
-  a.refresh_directory = true;                    // ahead, or of our revision and yet of another mind
-  if (word.revision == map.revision() || word.successors.empty()) return a;
-  auto next = word.successors;
+  if (denial.revision < map.revision()) return a;  // the node's map is older and will be updated soon
+  a.refresh_directory = true;                      // newer, or of the same revision and contradictory
+  if (denial.revision == map.revision() || denial.successors.empty()) return a;
+  auto next = denial.successors;
   std::sort(next.begin(), next.end(),
             [](const PlannedPart& x, const PlannedPart& y) { return x.span.from < y.span.from; });
-  Key reached = old.span.from;
+  Key covered_to = old.span.from;
   for (PlannedPart& p : next) {
     p.span = {std::max(p.span.from, old.span.from), std::min(p.span.to, old.span.to)};
-    // Guards against successors that leave a gap, overlap, or have nobody to ask: part of the keys would be
-    // missed, or counted twice.
-    if (p.span.empty() || p.span.from != reached || !p.holders || !holders_fault(*p.holders).empty())
+    // Successors with a gap or an overlap would cause keys to be missed or counted twice; without a serving
+    // holder they can't be requested.
+    if (p.span.empty() || p.span.from != covered_to || !p.holders || !holders_fault(*p.holders).empty())
       return a;
-    reached = p.span.to;
-    p.revision = word.revision;
+    covered_to = p.span.to;
+    p.revision = denial.revision;
     p.weight = coverage.share(p.span);
   }
-  if (reached != old.span.to) return a;
+  if (covered_to != old.span.to) return a;
   distribute_weight(next, old.hint, old.weight);
   a.decision = Decision{
       next.size() == 1 ? Decision::Kind::reassign : Decision::Kind::replace, {part.number}, std::move(next)};
--- a/src/aggregator/ranges/spans.cpp
+++ b/src/aggregator/ranges/spans.cpp
@@ -4,8 +4,8 @@
 
 namespace winchhall::ranges {
 namespace {
-// The first interval that ends behind `key`: the only one that can hold it.
-auto behind(const std::vector<Span>& spans, Key key) {
+// The first interval that ends after `key`: the only one that can contain it.
+auto first_ending_after(const std::vector<Span>& spans, Key key) {
   return std::partition_point(spans.begin(), spans.end(), [&](const Span& s) { return s.to <= key; });
 }
 }  // namespace
@@ -13,8 +13,9 @@
 void SpanSet::add(const Span& span) {
   if (span.empty()) return;
   Span all = span;
-  auto first = std::partition_point(spans_.begin(), spans_.end(),
-                                    [&](const Span& s) { return s.to < span.from; });  // touching ones join
+  // An interval that ends where the span begins is merged with it.
+  auto first =
+      std::partition_point(spans_.begin(), spans_.end(), [&](const Span& s) { return s.to < span.from; });
   auto last = first;
   for (; last != spans_.end() && last->from <= span.to; ++last)
     all = {std::min(all.from, last->from), std::max(all.to, last->to)};
@@ -23,7 +24,7 @@
 
 void SpanSet::remove(const Span& span) {
   if (span.empty()) return;
-  auto first = spans_.begin() + (behind(spans_, span.from) - spans_.cbegin());
+  auto first = spans_.begin() + (first_ending_after(spans_, span.from) - spans_.cbegin());
   auto last = first;
   std::vector<Span> left;
   for (; last != spans_.end() && last->from < span.to; ++last) {
@@ -36,13 +37,13 @@
 
 bool SpanSet::contains(const Span& span) const {
   if (span.empty()) return true;
-  auto it = behind(spans_, span.from);
+  auto it = first_ending_after(spans_, span.from);
   return it != spans_.end() && it->contains(span);
 }
 
 bool SpanSet::overlaps(const Span& span) const {
   if (span.empty()) return false;
-  auto it = behind(spans_, span.from);
+  auto it = first_ending_after(spans_, span.from);
   return it != spans_.end() && it->overlaps(span);
 }
 
@@ -58,9 +59,9 @@
   return left;
 }
 
-std::string spans_fault(const std::vector<Span>& spans, std::size_t most) {
+std::string spans_fault(const std::vector<Span>& spans, std::size_t max_spans) {
   if (spans.empty()) return "no span";
-  if (spans.size() > most) return "more than " + std::to_string(most) + " spans";
+  if (spans.size() > max_spans) return "more than " + std::to_string(max_spans) + " spans";
   std::vector<Span> sorted = spans;
   std::sort(sorted.begin(), sorted.end(), [](const Span& a, const Span& b) { return a.from < b.from; });
   for (std::size_t i = 0; i < sorted.size(); ++i) {
