--- a/src/aggregator/dynamic_config/config_generation.cpp
+++ b/src/aggregator/dynamic_config/config_generation.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kMaxNameBytes = 128;
-constexpr std::size_t kMaxDifferenceLines = 200;  // of a difference
+constexpr std::size_t kMaxDifferenceLines = 200;
 
 class Checker {
  public:
@@ -29,7 +29,7 @@
   void fault(Kind kind, long line, std::string what) {
     if (faults_.size() < kMaxFaults) faults_.push_back({kind, line, std::move(what)});
   }
-  static bool fit(const std::string& name) {
+  static bool is_valid_name(const std::string& name) {
     return !name.empty() && name.size() <= kMaxNameBytes &&
            std::all_of(name.begin(), name.end(), [](unsigned char c) { return c > 32 && c < 127; });
   }
@@ -40,7 +40,7 @@
       return fault(Kind::nodes, 0, "more than " + std::to_string(bounds_.nodes) + " nodes");
     std::unordered_map<std::string, long> ids, addresses;
     for (const NodeRow& row : rows_.nodes) {
-      if (!fit(row.id))
+      if (!is_valid_name(row.id))
         fault(Kind::nodes, row.line, "id '" + row.id + "', wanted are 1 to 128 signs, no space");
       if (auto [it, fresh] = ids.emplace(row.id, row.line); !fresh)
         fault(Kind::nodes, row.line,
@@ -74,16 +74,16 @@
   void weights(ConfigGeneration& g) {
     if (rows_.weights.empty()) return;
     g.weighted = true;
-    std::vector<double> sound;
+    std::vector<double> valid_weights;
     for (const WeightRow& row : rows_.weights)
-      if (std::isfinite(row.weight) && row.weight > 0) sound.push_back(row.weight);
+      if (std::isfinite(row.weight) && row.weight > 0) valid_weights.push_back(row.weight);
     double median = 0;
-    if (!sound.empty()) {
-      auto middle = sound.begin() + static_cast<long>(sound.size() / 2);
-      std::nth_element(sound.begin(), middle, sound.end());
+    if (!valid_weights.empty()) {
+      auto middle = valid_weights.begin() + static_cast<long>(valid_weights.size() / 2);
+      std::nth_element(valid_weights.begin(), middle, valid_weights.end());
       median = *middle;
     }
-    std::unordered_map<std::string, long> named;
+    std::unordered_map<std::string, long> lines_by_node;
     std::unordered_map<std::string, coordination::Member*> by_id;
     for (coordination::Member& m : g.members) by_id[m.entry.server] = &m;
     for (const WeightRow& row : rows_.weights) {
@@ -96,7 +96,7 @@
         fault(Kind::weights, row.line,
               std::string("weight ") + value + " is more than " +
                   std::to_string(static_cast<int>(bounds_.max_weight_ratio)) + " times off the median");
-      if (auto [it, fresh] = named.emplace(row.node, row.line); !fresh)
+      if (auto [it, fresh] = lines_by_node.emplace(row.node, row.line); !fresh)
         fault(Kind::weights, row.line,
               "node '" + row.node + "' has a weight at line " + std::to_string(it->second) + " too");
       auto it = by_id.find(row.node);
@@ -136,7 +136,7 @@
     std::string why;
     g.map = winchhall::ranges::RangeMap::build({1, number}, std::move(list), why);
     if (g.map) return;
-    // The map's word names the range: its line is known here.
+    // The reason names the range by its id, from which its line number is found.
     long line = 0;
     if (why.rfind("range ", 0) == 0)
       if (auto it = lines.find(std::strtoull(why.c_str() + 6, nullptr, 10)); it != lines.end())
@@ -149,7 +149,7 @@
       return fault(Kind::tenants, 0, "more than " + std::to_string(bounds_.tenants) + " tenants");
     std::unordered_map<std::string, long> names;
     for (const TenantRow& row : rows_.tenants) {
-      if (!fit(row.name))
+      if (!is_valid_name(row.name))
         fault(Kind::tenants, row.line, "name '" + row.name + "', wanted are 1 to 128 signs, no space");
       if (auto [it, fresh] = names.emplace(row.name, row.line); !fresh)
         fault(Kind::tenants, row.line,
@@ -166,7 +166,7 @@
   std::vector<Fault>& faults_;
 };
 
-std::string shown(double x) {
+std::string number_text(double x) {
   char text[32];
   std::snprintf(text, sizeof text, "%g", x);
   return text;
@@ -187,11 +187,11 @@
 
 ConfigGenerationPtr check(const Rows& rows, std::uint64_t digest, const Bounds& bounds,
                           std::vector<Fault>& faults) {
-  auto made = Checker(rows, bounds, faults).run();
-  if (!made) return nullptr;
-  made->digest = digest;
-  made->revisions = rows.revisions;
-  return made;
+  auto generation = Checker(rows, bounds, faults).run();
+  if (!generation) return nullptr;
+  generation->digest = digest;
+  generation->revisions = rows.revisions;
+  return generation;
 }
 
 std::string digest_text(std::uint64_t digest) {
@@ -202,28 +202,30 @@
 
 std::vector<std::string> differences(const ConfigGeneration& a, const ConfigGeneration& b) {
   std::vector<std::string> lines;
-  auto say = [&](std::string line) {
+  auto add_line = [&](std::string line) {
     if (lines.size() < kMaxDifferenceLines) lines.push_back(std::move(line));
   };
   for (const coordination::Member& m : a.members)
-    if (!b.member(m.entry.server)) say("- node " + m.entry.server + " " + m.endpoint);
+    if (!b.member(m.entry.server)) add_line("- node " + m.entry.server + " " + m.endpoint);
   for (const coordination::Member& m : b.members) {
     const coordination::Member* old = a.member(m.entry.server);
     if (!old) {
-      say("+ node " + m.entry.server + " " + m.endpoint);
+      add_line("+ node " + m.entry.server + " " + m.endpoint);
       continue;
     }
     if (old->endpoint != m.endpoint)
-      say("~ node " + m.entry.server + " " + old->endpoint + " -> " + m.endpoint);
+      add_line("~ node " + m.entry.server + " " + old->endpoint + " -> " + m.endpoint);
     if (old->entry.state != m.entry.state)
-      say("~ node " + m.entry.server + " " + name_of(old->entry.state) + " -> " + name_of(m.entry.state));
+      add_line("~ node " + m.entry.server + " " + name_of(old->entry.state) + " -> " +
+               name_of(m.entry.state));
     if (old->entry.cell != m.entry.cell)
-      say("~ node " + m.entry.server + " cell " + std::to_string(old->entry.cell) + " -> " +
-          std::to_string(m.entry.cell));
+      add_line("~ node " + m.entry.server + " cell " + std::to_string(old->entry.cell) + " -> " +
+               std::to_string(m.entry.cell));
     if (old->entry.size != m.entry.size)
-      say("~ weight of " + m.entry.server + " " + shown(old->entry.size) + " -> " + shown(m.entry.size));
+      add_line("~ weight of " + m.entry.server + " " + number_text(old->entry.size) + " -> " +
+               number_text(m.entry.size));
   }
-  if (a.map.has_value() != b.map.has_value()) say(b.map ? "+ ranges" : "- ranges");
+  if (a.map.has_value() != b.map.has_value()) add_line(b.map ? "+ ranges" : "- ranges");
   if (a.map && b.map) {
     std::map<std::pair<ranges::Key, ranges::RangeId>, std::pair<const ranges::Range*, const ranges::Range*>>
         rows;
@@ -233,15 +235,15 @@
     for (const auto& [key, row] : rows) {
       const ranges::Range* any = row.first ? row.first : row.second;
       std::string name = "range " + std::to_string(any->id) + " " + ranges::text_of(any->span);
-      if (!row.first) say("+ " + name);
-      if (!row.second) say("- " + name);
+      if (!row.first) add_line("+ " + name);
+      if (!row.second) add_line("- " + name);
       if (row.first && row.second &&
           (row.first->span != row.second->span || row.first->weight != row.second->weight ||
            *row.first->holders != *row.second->holders))
-        say("~ " + name);
+        add_line("~ " + name);
     }
   }
-  if (a.tenants != b.tenants) say("~ tenants");
+  if (a.tenants != b.tenants) add_line("~ tenants");
   return lines;
 }
 
--- a/src/aggregator/dynamic_config/config_generation.hpp
+++ b/src/aggregator/dynamic_config/config_generation.hpp
@@ -44,7 +44,7 @@
 };
 using ConfigGenerationPtr = std::shared_ptr<const ConfigGeneration>;
 
-// Faults that `check` reports at most.
+// Maximum number of faults that `check` reports.
 inline constexpr std::size_t kMaxFaults = 50;
 // Validates the rows of all files, each by itself and against the others. Null if they are invalid: `faults`
 // then has every fault that was found, up to kMaxFaults. Thread-safe.
--- a/src/aggregator/dynamic_config/config_generation_manager.cpp
+++ b/src/aggregator/dynamic_config/config_generation_manager.cpp
@@ -13,26 +13,26 @@
 }
 
 ValidationResult ConfigGenerationManager::evaluate(const Rows& rows, std::uint64_t digest,
-                                                   std::vector<Fault> readable, Millis now) {
-  if (!readable.empty()) return evaluate(nullptr, digest, std::move(readable), now);
+                                                   std::vector<Fault> parse_faults, Millis now) {
+  if (!parse_faults.empty()) return evaluate(nullptr, digest, std::move(parse_faults), now);
   std::vector<Fault> faults;
-  ConfigGenerationPtr checked = check(rows, digest, bounds_, faults);
-  return evaluate(std::move(checked), digest, std::move(faults), now);
+  ConfigGenerationPtr candidate = check(rows, digest, bounds_, faults);
+  return evaluate(std::move(candidate), digest, std::move(faults), now);
 }
 
-ValidationResult ConfigGenerationManager::evaluate(ConfigGenerationPtr checked, std::uint64_t digest,
+ValidationResult ConfigGenerationManager::evaluate(ConfigGenerationPtr candidate, std::uint64_t digest,
                                                    std::vector<Fault> faults, Millis now) {
-  ValidationResult f;
-  f.digest = digest;
+  ValidationResult result;
+  result.digest = digest;
   if (current_ && digest == current_->digest) {
     held_ = nullptr;
-    refused_digest_ = 0;
-    return f;
+    rejected_digest_ = 0;
+    return result;
   }
-  // Reported once: an unchanged candidate is not logged again at every scan.
-  if (digest == refused_digest_ || (held_ && held_->digest == digest)) return f;
-  if (checked && current_)
-    for (const auto& [kind, revision] : checked->revisions) {
+  // An unchanged candidate is reported once, not at every scan.
+  if (digest == rejected_digest_ || (held_ && held_->digest == digest)) return result;
+  if (candidate && current_)
+    for (const auto& [kind, revision] : candidate->revisions) {
       auto it = current_->revisions.find(kind);
       if (it != current_->revisions.end() && revision > 0 && revision < it->second)
         faults.push_back({kind, 1,
@@ -40,36 +40,36 @@
                               std::to_string(it->second) + " is in use"});
     }
   if (!faults.empty()) {
-    f.verdict = ValidationOutcome::refused;
-    f.faults = std::move(faults);
-    f.may_be_partial = true;
-    refused_digest_ = digest;
+    result.verdict = ValidationOutcome::refused;
+    result.faults = std::move(faults);
+    result.may_be_partial = true;
+    rejected_digest_ = digest;
     held_ = nullptr;
-    remember(now, f);
-    return f;
+    record(now, result);
+    return result;
   }
-  f.why = current_ ? too_much(*checked) : "";
-  if (!f.why.empty()) {
-    f.verdict = ValidationOutcome::held;
-    held_ = std::move(checked);
-    refused_digest_ = 0;
-    remember(now, f);
-    return f;
+  result.why = current_ ? approval_reason(*candidate) : "";
+  if (!result.why.empty()) {
+    result.verdict = ValidationOutcome::held;
+    held_ = std::move(candidate);
+    rejected_digest_ = 0;
+    record(now, result);
+    return result;
   }
-  f.verdict = ValidationOutcome::taken;
-  take(std::move(checked), now);
-  remember(now, f);
-  return f;
+  result.verdict = ValidationOutcome::taken;
+  activate(std::move(candidate), now);
+  record(now, result);
+  return result;
 }
 
 // A partly written list can be valid by itself. So a generation that removes many nodes at once, or every
 // previous holder of a range, is applied only with an operator's approval.
-std::string ConfigGenerationManager::too_much(const ConfigGeneration& next) const {
-  std::size_t stored = 0;
-  for (const coordination::Member& m : current_->members) stored += next.member(m.entry.server) != nullptr;
-  std::size_t before = current_->members.size(), dropped = before - stored;
-  if (static_cast<double>(dropped) > limits_.max_removed_share * static_cast<double>(before))
-    return "it drops " + std::to_string(dropped) + " of " + std::to_string(before) + " nodes, more than " +
+std::string ConfigGenerationManager::approval_reason(const ConfigGeneration& next) const {
+  std::size_t remaining = 0;
+  for (const coordination::Member& m : current_->members) remaining += next.member(m.entry.server) != nullptr;
+  std::size_t before = current_->members.size(), removed = before - remaining;
+  if (static_cast<double>(removed) > limits_.max_removed_share * static_cast<double>(before))
+    return "it drops " + std::to_string(removed) + " of " + std::to_string(before) + " nodes, more than " +
            std::to_string(static_cast<int>(std::lround(100 * limits_.max_removed_share))) + "%";
   if (current_->map && !next.map) return "it drops the map of ranges";
   if (!current_->map || !next.map) return "";
@@ -91,43 +91,43 @@
   return why;
 }
 
-void ConfigGenerationManager::take(ConfigGenerationPtr next, Millis now) {
-  std::vector<Dropped> still;
+void ConfigGenerationManager::activate(ConfigGenerationPtr next, Millis now) {
+  std::vector<DrainingMember> draining;
   // A draining member that is listed again is no longer draining, also at another address: connections to its
   // old address are closed by the pool.
-  for (Dropped& d : dropped_)
-    if (!next->member(d.member.entry.server)) still.push_back(std::move(d));
+  for (DrainingMember& d : draining_)
+    if (!next->member(d.member.entry.server)) draining.push_back(std::move(d));
   if (current_)
     for (const coordination::Member& m : current_->members)
-      if (!next->member(m.entry.server)) still.push_back({m, now + limits_.drain_time});
-  dropped_ = std::move(still);
-  for (Dropped& d : dropped_) d.member.entry.state = winchhall::ServerState::draining;
+      if (!next->member(m.entry.server)) draining.push_back({m, now + limits_.drain_time});
+  draining_ = std::move(draining);
+  for (DrainingMember& d : draining_) d.member.entry.state = winchhall::ServerState::draining;
   current_ = std::move(next);
   held_ = nullptr;
-  refused_digest_ = 0;
+  rejected_digest_ = 0;
   ++number_;
 }
 
 void ConfigGenerationManager::restore(ConfigGenerationPtr stored, Millis now) {
   if (!stored) return;
-  take(std::move(stored), now);
+  activate(std::move(stored), now);
 }
 
 bool ConfigGenerationManager::accept(std::uint64_t digest, Millis now) {
   if (!held_ || held_->digest != digest) return false;
-  ValidationResult f{ValidationOutcome::taken, digest, {}, "accepted by an operator", false};
-  take(std::exchange(held_, nullptr), now);
-  remember(now, f);
+  ValidationResult result{ValidationOutcome::taken, digest, {}, "accepted by an operator", false};
+  activate(std::exchange(held_, nullptr), now);
+  record(now, result);
   return true;
 }
 
 bool ConfigGenerationManager::rollback(ConfigGenerationPtr to, Millis now) {
   if (!to || (current_ && to->digest == current_->digest)) return false;
   std::uint64_t removed_from = current_ ? current_->digest : 0;
-  ValidationResult f{ValidationOutcome::taken, to->digest, {}, "rolled back by an operator", false};
-  take(std::move(to), now);
-  refused_digest_ = removed_from;  // still in the files: not applied again until they change
-  remember(now, f);
+  ValidationResult result{ValidationOutcome::taken, to->digest, {}, "rolled back by an operator", false};
+  activate(std::move(to), now);
+  rejected_digest_ = removed_from;  // its files are still there: not applied again until they change
+  record(now, result);
   return true;
 }
 
@@ -137,21 +137,22 @@
 }
 
 std::vector<coordination::Member> ConfigGenerationManager::members(Millis now) {
-  std::erase_if(dropped_, [&](const Dropped& d) { return d.removed_at <= now; });
+  std::erase_if(draining_, [&](const DrainingMember& d) { return d.removed_at <= now; });
   std::vector<coordination::Member> list;
   if (current_) list = current_->members;
-  for (const Dropped& d : dropped_) list.push_back(d.member);
+  for (const DrainingMember& d : draining_) list.push_back(d.member);
   return list;
 }
 
 Millis ConfigGenerationManager::next_removal() const {
   Millis at = std::numeric_limits<double>::infinity();
-  for (const Dropped& d : dropped_) at = std::min(at, d.removed_at);
+  for (const DrainingMember& d : draining_) at = std::min(at, d.removed_at);
   return at;
 }
 
-void ConfigGenerationManager::remember(Millis now, const ValidationResult& f) {
-  history_.push_back({now, f.verdict, f.digest, f.faults.empty() ? f.why : f.faults[0].text()});
+void ConfigGenerationManager::record(Millis now, const ValidationResult& result) {
+  history_.push_back(
+      {now, result.verdict, result.digest, result.faults.empty() ? result.why : result.faults[0].text()});
   if (history_.size() > limits_.history) history_.pop_front();
 }
 
--- a/src/aggregator/dynamic_config/config_generation_manager.hpp
+++ b/src/aggregator/dynamic_config/config_generation_manager.hpp
@@ -12,13 +12,14 @@
 using Millis = double;
 
 struct ConfigGenerationLimits {
-  double max_removed_share =
-      0.25;  // a generation that removes a larger share of the nodes needs an operator's approval
-  Millis drain_time =
-      10000;  // ms for which a removed node is draining before it is removed from the member list
-  std::size_t history = 32;  // results that are kept
+  // A generation that removes a larger share of the nodes needs an operator's approval.
+  double max_removed_share = 0.25;
+  // Time in ms for which a removed node is draining before it leaves the member list.
+  Millis drain_time = 10000;
+  std::size_t history = 32;  // maximum number of results that are kept
 };
 
+// What became of a candidate.
 enum class ValidationOutcome {
   taken,    // applied: the active generation from now on
   same,     // nothing to do: it is active, or was already rejected or held
@@ -28,13 +29,14 @@
 // The outcome's name in logs and in the store.
 const char* name_of(ValidationOutcome verdict);
 
+// Result of one `evaluate`.
 struct ValidationResult {
   ValidationOutcome verdict = ValidationOutcome::same;
   std::uint64_t digest = 0;
   std::vector<Fault> faults{};  // of a rejected generation
   std::string why{};            // it is held, or was applied at an operator's command
-  bool may_be_partial =
-      false;  // the faults may be those of a partly written set: it should be read again soon
+  // The faults may come from partly written files, which should be read again soon.
+  bool may_be_partial = false;
 };
 
 // Validates candidates and holds the active generation.
@@ -47,11 +49,12 @@
   explicit ConfigGenerationManager(Bounds bounds = {}, ConfigGenerationLimits limits = {})
       : bounds_(std::move(bounds)), limits_(limits) {}
 
-  // Validates the rows of a candidate and applies it if it is valid. `readable`: faults found while the files
-  // were parsed (XML, schema); if there are any, the candidate is rejected with them.
-  ValidationResult evaluate(const Rows& rows, std::uint64_t digest, std::vector<Fault> readable, Millis now);
-  // The same for a candidate that was validated on another thread. `checked`: null if there are faults.
-  ValidationResult evaluate(ConfigGenerationPtr checked, std::uint64_t digest, std::vector<Fault> faults,
+  // Validates the rows of a candidate and applies it if it is valid. `parse_faults`: faults found while the
+  // files were parsed (XML, schema); if there are any, the candidate is rejected with them.
+  ValidationResult evaluate(const Rows& rows, std::uint64_t digest, std::vector<Fault> parse_faults,
+                            Millis now);
+  // The same for a candidate that was validated on another thread. `candidate`: null if there are faults.
+  ValidationResult evaluate(ConfigGenerationPtr candidate, std::uint64_t digest, std::vector<Fault> faults,
                             Millis now);
   // Applies the generation that the store had as the newest one, at the start. Null: nothing happens.
   void restore(ConfigGenerationPtr stored, Millis now);
@@ -76,6 +79,7 @@
   // When the next draining member drops out of `members`; infinity: none is draining.
   Millis next_removal() const;
 
+  // A result in the history.
   struct Entry {
     Millis at = 0;
     ValidationOutcome verdict = ValidationOutcome::taken;
@@ -86,20 +90,20 @@
   const std::deque<Entry>& history() const { return history_; }
 
  private:
-  struct Dropped {
+  struct DrainingMember {
     coordination::Member member{};
-    Millis removed_at = 0;
+    Millis removed_at = 0;  // when it leaves `members`
   };
-  void take(ConfigGenerationPtr next, Millis now);
-  void remember(Millis now, const ValidationResult& found);
+  void activate(ConfigGenerationPtr next, Millis now);
+  void record(Millis now, const ValidationResult& result);
   // Why an operator has to approve `next`; empty: it is applied without.
-  std::string too_much(const ConfigGeneration& next) const;
+  std::string approval_reason(const ConfigGeneration& next) const;
 
   Bounds bounds_;
   ConfigGenerationLimits limits_;
   ConfigGenerationPtr current_, held_;
-  std::uint64_t number_ = 0, refused_digest_ = 0;
-  std::vector<Dropped> dropped_;
+  std::uint64_t number_ = 0, rejected_digest_ = 0;
+  std::vector<DrainingMember> draining_;
   std::deque<Entry> history_;
 };
 
--- a/src/aggregator/dynamic_config/debouncer.hpp
+++ b/src/aggregator/dynamic_config/debouncer.hpp
@@ -12,13 +12,13 @@
 // in milliseconds of a steady clock, which the caller passes in.
 class Debouncer {
  public:
-  static constexpr Millis kQuietPeriod =
-      40;                                   // the writer of a set pauses for less than this between two files
-  static constexpr Millis kMaxDelay = 400;  // from the first event to the scan at the latest
+  // A writer of several files pauses for less than this between two of them.
+  static constexpr Millis kQuietPeriod = 40;
+  static constexpr Millis kMaxDelay = 400;  // maximum time from the first event to the scan
   // Between scans without events: some file systems report none.
   static constexpr Millis kPollInterval = 10000;
-  static constexpr Millis kRetryDelay =
-      100;  // from a scan that may have found a partly written set to the next
+  // From a scan that may have read partly written files to the next one.
+  static constexpr Millis kRetryDelay = 100;
 
   // A change of the directory was reported.
   void on_event(Millis now) {
--- a/src/aggregator/dynamic_config/file_config_source.cpp
+++ b/src/aggregator/dynamic_config/file_config_source.cpp
@@ -12,12 +12,14 @@
 using dynamic_config::Fault;
 using dynamic_config::ValidationOutcome;
 using ListKind = winchhall::ServerList::Kind;
-constexpr event_loop::Millis kOrdersEvery = 500;  // ms between reads of operators' commands from the store
-constexpr std::size_t kLoggedMost = 10;  // faults logged of one candidate; `winchhall files check` shows all
+// Between reads of operators' commands from the store.
+constexpr event_loop::Millis kCommandPollInterval = 500;
+// Faults of one candidate that are logged; `winchhall files check` shows all.
+constexpr std::size_t kMaxLoggedFaults = 10;
 }  // namespace
 
 // Result of one scan. Owned by the worker's thread until its completion is posted to the event loop.
-struct FileConfigSource::Read {
+struct FileConfigSource::ScanResult {
   FolderContents scan{};
   std::uint64_t digest = 0;
   bool known = false;  // equal to the previous scan: not parsed again
@@ -36,17 +38,18 @@
 FileConfigSource::~FileConfigSource() {
   loop_.cancel(timer_);
   loop_.cancel(removal_timer_);
-  loop_.cancel(orders_timer_);
+  loop_.cancel(command_timer_);
 }
 
 void FileConfigSource::start() {
   if (!options_.store.empty()) restore();
   folder_ = std::make_unique<FolderWatch>(loop_, options_.folder, [this] {
     debouncer_.on_event(loop_.now());
-    arm();
+    schedule_scan();
   });
   if (!folder_->working())
-    spdlog::warn("files: no word of changes to be had, {} is looked at now and then", options_.folder);
+    spdlog::warn("files: inotify is not available; changes in {} are detected by periodic scans only",
+                 options_.folder);
   scan();
 }
 
@@ -59,7 +62,7 @@
   return faults.empty() ? dynamic_config::check(rows, digest, options.bounds, faults) : nullptr;
 }
 
-// The worker runs its jobs in order, so the stored generation is active again before any file is read.
+// The worker runs its jobs in order, so the stored generation is restored before any file is scanned.
 void FileConfigSource::restore() {
   store_ = std::make_shared<dynamic_config::OpenedStore>();
   auto found = std::make_shared<dynamic_config::ConfigGenerationPtr>();
@@ -72,10 +75,11 @@
       },
       [this, opened = store_, found] {
         if (!opened->set_aside.empty())
-          spdlog::warn("store: {} was spoilt and is now {}; a new one is begun", options_.store,
-                       opened->set_aside);
+          spdlog::warn("store: {} was corrupt and has been renamed to {}; an empty store replaces it",
+                       options_.store, opened->set_aside);
         if (!opened->store)
-          return spdlog::warn("store: {}: {}; nothing outlives this process", options_.store, opened->why);
+          return spdlog::warn("store: {} cannot be opened: {}; generations are not persisted", options_.store,
+                              opened->why);
         fetch_operator_commands();
         if (!*found) return;
         generation_manager_.restore(*found, loop_.now());
@@ -86,14 +90,14 @@
       });
 }
 
-void FileConfigSource::keep(const dynamic_config::ValidationResult& found, dynamic_config::Bytes bytes) {
-  if (!store_ || found.verdict == ValidationOutcome::same) return;
+void FileConfigSource::persist(const dynamic_config::ValidationResult& result, dynamic_config::Bytes bytes) {
+  if (!store_ || result.verdict == ValidationOutcome::same) return;
   auto stored = std::make_shared<dynamic_config::StoredSet>();
-  stored->digest = found.digest;
+  stored->digest = result.digest;
   stored->at = loop_.now();
-  stored->verdict = name_of(found.verdict);
-  stored->why = found.faults.empty() ? found.why : found.faults[0].text();
-  if (found.verdict != ValidationOutcome::refused) stored->bytes = std::move(bytes);
+  stored->verdict = name_of(result.verdict);
+  stored->why = result.faults.empty() ? result.why : result.faults[0].text();
+  if (result.verdict != ValidationOutcome::refused) stored->bytes = std::move(bytes);
   auto fault = std::make_shared<std::string>();
   worker_.run(
       [opened = store_, stored, fault] {
@@ -102,54 +106,54 @@
       [this, fault] {
         ++(fault->empty() ? figures_.stored : figures_.not_stored);
         if (!fault->empty())
-          spdlog::warn("store: {}: a generation was not kept: {}; it serves all the same", options_.store,
-                       *fault);
+          spdlog::warn("store: {}: a generation could not be stored: {}; its use is not affected",
+                       options_.store, *fault);
       });
 }
 
 // Operators' commands come through the store, where `winchhall files accept` and `rollback` leave them.
 void FileConfigSource::fetch_operator_commands() {
-  auto orders = std::make_shared<std::vector<dynamic_config::OperatorCommand>>();
-  auto wanted = std::make_shared<std::vector<dynamic_config::ConfigGenerationPtr>>();
+  auto commands = std::make_shared<std::vector<dynamic_config::OperatorCommand>>();
+  auto targets = std::make_shared<std::vector<dynamic_config::ConfigGenerationPtr>>();
   worker_.run(
-      [opened = store_, orders, wanted, options = &options_] {
-        *orders = opened->store->pending_commands();
-        for (const dynamic_config::OperatorCommand& o : *orders) {
-          auto stored = o.action == "rollback" ? opened->store->find(o.digest) : std::nullopt;
-          wanted->push_back(stored ? parse(*options, stored->bytes, stored->digest) : nullptr);
+      [opened = store_, commands, targets, options = &options_] {
+        *commands = opened->store->pending_commands();
+        for (const dynamic_config::OperatorCommand& command : *commands) {
+          auto stored = command.action == "rollback" ? opened->store->find(command.digest) : std::nullopt;
+          targets->push_back(stored ? parse(*options, stored->bytes, stored->digest) : nullptr);
         }
       },
-      [this, orders, wanted] {
-        if (!orders->empty()) carry_out(*orders, *wanted);
-        orders_timer_ = loop_.at(loop_.now() + kOrdersEvery, [this] {
-          orders_timer_ = {};
+      [this, commands, targets] {
+        if (!commands->empty()) run_operator_commands(*commands, *targets);
+        command_timer_ = loop_.at(loop_.now() + kCommandPollInterval, [this] {
+          command_timer_ = {};
           fetch_operator_commands();
         });
       });
 }
 
-void FileConfigSource::carry_out(std::vector<dynamic_config::OperatorCommand> orders,
-                                 std::vector<dynamic_config::ConfigGenerationPtr> wanted) {
+void FileConfigSource::run_operator_commands(std::vector<dynamic_config::OperatorCommand> commands,
+                                             std::vector<dynamic_config::ConfigGenerationPtr> targets) {
   event_loop::Millis now = loop_.now();
-  for (std::size_t i = 0; i < orders.size(); ++i) {
-    dynamic_config::OperatorCommand& o = orders[i];
-    std::string digest = dynamic_config::digest_text(o.digest);
-    bool done = o.action == "accept"     ? generation_manager_.accept(o.digest, now)
-                : o.action == "rollback" ? generation_manager_.rollback(wanted[i], now)
-                                         : false;
-    o.answer = done                     ? "done"
-               : o.action == "accept"   ? "no generation of that digest is held"
-               : o.action != "rollback" ? "no such order"
-               : wanted[i]              ? "that generation is in use"
-                                        : "the store has no sound generation of that digest";
-    spdlog::info("files: an operator's word: {} {}: {}", o.action, digest, o.answer);
+  for (std::size_t i = 0; i < commands.size(); ++i) {
+    dynamic_config::OperatorCommand& command = commands[i];
+    std::string digest = dynamic_config::digest_text(command.digest);
+    bool done = command.action == "accept"     ? generation_manager_.accept(command.digest, now)
+                : command.action == "rollback" ? generation_manager_.rollback(targets[i], now)
+                                               : false;
+    command.answer = done                           ? "done"
+                     : command.action == "accept"   ? "no generation of that digest is held"
+                     : command.action != "rollback" ? "no such order"
+                     : targets[i]                   ? "that generation is in use"
+                                                    : "the store has no sound generation of that digest";
+    spdlog::info("files: an operator's word: {} {}: {}", command.action, digest, command.answer);
     if (!done) continue;
     ++figures_.taken;
     publish_members();
-    // Stored once more as applied: a restart begins with it, and the earlier entry stays in the history.
+    // Stored once more as applied, so that a restart restores it; the earlier entry stays in the history.
     worker_.run(
-        [opened = store_, digest_number = o.digest, at = now, action = o.action] {
-          if (auto stored = opened->store->find(digest_number)) {
+        [opened = store_, digest_value = command.digest, at = now, action = command.action] {
+          if (auto stored = opened->store->find(digest_value)) {
             stored->verdict = "taken";
             stored->why = action + " by an operator";
             stored->at = at;
@@ -159,13 +163,14 @@
         [] {});
   }
   worker_.run(
-      [opened = store_, orders] {
-        for (const dynamic_config::OperatorCommand& o : orders) opened->store->answer(o.id, o.answer);
+      [opened = store_, commands] {
+        for (const dynamic_config::OperatorCommand& command : commands)
+          opened->store->answer(command.id, command.answer);
       },
       [] {});
 }
 
-void FileConfigSource::arm() {
+void FileConfigSource::schedule_scan() {
   loop_.cancel(timer_);
   if (scanning_) return;
   timer_ = loop_.at(std::max(debouncer_.next_scan_at(), loop_.now()), [this] {
@@ -181,7 +186,7 @@
   event_loop::Millis now = loop_.now(), first = debouncer_.first_event() < 0 ? now : debouncer_.first_event();
   folder_->rearm();
   debouncer_.on_scan_started(now);
-  auto found = std::make_shared<Read>();
+  auto found = std::make_shared<ScanResult>();
   worker_.run(
       [found, options = &options_, last = last_digest_] {
         found->scan = read_config_folder(options->folder, options->max_file_bytes);
@@ -198,46 +203,51 @@
       [this, found, first] {
         scanning_ = false;
         on_scanned(*found, first);
-        arm();
+        schedule_scan();
       });
 }
 
-void FileConfigSource::on_scanned(Read& read, event_loop::Millis first_event) {
+void FileConfigSource::on_scanned(ScanResult& scanned, event_loop::Millis first_event) {
   event_loop::Millis now = loop_.now();
-  if (!read.scan.exists) {
-    if (std::exchange(there_, false))
-      spdlog::warn("files: {} is gone, what is in use stays", options_.folder);
+  if (!scanned.scan.exists) {
+    if (std::exchange(folder_exists_, false))
+      spdlog::warn("files: directory {} is missing or cannot be opened; the active generation stays in use",
+                   options_.folder);
     return;
   }
-  if (!std::exchange(there_, true)) spdlog::info("files: {} is back", options_.folder);
-  if (read.scan.changed_while_read) {
+  if (!std::exchange(folder_exists_, true))
+    spdlog::info("files: directory {} is available again", options_.folder);
+  if (scanned.scan.changed_while_read) {
     ++figures_.disturbed;
     return debouncer_.on_changed_during_scan(now);
   }
-  if (read.known) return;
-  last_digest_ = read.digest;
-  dynamic_config::ValidationResult found =
-      generation_manager_.evaluate(read.checked, read.digest, read.faults, now);
-  std::string digest = dynamic_config::digest_text(found.digest);
-  keep(found, std::move(read.scan.bytes));
-  switch (found.verdict) {
+  if (scanned.known) return;
+  last_digest_ = scanned.digest;
+  dynamic_config::ValidationResult result =
+      generation_manager_.evaluate(scanned.checked, scanned.digest, scanned.faults, now);
+  std::string digest = dynamic_config::digest_text(result.digest);
+  persist(result, std::move(scanned.scan.bytes));
+  switch (result.verdict) {
     case ValidationOutcome::same:
       return;
     case ValidationOutcome::refused:
       ++figures_.refused;
-      for (std::size_t i = 0; i < std::min(found.faults.size(), kLoggedMost); ++i)
-        spdlog::warn("files refused: {}/{}", options_.folder, found.faults[i].text());
-      if (found.faults.size() > kLoggedMost)
-        spdlog::warn("files refused: {} further faults", found.faults.size() - kLoggedMost);
-      if (found.may_be_partial) debouncer_.schedule_retry(now);
+      for (std::size_t i = 0; i < std::min(result.faults.size(), kMaxLoggedFaults); ++i)
+        spdlog::warn("files refused: {}/{}", options_.folder, result.faults[i].text());
+      if (result.faults.size() > kMaxLoggedFaults)
+        spdlog::warn("files refused: {} further faults", result.faults.size() - kMaxLoggedFaults);
+      if (result.may_be_partial) debouncer_.schedule_retry(now);
       return;
     case ValidationOutcome::held:
       ++figures_.held;
-      spdlog::warn("files held: generation {}: {}; what is in use stays", digest, found.why);
+      spdlog::warn(
+          "files held: generation {}: {}; it needs an operator's approval, the active generation stays in "
+          "use",
+          digest, result.why);
       return;
     case ValidationOutcome::taken:
       ++figures_.taken;
-      figures_.slowest_take = std::max(figures_.slowest_take, now - first_event);
+      figures_.max_apply_time = std::max(figures_.max_apply_time, now - first_event);
       spdlog::info(
           "files taken: generation {} number {}, {} nodes, {} ranges, {:.0f} ms after the first write",
           digest, generation_manager_.number(), generation_manager_.current()->members.size(),
@@ -272,7 +282,7 @@
 
 void FileConfigSource::refresh() {
   debouncer_.on_event(loop_.now());
-  arm();
+  schedule_scan();
 }
 
 }  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/file_config_source.hpp
+++ b/src/aggregator/dynamic_config/file_config_source.hpp
@@ -13,9 +13,10 @@
 
 namespace winchhall::dynamic_config {
 
+// Settings of a FileConfigSource.
 struct FileConfigOptions {
   std::string folder{};
-  std::string store{};                    // database file, see store.hpp; empty: nothing outlives the process
+  std::string store{};  // database file, see store.hpp; empty: generations are not persisted
   std::size_t max_file_bytes = 32 << 20;  // maximum size of a file
   dynamic_config::Bounds bounds{};
   dynamic_config::ConfigGenerationLimits limits{};
@@ -38,30 +39,31 @@
   void start();
   void watch(bool on) override;
   void fetch() override;
-  // A node knows a newer range map: the directory is scanned soon.
+  // Called when a node has a newer range map: the directory is scanned soon.
   void refresh() override;
 
   dynamic_config::ConfigGenerationManager& generation_manager() { return generation_manager_; }
+  // Counters since the start.
   struct Figures {
     std::uint64_t scans = 0, taken = 0, refused = 0, held = 0;
     std::uint64_t disturbed = 0;               // scans during which the files changed
     std::uint64_t stored = 0, not_stored = 0;  // writes to the store that succeeded, and failed
-    event_loop::Millis slowest_take =
-        0;  // longest time in ms from the first event of a change to its application
+    // Longest time in ms from the first event of a change to its application.
+    event_loop::Millis max_apply_time = 0;
   };
   const Figures& figures() const { return figures_; }
 
  private:
-  struct Read;
-  void arm();
+  struct ScanResult;
+  void schedule_scan();
   void scan();
-  void on_scanned(Read& read, event_loop::Millis first_event);
+  void on_scanned(ScanResult& scanned, event_loop::Millis first_event);
   void publish_members();
   void restore();
-  void keep(const dynamic_config::ValidationResult& found, dynamic_config::Bytes bytes);
+  void persist(const dynamic_config::ValidationResult& result, dynamic_config::Bytes bytes);
   void fetch_operator_commands();
-  void carry_out(std::vector<dynamic_config::OperatorCommand> orders,
-                 std::vector<dynamic_config::ConfigGenerationPtr> wanted);
+  void run_operator_commands(std::vector<dynamic_config::OperatorCommand> commands,
+                             std::vector<dynamic_config::ConfigGenerationPtr> targets);
   static dynamic_config::ConfigGenerationPtr parse(const FileConfigOptions& options,
                                                    const dynamic_config::Bytes& bytes, std::uint64_t digest);
 
@@ -73,12 +75,12 @@
   std::unique_ptr<FolderWatch> folder_;
   event_loop::TimerId timer_{}, removal_timer_{};
   bool scanning_ = false;
-  bool there_ = true;  // the directory existed at the last scan
+  bool folder_exists_ = true;  // the directory could be opened at the last scan
   std::uint64_t last_digest_ = 0, last_number_ = 0;
   Figures figures_;
   // Used on the worker's thread only, except for opening and destruction.
   std::shared_ptr<dynamic_config::OpenedStore> store_;
-  event_loop::TimerId orders_timer_{};
+  event_loop::TimerId command_timer_{};
   event_loop::Worker worker_;  // last: its thread ends before the members that it uses are destroyed
 };
 
--- a/src/aggregator/dynamic_config/folder_watch.cpp
+++ b/src/aggregator/dynamic_config/folder_watch.cpp
@@ -14,16 +14,18 @@
 
 using dynamic_config::Kind;
 
-constexpr std::uint32_t kInside = IN_CLOSE_WRITE | IN_MODIFY | IN_MOVED_TO | IN_MOVED_FROM | IN_CREATE |
-                                  IN_DELETE | IN_ATTRIB | IN_DELETE_SELF | IN_MOVE_SELF | IN_ONLYDIR;
-// Of a directory on the path: only names that appear and disappear matter.
-constexpr std::uint32_t kAbove = IN_MOVED_TO | IN_MOVED_FROM | IN_CREATE | IN_DELETE | IN_ONLYDIR;
-constexpr int kLinksMost = 16;  // symbolic links followed on the path, which may contain a loop
+// Of the watched directory itself.
+constexpr std::uint32_t kDirectoryEvents = IN_CLOSE_WRITE | IN_MODIFY | IN_MOVED_TO | IN_MOVED_FROM |
+                                           IN_CREATE | IN_DELETE | IN_ATTRIB | IN_DELETE_SELF | IN_MOVE_SELF |
+                                           IN_ONLYDIR;
+// Of a directory on the path: only the creation and removal of names matter.
+constexpr std::uint32_t kParentEvents = IN_MOVED_TO | IN_MOVED_FROM | IN_CREATE | IN_DELETE | IN_ONLYDIR;
+constexpr int kMaxSymlinks = 16;  // symbolic links that are followed on the path, which may contain a loop
 
 // Identifies a state of a file. A rewrite of the same size within one tick of the clock changes ctime or
 // inode; where it doesn't, the event of the write leads to another scan.
 struct Stamp {
-  bool there = false;
+  bool exists = false;
   ino_t inode = 0;
   off_t size = 0;
   timespec modified{}, changed{};
@@ -31,7 +33,7 @@
     auto same = [](const timespec& a, const timespec& b) {
       return a.tv_sec == b.tv_sec && a.tv_nsec == b.tv_nsec;
     };
-    return there == o.there && inode == o.inode && size == o.size && same(modified, o.modified) &&
+    return exists == o.exists && inode == o.inode && size == o.size && same(modified, o.modified) &&
            same(changed, o.changed);
   }
 };
@@ -50,7 +52,7 @@
       changed_(std::move(changed)),
       fd_(inotify_init1(IN_NONBLOCK | IN_CLOEXEC)) {
   if (!fd_) return;
-  loop_.add(fd_.get(), POLLIN, [this](short) { heard(); });
+  loop_.add(fd_.get(), POLLIN, [this](short) { on_readable(); });
   rearm();
 }
 
@@ -58,40 +60,40 @@
   if (fd_) loop_.remove(fd_.get());
 }
 
-void FolderWatch::watch(const std::string& path, std::uint32_t events, std::map<int, std::string>& now) {
+void FolderWatch::watch(const std::string& path, std::uint32_t events, std::map<int, std::string>& watched) {
   int id = inotify_add_watch(fd_.get(), path.c_str(), events | IN_MASK_ADD);
-  if (id >= 0) now.emplace(id, path);
+  if (id >= 0) watched.emplace(id, path);
 }
 
 void FolderWatch::rearm() {
   if (!fd_) return;
   namespace fs = std::filesystem;
-  std::map<int, std::string> now;
+  std::map<int, std::string> watched;
   std::error_code ignored;
-  watch(folder_, kInside, now);
+  watch(folder_, kDirectoryEvents, watched);
   // Each directory that contains a link of the path, and the nearest existing parent: the creation of a
   // missing directory is reported there.
   fs::path path = fs::path(folder_).lexically_normal();
   if (!path.has_filename()) path = path.parent_path();
-  for (int links = 0; links < kLinksMost; ++links) {
-    fs::path above = path.parent_path();
+  for (int links = 0; links < kMaxSymlinks; ++links) {
+    fs::path parent = path.parent_path();
     for (;;) {
-      if (above.empty()) above = ".";
-      if (fs::is_directory(above, ignored)) break;
-      if (above == above.parent_path()) break;
-      above = above.parent_path();
+      if (parent.empty()) parent = ".";
+      if (fs::is_directory(parent, ignored)) break;
+      if (parent == parent.parent_path()) break;
+      parent = parent.parent_path();
     }
-    watch(above.string(), kAbove, now);
+    watch(parent.string(), kParentEvents, watched);
     if (!fs::is_symlink(path, ignored)) break;
-    fs::path to = fs::read_symlink(path, ignored);
-    path = to.is_absolute() ? to : path.parent_path() / to;
+    fs::path target = fs::read_symlink(path, ignored);
+    path = target.is_absolute() ? target : path.parent_path() / target;
   }
   for (const auto& [id, old] : watched_)
-    if (!now.count(id)) inotify_rm_watch(fd_.get(), id);
-  watched_ = std::move(now);
+    if (!watched.count(id)) inotify_rm_watch(fd_.get(), id);
+  watched_ = std::move(watched);
 }
 
-void FolderWatch::heard() {
+void FolderWatch::on_readable() {
   alignas(inotify_event) char buffer[16384];
   bool any = false;
   // Reads all pending events, so that a burst of writes causes one notification.
@@ -100,22 +102,22 @@
 }
 
 FolderContents read_config_folder(const std::string& folder, std::size_t max_file_bytes) {
-  FolderContents look;
+  FolderContents contents;
   event_loop::UniqueFd dir(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (!dir) return look;
-  look.exists = true;
+  if (!dir) return contents;
+  contents.exists = true;
   std::map<Kind, Stamp> before;
   for (Kind kind : dynamic_config::kKinds) before[kind] = stamp(dir.get(), file_name(kind));
   for (Kind kind : dynamic_config::kKinds) {
-    if (!before[kind].there) continue;
-    auto fault = [&](const std::string& what) { look.faults.push_back({kind, 0, what}); };
+    if (!before[kind].exists) continue;
+    auto fault = [&](const std::string& what) { contents.faults.push_back({kind, 0, what}); };
     // O_NOFOLLOW: no link out of the directory. O_NONBLOCK: opening a pipe doesn't wait for its writer.
     event_loop::UniqueFd file(
         ::openat(dir.get(), file_name(kind), O_RDONLY | O_NOFOLLOW | O_NONBLOCK | O_CLOEXEC));
     struct stat info {};
     if (!file || fstat(file.get(), &info) != 0) {
       if (errno == ENOENT)
-        look.changed_while_read = true;
+        contents.changed_while_read = true;
       else
         fault(errno == ELOOP ? "is a symbolic link, which is not followed out of the folder"
                              : std::string("cannot be read: ") + std::strerror(errno));
@@ -125,7 +127,7 @@
       fault("is no file");
       continue;
     }
-    std::string& text = look.bytes[kind];
+    std::string& text = contents.bytes[kind];
     char buffer[65536];
     ssize_t n = 0;
     while ((n = ::read(file.get(), buffer, sizeof buffer)) > 0) {
@@ -139,14 +141,14 @@
     }
   }
   for (Kind kind : dynamic_config::kKinds)
-    if (!(stamp(dir.get(), file_name(kind)) == before[kind])) look.changed_while_read = true;
+    if (!(stamp(dir.get(), file_name(kind)) == before[kind])) contents.changed_while_read = true;
   // The directory may have been replaced while its files were read.
   struct stat opened {
   }, named{};
   if (fstat(dir.get(), &opened) != 0 || ::stat(folder.c_str(), &named) != 0 ||
       opened.st_ino != named.st_ino || opened.st_dev != named.st_dev)
-    look.changed_while_read = true;
-  return look;
+    contents.changed_while_read = true;
+  return contents;
 }
 
 }  // namespace winchhall::dynamic_config
--- a/src/aggregator/dynamic_config/folder_watch.hpp
+++ b/src/aggregator/dynamic_config/folder_watch.hpp
@@ -30,21 +30,22 @@
   bool working() const { return static_cast<bool>(fd_); }
 
  private:
-  void heard();
-  void watch(const std::string& path, std::uint32_t events, std::map<int, std::string>& now);
+  void on_readable();
+  void watch(const std::string& path, std::uint32_t events, std::map<int, std::string>& watched);
 
   event_loop::Loop& loop_;
   std::string folder_;
   std::function<void()> changed_;
   event_loop::UniqueFd fd_;
-  std::map<int, std::string> watched_;
+  std::map<int, std::string> watched_;  // paths by inotify watch descriptor
 };
 
+// Result of `read_config_folder`.
 struct FolderContents {
   dynamic_config::Bytes bytes{};
   std::vector<dynamic_config::Fault> faults{};  // files that are too large, not regular, or unreadable
-  bool changed_while_read = false;              // a file changed while it was read: to be read again
-  bool exists = false;                          // the directory exists
+  bool changed_while_read = false;              // a file or the directory changed meanwhile: to be read again
+  bool exists = false;                          // the directory could be opened
 };
 
 // Reads the files named by `file_name` in this directory; symbolic links out of it are not followed. Blocks;
--- a/src/aggregator/dynamic_config/sqlite_store.cpp
+++ b/src/aggregator/dynamic_config/sqlite_store.cpp
@@ -14,8 +14,8 @@
 using dynamic_config::Kind;
 namespace fs = std::filesystem;
 
-constexpr int kSchema = 1;               // version of the tables, SQLite's user_version
-constexpr int kBusy = 500;               // ms to wait for another process' write lock
+constexpr int kSchemaVersion = 1;        // version of the tables, SQLite's user_version
+constexpr int kBusyTimeoutMs = 500;      // wait for another process' write lock
 constexpr int kMaxStoredCommands = 200;  // newest commands that are kept
 
 struct CloseDb {
@@ -77,18 +77,18 @@
  public:
   explicit SqliteStore(Db db) : db_(std::move(db)) {}
 
-  bool put(const StoredSet& k) override {
+  bool put(const StoredSet& set) override {
     if (!run("BEGIN IMMEDIATE")) return false;
-    auto part = [&](Kind kind) {
-      auto it = k.bytes.find(kind);
-      return it == k.bytes.end() ? nullptr : &it->second;
+    auto file_bytes = [&](Kind kind) {
+      auto it = set.bytes.find(kind);
+      return it == set.bytes.end() ? nullptr : &it->second;
     };
     Statement insert(db_.get(),
                      "INSERT INTO generation(digest, at, verdict, why, nodes, weights, ranges, tenants) "
                      "VALUES (?, ?, ?, ?, ?, ?, ?, ?)");
-    insert.text(1, hex(k.digest)).real(2, k.at).text(3, k.verdict).text(4, k.why);
-    insert.blob(5, part(Kind::nodes)).blob(6, part(Kind::weights));
-    insert.blob(7, part(Kind::ranges)).blob(8, part(Kind::tenants));
+    insert.text(1, hex(set.digest)).real(2, set.at).text(3, set.verdict).text(4, set.why);
+    insert.blob(5, file_bytes(Kind::nodes)).blob(6, file_bytes(Kind::weights));
+    insert.blob(7, file_bytes(Kind::ranges)).blob(8, file_bytes(Kind::tenants));
     if (insert.done() && prune() && run("COMMIT")) return true;
     fault_ = sqlite3_errmsg(db_.get());
     sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
@@ -98,7 +98,7 @@
   std::optional<StoredSet> newest_taken() override {
     Statement select(db_.get(), kSelectTaken);
     while (select.row())
-      if (auto stored = whole(select)) return stored;
+      if (auto stored = read_verified(select)) return stored;
     return std::nullopt;
   }
 
@@ -109,7 +109,7 @@
         "WHERE digest = ? AND nodes IS NOT NULL ORDER BY number DESC");
     select.text(1, hex(digest));
     while (select.row())
-      if (auto stored = whole(select)) return stored;
+      if (auto stored = read_verified(select)) return stored;
     return std::nullopt;
   }
 
@@ -118,7 +118,7 @@
                      "SELECT number, digest, at, verdict, why FROM generation ORDER BY number DESC LIMIT ?");
     select.number(1, most);
     std::vector<StoredSet> list;
-    while (select.row()) list.push_back(head(select));
+    while (select.row()) list.push_back(read_header(select));
     return list;
   }
 
@@ -165,17 +165,17 @@
     return false;
   }
 
-  static StoredSet head(Statement& s) {
+  static StoredSet read_header(Statement& s) {
     return {s.number(0), unhex(s.bytes(1)), s.real(2), s.bytes(3), s.bytes(4), {}};
   }
 
   // None if the bytes don't match their digest: the other rows of a partly corrupt database stay usable.
-  static std::optional<StoredSet> whole(Statement& s) {
-    StoredSet k = head(s);
+  static std::optional<StoredSet> read_verified(Statement& s) {
+    StoredSet set = read_header(s);
     for (int i = 0; i < 4; ++i)
-      if (!s.null(5 + i)) k.bytes[dynamic_config::kKinds[i]] = s.bytes(5 + i);
-    if (dynamic_config::digest_of(k.bytes) != k.digest) return std::nullopt;
-    return k;
+      if (!s.null(5 + i)) set.bytes[dynamic_config::kKinds[i]] = s.bytes(5 + i);
+    if (dynamic_config::digest_of(set.bytes) != set.digest) return std::nullopt;
+    return set;
   }
 
   // The newest two entries always stay, or one large entry would leave nothing to roll back to.
@@ -201,18 +201,18 @@
   std::string fault_;
 };
 
-Db try_open(const std::string& path, bool read_only, std::string& why, bool& spoilt) {
+Db try_open(const std::string& path, bool read_only, std::string& why, bool& corrupt) {
   sqlite3* raw = nullptr;
   int flags = read_only ? SQLITE_OPEN_READWRITE : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   int code = sqlite3_open_v2(path.c_str(), &raw, flags, nullptr);
   Db db(raw);
   auto failed = [&](int with) {
     why = raw ? sqlite3_errmsg(raw) : "out of memory";
-    spoilt = with == SQLITE_NOTADB || with == SQLITE_CORRUPT;
+    corrupt = with == SQLITE_NOTADB || with == SQLITE_CORRUPT;
     return nullptr;
   };
   if (code != SQLITE_OK) return failed(code);
-  sqlite3_busy_timeout(raw, kBusy);
+  sqlite3_busy_timeout(raw, kBusyTimeoutMs);
   for (const char* sql : {"PRAGMA journal_mode = WAL", "PRAGMA synchronous = NORMAL"})
     if (int c = sqlite3_exec(raw, sql, nullptr, nullptr, nullptr); c != SQLITE_OK) return failed(c);
   {
@@ -221,7 +221,7 @@
     if (c != SQLITE_ROW) return failed(c);
     if (check.bytes(0) != "ok") {
       why = "it is spoilt: " + check.bytes(0);
-      spoilt = true;
+      corrupt = true;
       return nullptr;
     }
   }
@@ -230,7 +230,7 @@
     Statement read(raw, "PRAGMA user_version");
     if (read.row()) version = read.number(0);
   }
-  if (version > kSchema) {
+  if (version > kSchemaVersion) {
     why = "it is of a later version (" + std::to_string(version) + ")";
     return nullptr;
   }
@@ -243,12 +243,12 @@
       "digest TEXT NOT NULL, answer TEXT);"
       "PRAGMA user_version = 1;"
       "COMMIT;";
-  if (version < kSchema)
+  if (version < kSchemaVersion)
     if (int c = sqlite3_exec(raw, tables, nullptr, nullptr, nullptr); c != SQLITE_OK) return failed(c);
   return db;
 }
 
-std::string free_name(const std::string& path) {
+std::string unused_name(const std::string& path) {
   for (int i = 1;; ++i) {
     std::string name = path + ".spoilt-" + std::to_string(i);
     if (!fs::exists(name)) return name;
@@ -260,14 +260,14 @@
 extern "C" __attribute__((visibility("default"))) void winchhall_open_store(const std::string& path,
                                                                             bool read_only,
                                                                             OpenedStore& opened) {
-  bool spoilt = false;
-  Db db = try_open(path, read_only, opened.why, spoilt);
-  if (!db && spoilt && !read_only) {
+  bool corrupt = false;
+  Db db = try_open(path, read_only, opened.why, corrupt);
+  if (!db && corrupt && !read_only) {
     std::error_code error;
-    opened.set_aside = free_name(path);
+    opened.set_aside = unused_name(path);
     fs::rename(path, opened.set_aside, error);
     for (const char* with : {"-wal", "-shm"}) fs::remove(path + with, error);
-    db = try_open(path, false, opened.why, spoilt);
+    db = try_open(path, false, opened.why, corrupt);
   }
   if (!db) return;
   opened.why.clear();
--- a/src/aggregator/dynamic_config/store.hpp
+++ b/src/aggregator/dynamic_config/store.hpp
@@ -11,7 +11,7 @@
 
 namespace winchhall::dynamic_config {
 
-// The result of one candidate configuration.
+// A candidate configuration and its result, as stored.
 struct StoredSet {
   std::int64_t number = 0;  // rises with each `put`; the order of entries
   std::uint64_t digest = 0;
@@ -21,7 +21,7 @@
   dynamic_config::Bytes bytes{};  // empty for a rejected one
 };
 
-// A command that an operator left for the running aggregator.
+// A command of an operator to the running aggregator.
 struct OperatorCommand {
   std::int64_t id = 0;
   std::string action{};      // "accept" or "rollback"
@@ -45,7 +45,7 @@
   virtual std::optional<StoredSet> find(std::uint64_t digest) = 0;
   // At most `most` entries without their bytes, newest first.
   virtual std::vector<StoredSet> history(int most) = 0;
-  // Leaves a command for the running aggregator and returns its id; none: it was not stored.
+  // Stores a command for the running aggregator and returns its id; none: it was not stored.
   virtual std::optional<std::int64_t> add_command(const std::string& action, std::uint64_t digest) = 0;
   // Commands that have not been answered, oldest first.
   virtual std::vector<OperatorCommand> pending_commands() = 0;
@@ -57,10 +57,11 @@
   virtual const std::string& fault() const = 0;
 
   static constexpr int kMaxStoredSets = 32;  // entries
-  static constexpr std::int64_t kMaxStoredBytes =
-      256 << 20;  // of all entries together, except for the newest two
+  // Of all entries together. The newest two entries are kept in any case.
+  static constexpr std::int64_t kMaxStoredBytes = 256 << 20;
 };
 
+// Result of `open`.
 struct OpenedStore {
   std::unique_ptr<Store> store{};  // null: it could not be opened, for the reason in `why`
   std::string why{};
