--- a/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
+++ b/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
@@ -1,5 +1,5 @@
-// A real folder, written to in every way that tools write: what is taken, what is refused, and what queries
-// see.
+// FileConfigSource on a real directory that is written to in the ways in which tools write: what is applied,
+// what is rejected, and which nodes the request router gets.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <sys/stat.h>
 #include <unistd.h>
@@ -52,8 +52,8 @@
   fs::path root, path;
 };
 
-struct FilesStage {
-  explicit FilesStage(const Folder& folder, std::size_t most = 1 << 20)
+struct FilesFixture {
+  explicit FilesFixture(const Folder& folder, std::size_t most = 1 << 20)
       : router(
             two_classes(), 7, [this] { return loop.now(); }, [](const std::string&) {}),
         source(loop, router, options(folder, most)) {
@@ -69,7 +69,7 @@
     o.parse_files = app::read_set;
     return o;
   }
-  void until(const std::function<bool()>& done) {
+  void wait_until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop.turn(10);
@@ -77,14 +77,14 @@
       REQUIRE(loop.now() < give_up);
     }
   }
-  std::size_t in_use() {
+  std::size_t active_nodes() {
     return source.generation_manager().current() ? source.generation_manager().current()->members.size() : 0;
   }
-  void until_used(std::size_t nodes) {
-    until([&] { return in_use() == nodes; });
+  void wait_for_nodes(std::size_t nodes) {
+    wait_until([&] { return active_nodes() == nodes; });
   }
-  void until_refused(std::uint64_t times) {
-    until([&] { return source.figures().refused >= times; });
+  void wait_for_rejections(std::uint64_t times) {
+    wait_until([&] { return source.figures().refused >= times; });
   }
   std::string last_reason() { return source.generation_manager().history().back().why; }
 
@@ -96,144 +96,147 @@
 
 }  // namespace
 
-TEST_CASE("a set is taken at the start, and again by rewrite in place, rename over, and a swapped link") {
+TEST_CASE(
+    "files are applied at the start and after a rewrite in place, a rename over them, and a swapped link") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(8));
-  FilesStage s(f);
-  s.until_used(8);
+  FilesFixture s(f);
+  s.wait_for_nodes(8);
   CHECK(s.router.known_servers() == 8);
   f.write("nodes.xml", Folder::nodes(9));
-  s.until_used(9);
+  s.wait_for_nodes(9);
   f.rename_over("nodes.xml", Folder::nodes(10));
-  s.until_used(10);
-  // A tool that prepares a folder and swaps a link to it.
+  s.wait_for_nodes(10);
+  // As by a tool that prepares a directory and swaps a link to it.
   fs::create_directory(f.root / "next");
   std::ofstream(f.root / "next" / "nodes.xml") << Folder::nodes(11);
   fs::rename(f.path, f.root / "old");
   fs::create_symlink("next", f.path);
-  s.until_used(11);
+  s.wait_for_nodes(11);
   fs::create_directory(f.root / "third");
   std::ofstream(f.root / "third" / "nodes.xml") << Folder::nodes(12);
   fs::create_symlink("third", f.root / "link");
   fs::rename(f.root / "link", f.path);
-  s.until_used(12);
-  // And it goes on to be followed there.
+  s.wait_for_nodes(12);
+  // Changes in the linked directory are detected.
   std::ofstream(f.root / "third" / "nodes.xml") << Folder::nodes(13);
-  s.until_used(13);
+  s.wait_for_nodes(13);
   CHECK(s.source.figures().refused == 0);
 }
 
-TEST_CASE("a file caught in the middle of a write is refused, and its whole one taken") {
+TEST_CASE("a partly written file is rejected, and the complete one applied") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(8));
-  FilesStage s(f);
-  s.until_used(8);
-  std::string whole = Folder::nodes(9);
-  f.write("nodes.xml", whole.substr(0, whole.size() / 2));
-  s.until_refused(1);
+  FilesFixture s(f);
+  s.wait_for_nodes(8);
+  std::string complete = Folder::nodes(9);
+  f.write("nodes.xml", complete.substr(0, complete.size() / 2));
+  s.wait_for_rejections(1);
   CHECK(has(s.last_reason(), "nodes.xml:"));
-  CHECK(s.in_use() == 8);
-  f.write("nodes.xml", whole);
-  s.until_used(9);
+  CHECK(s.active_nodes() == 8);
+  f.write("nodes.xml", complete);
+  s.wait_for_nodes(9);
 }
 
-TEST_CASE("two files of one set, written one after the other: what doesn't fit is refused until it does") {
+TEST_CASE("two files written one after the other: contradictory contents are rejected until they match") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(8));
   f.write("ranges.xml", Folder::ranges({"n0", "n1"}));
-  FilesStage s(f);
-  s.until_used(8);
+  FilesFixture s(f);
+  s.wait_for_nodes(8);
   CHECK(s.router.map().size() == 2);
   f.write("ranges.xml", Folder::ranges({"n0", "n1", "n8"}));
-  s.until_refused(1);
+  s.wait_for_rejections(1);
   CHECK(has(s.last_reason(), "holder 'n8' of range 2 is not in nodes.xml"));
   CHECK(s.router.map().size() == 2);
   f.write("nodes.xml", Folder::nodes(9));
-  // What range 2 had before were n1's keys: an operator's word is wanted where no holder stays.
-  s.until([&] { return s.source.figures().held + s.source.figures().taken >= 2; });
+  // n1 held the keys of range 2 before: a range that keeps none of its holders needs an operator's approval.
+  s.wait_until([&] { return s.source.figures().held + s.source.figures().taken >= 2; });
 }
 
-TEST_CASE("the same bytes again are no new generation, and a change back and forth is none either") {
+TEST_CASE("unchanged content, and a change that is undone, make no new generation") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(8));
-  FilesStage s(f);
-  s.until_used(8);
+  FilesFixture s(f);
+  s.wait_for_nodes(8);
   auto number = s.source.generation_manager().number();
-  auto looks = s.source.figures().scans;
+  auto scans = s.source.figures().scans;
   f.write("nodes.xml", Folder::nodes(8));
-  s.until([&] { return s.source.figures().scans > looks; });
-  looks = s.source.figures().scans;
+  s.wait_until([&] { return s.source.figures().scans > scans; });
+  scans = s.source.figures().scans;
   f.write("nodes.xml", Folder::nodes(9));
   f.write("nodes.xml", Folder::nodes(8));
-  s.until([&] { return s.source.figures().scans > looks; });
+  s.wait_until([&] { return s.source.figures().scans > scans; });
   CHECK(s.source.generation_manager().number() == number);
 }
 
-TEST_CASE("a folder that vanishes leaves what is in use, and is followed when it is back") {
+TEST_CASE(
+    "a removed directory leaves the active generation in use, and is watched again when it is created") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(8));
-  FilesStage s(f);
-  s.until_used(8);
+  FilesFixture s(f);
+  s.wait_for_nodes(8);
   fs::remove_all(f.path);
-  auto looks = s.source.figures().scans;
-  s.until([&] { return s.source.figures().scans > looks; });
-  CHECK(s.in_use() == 8);
+  auto scans = s.source.figures().scans;
+  s.wait_until([&] { return s.source.figures().scans > scans; });
+  CHECK(s.active_nodes() == 8);
   fs::create_directory(f.path);
   f.write("nodes.xml", Folder::nodes(9));
-  s.until_used(9);
+  s.wait_for_nodes(9);
 }
 
 TEST_CASE(
-    "XML that expands without end or refers outside, names that lead away, what is too large or no file") {
+    "entity expansion, external entities, links out of the directory, large files and pipes are rejected") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(8));
-  FilesStage s(f, 20000);
-  s.until_used(8);
+  FilesFixture s(f, 20000);
+  s.wait_for_nodes(8);
   std::string body = Folder::nodes(9);
   f.write("nodes.xml", "<!DOCTYPE n [<!ENTITY a \"aaaaaaaaaa\"><!ENTITY b \"&a;&a;&a;&a;\">]>" + body);
-  s.until_refused(1);
+  s.wait_for_rejections(1);
   CHECK(has(s.last_reason(), "a DOCTYPE is not allowed"));
   f.write("nodes.xml", "<!DOCTYPE n SYSTEM \"file:///etc/passwd\">" + body);
-  s.until_refused(2);
+  s.wait_for_rejections(2);
   std::ofstream(f.root / "outside.xml") << body;
   fs::remove(f.path / "nodes.xml");
   fs::create_symlink("../outside.xml", f.path / "nodes.xml");
-  s.until_refused(3);
+  s.wait_for_rejections(3);
   CHECK(has(s.last_reason(), "symbolic link"));
   fs::remove(f.path / "nodes.xml");
   f.write("nodes.xml", Folder::nodes(2000));
-  s.until_refused(4);
+  s.wait_for_rejections(4);
   CHECK(has(s.last_reason(), "larger than 20000 bytes"));
   fs::remove(f.path / "nodes.xml");
   REQUIRE(mkfifo((f.path / "nodes.xml").c_str(), 0600) == 0);
-  s.until_refused(5);
+  s.wait_for_rejections(5);
   CHECK(has(s.last_reason(), "is no file"));
   fs::remove(f.path / "nodes.xml");
   f.write("nodes.xml", body);
-  s.until_used(9);
+  s.wait_for_nodes(9);
 }
 
-TEST_CASE("a node that a set drops is drained at once, and a query sees the one set or the other") {
+TEST_CASE("a removed node is draining at once, and stays known to the router") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(8));
-  FilesStage s(f);
-  s.until_used(8);
+  FilesFixture s(f);
+  s.wait_for_nodes(8);
   f.write("nodes.xml", Folder::nodes(7));
-  s.until_used(7);
+  s.wait_for_nodes(7);
   bool draining = false;
   for (const auto& m : s.source.generation_manager().members(s.loop.now()))
     if (m.entry.server == "n7") draining = m.entry.state == winchhall::ServerState::draining;
   CHECK(draining);
-  CHECK(s.router.known_servers() == 8);  // until it is gone, what it has may be answered
+  CHECK(s.router.known_servers() == 8);  // until it is removed, it may answer requests in flight
 }
 
 TEST_CASE(
-    "a flood of rewrites, a third of them spoilt: only whole sets are ever in use, and the last one wins") {
+    "continuous rewrites, a third of them truncated: only valid files are applied, and the last ones are "
+    "active") {
   Folder f;
   f.write("nodes.xml", Folder::nodes(20));
   f.write("ranges.xml", Folder::ranges({"n0", "n1"}));
-  FilesStage s(f);
-  s.until_used(20);
+  FilesFixture s(f);
+  s.wait_for_nodes(20);
   for (int i = 0; i < 300; ++i) {
     std::string text = Folder::nodes(20 + i % 3);
     if (i % 3 == 2) text.resize(text.size() * static_cast<std::size_t>(i % 7) / 8);
@@ -243,10 +246,10 @@
       f.rename_over("nodes.xml", text);
     s.loop.turn(1);
     s.router.run();
-    std::size_t now = s.in_use();
+    std::size_t now = s.active_nodes();
     CHECK((now >= 20 && now <= 22));
     CHECK(s.router.known_servers() >= now);
   }
   f.rename_over("nodes.xml", Folder::nodes(23));
-  s.until_used(23);
+  s.wait_for_nodes(23);
 }
--- a/tests/aggregator/ranges/follower_test.cpp
+++ b/tests/aggregator/ranges/follower_test.cpp
@@ -1,4 +1,4 @@
-// What a follower of the directory takes and refuses, and when it asks again. No sockets, no clock.
+// Which updates of the directory the follower applies or rejects, and when it asks again. No sockets, no clock.
 #include "aggregator/ranges/follower.hpp"
 
 #include <doctest/doctest.h>
@@ -9,14 +9,14 @@
 using namespace winchhall::ranges;
 using namespace winchhall::ranges::testing;
 
-TEST_CASE("the follower takes changes in order and refuses a gap, what is stale, and what is impossible") {
+TEST_CASE("changes are applied in order; gaps, stale and impossible updates are rejected") {
   Follower f;
   CHECK(f.needs_full_map());
   auto complete = [&](Revision r) {
     Update u;
     u.revision = r;
     u.complete = true;
-    u.ranges = small().all();
+    u.ranges = small_map().all();
     return u;
   };
   auto changes = [&](Revision r, std::vector<Change> list) {
@@ -29,13 +29,13 @@
   CHECK(f.apply_update(changes({3, 7}, {SetWeight{{0, 0}, 2}}), 1) == UpdateResult::gap);
   CHECK(f.needs_reopen());
   f.on_watch_closed(1, 0.5);
-  CHECK(f.next_request_at() > 1);  // not at once: a directory that speaks nonsense is not asked without end
+  CHECK(f.next_request_at() > 1);  // not at once, so that a faulty directory is not asked in a tight loop
   f.on_watch_opened(50);
   CHECK(f.apply_update(complete({3, 7}), 50) == UpdateResult::applied);
   CHECK(f.apply_update(changes({3, 8}, {SetWeight{{0, 0}, 2}}), 51) == UpdateResult::applied);
   CHECK(f.map().revision() == Revision{3, 8});
   CHECK(f.apply_update(changes({3, 8}, {SetWeight{{0, 0}, 2}}), 52) == UpdateResult::unchanged);
-  // Two of which one is held already.
+  // Two changes, of which the first has already been applied.
   CHECK(f.apply_update(changes({3, 9}, {SetWeight{{0, 0}, 2}, SetWeight{{0, 0}, 3}}), 53) ==
         UpdateResult::applied);
   CHECK(f.map().find(0).weight == 3);
@@ -46,7 +46,7 @@
   CHECK(f.apply_update(complete({2, 99}), 61) == UpdateResult::stale);
   CHECK(f.fault().find("older incarnation") != std::string::npos);
   CHECK(f.map().revision() == Revision{3, 9});
-  // One change of a line is impossible: none of the line is taken.
+  // One change of the update is impossible: none of them is applied.
   CHECK(f.apply_update(changes({3, 11}, {SetWeight{{0, 0}, 5}, Remove{{0, 0}, "zz"}}), 62) ==
         UpdateResult::impossible);
   CHECK(f.map().find(0).weight == 3);
@@ -58,17 +58,17 @@
   CHECK(f.apply_update(complete({4, 1}), 202) == UpdateResult::applied);
 }
 
-TEST_CASE("a directory that comes back with an older revision is not believed until it is newer and whole") {
+TEST_CASE("after an older full map of the same incarnation, only a newer full map is applied") {
   Follower f;
   f.on_watch_opened(0);
   Update u;
   u.revision = {1, 50};
   u.complete = true;
-  u.ranges = small().all();
+  u.ranges = small_map().all();
   CHECK(f.apply_update(u, 0) == UpdateResult::applied);
   u.revision = {1, 45};
   CHECK(f.apply_update(u, 10) == UpdateResult::stale);
-  // It counts on from there: its 51 is not ours.
+  // It continues from there: its revision 51 differs from the one that would follow this map.
   Update c;
   c.revision = {1, 51};
   c.changes = {SetWeight{{0, 0}, 9}};
@@ -78,10 +78,10 @@
   CHECK(f.apply_update(u, 30) == UpdateResult::applied);
 }
 
-TEST_CASE("a map in pages is taken with its last page, and a broken one leaves nothing behind") {
+TEST_CASE("a map in pages is applied with its last page, and an interrupted one is discarded") {
   Follower f;
   f.on_watch_opened(0);
-  auto all = even(9);
+  auto all = even_ranges(9);
   auto page = [&](std::size_t from, std::size_t to, bool more, std::uint64_t number = 4) {
     Update u;
     u.revision = {1, number};
@@ -92,7 +92,7 @@
   };
   CHECK(f.apply_update(page(0, 3, true), 0) == UpdateResult::page);
   CHECK(f.map().empty());
-  f.on_watch_lost(1, 0.5);  // in the middle of it
+  f.on_watch_lost(1, 0.5);  // before the last page
   f.on_watch_opened(60);
   CHECK(f.apply_update(page(0, 3, true), 60) == UpdateResult::page);
   CHECK(f.apply_update(page(3, 6, true, 5), 61) == UpdateResult::page);  // another revision begins in between
@@ -104,7 +104,7 @@
   CHECK(f.map().size() == 9);
 }
 
-TEST_CASE("a directory that is away is asked again, each time later, and at once where a node is ahead") {
+TEST_CASE("an unreachable directory is asked with growing delays, and at once if a node has a newer map") {
   Follower f;
   double last = 0;
   for (int i = 0; i < 12; ++i) {
@@ -118,7 +118,7 @@
   f.on_watch_opened(1000);
   CHECK_FALSE(f.keepalive_timed_out(1000 + Follower::kKeepaliveTimeout));
   CHECK(f.keepalive_timed_out(1001 + Follower::kKeepaliveTimeout));
-  f.refresh(1050);  // a burst is one question
+  f.refresh(1050);  // within kMinRefreshInterval of the last one
   CHECK_FALSE(f.needs_reopen());
   f.refresh(1200);
   CHECK(f.needs_reopen());
--- a/tests/aggregator/ranges/histories_test.cpp
+++ b/tests/aggregator/ranges/histories_test.cpp
@@ -1,5 +1,5 @@
-// Map, changes, spans, coverage, planning and replanning against plain models, over random histories. No
-// sockets, no clock.
+// Property tests: map, changes, spans, coverage, planning and replanning against reference models, over
+// random histories. No sockets, no clock.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -12,17 +12,19 @@
 using namespace winchhall::ranges;
 using namespace winchhall::ranges::testing;
 
-TEST_CASE("random histories: the map is what a plain one becomes, and what was pinned stays as it was") {
+TEST_CASE(
+    "random histories: the map equals its reference model, and a copy of an earlier revision stays "
+    "unchanged") {
   CHECK(rc::check([](const std::vector<std::uint32_t>& steps) {
-    Dice begin(static_cast<std::uint32_t>(steps.size()));
-    RangeMap map = map_of(even(1 + begin.below(90)));
-    Plain model = plain(map);
-    RangeMap pinned = map;
-    Plain pinned_model = model;
+    RandomSource begin(static_cast<std::uint32_t>(steps.size()));
+    RangeMap map = map_of(even_ranges(1 + begin.below(90)));
+    ReferenceMap model = reference_of(map);
+    RangeMap earlier = map;
+    ReferenceMap earlier_model = model;
     for (std::uint32_t step : steps) {
-      Dice d(step);
+      RandomSource d(step);
       bool possible = false;
-      Change change = draw(d, model, map.next_id(), possible);
+      Change change = draw_change(d, model, map.next_id(), possible);
       std::string why;
       auto next = apply(map, change, why);
       RC_ASSERT(next.has_value() == possible);
@@ -32,32 +34,32 @@
         map = std::move(*next);
       }
       if (d.one_in(5)) {
-        pinned = map;
-        pinned_model = model;
+        earlier = map;
+        earlier_model = model;
       }
     }
     RC_ASSERT(map.size() == model.rows.size());
-    RC_ASSERT(plain(map).rows == model.rows);
-    RC_ASSERT(plain(pinned).rows == pinned_model.rows);
-    // Look-ups, at borders and inside, against the plain map's own.
+    RC_ASSERT(reference_of(map).rows == model.rows);
+    RC_ASSERT(reference_of(earlier).rows == earlier_model.rows);
+    // Look-ups at the borders of ranges and inside them.
     for (auto it = model.rows.begin(); it != model.rows.end(); ++it)
       for (Key key : {it->first, model.end(it) - 1, it->first + (model.end(it) - it->first) / 2}) {
         RangeView p = map.find(key);
         RC_ASSERT(p.id == it->second.id);
         RC_ASSERT(p.span == (Span{it->first, model.end(it)}));
       }
-    // The whole of it, told anew, is as sound.
+    // A map that is built from all its ranges is valid.
     std::string why;
     RC_ASSERT(RangeMap::build(map.revision(), map.all(), why).has_value());
   }));
 }
 
-TEST_CASE("random histories: a set of spans is a set of keys") {
+TEST_CASE("random histories: a SpanSet equals a set of keys") {
   CHECK(rc::check([](const std::vector<std::uint32_t>& steps) {
     SpanSet set;
     std::set<Key> model;
     for (std::uint32_t step : steps) {
-      Dice d(step);
+      RandomSource d(step);
       Key from = d.below(60), to = from + d.below(20);
       if (d.one_in(2)) {
         set.add({from, to});
@@ -81,36 +83,38 @@
   }));
 }
 
-// A query's life with everything that can happen to it: answers, failures, duplicates and late answers in any
-// order, ranges that move under it. Each key is counted in an array by hand.
-TEST_CASE("random histories: every account is in once, whatever moves while the query runs") {
+// A query with answers, failures, duplicates and late answers in any order while its ranges change. An array
+// counts the answers that are accepted for each key.
+TEST_CASE("random histories: every account is counted once, whatever changes while the query runs") {
   CHECK(rc::check([](const std::vector<std::uint32_t>& steps) {
-    Dice begin(static_cast<std::uint32_t>(steps.size()) * 7 + 1);
+    RandomSource begin(static_cast<std::uint32_t>(steps.size()) * 7 + 1);
     constexpr Key kKeys = 400;
     std::vector<Range> ranges;
     for (Key from = 0; from < kKeys;) {
       Key to = std::min<Key>(kKeys, from + 20 + begin.below(100));
-      ranges.push_back(
-          {ranges.size(), {from, to}, 1.0 + static_cast<double>(begin.below(5)), held({"a", "b", "c"})});
+      ranges.push_back({ranges.size(),
+                        {from, to},
+                        1.0 + static_cast<double>(begin.below(5)),
+                        serving_holders({"a", "b", "c"})});
       from = to;
     }
-    ranges.push_back({ranges.size(), {kKeys, kKeyEnd}, 1, held({"a"})});
+    ranges.push_back({ranges.size(), {kKeys, kKeyEnd}, 1, serving_holders({"a"})});
     RangeMap map = map_of(ranges);
     Key from = begin.below(200), to = from + 1 + begin.below(kKeys - 200);
-    Plan p = planned(map, {{from, to}});
+    Plan p = make_plan(map, {{from, to}});
     std::vector<int> counted(kKeys, 0);
     std::vector<OpenPart> open;
-    std::vector<Span> late;  // answers to attempts that were given up, and repeats: may come at any time
+    std::vector<Span> late;  // answers to abandoned attempts and repeated ones: may arrive at any time
     for (const PlannedPart& part : p.parts) open.push_back({open.size(), false, part});
     std::size_t number = open.size();
     double share = 0;
     auto answer = [&](const Span& span) {
       bool overlap = false;
       for (Key k = span.from; k < span.to; ++k) overlap = overlap || counted[k] > 0;
-      bool taken = p.coverage.add_answer(span);
-      RC_ASSERT(taken == !overlap);
-      if (taken) share += p.coverage.share(span);
-      for (Key k = span.from; taken && k < span.to; ++k) ++counted[k];
+      bool accepted = p.coverage.add_answer(span);
+      RC_ASSERT(accepted == !overlap);
+      if (accepted) share += p.coverage.share(span);
+      for (Key k = span.from; accepted && k < span.to; ++k) ++counted[k];
     };
     auto carry_out = [&](const std::vector<Decision>& decisions) {
       for (const Decision& d : decisions) {
@@ -142,11 +146,11 @@
       }
     };
     for (std::uint32_t step : steps) {
-      Dice d(step);
+      RandomSource d(step);
       if (d.one_in(3)) {
-        Plain model = plain(map);
+        ReferenceMap model = reference_of(map);
         bool possible = false;
-        Change change = draw(d, model, map.next_id(), possible);
+        Change change = draw_change(d, model, map.next_id(), possible);
         std::string why;
         if (auto next = apply(map, change, why)) {
           map = std::move(*next);
@@ -166,7 +170,7 @@
           answer(part.planned.span);
           late.push_back(part.planned.span);
           open.erase(open.begin() + static_cast<long>(at));
-        } else {  // it fails, or what it brings is dropped as some of it is in
+        } else {  // it fails, or its answer is dropped because some of its keys are answered
           p.coverage.on_attempt_failed(part.planned.span);
           late.push_back(part.planned.span);
           part.in_flight = false;
@@ -175,7 +179,7 @@
       }
       RC_ASSERT(std::abs(share - p.coverage.answered_share()) < 1e-6);
     }
-    // Then all that is out fails, and what is planned instead is answered.
+    // Finally all attempts in flight fail, and the parts that are planned instead are answered.
     for (OpenPart& part : open) part.in_flight = false;
     carry_out(replan(map, p.coverage, open));
     while (!open.empty()) {
@@ -188,58 +192,59 @@
   }));
 }
 
-TEST_CASE("random bytes of a directory's words: taken whole or refused, and the map is always sound") {
+TEST_CASE("random updates of a directory are applied as a whole or rejected, and the map is always valid") {
   CHECK(rc::check([](const std::vector<std::uint32_t>& steps) {
     Follower follower;
-    RangeMap truth = map_of(even(6));
+    RangeMap directory_map = map_of(even_ranges(6));
     Millis now = 0;
     for (std::uint32_t step : steps) {
-      Dice d(step);
+      RandomSource d(step);
       now += 10;
       RangeMap held = follower.map();
       Update u;
       bool complete = d.one_in(4);
-      std::uint64_t from = truth.revision().number;
+      std::uint64_t from = directory_map.revision().number;
       for (std::size_t i = d.below(4); i > 0; --i) {
-        Plain model = plain(truth);
+        ReferenceMap model = reference_of(directory_map);
         bool possible = false;
-        Change change = draw(d, model, truth.next_id(), possible);
+        Change change = draw_change(d, model, directory_map.next_id(), possible);
         std::string why;
-        auto next = apply(truth, change, why);
+        auto next = apply(directory_map, change, why);
         if (!next) continue;
-        truth = std::move(*next);
+        directory_map = std::move(*next);
         u.changes.push_back(change);
       }
-      u.revision = truth.revision();
+      u.revision = directory_map.revision();
       if (complete) {
         u.complete = true;
         u.changes.clear();
-        u.ranges = truth.all();
+        u.ranges = directory_map.all();
       }
-      bool lost = d.one_in(4);  // this word doesn't arrive
-      bool bent = d.one_in(5);
-      if (bent && complete) u.ranges.erase(u.ranges.begin() + static_cast<long>(d.below(u.ranges.size())));
-      if (bent && !complete) u.changes.push_back(SetWeight{{77'777, 1}, 1});
+      bool lost = d.one_in(4);  // this update doesn't arrive
+      bool corrupted = d.one_in(5);
+      if (corrupted && complete)
+        u.ranges.erase(u.ranges.begin() + static_cast<long>(d.below(u.ranges.size())));
+      if (corrupted && !complete) u.changes.push_back(SetWeight{{77'777, 1}, 1});
       if (lost) continue;
-      UpdateResult taken = follower.apply_update(u, now);
-      if (taken == UpdateResult::applied) {
-        RC_ASSERT(!bent);
-        RC_ASSERT(plain(follower.map()).rows == plain(truth).rows);
-        RC_ASSERT(follower.map().revision() == truth.revision());
+      UpdateResult result = follower.apply_update(u, now);
+      if (result == UpdateResult::applied) {
+        RC_ASSERT(!corrupted);
+        RC_ASSERT(reference_of(follower.map()).rows == reference_of(directory_map).rows);
+        RC_ASSERT(follower.map().revision() == directory_map.revision());
       } else {
-        RC_ASSERT(plain(follower.map()).rows == plain(held).rows);
-        if (taken != UpdateResult::unchanged && taken != UpdateResult::page)
+        RC_ASSERT(reference_of(follower.map()).rows == reference_of(held).rows);
+        if (result != UpdateResult::unchanged && result != UpdateResult::page)
           RC_ASSERT(!follower.fault().empty());
       }
       if (follower.needs_reopen()) {
         follower.on_watch_closed(now, 0.5);
         follower.on_watch_opened(now);
         Update all;
-        all.revision = truth.revision();
+        all.revision = directory_map.revision();
         all.complete = true;
-        all.ranges = truth.all();
+        all.ranges = directory_map.all();
         follower.apply_update(all, now);
-        RC_ASSERT(follower.map().revision() == truth.revision());
+        RC_ASSERT(follower.map().revision() == directory_map.revision());
       }
       (void)from;
     }
--- a/tests/aggregator/ranges/ranges_fixture.hpp
+++ b/tests/aggregator/ranges/ranges_fixture.hpp
@@ -1,4 +1,4 @@
-// Maps, changes and a plain model of the map, for the tests of ranges.
+// Maps, changes and a reference model of the map for the tests of ranges.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -18,13 +18,14 @@
 
 namespace winchhall::ranges::testing {
 
-inline HoldersPtr held(std::initializer_list<const char*> serving) {
+inline HoldersPtr serving_holders(std::initializer_list<const char*> serving) {
   Holders list;
   for (const char* s : serving) list.push_back({s, Role::serving});
   return std::make_shared<const Holders>(list);
 }
 
-inline std::vector<Range> even(std::size_t count, HoldersPtr holders = held({"a", "b"})) {
+// `count` ranges of equal size.
+inline std::vector<Range> even_ranges(std::size_t count, HoldersPtr holders = serving_holders({"a", "b"})) {
   std::vector<Range> list;
   for (std::size_t i = 0; i < count; ++i) {
     Key from = kKeyEnd / count * i, to = i + 1 == count ? kKeyEnd : kKeyEnd / count * (i + 1);
@@ -40,44 +41,46 @@
   return *map;
 }
 
-// Three ranges of 100 keys each, and the rest.
-inline RangeMap small() {
-  return map_of({{0, {0, 100}, 1, held({"a", "b"})},
-                 {1, {100, 200}, 1, held({"b", "c"})},
-                 {2, {200, 300}, 1, held({"b", "c"})},
-                 {3, {300, kKeyEnd}, 1, held({"a", "c"})}});
+// Three ranges of 100 keys each, and one with all other keys.
+inline RangeMap small_map() {
+  return map_of({{0, {0, 100}, 1, serving_holders({"a", "b"})},
+                 {1, {100, 200}, 1, serving_holders({"b", "c"})},
+                 {2, {200, 300}, 1, serving_holders({"b", "c"})},
+                 {3, {300, kKeyEnd}, 1, serving_holders({"a", "c"})}});
 }
 
-inline RangeMap after(const RangeMap& map, const Change& change) {
+inline RangeMap apply_change(const RangeMap& map, const Change& change) {
   std::string why;
   auto next = apply(map, change, why);
   REQUIRE_MESSAGE(next, why);
   return *next;
 }
 
-inline std::string refused(const RangeMap& map, const Change& change) {
+// Checks that the change is rejected, and returns the reason.
+inline std::string rejection_of(const RangeMap& map, const Change& change) {
   std::string why;
   CHECK_FALSE(apply(map, change, why));
   CHECK(!why.empty());
   return why;
 }
 
-inline std::string wrong(std::vector<Range> ranges) {
+// Checks that the ranges are no valid map, and returns the reason.
+inline std::string build_fault(std::vector<Range> ranges) {
   std::string why;
   CHECK_FALSE(RangeMap::build({1, 1}, std::move(ranges), why));
   return why;
 }
 
-inline Plan planned(const RangeMap& map, std::vector<Span> spans) {
+inline Plan make_plan(const RangeMap& map, std::vector<Span> spans) {
   std::string why;
   auto p = plan(map, spans, 100.0, 1000, why);
   REQUIRE_MESSAGE(p, why);
   return *p;
 }
 
-// ---- A plain model of the map: a std::map, and the rules of changes written out a second time.
+// Reference model of the map: a std::map, with an independent implementation of the rules for changes.
 
-struct Plain {
+struct ReferenceMap {
   struct Row {
     RangeId id;
     double weight;
@@ -97,10 +100,10 @@
   }
 };
 
-inline Plain plain(const RangeMap& map) {
-  Plain p;
+inline ReferenceMap reference_of(const RangeMap& map) {
+  ReferenceMap p;
   for (const Range& r : map.all()) {
-    Plain::Row row{r.id, r.weight, {}};
+    ReferenceMap::Row row{r.id, r.weight, {}};
     for (const Holder& h : *r.holders) row.holders[h.server] = h.role;
     p.rows[r.span.from] = row;
     p.used.insert(r.id);
@@ -108,9 +111,10 @@
   return p;
 }
 
-// Numbers that a test draws from: each element of what rapidcheck made is one step, so it shrinks by steps.
-struct Dice {
-  explicit Dice(std::uint32_t seed) : engine(seed) {}
+// Random numbers of one step. Each element that rapidcheck generates is the seed of a step, so that shrinking
+// removes steps.
+struct RandomSource {
+  explicit RandomSource(std::uint32_t seed) : engine(seed) {}
   std::size_t below(std::size_t n) { return n == 0 ? 0 : engine() % n; }
   bool one_in(std::size_t n) { return below(n) == 0; }
   std::mt19937 engine;
@@ -118,19 +122,19 @@
 
 inline const char* const kServers[] = {"a", "b", "c", "d", "e"};
 
-// One change, drawn so that about half of them are possible, and whether the model takes it.
-inline Change draw(Dice& d, Plain& model, RangeId next, bool& possible) {
+// Draws a change, of which about half are possible, sets `possible`, and applies a possible one to the model.
+inline Change draw_change(RandomSource& d, ReferenceMap& model, RangeId next, bool& possible) {
   auto it = model.rows.begin();
   std::advance(it, static_cast<long>(d.below(model.rows.size())));
-  Plain::Row& row = it->second;
+  ReferenceMap::Row& row = it->second;
   Key from = it->first, to = model.end(it);
   Target target{row.id, from};
   bool right_target = !d.one_in(8);
   if (!right_target) target.range += 1000;
   std::string server = kServers[d.below(std::size(kServers))];
   auto holder = row.holders.find(server);
-  bool has = holder != row.holders.end();
-  bool last = has && holder->second == Role::serving && Plain::servers(row) == 1;
+  bool is_holder = holder != row.holders.end();
+  bool is_last_serving = is_holder && holder->second == Role::serving && ReferenceMap::servers(row) == 1;
   switch (d.below(7)) {
     case 0: {
       Key at = d.one_in(6) ? from
@@ -138,7 +142,7 @@
       RangeId left = d.one_in(8) ? row.id : next, right = next + 1;
       possible = right_target && at > from && at < to && !model.used.count(left);
       if (possible) {
-        Plain::Row l = row, r = row;
+        ReferenceMap::Row l = row, r = row;
         l.id = left;
         r.id = right;
         l.weight = 2;
@@ -151,20 +155,20 @@
     }
     case 1: {
       auto right = std::next(it);
-      bool far = d.one_in(6);
-      if (right != model.rows.end() && far) right = std::next(right);
+      bool not_adjacent = d.one_in(6);
+      if (right != model.rows.end() && not_adjacent) right = std::next(right);
       if (right == model.rows.end()) {
         possible = false;
         return Merge{target, {999'999, 5}, next, {}};
       }
-      Plain::Row merged{next, row.weight + right->second.weight, {}};
+      ReferenceMap::Row merged{next, row.weight + right->second.weight, {}};
       for (const auto& [name, role] : row.holders)
         if (auto other = right->second.holders.find(name); other != right->second.holders.end()) {
           Role both = role == other->second ? role : Role::leaving;
           if (role == Role::copying || other->second == Role::copying) both = Role::copying;
           merged.holders[name] = both;
         }
-      possible = right_target && !far && Plain::servers(merged) > 0;
+      possible = right_target && !not_adjacent && ReferenceMap::servers(merged) > 0;
       Merge change{target, {right->second.id, right->first}, next, {}};
       if (possible) {
         model.rows.erase(right);
@@ -174,19 +178,19 @@
       return change;
     }
     case 2:
-      possible = right_target && !has;
+      possible = right_target && !is_holder;
       if (possible) row.holders[server] = Role::copying;
       return AddHolder{target, server};
     case 3:
-      possible = right_target && has && holder->second != Role::serving;
+      possible = right_target && is_holder && holder->second != Role::serving;
       if (possible) holder->second = Role::serving;
       return Promote{target, server};
     case 4:
-      possible = right_target && has && holder->second == Role::serving && !last;
+      possible = right_target && is_holder && holder->second == Role::serving && !is_last_serving;
       if (possible) holder->second = Role::leaving;
       return Retire{target, server};
     case 5:
-      possible = right_target && has && !last;
+      possible = right_target && is_holder && !is_last_serving;
       if (possible) row.holders.erase(holder);
       return Remove{target, server};
     default: {
--- a/tests/aggregator/ranges/spans_fixture.hpp
+++ b/tests/aggregator/ranges/spans_fixture.hpp
@@ -1,4 +1,4 @@
-// Maps of a few ranges and changes to them, for stories about queries over accounts.
+// Maps of a few ranges, and changes to them, for the tests of queries over spans of accounts.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -13,37 +13,37 @@
 
 namespace winchhall::ranges::testing {
 
-inline HoldersPtr held(std::vector<std::string> servers) {
+inline HoldersPtr serving_holders(std::vector<std::string> servers) {
   Holders list;
   for (auto& s : servers) list.push_back({s, Role::serving});
   return std::make_shared<const Holders>(std::move(list));
 }
 
-// Three ranges of 100 keys and the rest, each held by a and b.
-inline RangeMap four(Revision revision = {1, 5}) {
+// Three ranges of 100 keys each and one with all other keys, each served by a and b.
+inline RangeMap four_ranges(Revision revision = {1, 5}) {
   std::string why;
   auto map = RangeMap::build(revision,
-                             {{0, {0, 100}, 1, held({"a", "b"})},
-                              {1, {100, 200}, 1, held({"a", "b"})},
-                              {2, {200, 300}, 1, held({"a", "b"})},
-                              {3, {300, kKeyEnd}, 1, held({"a", "b"})}},
+                             {{0, {0, 100}, 1, serving_holders({"a", "b"})},
+                              {1, {100, 200}, 1, serving_holders({"a", "b"})},
+                              {2, {200, 300}, 1, serving_holders({"a", "b"})},
+                              {3, {300, kKeyEnd}, 1, serving_holders({"a", "b"})}},
                              why);
   REQUIRE_MESSAGE(map, why);
   return *map;
 }
 
-inline RangeMap after(const RangeMap& map, const Change& change) {
+inline RangeMap apply_change(const RangeMap& map, const Change& change) {
   std::string why;
   auto next = apply(map, change, why);
   REQUIRE_MESSAGE(next, why);
   return *next;
 }
 
-inline RangeMap after_all(RangeMap map, const std::vector<Change>& changes) {
-  for (const Change& c : changes) map = after(map, c);
+inline RangeMap apply_changes(RangeMap map, const std::vector<Change>& changes) {
+  for (const Change& c : changes) map = apply_change(map, c);
   return map;
 }
 
-inline const Change kSplitFirst = Split{{0, 0}, 40, 4, 5, 1, 1};
+inline const Change kSplitFirstRange = Split{{0, 0}, 40, 4, 5, 1, 1};
 
 }  // namespace winchhall::ranges::testing
--- a/tests/aggregator/ranges/spans_moves_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_moves_integration_test.cpp
@@ -1,5 +1,5 @@
-// Queries over accounts while ranges move, on the exchange alone: splits, merges and holders. Each story
-// causes one of the hard cases of docs/ranges.md.
+// Queries over spans on the request router alone, while ranges split, merge and change their holders. The
+// cases are those that docs/ranges.md describes.
 #include "aggregator/ranges/change.hpp"
 #include "tests/aggregator/ranges/spans_fixture.hpp"
 #include "tests/aggregator/support/router_fixture.hpp"
@@ -11,9 +11,9 @@
 using coordination::Outcome;
 using coordination::QueryResult;
 
-TEST_CASE("spans are cut into parts by the map, and rows name interval and revision") {
+TEST_CASE("spans are divided into parts by the map, and rows name interval and revision") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 5000, {{50, 250}});
   REQUIRE(d.out.size() == 3);
   for (const auto& [n, order] : std::map(d.out)) d.end(n, Outcome::ok, text_of(order.span));
@@ -27,7 +27,7 @@
   CHECK(d.verdicts[0].rows[1].values[0] == "[100, 200)");
 }
 
-TEST_CASE("without a map a query is refused at once, and says why; too many ranges are unfit") {
+TEST_CASE("without a map a query is refused at once with the reason") {
   Desk d;
   d.ask_spans(0, 5000, {{50, 250}});
   REQUIRE(d.verdicts.size() == 1);
@@ -38,13 +38,13 @@
   CHECK(d.router.open_queries() == 0);
 }
 
-TEST_CASE("a range splits while its part is out: the old holder's answer counts, under its old revision") {
+TEST_CASE("a range is split while its part is in flight: the answer counts, under the old revision") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 5000, {{0, 100}});
   auto first = d.out_for({0, 100});
-  d.update_ranges(after(four(), kSplitFirst));
-  CHECK(d.out.size() == 1);  // nothing is sent beside it
+  d.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
+  CHECK(d.out.size() == 1);  // no further attempt is sent
   CHECK(d.router.moves().on_hold == 1);
   d.end(first, Outcome::ok, "all of it");
   REQUIRE(d.verdicts.size() == 1);
@@ -53,26 +53,26 @@
   CHECK(d.verdicts[0].rows[0].revision == Revision{1, 5});
 }
 
-TEST_CASE("it fails after the split: its children are asked, with the attempts that are left") {
+TEST_CASE("an attempt fails after the split: the successors are requested, with the remaining attempts") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
   d.end(d.out_for({0, 100}), Outcome::error);  // 1
-  d.update_ranges(after(four(), kSplitFirst));
+  d.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
   d.end(d.out_for({0, 100}), Outcome::error);  // 2
   REQUIRE(d.is_out({0, 40}));
   REQUIRE(d.is_out({40, 100}));
-  // Again while its children are out.
-  RangeMap twice = after_all(four(), {kSplitFirst, Split{{4, 0}, 10, 6, 7, 1, 1}});
+  // Split again while the successors are in flight.
+  RangeMap twice = apply_changes(four_ranges(), {kSplitFirstRange, Split{{4, 0}, 10, 6, 7, 1, 1}});
   d.update_ranges(twice);
-  SUBCASE("both come in") {
+  SUBCASE("both are answered") {
     d.end(d.out_for({0, 40}), Outcome::ok);
     d.end(d.out_for({40, 100}), Outcome::ok);
     REQUIRE(d.verdicts.size() == 1);
     CHECK(d.verdicts[0].complete);
     CHECK(d.verdicts[0].rows.size() == 2);
   }
-  SUBCASE("one fails: it has no fourth attempt, however it is split") {
+  SUBCASE("one fails: there is no fourth attempt, however the range is split") {
     d.end(d.out_for({0, 40}), Outcome::error);  // 3
     CHECK_FALSE(d.is_out({0, 10}));
     CHECK_FALSE(d.is_out({10, 40}));
@@ -81,13 +81,13 @@
   }
 }
 
-TEST_CASE("an answer to a parent that was given up comes after its children's and is in no verdict") {
+TEST_CASE("a late answer for a split range that arrives after one of a successor is not in the result") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
   auto parent = d.out_for({0, 100});
-  d.update_ranges(after(four(), kSplitFirst));
-  d.pass(1500);  // its patience is over
+  d.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
+  d.pass(1500);  // its time-out has passed
   REQUIRE(d.is_out({0, 40}));
   d.end(d.out_for({0, 40}), Outcome::ok, "child");
   d.end(parent, Outcome::ok, "late parent");
@@ -100,12 +100,13 @@
   for (const auto& row : d.verdicts[0].rows) CHECK(row.values == std::vector<std::string>{"child"});
 }
 
-TEST_CASE("a merge while both halves are out; a failed half is asked of the merged range's holders") {
+TEST_CASE(
+    "two ranges are merged while parts are in flight: a failed part goes to the merged range's holders") {
   Desk d;
-  RangeMap map = four();
+  RangeMap map = four_ranges();
   d.update_ranges(map);
   d.ask_spans(0, 20000, {{0, 200}});
-  d.update_ranges(after(map, Merge{{0, 0}, {1, 100}, 4, {{"b", Role::serving}}}));
+  d.update_ranges(apply_change(map, Merge{{0, 0}, {1, 100}, 4, {{"b", Role::serving}}}));
   CHECK(d.out.size() == 2);
   auto left = d.out_for({0, 100});
   d.end(left, Outcome::error);
@@ -118,12 +119,12 @@
 
 TEST_CASE("split, merge and split of one range within one query") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
-  RangeMap map = four();
+  RangeMap map = four_ranges();
   for (const Change& c :
-       std::vector<Change>{kSplitFirst, Merge{{4, 0}, {5, 40}, 6, {}}, Split{{6, 0}, 70, 7, 8, 1, 1}}) {
-    map = after(map, c);
+       std::vector<Change>{kSplitFirstRange, Merge{{4, 0}, {5, 40}, 6, {}}, Split{{6, 0}, 70, 7, 8, 1, 1}}) {
+    map = apply_change(map, c);
     d.update_ranges(map);
   }
   d.end(d.out_for({0, 100}), Outcome::reset);
@@ -133,26 +134,26 @@
   CHECK(d.verdicts[0].complete);
 }
 
-TEST_CASE("a split that is merged back before the attempt ends lets the part go on") {
+TEST_CASE("a split that is merged back before the attempt ends does not affect the part") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
-  RangeMap map = after(four(), kSplitFirst);
+  RangeMap map = apply_change(four_ranges(), kSplitFirstRange);
   d.update_ranges(map);
-  d.update_ranges(after(map, Merge{{4, 0}, {5, 40}, 6, {}}));
+  d.update_ranges(apply_change(map, Merge{{4, 0}, {5, 40}, 6, {}}));
   d.end(d.out_for({0, 100}), Outcome::error);
   d.end(d.out_for({0, 100}), Outcome::ok);
   REQUIRE(d.verdicts.size() == 1);
 }
 
 TEST_CASE(
-    "a move leaves one sound holder, which pauses: one final answer in time, and no other node is asked") {
+    "a move leaves one holder, which does not answer: one result in time, and no other node is requested") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 1500, {{0, 100}});
   auto first = d.out_for({0, 100});
   std::string was = d.out.at(first).server, other = was == "a" ? "b" : "a";
-  d.update_ranges(after(four(), Remove{{0, 0}, was}));
+  d.update_ranges(apply_change(four_ranges(), Remove{{0, 0}, was}));
   d.end(first, Outcome::connect_failed);
   CHECK(d.out.at(d.out_for({0, 100})).server == other);
   std::size_t asked = 0;
@@ -168,48 +169,48 @@
   CHECK(d.decided_at < 1000 + 1500);
 }
 
-TEST_CASE("the only holder that is left starts cold: it is not pushed over") {
+TEST_CASE("the only remaining holder has just started: it is not overloaded") {
   winchhall::Settings s = two_classes();
   s.warm_up_time = 10000;
   s.warm_up_initial_share = 0.25;
   s.fall_multiple = 4;
   s.fall_time = 1000;
   Desk d(s);
-  d.pass(1200);  // so long after our own start that what others sent before it is over
+  d.pass(1200);  // what other processes sent before this one's start has ended by then
   coordination::Member cold = member("c", 3, 0);
   cold.entry.started = d.now;
   d.router.list(winchhall::ServerList::Kind::changes, {cold});
   d.router.run();
   std::string why;
-  RangeMap map = *RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"c"})}}, why);
+  RangeMap map = *RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, serving_holders({"c"})}}, why);
   d.update_ranges(map);
   for (int i = 0; i < 40; ++i)
     d.router.submit(
         {.id = "w" + std::to_string(i), .give_up_at = d.now + 8000, .spans = {{0, 100}}, .hint = 100.0},
         [](QueryResult) {});
   d.router.run();
-  // 4 x a quarter of a core for a second, less what is kept back: 800 ms of work at the most.
+  // 4 x a quarter of a core for a second, less the reserve: at most 800 ms of work.
   CHECK(d.out.size() <= 8);
   CHECK(d.out.size() >= 1);
 }
 
-TEST_CASE("a corridor report at its least share, when weights shift under it") {
+TEST_CASE("a query is answered at its minimum share, by the weights of its plan when weights change") {
   Desk d;  // class 1: floor 0.5
   std::string why;
   RangeMap map = *RangeMap::build({1, 1},
-                                  {{0, {0, 100}, 6, held({"a", "b"})},
-                                   {1, {100, 200}, 4, held({"a", "b"})},
-                                   {2, {200, kKeyEnd}, 1, held({"a", "b"})}},
+                                  {{0, {0, 100}, 6, serving_holders({"a", "b"})},
+                                   {1, {100, 200}, 4, serving_holders({"a", "b"})},
+                                   {2, {200, kKeyEnd}, 1, serving_holders({"a", "b"})}},
                                   why);
   d.update_ranges(map);
   d.ask_spans(1, 6000, {{0, 200}});
   REQUIRE(d.out.size() == 2);
-  // The first range becomes light, and is split; what was asked for stays what it was.
-  d.update_ranges(after_all(map, {SetWeight{{0, 0}, 0.1}, Split{{0, 0}, 50, 3, 4, 0.05, 0.05}}));
+  // The first range gets a small weight and is split; the shares of the query stay the same.
+  d.update_ranges(apply_changes(map, {SetWeight{{0, 0}, 0.1}, Split{{0, 0}, 50, 3, 4, 0.05, 0.05}}));
   d.end(d.out_for({100, 200}), Outcome::ok);
-  d.pass(400);  // past the aim, with 40%
+  d.pass(400);  // past the latency objective, with 40%
   CHECK(d.verdicts.empty());
-  // The silent node was left for the children's holders.
+  // The unresponsive node was abandoned for the successors' holders.
   d.end(d.out_for({0, 50}), Outcome::ok);
   d.pass(50);
   REQUIRE(d.verdicts.size() == 1);
--- a/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
@@ -1,5 +1,5 @@
-// Queries over accounts while ranges move, on the exchange alone: nodes that say not mine, and maps that come
-// late. Each story causes one of the hard cases of docs/ranges.md.
+// Queries over spans on the request router alone, when nodes deny parts ("not mine") and maps arrive late.
+// The cases are those that docs/ranges.md describes.
 #include "aggregator/ranges/change.hpp"
 #include "tests/aggregator/ranges/spans_fixture.hpp"
 #include "tests/aggregator/support/router_fixture.hpp"
@@ -11,9 +11,9 @@
 using coordination::Outcome;
 using coordination::QueryResult;
 
-TEST_CASE("a node that says not mine for ever costs three attempts, and its query is refused at once then") {
+TEST_CASE("if every attempt is denied, the query is refused after three attempts") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
   int attempts = 0;
   for (int i = 0; i < 100 && d.verdicts.empty(); ++i) {
@@ -30,31 +30,32 @@
   CHECK(d.router.moves().denied == 3);
 }
 
-TEST_CASE("a node behind is given a moment: the other holder is asked first, itself later") {
+TEST_CASE("the only holder denies with an older map: it is requested again after a delay") {
   Desk d;
   std::string why;
-  d.update_ranges(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"a"})}}, why));
+  d.update_ranges(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, serving_holders({"a"})}}, why));
   d.ask_spans(0, 20000, {{0, 100}});
   d.deny(d.out.begin()->first, {{1, 4}, {}});
-  CHECK(d.out.empty());  // the only holder isn't asked again at once
+  CHECK(d.out.empty());  // the only holder is not requested again at once
   CHECK(d.refreshed == 0);
   d.pass(120);
   CHECK(d.out.size() == 1);
 }
 
-TEST_CASE("a node ahead: the directory is asked at once, and no further attempt is spent before its word") {
+TEST_CASE(
+    "a node denies with a newer map: the directory is refreshed, and no attempt is made before its update") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
   d.deny(d.out_for({0, 100}), {{1, 6}, {}});
   CHECK(d.refreshed == 1);
   CHECK(d.out.empty());
-  SUBCASE("its word comes") {
-    d.update_ranges(after(four(), kSplitFirst));
+  SUBCASE("the update arrives") {
+    d.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
     CHECK(d.is_out({0, 40}));
     CHECK(d.is_out({40, 100}));
   }
-  SUBCASE("it doesn't: after a while the other holder of the old map is asked") {
+  SUBCASE("no update arrives: after a delay the other holder of the old map is requested") {
     d.pass(100);
     CHECK(d.out.empty());
     d.pass(100);
@@ -62,48 +63,52 @@
   }
 }
 
-TEST_CASE("a node ahead that names successors: they are asked at once; ones that don't cover are not") {
+TEST_CASE("a denial with successors: they are requested at once if they cover the part") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
   auto part = d.out_for({0, 100});
   SUBCASE("covering") {
-    d.deny(part, {{1, 6}, {{{0, 30}, 8, {}, held({"a"}), 0, {}}, {{30, 100}, 9, {}, held({"b"}), 0, {}}}});
+    d.deny(part, {{1, 6},
+                  {{{0, 30}, 8, {}, serving_holders({"a"}), 0, {}},
+                   {{30, 100}, 9, {}, serving_holders({"b"}), 0, {}}}});
     CHECK(d.out.at(d.out_for({0, 30})).server == "a");
     CHECK(d.out.at(d.out_for({30, 100})).server == "b");
     CHECK(d.out.at(d.out_for({30, 100})).revision == Revision{1, 6});
   }
   SUBCASE("another holder of the same keys") {
     std::string other = d.out.at(part).server == "a" ? "b" : "a";
-    d.deny(part, {{1, 6}, {{{0, 100}, 8, {}, held({other}), 0, {}}}});
+    d.deny(part, {{1, 6}, {{{0, 100}, 8, {}, serving_holders({other}), 0, {}}}});
     CHECK(d.out.at(d.out_for({0, 100})).server == other);
   }
   SUBCASE("with a gap") {
-    d.deny(part, {{1, 6}, {{{0, 30}, 8, {}, held({"a"}), 0, {}}, {{40, 100}, 9, {}, held({"b"}), 0, {}}}});
+    d.deny(part, {{1, 6},
+                  {{{0, 30}, 8, {}, serving_holders({"a"}), 0, {}},
+                   {{40, 100}, 9, {}, serving_holders({"b"}), 0, {}}}});
     CHECK(d.out.empty());
     CHECK(d.refreshed == 1);
   }
-  SUBCASE("of the revision that we hold: the directory's word stands") {
-    d.deny(part, {{1, 5}, {{{0, 100}, 8, {}, held({"zz"}), 0, {}}}});
+  SUBCASE("of the same revision as the map: the directory takes precedence") {
+    d.deny(part, {{1, 5}, {{{0, 100}, 8, {}, serving_holders({"zz"}), 0, {}}}});
     CHECK(d.refreshed == 1);
     CHECK(d.is_out({0, 100}));
   }
 }
 
-TEST_CASE("not mine for a part whose range was split while it was out: its children are asked, not itself") {
+TEST_CASE("a part whose range was split in flight is denied: the successors are requested") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
-  d.update_ranges(after(four(), kSplitFirst));
+  d.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
   d.deny(d.out_for({0, 100}), {{1, 6}, {}});
   CHECK_FALSE(d.is_out({0, 100}));
   CHECK(d.is_out({0, 40}));
   CHECK(d.is_out({40, 100}));
 }
 
-TEST_CASE("two holders that disagree on the revision, and one has it: it is answered") {
+TEST_CASE("one holder denies with an older map and the other answers: the query is complete") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   d.ask_spans(0, 20000, {{0, 100}});
   d.deny(d.out_for({0, 100}), {{1, 3}, {}});
   d.end(d.out_for({0, 100}), Outcome::ok);
@@ -111,14 +116,16 @@
   CHECK(d.verdicts[0].complete);
 }
 
-TEST_CASE("a sliver of a range is asked for like any part: without it nothing is whole") {
+TEST_CASE(
+    "a part of negligible weight is requested like any other, and the query is not complete without it") {
   Desk d;
   std::string why;
-  d.update_ranges(*RangeMap::build(
-      {1, 1}, {{0, {0, 1'000'000}, 1, held({"a", "b"})}, {1, {1'000'000, kKeyEnd}, 1e-9, held({"a", "b"})}},
-      why));
+  d.update_ranges(*RangeMap::build({1, 1},
+                                   {{0, {0, 1'000'000}, 1, serving_holders({"a", "b"})},
+                                    {1, {1'000'000, kKeyEnd}, 1e-9, serving_holders({"a", "b"})}},
+                                   why));
   d.ask_spans(0, 5000, {{0, 1'000'010}});
-  REQUIRE(d.out.size() == 2);  // also the one that weighs next to nothing
+  REQUIRE(d.out.size() == 2);  // also the part of negligible weight
   d.end(d.out_for({0, 1'000'000}), Outcome::ok);
   CHECK(d.verdicts.empty());
   d.end(d.out_for({1'000'000, 1'000'010}), Outcome::ok);
@@ -126,18 +133,18 @@
   CHECK(d.verdicts[0].complete);
 }
 
-TEST_CASE("a map that comes between a query's planning and the module's hearing of it, in either order") {
+TEST_CASE("a map update and a new query in the same turn of the router, in either order") {
   Desk d;
-  d.update_ranges(four());
+  d.update_ranges(four_ranges());
   bool map_first = false;
   SUBCASE("the query first") {}
   SUBCASE("the map first") { map_first = true; }
-  if (map_first) d.router.update_ranges(after(four(), kSplitFirst));
+  if (map_first) d.router.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
   d.router.submit({.id = "x", .give_up_at = d.now + 5000, .spans = {{0, 100}}},
                   [&](QueryResult v) { d.verdicts.push_back(v); });
-  if (!map_first) d.router.update_ranges(after(four(), kSplitFirst));
+  if (!map_first) d.router.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
   d.router.run();
-  // Never a parent and its children beside each other, and never more than three attempts for an account.
+  // Never overlapping attempts, and never more than three attempts for an account.
   int at_zero = 0;
   for (int round = 0; round < 4 && d.verdicts.empty(); ++round) {
     SpanSet out;
@@ -156,25 +163,26 @@
   CHECK(d.router.moves().dropped == 0);
 }
 
-TEST_CASE("many reshuffles under many queries: one verdict each, every account once, nothing left behind") {
+TEST_CASE("many changes during many queries: one result each, every account at most once, no state left") {
   Desk d;
-  RangeMap map = four();
+  RangeMap map = four_ranges();
   d.update_ranges(map);
-  std::uint64_t dice = 42;
+  std::uint64_t random_state = 42;
   auto below = [&](std::uint64_t n) {  // Knuth's MMIX constants
-    dice = dice * 6364136223846793005ULL + 1442695040888963407ULL;
-    return (dice >> 33) % n;
+    random_state = random_state * 6364136223846793005ULL + 1442695040888963407ULL;
+    return (random_state >> 33) % n;
   };
   for (int round = 0; round < 600; ++round) {
     if (d.router.open_queries() < 6) d.ask_spans(0, 4000, {{below(150), 151 + below(149)}});
     RangeView p = map.find(below(300));
     if (below(2) == 0 && p.span.size() > 4 && p.span.to <= 300)
-      map = after(
+      map = apply_change(
           map,
           Split{
               {p.id, p.span.from}, p.span.from + p.span.size() / 2, map.next_id(), map.next_id() + 1, 1, 1});
     else if (p.span.to < 300)
-      map = after(map, Merge{{p.id, p.span.from}, {map.find(p.span.to).id, p.span.to}, map.next_id(), {}});
+      map = apply_change(map,
+                         Merge{{p.id, p.span.from}, {map.find(p.span.to).id, p.span.to}, map.next_id(), {}});
     d.update_ranges(map);
     for (const auto& [n, order] : std::map(d.out)) {
       std::uint64_t what = below(8);
--- a/tests/aggregator/ranges/spans_wire_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_wire_integration_test.cpp
@@ -1,4 +1,4 @@
-// Queries over accounts on the wires: both fronts and both carriers.
+// Queries over spans on the wire: HTTP and Flight towards clients, frames and Flight towards nodes.
 #include "aggregator/flight/arrow.hpp"
 #include "aggregator/flight/flight_pool.hpp"
 #include "aggregator/flight/flight_server.hpp"
@@ -17,9 +17,9 @@
 
 namespace {
 
-// Platform's fronts and carriers with spans on, and a directory whose word is the test's.
-struct SpanStage {
-  explicit SpanStage(winchhall::Settings settings = patient())
+// HTTP server and leaf connections with spans enabled; the test sets the range map.
+struct SpanFixture {
+  explicit SpanFixture(winchhall::Settings settings = patient())
       : router(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
         pool(loop, router, {1, 32, 250, 30000, 50, true}),
@@ -51,7 +51,7 @@
   http::HttpServer front;
 };
 
-// A leaf whose frames the test reads as they are.
+// A leaf that passes each frame to the test.
 struct RawLeaf {
   explicit RawLeaf(event_loop::Loop& loop)
       : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
@@ -70,25 +70,26 @@
 
 }  // namespace
 
-TEST_CASE("spans over HTTP and frames: interval and revision on the wire, not mine, successors, rows") {
-  SpanStage s;
+TEST_CASE("spans over HTTP and frames: interval and revision on the wire, denial, successors, rows") {
+  SpanFixture s;
   RawLeaf a(s.loop), b(s.loop);
   std::vector<std::string> asked;
   auto serve = [&](Peer& from, const http::Frame& f) {
     if (f.message != 'D') return;
     asked.push_back(f.rest);
     std::string part = f.rest.substr(0, f.rest.find(' '));
-    std::string words = http::write_denial(
-        {{1, 6}, {{{0, 40}, 8, {}, held({"a"}), 0, {}}, {{40, 100}, 9, {}, held({"b"}), 0, {}}}});
+    std::string denial = http::write_denial({{1, 6},
+                                             {{{0, 40}, 8, {}, serving_holders({"a"}), 0, {}},
+                                              {{40, 100}, 9, {}, serving_holders({"b"}), 0, {}}}});
     bool complete = has(f.rest, "from=0,to=100,");
     from.stream->write(http::make_frame(
-        'O', part + (complete ? " 421 1 busy_reqs=1\n" + words : " 200 1 busy_reqs=1\nrows of " + part)));
+        'O', part + (complete ? " 421 1 busy_reqs=1\n" + denial : " 200 1 busy_reqs=1\nrows of " + part)));
   };
   a.on_frame = b.on_frame = serve;
   s.router.start({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
-  s.router.update_ranges(four());
+  s.router.update_ranges(four_ranges());
   auto client = s.dial();
-  client->stream->write(SpanStage::request(R"({"spans":[{"from":0,"to":100}],"expr":"c41e","hint":9000})"));
+  client->stream->write(SpanFixture::request(R"({"spans":[{"from":0,"to":100}],"expr":"c41e","hint":9000})"));
   s.until([&] { return has(client->text, "\r\n\r\n{\"exact\""); });
   REQUIRE(asked.size() == 3);
   CHECK(asked[0].find("q1.r0 0 d=") == 0);
@@ -98,11 +99,12 @@
   CHECK(has(client->text, R"({"data":"rows of q1.r2","from":40,"rev":"1.6","to":100})"));
 }
 
-TEST_CASE("errors say in their body what was wrong, and spans are wrong where no directory is followed") {
-  SpanStage s;
-  s.router.update_ranges(four());
+TEST_CASE(
+    "error responses name the reason in the body, and spans are rejected where no directory is followed") {
+  SpanFixture s;
+  s.router.update_ranges(four_ranges());
   auto client = s.dial();
-  auto wrong = [&](const std::string& request, const std::string& status, const std::string& words) {
+  auto expect_error = [&](const std::string& request, const std::string& status, const std::string& words) {
     client->text.clear();
     client->stream->write(request);
     s.until([&] { return has(client->text, "}"); });
@@ -111,30 +113,33 @@
     CHECK(has(client->text, "{\"error\":\""));
     CHECK(has(client->text, words));
   };
-  wrong(SpanStage::request(R"({"spans":[{"from":5,"to":5}]})"), "400", "[5, 5)");
-  wrong(SpanStage::request(R"({"spans":[{"from":0,"to":9},{"from":8,"to":20}]})"), "400", "overlaps");
-  wrong(SpanStage::request(R"({"spans":[{"from":-1,"to":9}]})"), "400", "whole numbers from 0");
-  wrong(SpanStage::request(R"({"spans":[]})"), "400", "'spans' is empty");
-  wrong(SpanStage::request(R"({"spans":[{"from":0,"to":9}],"parts":[]})"), "400", "both 'parts' and 'spans'");
-  wrong(SpanStage::request("{"), "400", "a JSON object is wanted");
-  wrong("POST /nothing HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 0\r\n\r\n", "404",
-        "known are lookup, report");
-  wrong("GET /lookup HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 0\r\n\r\n", "405", "wanted is POST");
+  expect_error(SpanFixture::request(R"({"spans":[{"from":5,"to":5}]})"), "400", "[5, 5)");
+  expect_error(SpanFixture::request(R"({"spans":[{"from":0,"to":9},{"from":8,"to":20}]})"), "400",
+               "overlaps");
+  expect_error(SpanFixture::request(R"({"spans":[{"from":-1,"to":9}]})"), "400", "whole numbers from 0");
+  expect_error(SpanFixture::request(R"({"spans":[]})"), "400", "'spans' is empty");
+  expect_error(SpanFixture::request(R"({"spans":[{"from":0,"to":9}],"parts":[]})"), "400",
+               "both 'parts' and 'spans'");
+  expect_error(SpanFixture::request("{"), "400", "a JSON object is wanted");
+  expect_error("POST /nothing HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 0\r\n\r\n", "404",
+               "known are lookup, report");
+  expect_error("GET /lookup HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 0\r\n\r\n", "405",
+               "wanted is POST");
 
   Stage off;
   off.begin({});
   auto other = off.dial();
-  std::string answer = off.ask(*other, SpanStage::request(R"({"spans":[{"from":0,"to":9}]})"));
+  std::string answer = off.ask(*other, SpanFixture::request(R"({"spans":[{"from":0,"to":9}]})"));
   CHECK(has(answer, "400"));
   CHECK(has(answer, "no directory of ranges is followed here"));
 }
 
-TEST_CASE("with the feature off, what passes on the platform's sockets is byte for byte what it was") {
+TEST_CASE("with spans disabled, requests and answers on the sockets are byte for byte as before") {
   Stage s(patient());
   RawLeaf leaf(s.loop);
   std::string frames;
   leaf.on_frame = [&](Peer& from, const http::Frame& f) {
-    // The time to wait differs from run to run; it is the only thing that does.
+    // The remaining time (d=) is the only value that differs from run to run.
     std::string rest = f.rest;
     if (std::size_t d = rest.find("d="); d != std::string::npos)
       rest.replace(d, rest.find(' ', d) - d, "d=N");
@@ -151,7 +156,7 @@
   CHECK(frames == "D9b1f.4 4 d=N 8\nc41e77d0\n--\nD9b1f.3 3 d=N 8\nc41e77d0\n--\n");
   CHECK(s.ask(*client, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") ==
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  // An end that only parts of spans can have is no answer here.
+  // Status 421 is valid for parts of spans only: here it ends the connection.
   leaf.on_frame = [&](Peer& from, const http::Frame& f) {
     if (f.message != 'D') return;
     from.stream->write(http::make_frame('O', f.rest.substr(0, f.rest.find(' ')) + " 421 1 -\n{}"));
@@ -160,7 +165,7 @@
   s.until([&] { return leaf.peers.front()->over; });
 }
 
-TEST_CASE("spans over Flight, to nodes over Flight: schema, interval, not mine, rows") {
+TEST_CASE("spans over Flight, to nodes over Flight: schema, interval, denial, rows") {
   struct Node : flight::Http2Connection::Handler {
     explicit Node(event_loop::Loop& loop)
         : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
@@ -182,14 +187,14 @@
       const auto& i = command.interval();
       if (asked.size() == 1) {
         trailers = flight::status_trailers(flight::Status::failed_precondition, "");
-        flight::add_denial(
-            trailers,
-            {{1, 6}, {{{0, 40}, 8, {}, held({"a"}), 0, {}}, {{40, 100}, 9, {}, held({"a"}), 0, {}}}});
+        flight::add_denial(trailers, {{1, 6},
+                                      {{{0, 40}, 8, {}, serving_holders({"a"}), 0, {}},
+                                       {{40, 100}, 9, {}, serving_holders({"a"}), 0, {}}}});
       } else {
         trailers = flight::status_trailers(flight::Status::ok, "");
         flight::ArrowRow row;
         row.span = {i.from(), i.to()};
-        if (bent) row.span.to += 1;
+        if (wrong_interval) row.span.to += 1;
         row.data = "rows";
         for (const auto& m : {flight::schema_message(flight::Layout::spans),
                               flight::batch_message({row}, flight::Layout::spans)}) {
@@ -208,7 +213,7 @@
     std::unique_ptr<flight::Http2Connection> http2;
     std::map<std::int32_t, std::string> in;
     std::vector<PartCommand> asked;
-    bool bent = false;
+    bool wrong_interval = false;
   };
   struct Client : flight::Http2Connection::Handler {
     explicit Client(event_loop::Loop& loop) : http2(loop, *this, flight::Http2Connection::Side::client) {}
@@ -236,7 +241,7 @@
   Node node(loop);
   router.start({member("a", node.listener.port(), 0)});
   std::string why;
-  router.update_ranges(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"a"})}}, why));
+  router.update_ranges(*RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, serving_holders({"a"})}}, why));
   Client client(loop);
   REQUIRE(client.http2.connect(loopback(front.port())));
   QueryCommand command;
@@ -255,8 +260,8 @@
                                {"content-type", "application/grpc"}},
                               flight::frame_message(ticket.SerializeAsString()));
   client.http2.send_pending();
-  SUBCASE("rows of the interval that was asked for") {}
-  SUBCASE("rows of another interval are no answer") { node.bent = true; }
+  SUBCASE("rows of the requested interval") {}
+  SUBCASE("rows of another interval are rejected") { node.wrong_interval = true; }
   event_loop::Millis give_up = loop.now() + 60000;
   while (!client.done) {
     loop.turn(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
@@ -267,7 +272,7 @@
   CHECK(node.asked[0].interval().to() == 100);
   CHECK(node.asked[0].interval().revision() == 5);
   CHECK(node.asked[1].interval().revision() == 6);
-  if (node.bent) {
+  if (node.wrong_interval) {
     CHECK(*flight::find_header(client.headers, "grpc-status") != "0");
     return;
   }
