--- a/tests/aggregator/ranges/follower_test.cpp
+++ b/tests/aggregator/ranges/follower_test.cpp
@@ -1,4 +1,5 @@
-// Which updates of the directory the follower applies or rejects, and when it asks again. No sockets, no clock.
+// Which updates of the directory the follower applies or rejects, and when it asks again. No sockets, no
+// clock.
 #include "aggregator/ranges/follower.hpp"
 
 #include <doctest/doctest.h>
