--- a/src/aggregator/ranges/follower.cpp
+++ b/src/aggregator/ranges/follower.cpp
@@ -14,8 +14,9 @@
 UpdateResult Follower::reject(UpdateResult why, std::string text) {
   fault_ = std::move(text);
   pages_.clear();
-  // After a gap, a new watch brings the missing changes; after an impossible change, only a full map helps.
-  // Either way the open watch can't be used any longer.
+  // After a gap, a new watch brings the missing changes, or a full map where the directory does not have them
+  // any more. After an impossible change, only a full map helps. Either way the open watch can't be used any
+  // longer.
   if (why == UpdateResult::gap || why == UpdateResult::impossible) needs_reopen_ = update_rejected_ = true;
   if (why == UpdateResult::impossible) needs_full_map_ = true;
   return why;
--- a/src/aggregator/ranges/follower.hpp
+++ b/src/aggregator/ranges/follower.hpp
@@ -24,7 +24,7 @@
 enum class UpdateResult {
   applied,     // the map was replaced by a newer one
   page,        // a page of a full map was stored, further ones follow
-  unchanged,   // the update repeats the revision that is held
+  unchanged,   // the update repeats the revision that is held, as a keepalive may
   gap,         // changes are missing between the revision that is held and the update's
   stale,       // of an older revision or incarnation than the one that is held
   impossible,  // contradicts itself or the map that is held
