--- a/src/aggregator/dynamic_config/store.hpp
+++ b/src/aggregator/dynamic_config/store.hpp
@@ -11,7 +11,7 @@
 
 namespace winchhall::dynamic_config {
 
-// The result of one candidate configuration.
+// A candidate configuration and its result, as stored.
 struct StoredSet {
   std::int64_t number = 0;  // rises with each `put`; the order of entries
   std::uint64_t digest = 0;
@@ -21,10 +21,10 @@
   dynamic_config::Bytes bytes{};  // empty for a rejected one
 };
 
-// A command that an operator left for the running aggregator.
+// A command of an operator to the running aggregator.
 struct OperatorCommand {
   std::int64_t id = 0;
-  std::string word{};        // "accept" or "rollback"
+  std::string action{};      // "accept" or "rollback"
   std::uint64_t digest = 0;  // of the generation that is meant
   std::string answer{};      // empty: not carried out yet
 };
@@ -45,21 +45,23 @@
   virtual std::optional<StoredSet> find(std::uint64_t digest) = 0;
   // At most `most` entries without their bytes, newest first.
   virtual std::vector<StoredSet> history(int most) = 0;
-  // Leaves a command for the running aggregator and returns its id; none: it was not stored.
-  virtual std::optional<std::int64_t> leave(const std::string& word, std::uint64_t digest) = 0;
+  // Stores a command for the running aggregator and returns its id; none: it was not stored.
+  virtual std::optional<std::int64_t> add_command(const std::string& action, std::uint64_t digest) = 0;
   // Commands that have not been answered, oldest first.
-  virtual std::vector<OperatorCommand> open_orders() = 0;
+  virtual std::vector<OperatorCommand> pending_commands() = 0;
   // Answers a command. False: the answer was not stored.
   virtual bool answer(std::int64_t id, const std::string& words) = 0;
   // A command by its id; none: there is none, or it was answered long ago.
-  virtual std::optional<OperatorCommand> order(std::int64_t id) = 0;
+  virtual std::optional<OperatorCommand> find_command(std::int64_t id) = 0;
   // Why the last call failed.
   virtual const std::string& fault() const = 0;
 
-  static constexpr int kMaxStoredSets = 32;              // entries
-  static constexpr std::int64_t kBytesMost = 256 << 20;  // of all entries together, except for the newest two
+  static constexpr int kMaxStoredSets = 32;  // entries
+  // Of all entries together. The newest two entries are kept in any case.
+  static constexpr std::int64_t kMaxStoredBytes = 256 << 20;
 };
 
+// Result of `open`.
 struct OpenedStore {
   std::unique_ptr<Store> store{};  // null: it could not be opened, for the reason in `why`
   std::string why{};
--- a/src/aggregator/http/range_directory.cpp
+++ b/src/aggregator/http/range_directory.cpp
@@ -9,7 +9,7 @@
 
 namespace winchhall::http {
 namespace {
-using ranges::Taken;
+using ranges::UpdateResult;
 constexpr event_loop::Millis kFirstLineTimeout = 3000;     // ms from the request to the first line
 constexpr event_loop::Millis kSilenceCheckInterval = 500;  // ms between checks for a silent watch
 constexpr std::size_t kMaxLineBytes = 16 * 1024 * 1024;    // a page of ranges is smaller; more is an error
@@ -103,7 +103,7 @@
   ranges::Revision held = follower_.map().revision();
   if (!follower_.needs_full_map())
     target += "&incarnation=" + std::to_string(held.incarnation) + "&after=" + std::to_string(held.number);
-  follower_.opened(loop_.now());
+  follower_.on_watch_opened(loop_.now());
   watch_ = std::make_shared<Watch>(*this);
   if (!watch_->start(target)) on_watch_ended("no connection started");
 }
@@ -114,7 +114,7 @@
 }
 
 void RangeDirectory::on_line(const std::string& line) {
-  follower_.heard(loop_.now());
+  follower_.on_keepalive(loop_.now());
   if (trim(line).empty()) return;
   std::string fault;
   auto update = read_update(line, fault);
@@ -125,18 +125,18 @@
   }
   ranges::Revision revision = update->revision;
   std::size_t changes = update->changes.size();
-  Taken taken = follower_.take(std::move(*update), loop_.now());
-  if (taken == Taken::taken) {
+  UpdateResult taken = follower_.apply_update(std::move(*update), loop_.now());
+  if (taken == UpdateResult::applied) {
     ++statistics_.updates;
     spdlog::debug("range directory: revision {} applied, {} ranges, {} changes", ranges::text_of(revision),
                   follower_.map().size(), changes);
     router_.update_ranges(follower_.map());
-  } else if (taken != Taken::nothing && taken != Taken::page) {
+  } else if (taken != UpdateResult::unchanged && taken != UpdateResult::page) {
     ++statistics_.rejected;
     spdlog::warn("range directory: update rejected ({}), current map stays in use: {}", name_of(taken),
                  follower_.fault());
   }
-  if (follower_.wants_reopen()) loop_.defer([this] { run_due(); });
+  if (follower_.needs_reopen()) loop_.defer([this] { run_due(); });
 }
 
 // Closes the watch; the follower decides when the next one is opened.
@@ -147,21 +147,21 @@
   ++statistics_.failures;
   spdlog::warn("range directory: watch ended: {}; map revision {} stays in use", why,
                ranges::text_of(follower_.map().revision()));
-  follower_.broke(loop_.now(), random_share());
+  follower_.on_watch_lost(loop_.now(), random_share());
   loop_.defer([this] { run_due(); });
 }
 
 void RangeDirectory::run_due() {
   loop_.cancel(timer_);
   event_loop::Millis now = loop_.now();
-  if (watch_ && follower_.silent(now)) return on_watch_ended("no keepalive");
-  if (watch_ && follower_.wants_reopen()) {
+  if (watch_ && follower_.keepalive_timed_out(now)) return on_watch_ended("no keepalive");
+  if (watch_ && follower_.needs_reopen()) {
     watch_->close();
     loop_.destroy_later(std::exchange(watch_, nullptr));
-    follower_.reopening(now, random_share());
+    follower_.on_watch_closed(now, random_share());
   }
-  if (!watch_ && now >= follower_.ask_at()) open_watch();
-  timer_ = loop_.run_at(watch_ ? now + kSilenceCheckInterval : std::max(now + 1, follower_.ask_at()),
+  if (!watch_ && now >= follower_.next_request_at()) open_watch();
+  timer_ = loop_.run_at(watch_ ? now + kSilenceCheckInterval : std::max(now + 1, follower_.next_request_at()),
                         [this] { run_due(); });
 }
 
--- a/src/aggregator/http/range_protocol.cpp
+++ b/src/aggregator/http/range_protocol.cpp
@@ -97,7 +97,7 @@
     if (row.contains("holders")) m.holders = read_holders(list(row, "holders"));
     return m;
   }
-  if (op == "weigh") return Weigh{target, number(row, "weight")};
+  if (op == "weigh") return SetWeight{target, number(row, "weight")};
   if (op == "add") return AddHolder{target, text(row, "server")};
   if (op == "promote") return Promote{target, text(row, "server")};
   if (op == "retire") return Retire{target, text(row, "server")};
@@ -119,7 +119,7 @@
       if (!c.holders.empty()) row["holders"] = holders_json(c.holders);
       return row;
     }
-    json operator()(const Weigh& c) const { return {{"weight", c.weight}}; }
+    json operator()(const SetWeight& c) const { return {{"weight", c.weight}}; }
     json operator()(const AddHolder& c) const { return {{"server", c.server}}; }
     json operator()(const Promote& c) const { return {{"server", c.server}}; }
     json operator()(const Retire& c) const { return {{"server", c.server}}; }
@@ -183,8 +183,8 @@
   return all.dump();
 }
 
-NotMine read_denial(const std::string& json_text) {
-  NotMine denial;
+Denial read_denial(const std::string& json_text) {
+  Denial denial;
   try {
     json from = json::parse(json_text);
     denial.revision = {integer(from, "incarnation"), integer(from, "revision")};
@@ -199,11 +199,13 @@
   return denial;
 }
 
-std::string write_denial(const NotMine& denial) {
+std::string write_denial(const Denial& denial) {
   json all{{"incarnation", denial.revision.incarnation}, {"revision", denial.revision.number}};
   for (const PlannedPart& s : denial.successors)
-    all["successors"].push_back(
-        {{"id", s.range}, {"from", s.span.from}, {"to", s.span.to}, {"holders", serving(*s.holders)}});
+    all["successors"].push_back({{"id", s.range},
+                                 {"from", s.span.from},
+                                 {"to", s.span.to},
+                                 {"holders", serving_servers(*s.holders)}});
   return all.dump();
 }
 
--- a/src/aggregator/http/range_protocol.hpp
+++ b/src/aggregator/http/range_protocol.hpp
@@ -22,7 +22,7 @@
 std::string write_update(const ranges::Update& update);
 
 // Parses a denial. A malformed one is returned without successors: it is still a denial.
-ranges::NotMine read_denial(const std::string& text);
-std::string write_denial(const ranges::NotMine& denial);
+ranges::Denial read_denial(const std::string& text);
+std::string write_denial(const ranges::Denial& denial);
 
 }  // namespace winchhall::http
