--- a/include/winchhall/coordinator.hpp
+++ b/include/winchhall/coordinator.hpp
@@ -29,16 +29,16 @@
 // Rules of one query class. Times are durations in ms, shares are fractions in [0, 1].
 struct ClassSettings {
   std::string name{};
-  Idempotency repeat = Idempotency::safe;
+  Idempotency idempotency = Idempotency::safe;
   Millis latency_target = 1000;  // an answer within this time of arrival earns the full value
   Millis deadline = 1000;        // the client's total time-out, over all its attempts
   double late_value = 0;         // share of the value earned between latency_target and deadline
   double value = 1;              // of a complete answer; the relative priority of the class
   // keyed: how long servers deduplicate, counted from the first attempt that may have been executed.
   Millis idempotency_window = 0;
-  double need = 1;            // share of the weight that makes an answer complete
-  double floor = 1;           // minimum share of the weight for any answer
-  double partial_value = 0;   // a partial answer earns this value x share / need
+  double complete_share = 1;  // share of the weight that makes an answer complete
+  double min_share = 1;       // minimum share of the weight for any answer
+  double partial_value = 0;   // a partial answer earns this value x share / complete_share
   int second_step_parts = 0;  // above 0: a second step of this many parts follows the first
   bool operator==(const ClassSettings&) const = default;
 };
@@ -58,9 +58,9 @@
   std::vector<ClassSettings> classes{};
   std::vector<TenantSettings> tenants{};
   double over_quota_value = 1;  // value factor of a query above its tenant's quota
-  int brokers = 1;              // aggregator instances that send to the same servers
-  int cells = 1;                // shard s is replicated in cells (s + j) mod cells, 0 <= j < reach
-  int reach = 1;
+  int instances = 1;            // aggregator instances that send to the same servers
+  int cells = 1;                // shard s is replicated in cells (s + j) mod cells, 0 <= j < cells_per_shard
+  int cells_per_shard = 1;
   Millis tick = 1;               // events may be delivered this late
   bool list_on_request = false;  // the endpoint list must be requested
   bool list_watched = false;     // the list is pushed, but a watch must be kept open as well
@@ -77,8 +77,8 @@
   Millis drain_grace = 0;            // sends to a draining server must have stopped after this
   double warm_up_initial_share = 1;  // slow start: share of the capacity at the start, at least
   Millis warm_up_time = 0;           // slow start: duration, counted from the server's start
-  double fall_multiple = 0;          // overload of a warming server: load above this multiple ...
-  Millis fall_time = 0;              // ... of its capacity for this long crashes it; multiple 0: never
+  double overload_multiple = 0;      // overload of a warming server: load above this multiple ...
+  Millis overload_time = 0;          // ... of its capacity for this long crashes it; multiple 0: never
   bool budget = false;               // retries are limited by a retry budget:
   double budget_free = 0;            // at most this many ...
   double budget_share = 0;           // ... plus this share of accepted queries and parts ...
@@ -143,7 +143,7 @@
   int query_class = 0;  // index into Settings::classes
   int tenant = -1;      // index into Settings::tenants, or -1
   Millis give_up_at = 0;
-  bool repeat = false;                 // marked as a retry by its client
+  bool is_retry = false;               // marked as a retry by its client
   std::optional<std::uint64_t> key{};  // idempotency key, where known; equal for a client's retries
   std::vector<PartSpec> parts{};
 };
@@ -244,7 +244,7 @@
 // Answers the query with the results received so far. Final, except after the first of two steps.
 struct AnswerQuery {
   std::string query{};
-  bool complete = false;  // at least ClassSettings::need of the weight is present
+  bool complete = false;  // at least ClassSettings::complete_share of the weight is present
 };
 // Rejects the query. Final. No part was executed in a way that makes a client's retry unsafe.
 struct RefuseQuery {
--- a/sim/simulation_adapter.cpp
+++ b/sim/simulation_adapter.cpp
@@ -69,16 +69,16 @@
     ClassSettings c;
     c.name = take<std::string>(row, "name", "");
     std::string repeat = take<std::string>(row, "semantics", "free");
-    c.repeat = repeat == "free"      ? Idempotency::safe
-               : repeat == "guarded" ? Idempotency::keyed
-                                     : Idempotency::unsafe;
+    c.idempotency = repeat == "free"      ? Idempotency::safe
+                    : repeat == "guarded" ? Idempotency::keyed
+                                          : Idempotency::unsafe;
     c.latency_target = take(row, "objective", c.latency_target);
     c.deadline = take(row, "hard_limit", c.latency_target);
     c.late_value = take(row, "late_share", 0.0);
     c.value = take(row, "gain", 1.0);
     c.idempotency_window = take(row, "window", 0.0);
-    c.need = pick(extra, "need_by_class", i, 1.0);
-    c.floor = pick(extra, "floor_by_class", i, c.need);
+    c.complete_share = pick(extra, "need_by_class", i, 1.0);
+    c.min_share = pick(extra, "floor_by_class", i, c.complete_share);
     c.partial_value = pick(extra, "partial_earns", i, 0.0);
     c.second_step_parts = pick(extra, "second_step", i, 0);
     s.classes.push_back(c);
@@ -87,9 +87,9 @@
   for (const json& row : setup.value("tenants", json::array()))
     s.tenants.push_back({take<std::string>(row, "name", ""), take(row, "quota_per_s", 0.0)});
   s.over_quota_value = take(setup, "over_share_worth", 1.0);
-  s.brokers = take(setup, "balancers", 1);
+  s.instances = take(setup, "balancers", 1);
   s.cells = take(extra, "positions", 1);
-  s.reach = take(extra, "reach", 1);
+  s.cells_per_shard = take(extra, "reach", 1);
   s.tick = take(setup, "tick", 1.0);
   s.list_on_request = take<std::string>(setup, "membership_mode", "pushed") == "on_request";
   s.max_poll_interval = take(rules, "must_ask_in", 0.0);
@@ -104,8 +104,8 @@
   s.drain_grace = take(rules, "drain_grace", 0.0);
   s.warm_up_initial_share = take(rules, "cold_from", 1.0);
   s.warm_up_time = take(rules, "cold", 0.0);
-  s.fall_multiple = take(rules, "fall_multiple", 0.0);
-  s.fall_time = take(rules, "fall", 0.0);
+  s.overload_multiple = take(rules, "fall_multiple", 0.0);
+  s.overload_time = take(rules, "fall", 0.0);
   s.budget_window = take(rules, "resend_span", 0.0);
   s.budget = s.budget_window > 0;
   s.budget_free = take(rules, "extra_floor", 0.0);
@@ -304,7 +304,7 @@
       q.query_class = index_of(instance.classes, at(row, 6));
       q.tenant = row.size() > 11 ? index_of(instance.tenants, row[11]) : -1;
       q.give_up_at = at(row, 7).get<double>();
-      q.repeat = (options & 2) != 0;
+      q.is_retry = (options & 2) != 0;
       if (at(row, 9).is_number()) q.key = row[9].get<std::uint64_t>();
       instance.groups[group] = id;
       while (instance.groups.size() > 100000) instance.groups.erase(instance.groups.begin());
--- a/src/aggregator/app/config.cpp
+++ b/src/aggregator/app/config.cpp
@@ -82,16 +82,16 @@
     ClassSettings c;
     c.name = text(row, "name");
     std::string semantics = text(row, "semantics", "free");
-    c.repeat = semantics == "free"      ? Idempotency::safe
-               : semantics == "guarded" ? Idempotency::keyed
-                                        : Idempotency::unsafe;
+    c.idempotency = semantics == "free"      ? Idempotency::safe
+                    : semantics == "guarded" ? Idempotency::keyed
+                                             : Idempotency::unsafe;
     c.latency_target = number(row, "objective", c.latency_target);
     c.deadline = number(row, "hard_limit", c.latency_target);
     c.late_value = number(row, "late_share", 0);
     c.value = number(row, "gain", 1);
     c.idempotency_window = number(row, "window", 0);
-    c.need = nth(list(extra, "need_by_class"), i, 1);
-    c.floor = nth(list(extra, "floor_by_class"), i, c.need);
+    c.complete_share = nth(list(extra, "need_by_class"), i, 1);
+    c.min_share = nth(list(extra, "floor_by_class"), i, c.complete_share);
     c.partial_value = nth(list(extra, "partial_earns"), i, 0);
     s.classes.push_back(c);
   }
@@ -99,12 +99,12 @@
   for (const json& row : list(from, "tenants"))
     s.tenants.push_back({text(row, "name"), number(row, "quota_per_s", 0)});
   s.over_quota_value = number(from, "over_share_worth", 1);
-  s.brokers = whole(from, "balancers", 1);
+  s.instances = whole(from, "balancers", 1);
   s.tick = number(from, "tick", 1);
   s.list_on_request = text(from, "membership_mode", "pushed") == "on_request";
   s.list_watched = true;
   s.cells = whole(extra, "positions", 1);
-  s.reach = whole(extra, "reach", 1);
+  s.cells_per_shard = whole(extra, "reach", 1);
   s.may_cancel = flag(permits, "cancel");
   s.may_probe = flag(permits, "probes");
   s.may_hedge = flag(permits, "second_copies");
@@ -117,8 +117,8 @@
   s.drain_grace = number(rules, "drain_grace", 0);
   s.warm_up_initial_share = number(rules, "cold_from", 1);
   s.warm_up_time = number(rules, "cold", 0);
-  s.fall_multiple = number(rules, "fall_multiple", 0);
-  s.fall_time = number(rules, "fall", 0);
+  s.overload_multiple = number(rules, "fall_multiple", 0);
+  s.overload_time = number(rules, "fall", 0);
   s.budget_window = number(rules, "resend_span", 0);
   s.budget = s.budget_window > 0;
   s.budget_free = number(rules, "extra_floor", 0);
@@ -140,13 +140,16 @@
   require(c.sockets >= kSocketsLeast && c.sockets <= 1'000'000, "limit of sockets is of no use");
   require(c.discovery.empty() || is_address(c.discovery), "'discovery' is no address");
   require(c.control.empty() || is_address(c.control), "'control' is no address");
-  require(c.settings.cells >= 1 && c.settings.reach >= 1 && c.shards >= 0, "layout of shards is of no use");
+  require(c.settings.cells >= 1 && c.settings.cells_per_shard >= 1 && c.shards >= 0,
+          "layout of shards is of no use");
   require(c.settings.max_open >= 0 && c.settings.max_attempts >= 1, "permissions are of no use");
   require(c.conn_idle > 0 && c.connect_timeout > 0, "times for connections are of no use");
   for (const ClassSettings& k : c.settings.classes) {
     require(!k.name.empty(), "settings have a class without a name");
     require(k.latency_target > 0 && k.deadline > 0, "settings have a class without time");
-    require(k.need > 0 && k.need <= 1 && k.floor > 0 && k.floor <= k.need, "least shares are of no use");
+    require(
+        k.complete_share > 0 && k.complete_share <= 1 && k.min_share > 0 && k.min_share <= k.complete_share,
+        "least shares are of no use");
   }
 }
 
--- a/src/aggregator/app/statistics_log.cpp
+++ b/src/aggregator/app/statistics_log.cpp
@@ -15,10 +15,10 @@
 }  // namespace
 
 void log_query_counters(const coordination::RequestRouter& router) {
-  for (std::size_t i = 0; i < router.figures().size(); ++i) {
-    const coordination::QueryCounters& f = router.figures()[i];
+  for (std::size_t i = 0; i < router.counters().size(); ++i) {
+    const coordination::QueryCounters& f = router.counters()[i];
     spdlog::info("figures {}: taken {} whole {} partial {} refused {} failed {} withdrawn {} attempts {}",
-                 router.figures_name(i), f.taken, f.complete, f.partial, f.refused, f.failed, f.withdrawn,
+                 router.counter_name(i), f.received, f.complete, f.partial, f.refused, f.failed, f.withdrawn,
                  f.attempts);
   }
 }
@@ -26,17 +26,17 @@
 void log_open_work(const coordination::RequestRouter& router, std::size_t client_connections,
                    std::size_t server_connections) {
   spdlog::info("open: queries {} attempts {} clients {} leafs {} peak {} KiB", router.open_queries(),
-               router.attempts_out(), client_connections, server_connections, peak_resident_kib());
+               router.attempts_in_flight(), client_connections, server_connections, peak_resident_kib());
 }
 
 void log_ranges(const coordination::RequestRouter& router, const http::RangeDirectory& directory) {
-  const auto& moves = router.moves();
+  const auto& moves = router.range_migrations();
   const auto& asked = directory.figures();
   spdlog::info(
       "ranges: revision {} of {} ranges; parts replaced {} joined {} elsewhere {} held back {} denied {} "
       "dropped {}; directory asked {} taken {} refused {} broken {}",
-      ranges::text_of(router.map().revision()), router.map().size(), moves.replaced, moves.joined,
-      moves.elsewhere, moves.on_hold, moves.denied, moves.dropped, asked.asked, asked.taken, asked.refused,
+      ranges::text_of(router.map().revision()), router.map().size(), moves.replaced, moves.merged,
+      moves.rerouted, moves.on_hold, moves.denied, moves.dropped, asked.asked, asked.taken, asked.refused,
       asked.broken);
 }
 
--- a/src/aggregator/coordination/class_registry.cpp
+++ b/src/aggregator/coordination/class_registry.cpp
@@ -8,12 +8,12 @@
 using winchhall::Idempotency;
 using winchhall::Settings;
 
-ClassTable::ClassTable(std::vector<ClassSettings> classes)
+ClassRegistry::ClassRegistry(std::vector<ClassSettings> classes)
     : classes_(std::move(classes)), open_(classes_.size(), 0) {
   for (const ClassSettings& c : classes_) names_.push_back(c.name);
 }
 
-ClassTable::Change ClassTable::change(const std::vector<ClassSettings>& next) {
+ClassRegistry::Change ClassRegistry::change(const std::vector<ClassSettings>& next) {
   std::vector<bool> taken(classes_.size(), false);
   std::vector<int> place(next.size(), -1), before(next.size(), -1);
   for (std::size_t f = 0; f < next.size(); ++f) {
@@ -53,27 +53,27 @@
   return {classes_, from};
 }
 
-ClassSettings safe_under_both(const ClassSettings& old, const ClassSettings& next) {
+ClassSettings strictest_of(const ClassSettings& old, const ClassSettings& next) {
   ClassSettings c = next;
   auto strict = [](Idempotency r) { return r == Idempotency::safe ? 0 : r == Idempotency::keyed ? 1 : 2; };
-  if (strict(old.repeat) > strict(c.repeat)) c.repeat = old.repeat;
+  if (strict(old.idempotency) > strict(c.idempotency)) c.idempotency = old.idempotency;
   // Only `keyed` classes have a window: another class's doesn't limit it.
-  if (old.repeat == Idempotency::keyed && next.repeat == Idempotency::keyed)
+  if (old.idempotency == Idempotency::keyed && next.idempotency == Idempotency::keyed)
     c.idempotency_window = std::min(old.idempotency_window, next.idempotency_window);
-  else if (old.repeat == Idempotency::keyed)
+  else if (old.idempotency == Idempotency::keyed)
     c.idempotency_window = old.idempotency_window;
-  c.need = std::max(old.need, next.need);
-  c.floor = std::max(old.floor, next.floor);
+  c.complete_share = std::max(old.complete_share, next.complete_share);
+  c.min_share = std::max(old.min_share, next.min_share);
   c.latency_target = std::min(old.latency_target, next.latency_target);
   c.deadline = std::min(old.deadline, next.deadline);
   return c;
 }
 
-Settings safe_under_both(const Settings& old, const Settings& next) {
+Settings strictest_of(const Settings& old, const Settings& next) {
   Settings s = next;
   for (ClassSettings& c : s.classes)
     for (const ClassSettings& o : old.classes)
-      if (o.name == c.name) c = safe_under_both(o, c);
+      if (o.name == c.name) c = strictest_of(o, c);
   for (const ClassSettings& o : old.classes)
     if (!o.name.empty() && std::none_of(s.classes.begin(), s.classes.end(),
                                         [&](const ClassSettings& c) { return c.name == o.name; }))
@@ -93,9 +93,9 @@
     s.budget_window = old.budget_window;
   }
   s.drain_grace = std::min(old.drain_grace, next.drain_grace);
-  s.fall_multiple = next.fall_multiple > 0 && old.fall_multiple > 0
-                        ? std::min(old.fall_multiple, next.fall_multiple)
-                        : std::max(old.fall_multiple, next.fall_multiple);
+  s.overload_multiple = next.overload_multiple > 0 && old.overload_multiple > 0
+                            ? std::min(old.overload_multiple, next.overload_multiple)
+                            : std::max(old.overload_multiple, next.overload_multiple);
   s.warm_up_initial_share = std::min(old.warm_up_initial_share, next.warm_up_initial_share);
   s.warm_up_time = std::max(old.warm_up_time, next.warm_up_time);
   return s;
--- a/src/aggregator/coordination/class_registry.hpp
+++ b/src/aggregator/coordination/class_registry.hpp
@@ -11,9 +11,9 @@
 namespace winchhall::coordination {
 
 // Assigns indices to class versions and counts the open queries of each.
-class ClassTable {
+class ClassRegistry {
  public:
-  explicit ClassTable(std::vector<winchhall::ClassSettings> classes);
+  explicit ClassRegistry(std::vector<winchhall::ClassSettings> classes);
 
   struct Change {
     std::vector<winchhall::ClassSettings> classes{};  // by index; an empty name: used by open queries only
@@ -38,10 +38,10 @@
 
 // The stricter of the old and the new value of each rule of a class, for the time in which clients may use
 // either version.
-winchhall::ClassSettings safe_under_both(const winchhall::ClassSettings& old,
-                                         const winchhall::ClassSettings& next);
+winchhall::ClassSettings strictest_of(const winchhall::ClassSettings& old,
+                                      const winchhall::ClassSettings& next);
 // The same for complete settings. The result has the classes of both: a removed class may still be requested,
 // an added one already.
-winchhall::Settings safe_under_both(const winchhall::Settings& old, const winchhall::Settings& next);
+winchhall::Settings strictest_of(const winchhall::Settings& old, const winchhall::Settings& next);
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/query_validation.cpp
+++ b/src/aggregator/coordination/query_validation.cpp
@@ -5,13 +5,13 @@
 #include <set>
 
 namespace winchhall::coordination {
-std::string unsound(const QuerySpec& q, int shards) {
+std::string validation_error(const QuerySpec& q, int shards) {
   if (!q.spans.empty()) {
     if (!q.parts.empty()) return "both parts and spans";
     if (q.hint && (!std::isfinite(*q.hint) || *q.hint < 0)) return "a hint";
-    return ranges::spans_fault(q.spans, kSpansMost);
+    return ranges::spans_fault(q.spans, kMaxSpans);
   }
-  if (q.parts.empty() || q.parts.size() > kPartsMost) return "parts";
+  if (q.parts.empty() || q.parts.size() > kMaxParts) return "parts";
   std::set<int> seen;
   double sum = 0;
   for (const QueryPart& p : q.parts) {
@@ -25,11 +25,13 @@
   return std::abs(sum - 1) > 0.01 ? "shares that do not make a whole" : "";
 }
 
-bool fit_name(const std::string& id) {
+bool is_valid_query_id(const std::string& id) {
   return !id.empty() && id.size() <= 128 &&
          std::all_of(id.begin(), id.end(), [](unsigned char c) { return c > 32 && c < 127; });
 }
 
-Millis due(Millis arrived, Millis timeout) { return arrived + timeout - std::min(kWayBack, timeout / 4); }
+Millis answer_deadline(Millis arrived, Millis timeout) {
+  return arrived + timeout - std::min(kResponseTransitTime, timeout / 4);
+}
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/query_validation.hpp
+++ b/src/aggregator/coordination/query_validation.hpp
@@ -8,15 +8,15 @@
 
 namespace winchhall::coordination {
 
-constexpr std::size_t kPartsMost = 4096;  // parts of one query at most
-constexpr std::size_t kSpansMost = 1024;  // spans of one query at most: as many fit into a request body
+constexpr std::size_t kMaxParts = 4096;  // parts of one query at most
+constexpr std::size_t kMaxSpans = 1024;  // spans of one query at most: as many fit into a request body
 // Part of a client's time-out that is reserved for the network, in ms.
-constexpr Millis kWayBack = 15;
+constexpr Millis kResponseTransitTime = 15;
 
 // Returns what is wrong with the query, or an empty string if it is valid: its shards exist and are distinct,
 // weights lie in [0, 1] and sum to 1, cost estimates are finite and not negative. `shards`: number of shards;
 // 0 if unknown. The text goes to the client.
-std::string unsound(const QuerySpec& query, int shards);
+std::string validation_error(const QuerySpec& query, int shards);
 
 // Index of the element of that name, or -1. An empty name names nothing.
 template <class T>
@@ -28,9 +28,9 @@
 
 // Whether an id is printable ASCII without blanks, of 1 to 128 bytes, so that it can be sent to a server in a
 // line of the protocol.
-bool fit_name(const std::string& id);
+bool is_valid_query_id(const std::string& id);
 
 // Latest time to answer, for a client with this time-out (ms) whose request began to arrive at `arrived`.
-Millis due(Millis arrived, Millis timeout);
+Millis answer_deadline(Millis arrived, Millis timeout);
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/request_router.cpp
+++ b/src/aggregator/coordination/request_router.cpp
@@ -31,7 +31,7 @@
   inbox_.push_back([this] {
     for (const Action& a : coordinator_.start()) act(a);
   });
-  list(ServerList::Kind::cached, known);
+  update_endpoints(ServerList::Kind::cached, known);
   run();
 }
 
@@ -47,7 +47,7 @@
   for (const QueryPart& p : spec.parts) q.parts.push_back({.spec = p});
   q.spec = std::move(spec);
   QueryCounters& f = counters_for(q.spec.query_class);
-  ++f.taken;
+  ++f.received;
   f.value_requested += settings_.classes[q.spec.query_class].value;
   ++open_;
   classes_.opened(q.spec.query_class);
@@ -77,7 +77,7 @@
     e.query_class = state.spec.query_class;
     e.tenant = state.spec.tenant;
     e.give_up_at = state.spec.give_up_at;
-    e.repeat = state.spec.repeat;
+    e.is_retry = state.spec.is_retry;
     e.key = state.spec.key;
     e.parts.reserve(state.parts.size());
     for (std::size_t i = 0; i < state.parts.size(); ++i) {
@@ -111,7 +111,7 @@
 
 // ---- Server side
 
-void RequestRouter::attempt_ended(AttemptNumber attempt, Result result) {
+void RequestRouter::attempt_ended(AttemptNumber attempt, AttemptResult result) {
   inbox_.push_back(
       [this, attempt, r = std::move(result)]() mutable { finish_attempt(attempt, std::move(r)); });
 }
@@ -129,8 +129,8 @@
   inbox_.push_back([this] { handle(ListServiceMoved{}); });
 }
 
-void RequestRouter::list(ServerList::Kind kind, const std::vector<Member>& members, CallEnd end,
-                         long long revision) {
+void RequestRouter::update_endpoints(ServerList::Kind kind, const std::vector<Member>& members, CallEnd end,
+                                     long long revision) {
   inbox_.push_back([this, kind, members, end, revision] {
     if (revision != 0) list_revision_ = revision;
     ServerList e{kind, {}, end};
@@ -303,7 +303,7 @@
   transport_->launch(request);
 }
 
-void RequestRouter::finish_attempt(AttemptNumber attempt, Result r) {
+void RequestRouter::finish_attempt(AttemptNumber attempt, AttemptResult r) {
   auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;  // already abandoned: a late result is dropped
   AttemptState a = it->second;
@@ -340,7 +340,7 @@
   if (v.kind == QueryResult::Kind::failed) ++f.failed;
   if (v.kind == QueryResult::Kind::answered) {
     ++(v.complete ? f.complete : f.partial);
-    double value = c.value * (v.complete ? 1 : c.partial_value * v.share / c.need);
+    double value = c.value * (v.complete ? 1 : c.partial_value * v.share / c.complete_share);
     f.value_earned += value * (clock_() - q.arrived <= c.latency_target ? 1 : c.late_value);
   }
   --open_;
--- a/src/aggregator/coordination/request_router.hpp
+++ b/src/aggregator/coordination/request_router.hpp
@@ -40,7 +40,7 @@
   int query_class = 0;                 // index into Settings::classes
   int tenant = -1;                     // index into Settings::tenants, or -1
   Millis give_up_at = 0;               // latest time of the final answer
-  bool repeat = false;                 // marked as a retry by the client
+  bool is_retry = false;               // marked as a retry by the client
   std::optional<std::uint64_t> key{};  // idempotency key, where known
   std::string text{};                  // payload, sent unchanged with every part
   std::vector<QueryPart> parts{};
@@ -99,7 +99,7 @@
 };
 
 // The end of an attempt.
-struct Result {
+struct AttemptResult {
   Outcome outcome = Outcome::ok;
   std::vector<std::string> values{};
   Load load{};
@@ -160,8 +160,8 @@
   std::string endpoint{};
 };
 
-// Source of the endpoint list; delivers by RequestRouter::list(). Owned by the caller; runs on the event
-// loop.
+// Source of the endpoint list; delivers by RequestRouter::update_endpoints(). Owned by the caller; runs on
+// the event loop.
 class MembershipSource {
  public:
   virtual void watch(bool on) = 0;  // opens the watch (answered by at least one list) or closes it
@@ -184,7 +184,7 @@
 
 // Counters of one query class since the start. Values are sums of ClassSettings::value.
 struct QueryCounters {
-  std::uint64_t taken = 0, complete = 0, partial = 0, refused = 0, failed = 0, withdrawn = 0, attempts = 0;
+  std::uint64_t received = 0, complete = 0, partial = 0, refused = 0, failed = 0, withdrawn = 0, attempts = 0;
   double value_requested = 0, value_earned = 0;
   bool operator==(const QueryCounters&) const = default;
 };
@@ -209,12 +209,12 @@
   void withdraw(QueryNumber number);
 
   // Server side.
-  void attempt_ended(AttemptNumber attempt, Result result);
+  void attempt_ended(AttemptNumber attempt, AttemptResult result);
   void probe_ended(const std::string& server, Outcome outcome, Millis elapsed, const Load& load);
   // Delivers an endpoint list. `end`: how a failed request ended, for Kind::failed. `revision`: of the list;
   // 0 if it has none.
-  void list(winchhall::ServerList::Kind kind, const std::vector<Member>& members,
-            winchhall::CallEnd end = winchhall::CallEnd::failed, long long revision = 0);
+  void update_endpoints(winchhall::ServerList::Kind kind, const std::vector<Member>& members,
+                        winchhall::CallEnd end = winchhall::CallEnd::failed, long long revision = 0);
   void on_list_keepalive();      // the watch delivered data, possibly just a keepalive line
   void on_list_service_moved();  // the discovery service has a new address; the watch is lost
   // Replaces the range map. Open queries that it affects are replanned.
@@ -232,10 +232,10 @@
   const winchhall::Settings& settings() const { return settings_; }
   // Counters in the order of the first settings' classes, followed by classes in the order of their
   // appearance.
-  const std::vector<QueryCounters>& figures() const { return counters_; }
-  const std::string& figures_name(std::size_t i) const { return counter_names_[i]; }
+  const std::vector<QueryCounters>& counters() const { return counters_; }
+  const std::string& counter_name(std::size_t i) const { return counter_names_[i]; }
   std::size_t open_queries() const { return open_; }
-  std::size_t attempts_out() const { return attempts_.size(); }
+  std::size_t attempts_in_flight() const { return attempts_.size(); }
   std::size_t known_servers() const { return servers_.size(); }
   std::vector<Member> members() const;                        // the current endpoint list
   long long list_revision() const { return list_revision_; }  // of that list; 0: none
@@ -246,9 +246,9 @@
 
   // Effects of range changes on parts of open queries since the start.
   struct RangeMigrations {
-    std::uint64_t replaced = 0, joined = 0, elsewhere = 0, on_hold = 0, denied = 0, dropped = 0;
+    std::uint64_t replaced = 0, merged = 0, rerouted = 0, on_hold = 0, denied = 0, dropped = 0;
   };
-  const RangeMigrations& moves() const { return range_migrations_; }
+  const RangeMigrations& range_migrations() const { return range_migrations_; }
 
  private:
   // Additional state of a part over an account range; separate, since parts of shards don't need it.
@@ -296,14 +296,14 @@
   void handle(const winchhall::Event& event);
   void act(const winchhall::Action& action);
   void send(const winchhall::SendPart& action);
-  void finish_attempt(AttemptNumber attempt, Result result);
+  void finish_attempt(AttemptNumber attempt, AttemptResult result);
   void finish(QueryNumber number, QueryResult result);
   void recall_unsent(QueryNumber number);
   void recall(AttemptNumber attempt);
   void forget_if_finished(QueryNumber number);
-  bool on_span_attempt_ended(QueryState& query, const AttemptState& attempt, Result& result);
+  bool on_span_attempt_ended(QueryState& query, const AttemptState& attempt, AttemptResult& result);
   void on_span_attempt_settled(QueryState& query, const AttemptState& attempt, bool denies,
-                               const Result& result);
+                               const AttemptResult& result);
   static PartState span_part(ranges::PlannedPart planned);
   QueryResult answer(const QueryState& query, bool complete) const;
   // Plans the query's spans. Returns the reason if that fails, else an empty string; `later`: a retry may
@@ -313,7 +313,7 @@
   void carry_out(QueryNumber number, const ranges::Decision& decision);
   void replace(QueryNumber number, const ranges::Decision& decision);
   void holders(QueryNumber number, std::size_t part, bool on_hold);
-  void denied(QueryNumber number, std::size_t part, const Result& result, bool coordinator_notified);
+  void denied(QueryNumber number, std::size_t part, const AttemptResult& result, bool coordinator_notified);
   static ranges::OpenPart open_part(const QueryState& query, std::size_t part);
   std::vector<double> report(const Load& load) const;
   static std::string part_id(QueryNumber number, std::size_t part);
@@ -342,7 +342,7 @@
   ranges::RangeMap map_;
   RangeMigrations range_migrations_;
   std::size_t open_ = 0, held_ = 0, lists_delivered_ = 0;
-  ClassTable classes_;
+  ClassRegistry classes_;
   std::vector<QueryCounters> counters_;         // a class keeps its counters when its settings change
   std::vector<std::string> counter_names_;      // class names, in the same order
   std::vector<std::size_t> counters_by_class_;  // by class index: index into counters_
--- a/src/aggregator/coordination/request_router_ranges.cpp
+++ b/src/aggregator/coordination/request_router_ranges.cpp
@@ -31,7 +31,7 @@
 
 std::string RequestRouter::plan(QueryState& q, bool& later) {
   std::string why;
-  auto plan = ranges::plan(map_, q.spec.spans, q.spec.hint, kPartsMost, why);
+  auto plan = ranges::plan(map_, q.spec.spans, q.spec.hint, kMaxParts, why);
   later = map_.empty();
   if (!plan) return why;
   q.parts.reserve(plan->parts.size());
@@ -87,7 +87,7 @@
       return handle(e);
     }
     case Decision::Kind::elsewhere:
-      ++range_migrations_.elsewhere;
+      ++range_migrations_.rerouted;
       p.planned = d.successors[0];
       return holders(number, d.parts[0], false);
     case Decision::Kind::replace:
@@ -99,7 +99,7 @@
         for (std::size_t i : d.parts) q.parts[i].span->on_hold |= q.parts[i].span->out > 0;
         return;
       }
-      ++(d.kind == Decision::Kind::join ? range_migrations_.joined : range_migrations_.replaced);
+      ++(d.kind == Decision::Kind::join ? range_migrations_.merged : range_migrations_.replaced);
       return replace(number, d);
   }
 }
@@ -132,7 +132,8 @@
 // Handles a server's rejection of a part that it doesn't own. Called twice: before the coordinator gets
 // AttemptEnded (`coordinator_notified` false), to update the part's replicas, and after it, to replace the
 // part by successors.
-void RequestRouter::denied(QueryNumber number, std::size_t part, const Result& r, bool coordinator_notified) {
+void RequestRouter::denied(QueryNumber number, std::size_t part, const AttemptResult& r,
+                           bool coordinator_notified) {
   QueryState& q = queries_.at(number);
   if (!q.on_complete) return;
   auto answer = ranges::not_mine(map_, *q.coverage, open_part(q, part), *r.denial);
@@ -153,7 +154,7 @@
 
 // Called after the coordinator got AttemptEnded: replaces the part where its range has changed.
 void RequestRouter::on_span_attempt_settled(QueryState& q, const AttemptState& a, bool denies,
-                                            const Result& r) {
+                                            const AttemptResult& r) {
   const PartState& p = q.parts[a.part];
   if (!q.on_complete || p.in || p.span->replaced) return;
   if (denies && p.span->out == 0) return denied(a.query, a.part, r, true);
@@ -163,7 +164,7 @@
 
 // Returns true if the attempt's answer is accepted. An answer that overlaps accepted ones is changed into an
 // error, so that no account is counted twice.
-bool RequestRouter::on_span_attempt_ended(QueryState& q, const AttemptState& a, Result& r) {
+bool RequestRouter::on_span_attempt_ended(QueryState& q, const AttemptState& a, AttemptResult& r) {
   SpanPart& p = *q.parts[a.part].span;
   if (r.outcome != Outcome::ok) {
     if (p.out == 0) q.coverage->back(p.planned.span);
@@ -194,9 +195,9 @@
   v.share = q.coverage->in_share();
   v.complete = complete && q.coverage->complete();
   const ClassSettings& c = settings_.classes[q.spec.query_class];
-  if (complete != v.complete || v.share < c.floor - kShareSlack) {
+  if (complete != v.complete || v.share < c.min_share - kShareSlack) {
     log_("an answer of less than it is called");
-    if (v.share < c.floor - kShareSlack) return {.why = "the answer held less than its least share"};
+    if (v.share < c.min_share - kShareSlack) return {.why = "the answer held less than its least share"};
   }
   std::sort(v.rows.begin(), v.rows.end(),
             [](const PartialResult& a, const PartialResult& b) { return a.span.from < b.span.from; });
--- a/src/aggregator/coordination/request_router_settings.cpp
+++ b/src/aggregator/coordination/request_router_settings.cpp
@@ -24,7 +24,7 @@
 
 void RequestRouter::change_settings(const Settings& settings) {
   inbox_.push_back([this, settings] {
-    ClassTable::Change change = classes_.change(settings.classes);
+    ClassRegistry::Change change = classes_.change(settings.classes);
     settings_ = settings;
     settings_.classes = std::move(change.classes);
     assign_counters();
--- a/src/aggregator/coordination/settings_transition.cpp
+++ b/src/aggregator/coordination/settings_transition.cpp
@@ -8,7 +8,7 @@
 using winchhall::Settings;
 
 const Settings& SettingsTransition::begin(const Settings& next, Millis now) {
-  acting_ = safe_under_both(acting_, next);
+  acting_ = strictest_of(acting_, next);
   target_ = next;
   complete_at_ = now + kOverlapTime;
   return acting_;
--- a/src/aggregator/decision/coordinator.cpp
+++ b/src/aggregator/decision/coordinator.cpp
@@ -191,9 +191,9 @@
       if (!p->has_attempt_in_flight() || p->attempts.back().cancel_requested || p->attempts.back().started)
         continue;
       const Attempt& a = p->attempts.back();
-      bool copy = settings_.may_hedge && settings_.classes[c].repeat == Idempotency::safe && !p->holders;
+      bool copy = settings_.may_hedge && settings_.classes[c].idempotency == Idempotency::safe && !p->holders;
       if (now_ - a.sent <= (copy ? hedge_after(c) : patience(c)) || start_spare_part(q)) continue;
-      if (!settings_.may_cancel || settings_.classes[c].repeat == Idempotency::unsafe) continue;
+      if (!settings_.may_cancel || settings_.classes[c].idempotency == Idempotency::unsafe) continue;
       if (p->attempt_count() >= p->max_attempts || !budget_allows()) continue;
       const Server& s = servers_[a.server];
       if (!copy && s.last_answer >= a.sent && !s.by_class[c].is_ejected) continue;
@@ -212,7 +212,8 @@
       if (p->done ||
           (p->has_attempt_in_flight() && now_ - p->attempts.back().sent <= patience(q.query_class)))
         in += p->weight;
-    if (in >= (q.shortened ? settings_.classes[q.query_class].floor : need(q)) - q.slack) return true;
+    if (in >= (q.shortened ? settings_.classes[q.query_class].min_share : complete_share(q)) - q.slack)
+      return true;
     for (Part* p : step_parts(q))
       if (p->is_spare && try_part(q, *p)) return true;
     return false;
--- a/src/aggregator/decision/query_table.hpp
+++ b/src/aggregator/decision/query_table.hpp
@@ -37,8 +37,8 @@
   // now.
   bool retry_allowed(const Part& p, const ClassSettings& c) const {
     if (p.has_attempt_in_flight() || p.attempt_count() >= p.max_attempts) return false;
-    if (p.first_possible_run == kInfinity || c.repeat == Idempotency::safe) return true;
-    return c.repeat == Idempotency::keyed && now_ < retry_until(p, c);
+    if (p.first_possible_run == kInfinity || c.idempotency == Idempotency::safe) return true;
+    return c.idempotency == Idempotency::keyed && now_ < retry_until(p, c);
   }
   // End of the deduplication window of a `keyed` part.
   Millis retry_until(const Part& p, const ClassSettings& c) const {
@@ -61,7 +61,7 @@
     p.attempts.push_back({server, now_, p.hint, s.outstanding_cost + load(s, c) + p.hint});
     s.outstanding_cost += p.hint;
     s.in_flight_since.insert(now_);
-    if (is_warming_up(s) && settings_.fall_multiple > 0) {
+    if (is_warming_up(s) && settings_.overload_multiple > 0) {
       p.attempts.back().warm_up_send = ++last_warm_up_send_;
       s.warm_up_window.add(last_warm_up_send_, now_, warm_up_work(c, p.hint));
     }
@@ -97,11 +97,11 @@
       late_retry_tokens_ =
           std::min(late_retry_tokens_ + kLateRetryShare, std::max(kMaxLateRetryTokens, max_parts_));
     Millis timeout = useful_until(q) - now_;
-    if (!settings_.may_cancel && c.repeat == Idempotency::safe)
+    if (!settings_.may_cancel && c.idempotency == Idempotency::safe)
       timeout = std::min(timeout, patience(q.query_class));
     ++q.outstanding;
     Millis by = list_freshness_.sendable_until(s.proved_at);
-    if (p.first_possible_run < kInfinity && c.repeat != Idempotency::safe)
+    if (p.first_possible_run < kInfinity && c.idempotency != Idempotency::safe)
       by = std::min(by, retry_until(p, c));
     act(SendPart{p.id, s.id, std::max(timeout, 1.0), by});
   }
@@ -184,8 +184,9 @@
   }
 
   // Weight that makes the step complete; at most the sum of its parts' weights, which may round below 1.
-  double need(const Query& q) const {
-    return std::min(q.step == 2 ? 1.0 : settings_.classes[q.query_class].need, q.weight_sum[q.step == 2]);
+  double complete_share(const Query& q) const {
+    return std::min(q.step == 2 ? 1.0 : settings_.classes[q.query_class].complete_share,
+                    q.weight_sum[q.step == 2]);
   }
 
   // Default placement of a step's parts.
@@ -204,7 +205,7 @@
     // Uses the pool's rate only: a server's own pace already includes the queueing at the time of its
     // samples.
     auto time_for = [&](const Part& p) { return p.attempts.back().cost_ahead * queue_pace(); };
-    if (c.floor < need(q) && !list.empty() && list[0]->has_attempt_in_flight() &&
+    if (c.min_share < complete_share(q) && !list.empty() && list[0]->has_attempt_in_flight() &&
         time_for(*list[0]) > kOverloadTimeShare * (useful_until(q) - now_))
       placed = shorten(q, list, placed);
     double slowest = 0;
@@ -212,7 +213,7 @@
       if (!p->has_attempt_in_flight()) continue;
       if (q.cautious && p != list.back()) {
         undo_placement(*p);
-      } else if (placed - p->weight >= need(q) - q.slack) {
+      } else if (placed - p->weight >= complete_share(q) - q.slack) {
         placed -= p->weight;
         undo_placement(*p, true);
       } else {
@@ -238,7 +239,7 @@
               [](Part* a, Part* b) { return a->weight * b->hint < b->weight * a->hint; });
     q.shortened = true;
     for (Part* p : list)
-      if (p->has_attempt_in_flight() && placed - p->weight >= settings_.classes[q.query_class].floor) {
+      if (p->has_attempt_in_flight() && placed - p->weight >= settings_.classes[q.query_class].min_share) {
         placed -= p->weight;
         undo_placement(*p, true);
       }
@@ -267,15 +268,15 @@
       if (!p->dead) possible += p->weight;
       if (!p->dead && !p->is_spare) requested += p->weight;
     }
-    double complete = need(q) - q.slack, least = std::min(c.floor, need(q)) - q.slack;
+    double complete = complete_share(q) - q.slack, least = std::min(c.min_share, complete_share(q)) - q.slack;
     if (list.empty() && q.step == 1) return end(q, false);
     if (in >= complete) return answer(q, q.first_step_complete);
     double goal = q.shortened ? least : complete;
     for (Part* p : list)  // spares replace dead parts
       if (requested < goal && p->is_spare && !p->dead && try_part(q, *p)) requested += p->weight;
     // Deviation: near its deadline a partial answer, marked as such, is preferred to waiting on.
-    double partial = c.floor < c.need ? c.partial_value * in / need(q) : 0;
-    bool may_answer = c.floor < need(q) && in >= least && in > 0;
+    double partial = c.min_share < c.complete_share ? c.partial_value * in / complete_share(q) : 0;
+    bool may_answer = c.min_share < complete_share(q) && in >= least && in > 0;
     bool at_target = now_ >= q.target_at - margin() - tick_interval_;
     if (q.shortened) possible = requested;
     bool hopeless = possible < complete;
@@ -283,7 +284,7 @@
     if (may_answer &&
         (over || (at_target && partial > c.late_value) || (hopeless && in >= possible - q.slack)))
       return answer(q, false);
-    if (over || (hopeless && (c.floor >= need(q) || possible < least))) end(q, true);
+    if (over || (hopeless && (c.min_share >= complete_share(q) || possible < least))) end(q, true);
   }
 
   void answer(Query& q, bool complete) {
@@ -303,7 +304,7 @@
     for (const std::string& id : q.parts)
       if (const Part& p = parts_.at(id);
           p.first_possible_run < kInfinity || p.has_attempt_in_flight() || p.done)
-        harmless &= c.repeat == Idempotency::safe;
+        harmless &= c.idempotency == Idempotency::safe;
     bool past = sent && now_ >= q.target_at - margin() - tick_interval_;
     if (harmless && !past)
       act(RefuseQuery{
--- a/src/aggregator/decision/server_pool.hpp
+++ b/src/aggregator/decision/server_pool.hpp
@@ -27,15 +27,15 @@
   // Replaces settings out of range by the nearest valid value.
   void bound_settings() {
     if (settings_.classes.empty()) settings_.classes.emplace_back();
-    settings_.brokers = std::max(1, settings_.brokers);
+    settings_.instances = std::max(1, settings_.instances);
     settings_.cells = std::max(1, settings_.cells);
-    settings_.reach = std::clamp(settings_.reach, 1, settings_.cells);
+    settings_.cells_per_shard = std::clamp(settings_.cells_per_shard, 1, settings_.cells);
     tick_interval_ = std::max(kTickInterval, 2 * settings_.tick);
   }
 
   winchhall::membership::EndpointListTerms endpoint_list_terms() const {
     return {settings_.list_on_request || settings_.list_watched, !settings_.list_on_request,
-            settings_.brokers, settings_.max_poll_interval, settings_.drain_grace};
+            settings_.instances, settings_.max_poll_interval, settings_.drain_grace};
   }
 
   // Learned values of one class, in ms.
@@ -147,7 +147,7 @@
   // Whether the server is a replica of the shard, by the layout rule of Settings::cells.
   bool is_replica_of(const Server& s, int shard) const {
     int j = (s.cell - shard) % settings_.cells;
-    return (j + settings_.cells) % settings_.cells < settings_.reach;
+    return (j + settings_.cells) % settings_.cells < settings_.cells_per_shard;
   }
 
   bool is_warming_up(const Server& s) const {
@@ -177,36 +177,36 @@
     return completed * like.size / warm_size_;
   }
 
-  // Limit in ms of work on what this instance may send to a warming server within `fall_time`, for parts of
-  // class `c`: its fraction of the server's capacity. Parts without cost estimates tell nothing of a server's
-  // cores, so there the limit follows what warm servers complete.
+  // Limit in ms of work on what this instance may send to a warming server within `overload_time`, for parts
+  // of class `c`: its fraction of the server's capacity. Parts without cost estimates tell nothing of a
+  // server's cores, so there the limit follows what warm servers complete.
   double warm_up_allowance(const Server& s, int c) const {
-    double age = std::max(0.0, now_ - settings_.fall_time - *s.started) / settings_.warm_up_time;
+    double age = std::max(0.0, now_ - settings_.overload_time - *s.started) / settings_.warm_up_time;
     double share = settings_.warm_up_initial_share + (1 - settings_.warm_up_initial_share) * age;
-    double warm_rate = kMinServerCores / settings_.brokers;
+    double warm_rate = kMinServerCores / settings_.instances;
     if (!has_hints(c)) warm_rate = std::max(warm_rate, warm_work_rate(s));
-    return kWarmUpSafety * settings_.fall_multiple * share * warm_rate * settings_.fall_time;
+    return kWarmUpSafety * settings_.overload_multiple * share * warm_rate * settings_.overload_time;
   }
 
   // Rule: slow start. The work that this instance sends to a warming server and that may arrive there within
-  // `fall_time` stays below warm_up_allowance(). Nothing is sent for `fall_time` after this instance's own
-  // start, since what a previous process sent is unknown.
+  // `overload_time` stays below warm_up_allowance(). Nothing is sent for `overload_time` after this
+  // instance's own start, since what a previous process sent is unknown.
   bool warm_up_allows(Server& s, int c, double hint) {
-    if (!is_warming_up(s) || settings_.fall_multiple <= 0) return true;
-    if (now_ - started_at_ < settings_.fall_time && *s.started < started_at_) return false;
+    if (!is_warming_up(s) || settings_.overload_multiple <= 0) return true;
+    if (now_ - started_at_ < settings_.overload_time && *s.started < started_at_) return false;
     double work = warm_up_work(c, hint);
     double allowance = warm_up_allowance(s, c);
-    double sent = s.warm_up_window.work_since(now_ - settings_.fall_time);
+    double sent = s.warm_up_window.work_since(now_ - settings_.overload_time);
     if (sent + work <= allowance) return true;
     // If the fraction is smaller than one part, it is kept in expectation only, as otherwise no instance
-    // would send before the server is warm: a random draw in each `fall_time` interval may admit one part.
-    // Unused intervals raise the probability, up to kMaxUnusedLotIntervals.
+    // would send before the server is warm: a random draw in each `overload_time` interval may admit one
+    // part. Unused intervals raise the probability, up to kMaxUnusedLotIntervals.
     if (!s.warm_up_window.empty()) return false;
-    if (now_ - s.lot_drawn_at >= settings_.fall_time) {
+    if (now_ - s.lot_drawn_at >= settings_.overload_time) {
       Millis saved = now_ - std::max({s.lot_drawn_at, *s.started, started_at_});
       s.lot_drawn_at = now_;
       s.lot = std::uniform_real_distribution<>(0, 1)(random_) /
-              std::clamp(saved / settings_.fall_time, 1.0, kMaxUnusedLotIntervals);
+              std::clamp(saved / settings_.overload_time, 1.0, kMaxUnusedLotIntervals);
     }
     return s.lot * work < kWarmUpLotShare * allowance;
   }
--- a/src/aggregator/dynamic_config/file_config_source.cpp
+++ b/src/aggregator/dynamic_config/file_config_source.cpp
@@ -251,7 +251,7 @@
 // them.
 void FileConfigSource::publish_members() {
   event_loop::Millis now = loop_.now();
-  router_.list(ListKind::complete, generation_manager_.members(now));
+  router_.update_endpoints(ListKind::complete, generation_manager_.members(now));
   if (generation_manager_.number() != std::exchange(last_number_, generation_manager_.number()))
     if (auto map = generation_manager_.map()) router_.update_ranges(std::move(*map));
   loop_.cancel(removal_timer_);
@@ -265,7 +265,7 @@
 void FileConfigSource::watch(bool on) {
   // Each call is answered by at least one list; before the first generation that is an empty change.
   if (on && generation_manager_.current()) publish_members();
-  if (on && !generation_manager_.current()) router_.list(ListKind::changes, {});
+  if (on && !generation_manager_.current()) router_.update_endpoints(ListKind::changes, {});
 }
 
 void FileConfigSource::fetch() { watch(true); }
--- a/src/aggregator/flight/flight_pool_connection.cpp
+++ b/src/aggregator/flight/flight_pool_connection.cpp
@@ -12,8 +12,8 @@
 
 using coordination::AttemptNumber;
 using coordination::AttemptRequest;
+using coordination::AttemptResult;
 using coordination::Outcome;
-using coordination::Result;
 
 namespace {
 
@@ -80,8 +80,8 @@
 }
 
 // A status of rejection counts only without data: then the part was not executed.
-Result PartResponse::take_result() {
-  Result result;
+AttemptResult PartResponse::take_result() {
+  AttemptResult result;
   result.outcome = Outcome::error;
   if (const std::string* load = find_header(headers_, "node-load")) result.load = http::read_load(*load);
   const bool has_data = received_ > 0;
@@ -234,7 +234,7 @@
   pool_.remove(*this);
 }
 
-void FlightPool::Connection::finish(Calls::iterator call, Result result) {
+void FlightPool::Connection::finish(Calls::iterator call, AttemptResult result) {
   const AttemptNumber attempt = call->second.attempt;
   calls_.erase(call);
   pool_.connection_of_.erase(attempt);
--- a/src/aggregator/flight/flight_pool_connection.hpp
+++ b/src/aggregator/flight/flight_pool_connection.hpp
@@ -21,7 +21,7 @@
   // False once the bytes are no answer to a part: malformed, in the wrong order, or too many.
   bool add_data(std::string_view bytes);
   // The result after the stream's end, by its status and rows. Moves the rows out.
-  coordination::Result take_result();
+  coordination::AttemptResult take_result();
 
  private:
   bool add_message(const std::string& message);
@@ -78,7 +78,7 @@
 
   Calls::iterator find_call(coordination::AttemptNumber attempt);
   Headers request_headers(const coordination::AttemptRequest& request) const;
-  void finish(Calls::iterator call, coordination::Result result);
+  void finish(Calls::iterator call, coordination::AttemptResult result);
 
   const std::string server_, endpoint_;
   FlightPool& pool_;
--- a/src/aggregator/flight/flight_server_connection.cpp
+++ b/src/aggregator/flight/flight_server_connection.cpp
@@ -193,7 +193,7 @@
 bool FlightServer::Connection::assign_query_id(StreamId stream, Call& call) {
   const std::string* stated = find_header(call.headers, "x-request-id");
   std::string id = stated ? *stated : server_.next_query_id();
-  if (!coordination::fit_name(id)) {
+  if (!coordination::is_valid_query_id(id)) {
     reject(stream, call, {Status::invalid_argument, "x-request-id"});
     return false;
   }
@@ -219,7 +219,7 @@
   if (!read_call_timeout(stream, call, timeout) || !assign_query_id(stream, call)) return;
   query.id = call.query_id;
   call.layout = layout_of(query);
-  query.give_up_at = call.deadline = coordination::due(call.arrived_at, timeout);
+  query.give_up_at = call.deadline = coordination::answer_deadline(call.arrived_at, timeout);
   call.query =
       server_.router_.submit(std::move(query), [this, stream](const coordination::QueryResult& result) {
         if (auto it = calls_.find(stream); it != calls_.end()) answer(stream, it->second, result);
--- a/src/aggregator/flight/query_command.cpp
+++ b/src/aggregator/flight/query_command.cpp
@@ -30,7 +30,7 @@
   if (command.text().size() > kMaxTextBytes)
     return CallError{Status::invalid_argument, "the text is too long"};
   query.tenant = coordination::index_by_name(rules.settings.tenants, command.tenant());
-  query.repeat = command.repeat();
+  query.is_retry = command.repeat();
   if (command.has_key()) query.key = command.key();
   query.text = command.text();
   for (const auto& part : command.parts()) query.parts.push_back(to_query_part(part));
@@ -39,7 +39,7 @@
   if (!query.spans.empty() && !rules.allows_spans)
     return CallError{Status::invalid_argument,
                      "no directory of ranges is followed here, a query names parts"};
-  const std::string fault = coordination::unsound(query, rules.shard_count);
+  const std::string fault = coordination::validation_error(query, rules.shard_count);
   if (!fault.empty()) return CallError{Status::invalid_argument, fault};
   return query;
 }
--- a/src/aggregator/hot_restart/process_registry.cpp
+++ b/src/aggregator/hot_restart/process_registry.cpp
@@ -67,7 +67,7 @@
 
 winchhall::Settings share_of(winchhall::Settings s, int processes) {
   processes = std::max(1, processes);
-  s.brokers = std::max(1, s.brokers) * processes;
+  s.instances = std::max(1, s.instances) * processes;
   s.budget_free /= processes;  // budget_share is relative to each process's own requests
   return s;
 }
--- a/src/aggregator/http/leaf_connection.cpp
+++ b/src/aggregator/http/leaf_connection.cpp
@@ -229,7 +229,7 @@
   if (attempt == 0) return true;
   live_.erase(attempt);
   pool_.where_.erase(attempt);
-  coordination::Result r;
+  coordination::AttemptResult r;
   r.outcome = answer.end == 200        ? Outcome::ok
               : answer.end == 503      ? Outcome::full
               : answer.end == kNotMine ? Outcome::not_mine
--- a/src/aggregator/http/request.cpp
+++ b/src/aggregator/http/request.cpp
@@ -100,7 +100,7 @@
                           names_of(names.settings.classes));
   if (m.method != "POST") return wrong(405, "method " + m.method.substr(0, kShown) + ", wanted is POST");
   const std::string* id = m.header("x-request-id");
-  if (!id || !coordination::fit_name(*id))
+  if (!id || !coordination::is_valid_query_id(*id))
     return wrong(400, "X-Request-ID: wanted are 1 to 128 signs, none of them a space");
   q.id = *id;
   if (const std::string* tenant = m.header("x-tenant-id"))
@@ -113,9 +113,9 @@
     timeout = *read;
   }
   // The client counts from its sending: what the way took and takes is not ours to use.
-  q.give_up_at = coordination::due(arrived, timeout);
+  q.give_up_at = coordination::answer_deadline(arrived, timeout);
   const std::string* retried = m.header("x-retried");
-  q.repeat = retried && *retried == "1";
+  q.is_retry = retried && *retried == "1";
   while (!query.empty()) {
     query.remove_prefix(1);
     std::string_view item = query.substr(0, query.find('&'));
@@ -123,7 +123,8 @@
     query.remove_prefix(item.size());
   }
   if (std::string what = read_body(m.body, names.spans, q); !what.empty()) return wrong(400, what);
-  if (std::string what = coordination::unsound(q, names.shards); !what.empty()) return wrong(400, what);
+  if (std::string what = coordination::validation_error(q, names.shards); !what.empty())
+    return wrong(400, what);
   return d;
 }
 
--- a/src/aggregator/membership/discovery.cpp
+++ b/src/aggregator/membership/discovery.cpp
@@ -163,7 +163,7 @@
   stop(slot);
   if (why.empty()) return;
   spdlog::warn("discovery call failed: {}, after {:.0f} ms", why, lasted);
-  router_.list(Kind::failed, {}, end);
+  router_.update_endpoints(Kind::failed, {}, end);
 }
 
 void Discovery::on_update(Call& call, const std::string& text) {
@@ -177,7 +177,8 @@
                  list.complete ? "servers, whole list" : "changes");
   }
   call.answered_ = true;
-  router_.list(list.complete ? Kind::complete : Kind::changes, list.members, CallEnd::failed, list.revision);
+  router_.update_endpoints(list.complete ? Kind::complete : Kind::changes, list.members, CallEnd::failed,
+                           list.revision);
 }
 
 }  // namespace winchhall::http
--- a/tests/aggregator/app/operations_test.cpp
+++ b/tests/aggregator/app/operations_test.cpp
@@ -88,14 +88,15 @@
 
 ClassSettings of(const std::string& name, double latency_target = 1000,
                  Idempotency repeat = Idempotency::safe) {
-  return {.name = name, .repeat = repeat, .latency_target = latency_target, .deadline = 2 * latency_target};
+  return {
+      .name = name, .idempotency = repeat, .latency_target = latency_target, .deadline = 2 * latency_target};
 }
 
 }  // namespace
 
 TEST_CASE(
     "a class that changes while queries of it are open gets an index of its own, and they keep theirs") {
-  coordination::ClassTable table({of("a"), of("b")});
+  coordination::ClassRegistry table({of("a"), of("b")});
   table.opened(0);
   auto c = table.change({of("a", 500), of("b"), of("c")});
   REQUIRE(c.classes.size() == 4);
@@ -115,7 +116,7 @@
 
 TEST_CASE("whatever settings follow each other, open queries keep their rules and the table stays bounded") {
   CHECK(rc::check([] {
-    coordination::ClassTable table({of("a"), of("b"), of("c")});
+    coordination::ClassRegistry table({of("a"), of("b"), of("c")});
     std::vector<ClassSettings> now = {of("a"), of("b"), of("c")};
     std::map<int, std::pair<ClassSettings, int>> open;  // by index: its rules and how many
     int opened = 0;
@@ -157,14 +158,14 @@
   old.classes = {of("a", 1000, Idempotency::unsafe), of("gone"), of("c")};
   old.max_attempts = 3;
   fresh.classes = {of("a", 800, Idempotency::safe), of("c"), of("new")};
-  fresh.classes[1].need = fresh.classes[1].floor = 0.5;
+  fresh.classes[1].complete_share = fresh.classes[1].min_share = 0.5;
   fresh.max_attempts = 2;
   coordination::SettingsTransition transition(old);
   const Settings& both = transition.begin(fresh, 100);
   REQUIRE(both.classes.size() == 4);
-  CHECK(both.classes[0].repeat == Idempotency::unsafe);
+  CHECK(both.classes[0].idempotency == Idempotency::unsafe);
   CHECK(both.classes[0].latency_target == 800);
-  CHECK(both.classes[1].need == 1);
+  CHECK(both.classes[1].complete_share == 1);
   CHECK(both.classes[2].name == "new");
   CHECK(both.classes[3].name == "gone");
   CHECK(both.max_attempts == 2);
@@ -184,7 +185,7 @@
   transition.begin(b, 0);
   const Settings& both = transition.begin(c, 1000);
   CHECK(both.classes.size() == 3);
-  CHECK(both.classes[0].repeat == Idempotency::unsafe);
+  CHECK(both.classes[0].idempotency == Idempotency::unsafe);
   CHECK_FALSE(transition.complete_if_due(1700));
   CHECK(*transition.complete_if_due(2600) == c);
 }
--- a/tests/aggregator/app/shutdown_integration_test.cpp
+++ b/tests/aggregator/app/shutdown_integration_test.cpp
@@ -28,7 +28,7 @@
   s.until([&] { return s.client->stream->unsent() == 0; });
   s.client->stream->close();
   s.until([&] { return s.router.open_queries() == 0; });
-  CHECK(s.router.figures()[0].withdrawn == 1);
+  CHECK(s.router.counters()[0].withdrawn == 1);
   s.until([&] { return s.leaf.given_up.size() == 1; });
 }
 
@@ -70,9 +70,9 @@
   // Their leaf's connection breaks in the same turn: each part would be sent again.
   for (auto& c : clients) c->stream->close();
   for (auto& peer : leaf.peers) peer->stream->close();
-  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_out() == 0; });
+  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_in_flight() == 0; });
   CHECK(leaf.parts.size() == 60);
-  CHECK(s.router.figures()[0].withdrawn == 60);
+  CHECK(s.router.counters()[0].withdrawn == 60);
 }
 
 TEST_CASE("a part that waits for its connection is taken back when its client leaves") {
@@ -87,11 +87,11 @@
   s.begin({member("a", door.port(), 0)});
   auto client = s.dial();
   client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.attempts_out() == 1; });
+  s.until([&] { return s.router.attempts_in_flight() == 1; });
   client->stream->close();
   s.until([&] { return s.router.open_queries() == 0; });
   s.router.run();
-  CHECK(s.router.attempts_out() == 0);
+  CHECK(s.router.attempts_in_flight() == 0);
 }
 
 TEST_CASE("a part that waits for its connection leaves a server that begins to drain") {
@@ -102,8 +102,8 @@
   s.begin({member("a", door.port(), 0)});
   auto client = s.dial();
   client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.attempts_out() == 1; });
-  s.router.list(
+  s.until([&] { return s.router.attempts_in_flight() == 1; });
+  s.router.update_endpoints(
       winchhall::ServerList::Kind::changes,
       {member("a", door.port(), 0, winchhall::ServerState::draining), member("b", other.listener.port(), 1)});
   CHECK(has(s.answer(*client), "\"exact\":true"));
@@ -139,7 +139,7 @@
 
 TEST_CASE("a request that crosses the end of its resting connection: no reset, and nothing sent on") {
   Asked s;
-  s.until([&] { return s.router.figures()[0].complete == 1; });
+  s.until([&] { return s.router.counters()[0].complete == 1; });
   for (int i = 0; i < 3; ++i) s.loop.turn(1);  // its answer is written
   s.front.close_idle();
   s.client.send(Stage::query("q2", R"({"id":2,"w":1})"));  // it has not read the end yet
@@ -155,7 +155,7 @@
 
 TEST_CASE("a client that rests and never closes is let go a while after our end") {
   Asked s;
-  s.until([&] { return s.router.figures()[0].complete == 1; });
+  s.until([&] { return s.router.counters()[0].complete == 1; });
   s.until([&] {
     s.front.close_idle();
     return s.front.connections() == 0;
@@ -166,6 +166,6 @@
 TEST_CASE("a connection that waits in the queue when listening ends is taken, and its request answered") {
   Asked s;
   s.front.stop_listening();  // before the loop has looked at the queue
-  s.until([&] { return s.router.figures()[0].complete == 1; });
+  s.until([&] { return s.router.counters()[0].complete == 1; });
   CHECK(s.client.error() == 0);
 }
--- a/tests/aggregator/coordination/request_router_integration_test.cpp
+++ b/tests/aggregator/coordination/request_router_integration_test.cpp
@@ -20,7 +20,7 @@
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
   CHECK(d.decided_at < 1800);
-  CHECK(d.router.attempts_out() == 0);
+  CHECK(d.router.attempts_in_flight() == 0);
   CHECK(d.out.empty());
 }
 
@@ -54,7 +54,7 @@
   CHECK(d.verdicts[0].share == doctest::Approx(0.75));
   CHECK(d.verdicts[0].rows.size() == 3);
   CHECK(d.abandoned >= 1);
-  CHECK(d.router.attempts_out() == 0);
+  CHECK(d.router.attempts_in_flight() == 0);
 }
 
 TEST_CASE("parts go where less load is reported") {
@@ -62,7 +62,7 @@
   d.ask(0, 5000, 2);  // a part for each of the two servers
   REQUIRE(d.out.size() == 2);
   for (const auto& [n, order] : std::map(d.out)) {
-    coordination::Result r{.values = {"v"}, .load = {.in_flight = order.server == "a" ? 40.0 : 0.5}};
+    coordination::AttemptResult r{.values = {"v"}, .load = {.in_flight = order.server == "a" ? 40.0 : 0.5}};
     d.router.attempt_ended(n, r);
     d.router.run();
   }
@@ -79,7 +79,7 @@
     Desk d(settings);
     coordination::Member heavy = testing::member("a", 1, 0);
     heavy.entry.size = 4;
-    d.router.list(winchhall::ServerList::Kind::changes, {heavy});
+    d.router.update_endpoints(winchhall::ServerList::Kind::changes, {heavy});
     for (int i = 0; i < 20; ++i) d.ask(0, 5000, 2);
     std::size_t to_heavy = 0;
     for (const auto& [n, order] : d.out) to_heavy += order.server == "a";
@@ -93,8 +93,8 @@
 TEST_CASE("the list's revision rises when its members are taken up, not before") {
   Desk d;
   const std::size_t before = d.router.members().size();
-  d.router.list(winchhall::ServerList::Kind::changes, {testing::member("c", 1, 0)},
-                winchhall::CallEnd::failed, 9);
+  d.router.update_endpoints(winchhall::ServerList::Kind::changes, {testing::member("c", 1, 0)},
+                            winchhall::CallEnd::failed, 9);
   CHECK(d.router.list_revision() == 0);
   CHECK(d.router.members().size() == before);
   d.router.run();
@@ -121,7 +121,7 @@
   d.router.withdraw(d.last);
   d.router.run();
   CHECK(d.out.empty());
-  CHECK(d.router.attempts_out() == 0);
+  CHECK(d.router.attempts_in_flight() == 0);
   CHECK(d.router.open_queries() == 0);
   d.pass(3000);
   CHECK(d.verdicts.empty());
@@ -134,8 +134,8 @@
     // Each round all servers are new; the old ones are gone for longer than anything is owed on their
     // account.
     std::string a = "a" + std::to_string(round), b = "b" + std::to_string(round);
-    d.router.list(winchhall::ServerList::Kind::complete,
-                  {testing::member(a, 1, 0), testing::member(b, 2, 1)});
+    d.router.update_endpoints(winchhall::ServerList::Kind::complete,
+                              {testing::member(a, 1, 0), testing::member(b, 2, 1)});
     for (int i = 0; i < 10; ++i) {
       d.ask(0, 2000, 2);
       for (const auto& [n, order] : std::map(d.out)) d.end(n, Outcome::ok);
--- a/tests/aggregator/decision/coordinator_choice_test.cpp
+++ b/tests/aggregator/decision/coordinator_choice_test.cpp
@@ -86,7 +86,7 @@
 TEST(Choice, OnlyHoldersOfTheShard) {
   Settings s = plain_settings();
   s.cells = 4;
-  s.reach = 2;
+  s.cells_per_shard = 2;
   Driver d(s);
   ServerList list;
   for (int cell = 0; cell < 4; ++cell) {
@@ -178,7 +178,7 @@
 
 TEST(Answer, AnySoManyPartsSufficeAndSparesStandIn) {
   Settings s = plain_settings();
-  s.classes[0].need = s.classes[0].floor = 0.5;
+  s.classes[0].complete_share = s.classes[0].min_share = 0.5;
   Driver d(s);
   d.servers({"a", "b"});
   d.query("q", {10, 10, 10, 10});
@@ -195,7 +195,7 @@
 
 TEST(Answer, PartialNearTheAimNeverUnderTheFloorNorMarkedWhole) {
   Settings s = plain_settings();
-  s.classes[0].floor = 0.5;
+  s.classes[0].min_share = 0.5;
   s.classes[0].partial_value = 0.9;
   for (int in = 0; in < 4; ++in) {
     Driver d(s);
--- a/tests/aggregator/decision/coordinator_health_test.cpp
+++ b/tests/aggregator/decision/coordinator_health_test.cpp
@@ -264,7 +264,7 @@
 TEST(Overload, UnderPressureThePartsThatWeighLeastForTheirWorkAreLeftOut) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
-  s.classes[1].floor = 0.6;
+  s.classes[1].min_share = 0.6;
   s.classes[1].partial_value = 0.9;
   Driver d(s);
   d.servers({"a"});
--- a/tests/aggregator/decision/coordinator_rules_test.cpp
+++ b/tests/aggregator/decision/coordinator_rules_test.cpp
@@ -11,7 +11,7 @@
 TEST(Rules, AnUnsafePartThatMayHaveRunIsNotRepeatedNorRefused) {
   for (Outcome outcome : {Outcome::error, Outcome::reset, Outcome::timeout, Outcome::cancelled}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = Idempotency::unsafe;
+    s.classes[0].idempotency = Idempotency::unsafe;
     Driver d(s);
     d.servers({"a", "b"});
     d.query("q", {10});
@@ -25,7 +25,7 @@
 TEST(Rules, AnUnsafePartProvenNotRunIsRepeated) {
   for (Outcome outcome : {Outcome::full, Outcome::connect_failed, Outcome::unsent}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = Idempotency::unsafe;
+    s.classes[0].idempotency = Idempotency::unsafe;
     Driver d(s);
     d.servers({"a", "b"});
     d.query("q", {10});
@@ -39,7 +39,7 @@
 TEST(Rules, AKeyedPartIsRepeatedOnlyWithinItsWindow) {
   for (Millis after : {100.0, 300.0}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = Idempotency::keyed;
+    s.classes[0].idempotency = Idempotency::keyed;
     s.classes[0].idempotency_window = 200;
     s.may_cancel = false;
     Driver d(s);
@@ -83,7 +83,7 @@
 
 TEST(Rules, AColdServerGetsItsFractionOfTheAllowanceInAnyWindow) {
   Settings s = plain_settings();
-  s.brokers = 2;
+  s.instances = 2;
   Driver d(s);
   d.servers({"a"});
   d.now = 5000;
--- a/tests/aggregator/decision/coordinator_sparse_test.cpp
+++ b/tests/aggregator/decision/coordinator_sparse_test.cpp
@@ -47,10 +47,10 @@
 TEST(Sparse, AShareOfTheColdAllowanceBelowOnePartIsKeptInExpectation) {
   // 50 brokers against one cold server: together they send about the share, and none sends two in a span.
   Settings s = plain_settings();
-  s.brokers = 50;
+  s.instances = 50;
   double sent = 0;
   int most = 0;
-  for (int broker = 0; broker < s.brokers; ++broker) {
+  for (int broker = 0; broker < s.instances; ++broker) {
     Driver d(s, 1000 + static_cast<std::uint64_t>(broker));
     d.now = 2000;  // past the broker's own first span
     ServerEntry cold = Driver::entry("cold");
@@ -75,11 +75,11 @@
   // 100 brokers lose their watch in one moment, and every call for a new one fails after 2 s in the queue.
   // The service is never asked by more than half of them in a second, and within 12 s each has asked again.
   Settings s = plain_settings();
-  s.brokers = 100;
+  s.instances = 100;
   s.list_on_request = true;
   s.max_poll_interval = 10000;
   std::vector<int> calls(60);
-  for (int broker = 0; broker < s.brokers; ++broker) {
+  for (int broker = 0; broker < s.instances; ++broker) {
     Driver d(s, 500 + static_cast<std::uint64_t>(broker));
     d.servers({"a"});
     d.now = 1000;
--- a/tests/aggregator/decision/driver.hpp
+++ b/tests/aggregator/decision/driver.hpp
@@ -22,8 +22,8 @@
   s.may_cancel = true;
   s.warm_up_time = 10000;
   s.warm_up_initial_share = 0.25;
-  s.fall_multiple = 2;
-  s.fall_time = 1000;
+  s.overload_multiple = 2;
+  s.overload_time = 1000;
   return s;
 }
 
--- a/tests/aggregator/decision/rules_test.cpp
+++ b/tests/aggregator/decision/rules_test.cpp
@@ -247,8 +247,8 @@
     ASSERT_LT(p.attempts, set_.max_attempts);
     ASSERT_GT(s.timeout, 0);
     if (p.may_have_run) {
-      ASSERT_NE(c.repeat, Idempotency::unsafe);
-      if (c.repeat == Idempotency::keyed) {
+      ASSERT_NE(c.idempotency, Idempotency::unsafe);
+      if (c.idempotency == Idempotency::keyed) {
         ASSERT_LE(driver_.now, p.first_possible_run + c.idempotency_window);
       }
     }
@@ -267,11 +267,12 @@
                                            driver_.now - it->second < set_.warm_up_time) {
       auto& cold = cold_sent_[s.server];
       cold.push_back(driver_.now);
-      while (cold.front() < driver_.now - set_.fall_time) cold.pop_front();
+      while (cold.front() < driver_.now - set_.overload_time) cold.pop_front();
       double share = set_.warm_up_initial_share +
                      (1 - set_.warm_up_initial_share) * (driver_.now - it->second) / set_.warm_up_time;
       // Hints run from 1 to 150, so that a part counts for at least the mean less its wander: 40.
-      ASSERT_LE(40.0 * double(cold.size()), set_.fall_multiple * share * set_.fall_time / set_.brokers);
+      ASSERT_LE(40.0 * double(cold.size()),
+                set_.overload_multiple * share * set_.overload_time / set_.instances);
     }
     p.out_at = s.server;
     pending_.push_back({s.part, s.server, p.attempts++, driver_.now, s.timeout});
@@ -287,7 +288,7 @@
   void refused(const std::string& id) {
     for (auto it = parts_.lower_bound(id + "/"); it != parts_.end() && it->second.query == id; ++it)
       if (const PartSeen& p = it->second;
-          set_.classes[queries_.at(id).query_class].repeat == Idempotency::unsafe) {
+          set_.classes[queries_.at(id).query_class].idempotency == Idempotency::unsafe) {
         ASSERT_FALSE(p.may_have_run || !p.out_at.empty()) << "refused what may have run";
       }
     final_answer(id, "refuse");
@@ -300,8 +301,8 @@
     double in = 0;
     for (auto it = parts_.lower_bound(a.query + "/"); it != parts_.end() && it->second.query == a.query; ++it)
       if (const PartSeen& p = it->second; p.step_two == two && p.done) in += p.weight;
-    double need = two ? 1.0 : c.need;
-    ASSERT_GE(in + 1e-4, std::min(c.floor, need));
+    double need = two ? 1.0 : c.complete_share;
+    ASSERT_GE(in + 1e-4, std::min(c.min_share, need));
     if (a.complete) {
       ASSERT_GE(in + 1e-4, need);
       ASSERT_TRUE(q.first_step_complete);
@@ -341,25 +342,25 @@
   Settings s = plain_settings(kind == 2 ? 2 : 4);
   s.classes[0].latency_target = 400;
   s.cells = kind == 3 ? 4 : 2;
-  s.reach = kind == 3 ? 2 : 1;
+  s.cells_per_shard = kind == 3 ? 2 : 1;
   s.tick = 5;
   s.may_cancel = kind != 1;
   s.reports = true;
   s.report_fields = {ReportField::queued};
   s.drain_grace = 100;
-  s.brokers = 2;
+  s.instances = 2;
   s.warm_up_time = 3000;
   ClassSettings partial = s.classes[0];
-  partial.floor = 0.4;
+  partial.min_share = 0.4;
   partial.partial_value = 0.9;
-  partial.need = kind == 1 ? 0.7 : 1;
+  partial.complete_share = kind == 1 ? 0.7 : 1;
   s.classes.push_back(partial);
   ClassSettings unsafe = s.classes[0];
-  unsafe.repeat = Idempotency::unsafe;
+  unsafe.idempotency = Idempotency::unsafe;
   unsafe.late_value = 0.3;
   s.classes.push_back(unsafe);
   ClassSettings keyed = s.classes[0];
-  keyed.repeat = Idempotency::keyed;
+  keyed.idempotency = Idempotency::keyed;
   keyed.idempotency_window = 150;
   s.classes.push_back(keyed);
   ClassSettings stepped = partial;
--- a/tests/aggregator/decision/warm_up_test.cpp
+++ b/tests/aggregator/decision/warm_up_test.cpp
@@ -21,15 +21,15 @@
 Settings site(int brokers) {
   Settings s;
   s.classes.push_back({.name = "a", .latency_target = 3000, .deadline = 8000, .late_value = 0.3});
-  s.brokers = brokers;
+  s.instances = brokers;
   s.tick = 1;
   s.max_attempts = 3;
   s.may_cancel = true;
   s.drain_grace = 2000;
   s.warm_up_initial_share = 0.23;
   s.warm_up_time = 17000;
-  s.fall_multiple = 4;
-  s.fall_time = 1000;
+  s.overload_multiple = 4;
+  s.overload_time = 1000;
   return s;
 }
 
@@ -105,7 +105,7 @@
   // `per_second` queries over all of them, `burst` times as many for a while.
   void play(double per_second, Millis work) {
     double due = 0;
-    const int brokers = settings.brokers;
+    const int brokers = settings.instances;
     for (Millis now = 10; now < started + settings.warm_up_time + 1000; now += 10) {
       if (now == started)
         for (int i = 0; i < brokers; ++i) hand(i, now, with_cold());
@@ -139,11 +139,11 @@
     double worst = 0;
     std::size_t from = 0;
     for (std::size_t to = 0; to < cold.size() && cold[to] - started < settings.warm_up_time; ++to) {
-      while (cold[to] - cold[from] > settings.fall_time) ++from;
+      while (cold[to] - cold[from] > settings.overload_time) ++from;
       double age = (cold[from] - started) / settings.warm_up_time;
-      double n = settings.fall_multiple *
+      double n = settings.overload_multiple *
                  (settings.warm_up_initial_share + (1 - settings.warm_up_initial_share) * age) *
-                 settings.fall_time / work;
+                 settings.overload_time / work;
       worst = std::max(worst, static_cast<double>(to - from + 1) / (n + 2 * std::sqrt(n) + 2));
     }
     return worst;
@@ -231,14 +231,14 @@
       for (int i = 0; i < kBrokers; ++i) deliver(i, now, TimerFired{0});
     }
   }
-  // The most work sent to the cold server within `fall_time`, as a multiple of what it can do in that time.
+  // The most work sent to the cold server within `overload_time`, as a multiple of what it can do in that time.
   double worst_multiple() const {
     double worst = 0;
     std::size_t from = 0;
     for (std::size_t to = 0; to < sends.size(); ++to) {
-      while (sends[to] - sends[from] > settings.fall_time) ++from;
+      while (sends[to] - sends[from] > settings.overload_time) ++from;
       worst = std::max(worst, static_cast<double>(to - from + 1) * kPartWork /
-                                  (warming_capacity(sends[to]) * settings.fall_time));
+                                  (warming_capacity(sends[to]) * settings.overload_time));
     }
     return worst;
   }
@@ -251,7 +251,7 @@
       fleet.play(UnhintedFleet::kRestartedAt + 200, UnhintedFleet::kRestartedAt + 200 + stop);
       INFO("seed " << seed << " stop " << stop << " sent " << fleet.sends.size());
       CHECK(fleet.sends.size() > 100);  // it is used while it warms up
-      CHECK(fleet.worst_multiple() <= fleet.settings.fall_multiple);
+      CHECK(fleet.worst_multiple() <= fleet.settings.overload_multiple);
     }
 }
 
@@ -281,7 +281,7 @@
     for (const Action& a : module.handle(now, query(number, now, 1)))
       sent += std::holds_alternative<SendPart>(a) ? kWork : 0;
     double share = s.warm_up_initial_share + (1 - s.warm_up_initial_share) * now / s.warm_up_time;
-    REQUIRE(sent <= s.fall_multiple * share * s.fall_time);
+    REQUIRE(sent <= s.overload_multiple * share * s.overload_time);
   }
   CHECK(sent > 0);
 }
@@ -331,7 +331,7 @@
   other.max_attempts = 1;
   other.classes[0].name.clear();  // of open queries only
   other.classes.push_back(
-      {.name = "a", .repeat = Idempotency::unsafe, .latency_target = 3000, .deadline = 8000});
+      {.name = "a", .idempotency = Idempotency::unsafe, .latency_target = 3000, .deadline = 8000});
   module.handle(20, SettingsChanged{other, {0, 0}});
   auto ended = [&](const std::string& part, int attempt, Millis now) {
     return module.handle(now, AttemptEnded{part, attempt, "a", Outcome::full, 5, false, {}});
--- a/tests/aggregator/flight/flight_integration_test.cpp
+++ b/tests/aggregator/flight/flight_integration_test.cpp
@@ -61,7 +61,7 @@
     CHECK(FlightFixture::read(got) == std::vector<ArrowRow>{{1, "v1"}, {2, "v2"}, {3, "v3"}, {4, "v4"}});
   }
   CHECK(!broken.asked.empty());
-  s.until([&] { return s.router.attempts_out() == 0; });
+  s.until([&] { return s.router.attempts_in_flight() == 0; });
 }
 
 TEST_CASE("when a client cancels, its parts are cancelled at the nodes and nothing is kept") {
@@ -75,7 +75,7 @@
   };
   s.begin({member("a", node.listener.port(), 0)});
   std::int32_t id = s.get(FlightFixture::command({1, 2}));
-  s.until([&] { return node.asked.size() == 2 && s.router.attempts_out() == 1; });
+  s.until([&] { return node.asked.size() == 2 && s.router.attempts_in_flight() == 1; });
   if (drops) {
     s.client.close();
   } else {
@@ -83,8 +83,9 @@
     s.client.send_pending();
   }
   s.until([&] { return node.cancelled == 1; });
-  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_out() == 0 && !s.front.busy(); });
-  CHECK(s.router.figures()[0].withdrawn == 1);
+  s.until(
+      [&] { return s.router.open_queries() == 0 && s.router.attempts_in_flight() == 0 && !s.front.busy(); });
+  CHECK(s.router.counters()[0].withdrawn == 1);
   if (drops) CHECK(s.front.connections() == 0);
 }
 
@@ -131,7 +132,7 @@
   std::size_t size = 0;
   s.until([&] { return std::exchange(size, bytes.size()) == bytes.size(); });
   raw.stream->write(bytes);
-  s.until([&] { return s.router.figures()[0].complete == 1; });
+  s.until([&] { return s.router.counters()[0].complete == 1; });
   CHECK(s.front.busy());
   s.until([&] { return !s.front.busy(); });
 }
@@ -150,8 +151,8 @@
     CHECK(got.status() == static_cast<int>(Status::deadline_exceeded));
     CHECK(got.error == NGHTTP2_NO_ERROR);
   }
-  CHECK(s.router.figures()[0].failed == 3);
-  s.until([&] { return s.router.attempts_out() == 0 && !s.front.busy(); });
+  CHECK(s.router.counters()[0].failed == 3);
+  s.until([&] { return s.router.attempts_in_flight() == 0 && !s.front.busy(); });
 }
 
 TEST_CASE("every call ends with the status of its outcome") {
@@ -175,7 +176,7 @@
   SUBCASE("out of time") {
     // The deadline is the grpc-timeout of the call: a silent node does not hold the answer back.
     CHECK(s.finish(hold("1S")).status() == static_cast<int>(Status::deadline_exceeded));
-    CHECK(s.router.figures()[0].failed == 1);
+    CHECK(s.router.counters()[0].failed == 1);
     s.until([&] { return node.cancelled == 2; });
   }
   SUBCASE("bad input") {
@@ -310,8 +311,8 @@
   FlightFixture s;
   StubNode a(s.loop), b(s.loop);
   s.begin({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
-  s.router.list(winchhall::ServerList::Kind::changes,
-                {member("a", a.listener.port(), 0, winchhall::ServerState::draining)});
+  s.router.update_endpoints(winchhall::ServerList::Kind::changes,
+                            {member("a", a.listener.port(), 0, winchhall::ServerState::draining)});
   for (int i = 0; i < 5; ++i) CHECK(s.finish(s.get(FlightFixture::command({1, 2}))).status() == 0);
   CHECK(a.asked.empty());
   b.on_part = [](const StubNode::Part&) {};
@@ -401,8 +402,8 @@
   CHECK(std::count_if(http.begin(), http.end(), [](auto& v) { return v.rfind("partial", 0) == 0; }) > 0);
   CHECK(std::count(http.begin(), http.end(), "none") > 0);
   for (std::size_t c = 0; c < 2; ++c) {
-    const coordination::QueryCounters &x = h.router.figures()[c], &y = f.router.figures()[c];
-    CHECK(x.taken == y.taken);
+    const coordination::QueryCounters &x = h.router.counters()[c], &y = f.router.counters()[c];
+    CHECK(x.received == y.received);
     CHECK(x.complete == y.complete);
     CHECK(x.partial == y.partial);
     CHECK(x.refused == y.refused);
--- a/tests/aggregator/flight/query_command_test.cpp
+++ b/tests/aggregator/flight/query_command_test.cpp
@@ -57,7 +57,7 @@
   CHECK(query.tenant == 0);
   CHECK(query.key == 7);
   CHECK(query.text == "text");
-  CHECK(query.repeat);
+  CHECK(query.is_retry);
   REQUIRE(query.parts.size() == 2);
   CHECK(query.parts[0].shard == 3);
   CHECK(query.parts[0].weight == 0.5);
--- a/tests/aggregator/hot_restart/hot_restart_test.cpp
+++ b/tests/aggregator/hot_restart/hot_restart_test.cpp
@@ -144,11 +144,11 @@
 TEST_CASE("whatever number of processes, what they may spend together is never more than one may") {
   CHECK(rc::check([] {
     winchhall::Settings s;
-    s.brokers = *rc::gen::inRange(1, 400);
+    s.instances = *rc::gen::inRange(1, 400);
     s.budget_free = *rc::gen::inRange(0, 50);
     int processes = *rc::gen::inRange(1, 4);
     winchhall::Settings each = share_of(s, processes);
-    RC_ASSERT(processes * (1.0 / each.brokers) <= 1.0 / s.brokers + 1e-12);
+    RC_ASSERT(processes * (1.0 / each.instances) <= 1.0 / s.instances + 1e-12);
     RC_ASSERT(processes * each.budget_free <= s.budget_free + 1e-9);
     RC_ASSERT(each.budget_share == s.budget_share);
   }));
--- a/tests/aggregator/http/client_integration_test.cpp
+++ b/tests/aggregator/http/client_integration_test.cpp
@@ -261,7 +261,7 @@
   s.until([&] { return leaf.parts.size() == 2; });
   client->stream->close();
   s.until([&] { return leaf.given_up.size() == 2; });
-  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_out() == 0; });
-  CHECK(s.router.figures()[0].withdrawn == 1);
+  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_in_flight() == 0; });
+  CHECK(s.router.counters()[0].withdrawn == 1);
   CHECK(s.front.connections() == 0);
 }
--- a/tests/aggregator/http/connection_integration_test.cpp
+++ b/tests/aggregator/http/connection_integration_test.cpp
@@ -20,7 +20,7 @@
   door.shut();
   auto waits = s.dial();  // the first connection is full, a second one is called and does not come up
   waits->stream->write(Stage::query("q2", R"({"id":5,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.attempts_out() == 3; });
+  s.until([&] { return s.router.attempts_in_flight() == 3; });
   for (int i = 0; i < 2; ++i) ScriptedLeaf::answer(leaf.parts[static_cast<std::size_t>(i)]);
   CHECK(has(s.answer(*client), "\"exact\":true"));
   client->stream->write(Stage::query("q3", R"({"id":6,"w":1})", "lookup", 60000));
@@ -83,7 +83,7 @@
   s.router.run();
   s.until([&] { return ended; });
   CHECK(result.kind == coordination::QueryResult::Kind::answered);
-  CHECK(s.router.figures()[0].attempts == 2);  // none was lost on the closed one
+  CHECK(s.router.counters()[0].attempts == 2);  // none was lost on the closed one
 }
 
 TEST_CASE("attempts that were never written count for none of a part's three") {
@@ -98,7 +98,7 @@
   s.begin({member("a", closed[0], 0), member("b", closed[1], 1), member("c", closed[2], 0)});
   auto client = s.dial();
   client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.figures()[0].attempts >= 3 && s.router.attempts_out() == 0; });
-  s.router.list(winchhall::ServerList::Kind::changes, {member("d", sound.listener.port(), 1)});
+  s.until([&] { return s.router.counters()[0].attempts >= 3 && s.router.attempts_in_flight() == 0; });
+  s.router.update_endpoints(winchhall::ServerList::Kind::changes, {member("d", sound.listener.port(), 1)});
   CHECK(has(s.answer(*client), "\"exact\":true"));
 }
--- a/tests/aggregator/http/leaf_integration_test.cpp
+++ b/tests/aggregator/http/leaf_integration_test.cpp
@@ -22,9 +22,9 @@
   auto client = s.dial();
   for (int i = 0; i < 6; ++i)
     CHECK(has(s.ask(*client, Stage::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
-  s.until([&] { return s.router.attempts_out() == 0; });
-  CHECK(s.router.figures()[0].complete == 6);
-  CHECK(s.router.figures()[0].attempts > 12);
+  s.until([&] { return s.router.attempts_in_flight() == 0; });
+  CHECK(s.router.counters()[0].complete == 6);
+  CHECK(s.router.counters()[0].attempts > 12);
 }
 
 TEST_CASE("each way an attempt ends is told as the protocol's table has it") {
@@ -115,7 +115,7 @@
   CHECK(has(s.answer(*client), "\"exact\":true"));
   CHECK(a.peers.size() == 2);
   a.on_part = b.on_part = [](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, 200, "-"); };
-  s.router.list(winchhall::ServerList::Kind::changes, {member("b", b.listener.port(), 1)});
+  s.router.update_endpoints(winchhall::ServerList::Kind::changes, {member("b", b.listener.port(), 1)});
   for (int i = 0; i < 20; ++i)
     s.ask(*client, Stage::query("r" + std::to_string(i), kTwoParts, "lookup", 50000));
   CHECK(a.parts.size() > 10);
@@ -160,9 +160,9 @@
   auto removed = member("a", old.listener.port(), 0, ServerState::removed);
   auto next = member("b", fresh.listener.port(), 0);
   if (named)
-    s.router.list(winchhall::ServerList::Kind::changes, {removed, next});
+    s.router.update_endpoints(winchhall::ServerList::Kind::changes, {removed, next});
   else
-    s.router.list(winchhall::ServerList::Kind::complete, {next});
+    s.router.update_endpoints(winchhall::ServerList::Kind::complete, {next});
   s.until([&] { return old.peers[0]->over; });
   CHECK(s.router.known_servers() == 1);
   CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
@@ -226,7 +226,7 @@
   auto client = s.dial();
   CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "200 OK"));
   m.entry.started = 1000.0;
-  s.router.list(winchhall::ServerList::Kind::changes, {m});
+  s.router.update_endpoints(winchhall::ServerList::Kind::changes, {m});
   s.until([&] { return leaf.peers[0]->over; });
   CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
   CHECK(leaf.peers.size() == 2);
--- a/tests/aggregator/ranges/spans_moves_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_moves_integration_test.cpp
@@ -45,7 +45,7 @@
   auto first = d.out_for({0, 100});
   d.update_ranges(after(four(), kSplitFirst));
   CHECK(d.out.size() == 1);  // nothing is sent beside it
-  CHECK(d.router.moves().on_hold == 1);
+  CHECK(d.router.range_migrations().on_hold == 1);
   d.end(first, Outcome::ok, "all of it");
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].complete);
@@ -172,13 +172,13 @@
   winchhall::Settings s = two_classes();
   s.warm_up_time = 10000;
   s.warm_up_initial_share = 0.25;
-  s.fall_multiple = 4;
-  s.fall_time = 1000;
+  s.overload_multiple = 4;
+  s.overload_time = 1000;
   Desk d(s);
   d.pass(1200);  // so long after our own start that what others sent before it is over
   coordination::Member cold = member("c", 3, 0);
   cold.entry.started = d.now;
-  d.router.list(winchhall::ServerList::Kind::changes, {cold});
+  d.router.update_endpoints(winchhall::ServerList::Kind::changes, {cold});
   d.router.run();
   std::string why;
   RangeMap map = *RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, held({"c"})}}, why);
--- a/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
@@ -27,7 +27,7 @@
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].kind == QueryResult::Kind::refused);
   CHECK(d.verdicts[0].retry_after > 0);
-  CHECK(d.router.moves().denied == 3);
+  CHECK(d.router.range_migrations().denied == 3);
 }
 
 TEST_CASE("a node behind is given a moment: the other holder is asked first, itself later") {
@@ -153,7 +153,7 @@
   CHECK(at_zero <= 3);
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
-  CHECK(d.router.moves().dropped == 0);
+  CHECK(d.router.range_migrations().dropped == 0);
 }
 
 TEST_CASE("many reshuffles under many queries: one verdict each, every account once, nothing left behind") {
@@ -187,7 +187,7 @@
   d.pass(6000);
   CHECK(d.verdicts.size() == static_cast<std::size_t>(d.asked));
   CHECK(d.router.open_queries() == 0);
-  CHECK(d.router.attempts_out() == 0);
+  CHECK(d.router.attempts_in_flight() == 0);
   std::size_t complete = 0;
   for (const QueryResult& v : d.verdicts) {
     SpanSet seen;
--- a/tests/aggregator/support/program_fixture.hpp
+++ b/tests/aggregator/support/program_fixture.hpp
@@ -28,11 +28,11 @@
                        .latency_target = 300,
                        .deadline = 8000,
                        .late_value = 0.3,
-                       .floor = 0.5,
+                       .min_share = 0.5,
                        .partial_value = 0.9});
   s.tenants.push_back({.name = "acme"});
   s.cells = 2;
-  s.reach = 2;
+  s.cells_per_shard = 2;
   s.tick = 1;
   s.max_attempts = 3;
   s.may_cancel = true;
--- a/tests/aggregator/support/router_fixture.hpp
+++ b/tests/aggregator/support/router_fixture.hpp
@@ -77,14 +77,14 @@
   }
   void deny(coordination::AttemptNumber n, ranges::NotMine words) {
     out.erase(n);
-    coordination::Result r{.outcome = coordination::Outcome::not_mine};
+    coordination::AttemptResult r{.outcome = coordination::Outcome::not_mine};
     r.denial = std::make_shared<const ranges::NotMine>(std::move(words));
     router.attempt_ended(n, r);
     router.run();
   }
   void end(coordination::AttemptNumber n, coordination::Outcome outcome, const std::string& value = "v") {
     out.erase(n);
-    coordination::Result r{.outcome = outcome};
+    coordination::AttemptResult r{.outcome = outcome};
     if (outcome == coordination::Outcome::ok) r.values = {value};
     router.attempt_ended(n, r);
     router.run();
