--- a/src/aggregator/decision/coordinator.cpp
+++ b/src/aggregator/decision/coordinator.cpp
@@ -73,14 +73,14 @@
     settings_ = e.settings;
     bound_settings();
     list_freshness_.change(endpoint_list_terms());
-    auto carry = [&](auto& statistics) {
+    auto reorder = [&](auto& statistics) {
       auto before = std::exchange(statistics, {});
       statistics.resize(settings_.classes.size());
       for (std::size_t i = 0; i < std::min(e.from.size(), statistics.size()); ++i)
         if (e.from[i] >= 0) statistics[i] = before.at(static_cast<std::size_t>(e.from[i]));
     };
-    carry(class_statistics_);
-    for (Server& s : servers_) carry(s.by_class);
+    reorder(class_statistics_);
+    for (Server& s : servers_) reorder(s.by_class);
   }
 
   // Opens the watch on the endpoint list when a request is due.
@@ -106,17 +106,17 @@
     --q.outstanding;
     bool never_ran = e.outcome == Outcome::full || e.outcome == Outcome::connect_failed ||
                      e.outcome == Outcome::unsent || e.outcome == Outcome::not_mine;
-    if (e.outcome == Outcome::not_mine) a.denied = servers_[a.server].last_answer = now_;
+    if (e.outcome == Outcome::not_mine) a.denied_at = servers_[a.server].last_answer = now_;
     if (!e.written && p.unwritten_attempts < p.max_attempts)
       ++p.unwritten_attempts, --p.inherited_attempts;  // Rule: an unsent request is no attempt
     if (!never_ran) p.first_possible_run = std::min(p.first_possible_run, a.sent);
     record_outcome(servers_[a.server], e.outcome, a, q.query_class, p.hint);
     if (q.ended) return;
     if (e.outcome == Outcome::reset && crash_estimate_.mean(now_, 1) > 0.5 && crashes_servers(q, p, a.server))
-      return end(q, true);
+      return give_up(q, true);
     if (e.outcome == Outcome::ok) {
       p.done = q.served = true;
-      q.cautious = false;
+      q.serial = false;
       if (settings_.may_cancel) cancel(p);
     } else if (!p.done && !p.has_attempt_in_flight()) {  // else a hedged attempt is still in flight
       p.dead |= e.part_closed || (e.outcome == Outcome::timeout && !consume_late_retry_token());
@@ -125,21 +125,24 @@
     finish_if_possible(q);
   }
 
-  // Query of death: limits a query that crashes each server that executes it. After kCrashSuspectCount
-  // crashes its parts are sent one at a time. It is given up, and its key rejected for kCrashSuspectTime,
-  // when another server crashes or no part has succeeded. Returns true if it must be given up.
+  // Limits the damage of a query that crashes each server that executes it (query of death). After
+  // kCrashSuspectCount crashes its parts are sent one at a time. The query is given up, and its key rejected
+  // for kCrashSuspectTime, when a part crashes a second server, when a part that was sent alone crashes its
+  // server, or when kCrashSuspectCount servers crashed and no part has succeeded. Returns true if it must be
+  // given up.
   bool crashes_servers(Query& q, Part& p, int server) {
     q.crashed_servers.insert(server);
-    bool many = q.crashed_servers.size() >= kCrashSuspectCount;
-    bool condemned = ++p.connection_resets > 1 || (q.cautious && q.outstanding == 0) || (many && !q.served);
-    q.cautious |= many;
-    if (!condemned) return false;
+    bool several = q.crashed_servers.size() >= kCrashSuspectCount;
+    bool harmful = ++p.connection_resets > 1 || (q.serial && q.outstanding == 0) || (several && !q.served);
+    q.serial |= several;
+    if (!harmful) return false;
     if (q.key) rejected_keys_[*q.key] = now_;
     class_statistics_[q.query_class].suspect_until = now_ + kCrashSuspectTime;
-    log("query fells servers, given up; last on " + servers_[server].id);
+    log("query given up, it crashes the servers that execute it; last server: " + servers_[server].id);
     return true;
   }
 
+  // The attempt of that number, or null if the part or the number is unknown.
   Attempt* find_attempt(const std::string& part, int attempt) {
     auto it = parts_.find(part);
     bool known = it != parts_.end() && attempt >= 0 && attempt < static_cast<int>(it->second.attempts.size());
@@ -151,27 +154,27 @@
     request_list_if_due();
     response_timeout_ = 0;
     for (std::size_t c = 0; c < settings_.classes.size(); ++c)
-      response_timeout_ = std::max(response_timeout_, patience(static_cast<int>(c)));
+      response_timeout_ = std::max(response_timeout_, late_after(static_cast<int>(c)));
     // Deviation: statistics of a server expire more slowly where this instance sends to it less than once a
     // second (sparse_factor_ > 1).
-    double ready = 0;
+    double ready_servers = 0;
     warm_size_ = 0;
-    std::vector<double> paces;
+    std::vector<double> response_ratios;
     for (const Server& s : servers_) {
       if (s.state != ServerState::ready) continue;
-      ++ready;
+      ++ready_servers;
       if (!is_warming_up(s)) warm_size_ += s.size;
-      if (s.pace > 0) paces.push_back(s.pace);
+      if (s.response_ratio > 0) response_ratios.push_back(s.response_ratio);
     }
-    if (!paces.empty()) {
-      auto middle = paces.begin() + paces.size() / 2;
-      std::nth_element(paces.begin(), middle, paces.end());
-      typical_pace_ = *middle;
+    if (!response_ratios.empty()) {
+      auto middle = response_ratios.begin() + response_ratios.size() / 2;
+      std::nth_element(response_ratios.begin(), middle, response_ratios.end());
+      median_response_ratio_ = *middle;
     }
-    double per_second = 1000 * attempts_ended_.weight * attempts_ended_.left(now_) / kDecayTime;
-    sparse_factor_ = std::clamp(ready / std::max(per_second, 1e-3), 1.0, kMaxSparseFactor);
+    double per_second = 1000 * attempts_ended_.weight * attempts_ended_.remaining(now_) / kDecayTime;
+    sparse_factor_ = std::clamp(ready_servers / std::max(per_second, 1e-3), 1.0, kMaxSparseFactor);
     for (auto& [number, q] : queries_) {
-      if (q.awaiting_step && now_ >= q.give_up_at - tick_interval_) end(q, true);
+      if (q.awaiting_step && now_ >= q.give_up_at - tick_interval_) give_up(q, true);
       if (q.ended || q.awaiting_step) continue;
       retry_or_hedge_overdue(q);
       finish_if_possible(q);
@@ -191,29 +194,29 @@
       if (!p->has_attempt_in_flight() || p->attempts.back().cancel_requested || p->attempts.back().started)
         continue;
       const Attempt& a = p->attempts.back();
-      bool copy = settings_.may_hedge && settings_.classes[c].idempotency == Idempotency::safe && !p->holders;
-      if (now_ - a.sent <= (copy ? hedge_after(c) : patience(c)) || start_spare_part(q)) continue;
+      bool hedge =
+          settings_.may_hedge && settings_.classes[c].idempotency == Idempotency::safe && !p->holders;
+      if (now_ - a.sent <= (hedge ? hedge_after(c) : late_after(c)) || start_spare_part(q)) continue;
       if (!settings_.may_cancel || settings_.classes[c].idempotency == Idempotency::unsafe) continue;
-      if (p->attempt_count() >= p->max_attempts || !budget_allows()) continue;
+      if (p->attempt_count() >= p->max_attempts || !retry_budget_allows()) continue;
       const Server& s = servers_[a.server];
-      if (!copy && s.last_answer >= a.sent && !s.by_class[c].is_ejected) continue;
-      if (!copy && useful_until(q) - now_ < class_statistics_[c].response.mean) continue;
-      if (late_retry_tokens_ < 1 || (copy ? !place(*p, c, 0) : choose(*p, c, 0) < 0)) continue;
+      if (!hedge && s.last_answer >= a.sent && !s.by_class[c].is_ejected) continue;
+      if (!hedge && useful_until(q) - now_ < class_statistics_[c].response.mean) continue;
+      if (late_retry_tokens_ < 1 || (hedge ? !place(*p, c, 0) : choose(*p, c, 0) < 0)) continue;
       --late_retry_tokens_;
-      copy ? send(q, *p) : cancel(*p);
+      hedge ? send(q, *p) : cancel(*p);
     }
   }
 
-  // Sends a spare part in place of a late one; a first attempt needs no retry budget. True if a spare was
-  // sent or the parts done and on time suffice without one.
+  // Sends a spare part in place of a late one; a first attempt needs no retry budget. Returns true if a spare
+  // was sent, or if none is needed because the parts that are done or on time suffice.
   bool start_spare_part(Query& q) {
-    double in = 0;
+    double weight = 0;
     for (Part* p : step_parts(q))
       if (p->done ||
-          (p->has_attempt_in_flight() && now_ - p->attempts.back().sent <= patience(q.query_class)))
-        in += p->weight;
-    if (in >= (q.shortened ? settings_.classes[q.query_class].min_share : complete_share(q)) - q.slack)
-      return true;
+          (p->has_attempt_in_flight() && now_ - p->attempts.back().sent <= late_after(q.query_class)))
+        weight += p->weight;
+    if (weight >= (q.reduced ? settings_.classes[q.query_class].min_share : needed(q)) - q.slack) return true;
     for (Part* p : step_parts(q))
       if (p->is_spare && try_part(q, *p)) return true;
     return false;
--- a/src/aggregator/decision/query_state.hpp
+++ b/src/aggregator/decision/query_state.hpp
@@ -19,7 +19,7 @@
   bool in_flight = true;                  // its AttemptEnded is outstanding
   bool cancel_requested = false;          // CancelAttempt was sent
   bool started = false;                   // its response is being streamed to the client
-  Millis denied = kNever;                 // when the server rejected it as not the owner
+  Millis denied_at = kNever;              // when the server rejected it as not the owner
   WarmUpWindow::SendId warm_up_send = 0;  // in Server::warm_up_window; 0: the server was warm
 };
 
@@ -31,7 +31,7 @@
   int max_attempts = 0;  // from the settings in force on its arrival; 0: not yet set
   double weight = 0, hint = 0;
   std::optional<std::vector<std::string>> holders;  // names of its replicas; absent: derived from shard
-  int inherited_attempts = 0;       // attempts of the parts that it replaced, less its own unwritten ones
+  int inherited_attempts = 0;       // attempts of the parts that it replaced, minus its own unwritten ones
   int unwritten_attempts = 0;       // attempts that were never written to a server
   int connection_resets = 0;        // attempts that ended by a broken connection
   bool is_spare = false;            // held in reserve: the query can complete without it
@@ -51,21 +51,21 @@
   Millis target_at = 0, give_up_at = 0;
   int step = 1;
   bool first_step_complete = true;
-  bool shortened = false;              // overload: low-value parts were left out
+  bool reduced = false;                // overload: low-value parts were left out
   bool awaiting_step = false;          // first step answered, PartsAdded outstanding
   bool served = false, ended = false;  // served: at least one part succeeded
   std::optional<std::uint64_t> key;    // idempotency key
   std::set<int> crashed_servers;       // servers that presumably crashed while they executed its parts
-  bool cautious = false;               // one part in flight at a time, until one succeeds
+  bool serial = false;                 // one part in flight at a time, until one succeeds
   int outstanding = 0;                 // attempts in flight
   double slack = kWeightSlack;         // rounding tolerance of weight sums, below the smallest part's weight
   double weight_sum[2] = {0, 0};       // of its parts, by step; below 1 by rounding at most
   std::vector<std::string> parts;
 };
 
-// Outlier detection for one server (in all, or for one class), from the outcomes of real attempts.
+// Outlier detection for one server, over all classes or for one, from the outcomes of its attempts.
 struct ServerHealth {
-  double strikes = 0;  // failures, reduced by each success
+  double failure_score = 0;  // sum of weighted failures, reduced by each success
   bool is_ejected = false;
   bool failed_immediately = false;  // errors or broken connections, as opposed to time-outs and rejections
   Millis last_answer = kNever, ejected_until = kNever, ejection_time = kBaseEjectionTime;
@@ -84,15 +84,15 @@
   std::multiset<Millis> in_flight_since{};  // when each own attempt in flight was sent
   Millis removed_at = kNever;               // when the endpoint list first lacked it
   Millis last_answer = kNever;
-  Millis proved_at = kNever;  // latest sending time of a part it served: it was not draining then
-  // A connection broke during an attempt; whether the server crashed is not known yet. kNever: none pending.
+  Millis proved_ready_at = kNever;  // latest sending time of a part it served: it was not draining then
+  // When a connection broke during an attempt, while it is unknown whether the server crashed; else kNever.
   Millis connection_broken_at = kNever;
-  double pace = 0;  // smoothed ratio of response time to estimated cost; 0: unknown
-  Millis paced_at = kNever;
+  double response_ratio = 0;  // response time over estimated cost, smoothed; 0: unknown
+  Millis response_ratio_at = kNever;
   ServerHealth health{};               // over all classes: time-outs, broken connections, full queues
   std::vector<ServerHealth> by_class;  // per class: a server may fail one class only
-  Millis lot_drawn_at = kNever;        // slow start: when `lot` was last drawn
-  double lot = 1;                      // slow start: random number that admits one part, see warm_up_allows
+  Millis admission_drawn_at = kNever;  // slow start: when `admission_draw` was drawn
+  double admission_draw = 1;           // slow start: random number; a low one admits one part
   WarmUpWindow warm_up_window{};       // slow start: sent by this instance
 };
 
--- a/src/aggregator/decision/query_table.hpp
+++ b/src/aggregator/decision/query_table.hpp
@@ -13,8 +13,8 @@
  protected:
   using ServerPool::ServerPool;
 
-  // Rule: the retry budget, over an exact sliding window. True if one more retry fits.
-  bool budget_allows() {
+  // Rule: the retry budget holds in each time window of its length. True if one more retry fits.
+  bool retry_budget_allows() {
     if (!settings_.budget) return true;
     while (!accepted_.empty() && accepted_.front().first <= now_ - settings_.budget_window) {
       accepted_in_window_ -= accepted_.front().second;
@@ -24,13 +24,15 @@
     return retries_.size() + 1 <= settings_.budget_free + settings_.budget_share * accepted_in_window_;
   }
 
+  // Counts requests for the retry budget.
   void record_accepted_requests(std::size_t requests) {
-    if (!settings_.budget) return;  // only budget_allows() removes entries
+    if (!settings_.budget) return;  // only retry_budget_allows() removes entries
     accepted_in_window_ += accepted_.emplace_back(now_, static_cast<double>(requests)).second;
   }
 
-  // Token bucket for retries of late parts, filled by first attempts: such retries add load when there is too
-  // much of it, which makes more parts late (retry storm). Rejected attempts need no token.
+  // Takes a token for the retry of a late part; false if there is none. First attempts fill the bucket.
+  // Without a limit such retries would add load during an overload, which makes more parts late (retry
+  // storm). Retries of rejected attempts need no token.
   bool consume_late_retry_token() { return late_retry_tokens_ >= 1 && late_retry_tokens_-- > 0; }
 
   // Rule: no duplicate execution beyond what the class's idempotency allows. True if an attempt may be sent
@@ -45,11 +47,12 @@
     return p.first_possible_run + c.idempotency_window - settings_.tick;
   }
 
-  // The time up to which an answer still has value to the client.
+  // Time up to which an answer still has value to the client.
   Millis useful_until(const Query& q) const {
     return settings_.classes[q.query_class].late_value > 0 ? q.give_up_at - tick_interval_
                                                            : q.target_at - margin();
   }
+  // Time in ms before a deadline that is reserved for late delivery of events.
   Millis margin() const { return 2 * settings_.tick; }
 
   // Adds an attempt at the best replica and charges its cost there; doesn't send it. False if there is no
@@ -68,7 +71,7 @@
     return true;
   }
 
-  // Ends an attempt's charge on its server.
+  // Removes an attempt's cost from its server's outstanding cost.
   void release(Attempt& a) {
     Server& s = servers_[a.server];
     a.in_flight = false;
@@ -98,9 +101,9 @@
           std::min(late_retry_tokens_ + kLateRetryShare, std::max(kMaxLateRetryTokens, max_parts_));
     Millis timeout = useful_until(q) - now_;
     if (!settings_.may_cancel && c.idempotency == Idempotency::safe)
-      timeout = std::min(timeout, patience(q.query_class));
+      timeout = std::min(timeout, late_after(q.query_class));
     ++q.outstanding;
-    Millis by = list_freshness_.sendable_until(s.proved_at);
+    Millis by = list_freshness_.sendable_until(s.proved_ready_at);
     if (p.first_possible_run < kInfinity && c.idempotency != Idempotency::safe)
       by = std::min(by, retry_until(p, c));
     act(SendPart{p.id, s.id, std::max(timeout, 1.0), by});
@@ -115,8 +118,8 @@
     if (p.dead) return false;
     if (useful_until(q) - now_ < kMinUsefulShare * class_statistics_[q.query_class].response.mean)
       return false;
-    if (q.cautious && q.outstanding > 0) return false;
-    if (p.attempt_count() > 0 && !budget_allows()) return false;
+    if (q.serial && q.outstanding > 0) return false;
+    if (p.attempt_count() > 0 && !retry_budget_allows()) return false;
     // Doesn't spend a quick retry on a server that is ejected for immediate failures.
     bool soon = !p.attempts.empty() && now_ - p.attempts.back().sent < kBaseEjectionTime;
     if (!place(p, q.query_class, soon ? 2 : 3)) return false;
@@ -137,8 +140,8 @@
         std::min(now_ + settings_.classes[q.query_class].latency_target, q.give_up_at - tick_interval_);
     q.key = e.key;
     add_parts(it->second, e.parts);
-    if (q.key && rejected_keys_.count(*q.key)) return end(q, true);
-    q.cautious = now_ < class_statistics_[q.query_class].suspect_until;
+    if (q.key && rejected_keys_.count(*q.key)) return give_up(q, true);
+    q.serial = now_ < class_statistics_[q.query_class].suspect_until;
     place_step(q);
   }
 
@@ -171,11 +174,12 @@
     p.hint = hint;
     p.holders = spec.holders;
     if (p.max_attempts == 0) p.max_attempts = std::max(1, settings_.max_attempts);
-    q.slack = std::min(q.slack, std::max(p.weight / 2, kLeastSlack));
+    q.slack = std::min(q.slack, std::max(p.weight / 2, kMinWeightSlack));
     q.weight_sum[p.step == 2] += p.weight;
     if (parts_.emplace(spec.part, std::move(p)).second) q.parts.push_back(spec.part);
   }
 
+  // The parts of the query's current step.
   std::vector<Part*> step_parts(const Query& q) {
     std::vector<Part*> list;
     for (const std::string& id : q.parts)
@@ -184,7 +188,7 @@
   }
 
   // Weight that makes the step complete; at most the sum of its parts' weights, which may round below 1.
-  double complete_share(const Query& q) const {
+  double needed(const Query& q) const {
     return std::min(q.step == 2 ? 1.0 : settings_.classes[q.query_class].complete_share,
                     q.weight_sum[q.step == 2]);
   }
@@ -202,18 +206,18 @@
              (b->has_attempt_in_flight() ? b->attempts.back().cost_ahead : kNever);
     });
     const ClassSettings& c = settings_.classes[q.query_class];
-    // Uses the pool's rate only: a server's own pace already includes the queueing at the time of its
-    // samples.
-    auto time_for = [&](const Part& p) { return p.attempts.back().cost_ahead * queue_pace(); };
-    if (c.min_share < complete_share(q) && !list.empty() && list[0]->has_attempt_in_flight() &&
+    // Uses the pool's rate only: a server's own response ratio already includes the queueing at the time of
+    // its samples.
+    auto time_for = [&](const Part& p) { return p.attempts.back().cost_ahead * queue_response_ratio(); };
+    if (c.min_share < needed(q) && !list.empty() && list[0]->has_attempt_in_flight() &&
         time_for(*list[0]) > kOverloadTimeShare * (useful_until(q) - now_))
-      placed = shorten(q, list, placed);
+      placed = reduce_to_min_share(q, list, placed);
     double slowest = 0;
     for (Part* p : list) {
       if (!p->has_attempt_in_flight()) continue;
-      if (q.cautious && p != list.back()) {
+      if (q.serial && p != list.back()) {
         undo_placement(*p);
-      } else if (placed - p->weight >= complete_share(q) - q.slack) {
+      } else if (placed - p->weight >= needed(q) - q.slack) {
         placed -= p->weight;
         undo_placement(*p, true);
       } else {
@@ -224,7 +228,7 @@
     if (q.step == 1 && q.outstanding == 0 && too_late(q, slowest)) {
       for (Part* p : list)
         if (p->has_attempt_in_flight()) undo_placement(*p);
-      return end(q, false);
+      return give_up(q, false);
     }
     for (Part* p : list)
       if (p->has_attempt_in_flight()) send(q, *p);
@@ -232,12 +236,12 @@
   }
 
   // Deviation, where a partial answer is allowed and queueing takes most of the remaining time: turns the
-  // parts with the lowest weight per cost into spares, down to the class's floor. Returns the weight still
-  // placed.
-  double shorten(Query& q, std::vector<Part*> list, double placed) {
+  // parts with the lowest weight per cost into spares, down to the class's minimum share. Returns the weight
+  // still placed.
+  double reduce_to_min_share(Query& q, std::vector<Part*> list, double placed) {
     std::sort(list.begin(), list.end(),
               [](Part* a, Part* b) { return a->weight * b->hint < b->weight * a->hint; });
-    q.shortened = true;
+    q.reduced = true;
     for (Part* p : list)
       if (p->has_attempt_in_flight() && placed - p->weight >= settings_.classes[q.query_class].min_share) {
         placed -= p->weight;
@@ -250,43 +254,44 @@
   // a query that ends late takes capacity from those that could be served.
   bool too_late(const Query& q, double time) const {
     double devs = std::clamp((unserved_.mean(now_, 0) - kLowUnservedShare) / kLowUnservedShare, 0.0, 1.0);
-    return time * std::exp(devs * spread_dev_.mean(now_, 0)) > useful_until(q) - now_;
+    return time * std::exp(devs * log_queue_ratio_dev_.mean(now_, 0)) > useful_until(q) - now_;
   }
 
   // Recent response time per ms of cost ahead; initially that of a server with kMinServerCores.
-  double queue_pace() const { return std::exp(spread_.mean(now_, 0)) / kMinServerCores; }
+  double queue_response_ratio() const { return std::exp(log_queue_ratio_.mean(now_, 0)) / kMinServerCores; }
 
   // Answers or fails the query as soon as the parts received, and those still possible, decide it.
   void finish_if_possible(Query& q) {
     if (q.ended || q.awaiting_step) return;
     const ClassSettings& c = settings_.classes[q.query_class];
-    double in = 0, possible = 0, requested = 0;
+    double received = 0, possible = 0, requested = 0;
     std::vector<Part*> list = step_parts(q);
     for (Part* p : list) {
-      if (p->done) in += p->weight;
+      if (p->done) received += p->weight;
       if (!p->has_attempt_in_flight() && !p->done && !retry_allowed(*p, c)) p->dead = true;
       if (!p->dead) possible += p->weight;
       if (!p->dead && !p->is_spare) requested += p->weight;
     }
-    double complete = complete_share(q) - q.slack, least = std::min(c.min_share, complete_share(q)) - q.slack;
-    if (list.empty() && q.step == 1) return end(q, false);
-    if (in >= complete) return answer(q, q.first_step_complete);
-    double goal = q.shortened ? least : complete;
+    double complete = needed(q) - q.slack, least = std::min(c.min_share, needed(q)) - q.slack;
+    if (list.empty() && q.step == 1) return give_up(q, false);
+    if (received >= complete) return answer(q, q.first_step_complete);
+    double goal = q.reduced ? least : complete;
     for (Part* p : list)  // spares replace dead parts
       if (requested < goal && p->is_spare && !p->dead && try_part(q, *p)) requested += p->weight;
     // Deviation: near its deadline a partial answer, marked as such, is preferred to waiting on.
-    double partial = c.min_share < c.complete_share ? c.partial_value * in / complete_share(q) : 0;
-    bool may_answer = c.min_share < complete_share(q) && in >= least && in > 0;
+    double partial = c.min_share < c.complete_share ? c.partial_value * received / needed(q) : 0;
+    bool may_answer = c.min_share < needed(q) && received >= least && received > 0;
     bool at_target = now_ >= q.target_at - margin() - tick_interval_;
-    if (q.shortened) possible = requested;
-    bool hopeless = possible < complete;
-    bool over = now_ >= useful_until(q) - tick_interval_;
-    if (may_answer &&
-        (over || (at_target && partial > c.late_value) || (hopeless && in >= possible - q.slack)))
+    if (q.reduced) possible = requested;
+    bool cannot_complete = possible < complete;
+    bool overdue = now_ >= useful_until(q) - tick_interval_;
+    if (may_answer && (overdue || (at_target && partial > c.late_value) ||
+                       (cannot_complete && received >= possible - q.slack)))
       return answer(q, false);
-    if (over || (hopeless && (c.min_share >= complete_share(q) || possible < least))) end(q, true);
+    if (overdue || (cannot_complete && (c.min_share >= needed(q) || possible < least))) give_up(q, true);
   }
 
+  // Answers with the parts received. The query stays open if its second step is still to come.
   void answer(Query& q, bool complete) {
     act(AnswerQuery{q.id, complete});
     unserved_.add(0, now_);
@@ -295,18 +300,18 @@
     if (!q.awaiting_step) close(q);
   }
 
-  // Gives a query up: rejected if the client's retry is safe and can still be in time, else failed. `sent` is
-  // false for a query that is shed on arrival: it is rejected even if it is past its target.
-  void end(Query& q, bool sent) {
+  // Gives a query up: it is rejected if the client's retry is safe and can still be in time, else failed.
+  // `was_sent` is false for a query that is shed on arrival: it is rejected even if it is past its target.
+  void give_up(Query& q, bool was_sent) {
     const ClassSettings& c = settings_.classes[q.query_class];
-    bool harmless = q.step == 1;
+    bool retry_is_safe = q.step == 1;
     unserved_.add(1, now_);
     for (const std::string& id : q.parts)
       if (const Part& p = parts_.at(id);
           p.first_possible_run < kInfinity || p.has_attempt_in_flight() || p.done)
-        harmless &= c.idempotency == Idempotency::safe;
-    bool past = sent && now_ >= q.target_at - margin() - tick_interval_;
-    if (harmless && !past)
+        retry_is_safe &= c.idempotency == Idempotency::safe;
+    bool past = was_sent && now_ >= q.target_at - margin() - tick_interval_;
+    if (retry_is_safe && !past)
       act(RefuseQuery{
           q.id, settings_.honors_retry_after ? std::min(settings_.max_retry_after, c.latency_target) : 0});
     else
@@ -314,7 +319,8 @@
     close(q);
   }
 
-  // Rule: one final action, nothing sent after it. Attempts in flight are cancelled and their ends awaited.
+  // Closes a query after its final action. Rule: nothing is sent from then on; attempts in flight are
+  // cancelled, and the query is kept until they have ended.
   void close(Query& q) {
     q.ended = true;
     q.awaiting_step = false;
@@ -322,6 +328,7 @@
     for (const std::string& id : q.parts) cancel(parts_.at(id));
   }
 
+  // Cancels the attempts of a part that are in flight and whose response isn't being streamed yet.
   void cancel(Part& p) {
     for (Attempt& a : p.attempts)
       if (a.in_flight && !a.started && !std::exchange(a.cancel_requested, true))
@@ -346,7 +353,7 @@
 
   double late_retry_tokens_ = kMaxLateRetryTokens;
   double max_parts_ = 0;          // largest number of parts of a query so far
-  Recent unserved_;               // recent share of queries without an answer
+  DecayingMean unserved_;         // recent share of queries without an answer
   std::map<int, Query> queries_;  // by number, in order of arrival
   std::map<std::string, int> query_numbers_;
   std::map<std::string, Part> parts_;
--- a/src/aggregator/decision/tuning.hpp
+++ b/src/aggregator/decision/tuning.hpp
@@ -1,4 +1,4 @@
-// Tuning constants of the decision module, each with its unit.
+// Tuning constants of the decision module, each with its unit and reason.
 #pragma once
 
 #include "winchhall/estimate.hpp"
@@ -7,46 +7,74 @@
 
 // ---- Estimates
 
-constexpr double kHintClamp = 8;       // x class mean: a cost estimate further off is clamped as an error
-constexpr int kMinSamples = 12;        // samples before a learned value replaces its default
-constexpr double kLateDeviations = 4;  // deviations above the mean response time: later is late
-constexpr double kPatienceShareOfTarget = 0.5;  // of the latency target: limit of the patience
-constexpr double kMaxSparseFactor = 8;     // x: how much longer statistics of rarely used servers are kept
-constexpr double kMaxReportedLoad = 1000;  // queue items: a load report above this is ignored as invalid
-constexpr double kPaceOutlierRatio = 1.5;  // x the peers' median: from here on a server's pace is different
-constexpr double kMaxPace = 16;  // x: upper limit of the pace factor, so that a recovered server is tried
-constexpr Millis kPaceDecayTime = 5000;  // ms: time constant with which an old pace decays to the peers'
-constexpr double kMedianStep = 1.05;     // x per sample: step with which the median response is followed
+// Factor around the class's mean. A cost estimate further off is treated as an error and clamped.
+constexpr double kHintClamp = 8;
+// Number of samples after which a learned value replaces its default.
+constexpr int kMinSamples = 12;
+// Deviations above the mean response time. An attempt that takes longer is late.
+constexpr double kLateDeviations = 4;
+// Fraction of the latency target. An attempt counts as late at this time at the latest, so that one more
+// attempt fits into the target.
+constexpr double kLateShareOfTarget = 0.5;
+// Upper limit of the factor by which statistics of rarely used servers are kept longer.
+constexpr double kMaxSparseFactor = 8;
+// Queue items. A load report above this is ignored as invalid.
+constexpr double kMaxReportedLoad = 1000;
+// Multiple of the median server's response ratio. From here on a server counts as slower than its peers.
+constexpr double kSlowdownThreshold = 1.5;
+// Upper limit of the slowdown factor, so that a server that has recovered is tried again.
+constexpr double kMaxSlowdown = 16;
+// Time constant in ms with which a slowdown without new samples decays to that of the peers.
+constexpr Millis kSlowdownDecayTime = 5000;
+// Factor per sample by which the estimated median response time follows the samples.
+constexpr double kMedianStep = 1.05;
 
 // ---- Outlier detection
 
-// Strikes that eject a server: two failures in a row, or a majority of many ...
-constexpr double kEjectionStrikes = 1.6;
-constexpr double kStrikeDecay = 0.5;           // ... as each success leaves this fraction of the strikes.
-constexpr Millis kBaseEjectionTime = 500;      // ms of the first ejection; doubles with each relapse
-constexpr Millis kMaxEjectionTime = 4000;      // ms of an ejection at most
-constexpr Millis kMinRestartTime = 1500;       // ms: a crashed process doesn't answer again sooner
-constexpr std::size_t kCrashSuspectCount = 2;  // servers crashed by one query before it is sent part by part
-constexpr Millis kCrashSuspectTime = 60000;    // ms of caution after a query that crashed servers
+// Failure score that ejects a server. With kFailureScoreDecay this means two failures in a row, or failures
+// in the majority of many attempts.
+constexpr double kEjectionScore = 1.6;
+// Fraction of the failure score that is left after a success.
+constexpr double kFailureScoreDecay = 0.5;
+// Duration of the first ejection, in ms: a few service times. It doubles with each relapse.
+constexpr Millis kBaseEjectionTime = 500;
+// Maximum duration of an ejection, in ms: a server that has recovered is used again within this time.
+constexpr Millis kMaxEjectionTime = 4000;
+// Minimum time in ms for which a crashed process gives no answer.
+constexpr Millis kMinRestartTime = 1500;
+// Number of servers that one query must have crashed before its parts are sent one at a time.
+constexpr std::size_t kCrashSuspectCount = 2;
+// Time in ms for which a class is sent with caution after one of its queries crashed servers: the client of
+// that query is likely to retry it.
+constexpr Millis kCrashSuspectTime = 60000;
 
 // ---- Slow start
 
 // Fraction of the allowance that is used: reserve for other instances' sends and for random variation.
 constexpr double kWarmUpSafety = 0.8;
-constexpr double kWarmUpLotShare = 0.75;      // of that, for random admission: the sum over instances varies
-constexpr double kMaxUnusedLotIntervals = 4;  // unused intervals that count: they may be spent in one burst
-constexpr double kMinServerCores = 1;         // ms of work per ms: minimum rate of a warm server
-// ms of work: assumed for a part without a cost estimate until response times of its class are known.
+// Fraction of the used allowance that random admission may spend. It is below 1 because the sum over all
+// instances varies.
+constexpr double kWarmUpAdmissionShare = 0.75;
+// Maximum number of unused intervals that raise the admission probability. It is limited because the parts
+// admitted for them may be sent in one burst.
+constexpr double kMaxUnusedIntervals = 4;
+// Minimum processing rate of a warm server, in ms of work per ms.
+constexpr double kMinServerCores = 1;
+// Work in ms, assumed for a part without a cost estimate until response times of its class are known.
 constexpr Millis kUnknownPartWork = 50;
 
 // ---- Retries and hedging
 
 // Tokens for late retries per first attempt: such retries must not cause more lateness.
 constexpr double kLateRetryShare = 0.1;
-constexpr double kMaxLateRetryTokens = 5;  // tokens saved at most, or the parts of the largest query
-constexpr double kHedgeDelayRatio = 3;     // x the median response time: later a hedged attempt is sent
-constexpr double kMinUsefulShare = 0.5;    // x the mean response time: with less time left a part isn't sent
-constexpr Millis kListPropagationTime = 60;  // ms until a server that denied a range may have a newer map
+// Maximum number of saved tokens, or the number of parts of the largest query if that is more.
+constexpr double kMaxLateRetryTokens = 5;
+// Multiple of the median response time after which a hedged attempt is sent.
+constexpr double kHedgeDelayRatio = 3;
+// Fraction of the mean response time. With less time left a part is not sent.
+constexpr double kMinUsefulShare = 0.5;
+// Time in ms after which a server that rejected a part as not the owner of its range may have a newer map.
+constexpr Millis kListPropagationTime = 60;
 
 // ---- Load shedding
 
@@ -57,13 +85,19 @@
 
 // ---- Housekeeping
 
-constexpr Millis kTickInterval = 10;  // ms between checks of open queries, or two event ticks if longer
-constexpr Millis kForgetRemovedAfter = 30000;  // ms after which a removed server's state is dropped
-constexpr double kLogLines = 200;              // log lines in a burst ...
-constexpr double kLogPerSecond = 1;            // ... and lines per second afterwards
+// Interval in ms between checks of the open queries, or two event ticks if that is longer.
+constexpr Millis kTickInterval = 10;
+// Time in ms after which the state of a removed server is dropped.
+constexpr Millis kForgetRemovedAfter = 30000;
+// Maximum number of log lines in a burst.
+constexpr double kLogBurst = 200;
+// Log lines per second after a burst.
+constexpr double kLogLinesPerSecond = 1;
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity(), kNever = -kInfinity;
-constexpr double kWeightSlack = 5e-5;  // rounding tolerance of sums of weights ...
-constexpr double kLeastSlack = 1e-9;   // ... and its lower limit
+// Rounding tolerance of sums of weights, as a fraction of the whole.
+constexpr double kWeightSlack = 5e-5;
+// Lower limit of that tolerance where parts of very small weight reduce it.
+constexpr double kMinWeightSlack = 1e-9;
 
 }  // namespace winchhall::detail
--- a/src/aggregator/decision/warm_up_window.hpp
+++ b/src/aggregator/decision/warm_up_window.hpp
@@ -1,4 +1,4 @@
-// Slow start: what one instance has sent to one warming server.
+// Slow start: the work that one instance has sent to one warming server.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 namespace winchhall::detail {
 
 // The work, in ms, that may reach a server within one window of time. A part counts from its sending until
-// its answer shows that it arrived before the window: parts that wait in a connection, while the server or
-// this process stands still, arrive together, however far apart they were sent.
+// its answer shows that it arrived before the window: parts that wait in a connection while the server or
+// this process is stalled arrive together, however far apart they were sent. Not thread-safe.
 class WarmUpWindow {
  public:
-  using SendId = std::uint64_t;  // chosen by the caller, unique over all servers; 0 names nothing
+  using SendId = std::uint64_t;  // chosen by the caller, unique over all servers; 0: no part
 
   void add(SendId id, Millis now, Millis work) { sends_[id] = {now, work, true}; }
 
-  // The part's attempt has ended: it arrived at the latest its own work before that.
+  // The attempt has ended: the part arrived at `now` minus its work at the latest.
   void on_attempt_ended(SendId id, Millis now) {
     auto found = sends_.find(id);
     if (found == sends_.end() || !found->second.in_flight) return;
