--- a/src/aggregator/app/aggregator_process.cpp
+++ b/src/aggregator/app/aggregator_process.cpp
@@ -322,7 +322,7 @@
 void AggregatorProcess::on_siblings_scanned() {
   update_lifecycle(lifecycle_, siblings_->process_registry(), loop_.now());
   int live = 1 + siblings_->process_registry().others(loop_.now());
-  if (std::exchange(processes_, live) != live) apply_settings(settings_transition_->acting());
+  if (std::exchange(processes_, live) != live) apply_settings(settings_transition_->effective());
 }
 
 std::size_t AggregatorProcess::client_capacity() const {
--- a/src/aggregator/coordination/settings_transition.cpp
+++ b/src/aggregator/coordination/settings_transition.cpp
@@ -8,17 +8,17 @@
 using winchhall::Settings;
 
 const Settings& SettingsTransition::begin(const Settings& next, Millis now) {
-  acting_ = strictest_of(acting_, next);
+  effective_ = strictest_of(effective_, next);
   target_ = next;
   complete_at_ = now + kOverlapTime;
-  return acting_;
+  return effective_;
 }
 
 std::optional<Settings> SettingsTransition::complete_if_due(Millis now) {
   if (now < complete_at_) return std::nullopt;
   complete_at_ = std::numeric_limits<Millis>::infinity();
-  acting_ = target_;
-  return acting_;
+  effective_ = target_;
+  return effective_;
 }
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/settings_transition.hpp
+++ b/src/aggregator/coordination/settings_transition.hpp
@@ -13,7 +13,8 @@
 // State machine of one settings change: begin(), overlap, complete_if_due().
 class SettingsTransition {
  public:
-  explicit SettingsTransition(const winchhall::Settings& settings) : acting_(settings), target_(settings) {}
+  explicit SettingsTransition(const winchhall::Settings& settings)
+      : effective_(settings), target_(settings) {}
 
   // Starts a change and returns the settings in effect during the overlap. A change that begins before the
   // previous one is complete gives settings safe under all of them.
@@ -23,14 +24,14 @@
 
   // When complete_if_due() has to be called; infinity if no change is in progress.
   winchhall::Millis due() const { return complete_at_; }
-  const winchhall::Settings& acting() const { return acting_; }
+  const winchhall::Settings& effective() const { return effective_; }
 
   // ms: clients use new settings from 1.2 s after the change (operators' page); the rest allows for requests
   // in transit.
   static constexpr winchhall::Millis kOverlapTime = 1600;
 
  private:
-  winchhall::Settings acting_, target_;
+  winchhall::Settings effective_, target_;
   winchhall::Millis complete_at_ = std::numeric_limits<winchhall::Millis>::infinity();
 };
 
