--- a/src/aggregator/coordination/class_registry.cpp
+++ b/src/aggregator/coordination/class_registry.cpp
@@ -14,50 +14,52 @@
 }
 
 ClassRegistry::Change ClassRegistry::change(const std::vector<ClassSettings>& next) {
-  std::vector<bool> taken(classes_.size(), false);
-  std::vector<int> place(next.size(), -1), before(next.size(), -1);
-  for (std::size_t f = 0; f < next.size(); ++f) {
+  std::vector<bool> in_use(classes_.size(), false);
+  std::vector<int> new_index(next.size(), -1), old_index(next.size(), -1);
+  for (std::size_t n = 0; n < next.size(); ++n) {
     auto named = std::find_if(classes_.begin(), classes_.end(),
-                              [&](const ClassSettings& c) { return c.name == next[f].name; });
+                              [&](const ClassSettings& c) { return c.name == next[n].name; });
     if (named == classes_.end()) continue;
-    before[f] = static_cast<int>(named - classes_.begin());
-    if (*named == next[f] || open_[static_cast<std::size_t>(before[f])] == 0) place[f] = before[f];
-    if (place[f] >= 0) taken[static_cast<std::size_t>(place[f])] = true;
+    old_index[n] = static_cast<int>(named - classes_.begin());
+    if (*named == next[n] || open_[static_cast<std::size_t>(old_index[n])] == 0) new_index[n] = old_index[n];
+    if (new_index[n] >= 0) in_use[static_cast<std::size_t>(new_index[n])] = true;
   }
   // Statistics follow the class's name, also where the old index stays in use by open queries.
   std::vector<int> from(classes_.size(), -1);
   for (std::size_t i = 0; i < classes_.size(); ++i)
-    if (open_[i] > 0 || taken[i]) from[i] = static_cast<int>(i);
-  for (std::size_t f = 0; f < next.size(); ++f) {
-    if (place[f] < 0) {
+    if (open_[i] > 0 || in_use[i]) from[i] = static_cast<int>(i);
+  for (std::size_t n = 0; n < next.size(); ++n) {
+    if (new_index[n] < 0) {
       std::size_t i = 0;
-      while (i < classes_.size() && (taken[i] || open_[i] > 0)) ++i;
+      while (i < classes_.size() && (in_use[i] || open_[i] > 0)) ++i;
       if (i == classes_.size()) {
         classes_.emplace_back();
         names_.emplace_back();
         open_.push_back(0);
-        taken.push_back(false);
+        in_use.push_back(false);
         from.push_back(-1);
       }
-      place[f] = static_cast<int>(i);
-      taken[i] = true;
+      new_index[n] = static_cast<int>(i);
+      in_use[i] = true;
     }
-    from[static_cast<std::size_t>(place[f])] = before[f];
+    from[static_cast<std::size_t>(new_index[n])] = old_index[n];
   }
   for (std::size_t i = 0; i < classes_.size(); ++i)
-    if (!taken[i]) classes_[i].name.clear();
-  for (std::size_t f = 0; f < next.size(); ++f) {
-    classes_[static_cast<std::size_t>(place[f])] = next[f];
-    names_[static_cast<std::size_t>(place[f])] = next[f].name;
+    if (!in_use[i]) classes_[i].name.clear();
+  for (std::size_t n = 0; n < next.size(); ++n) {
+    classes_[static_cast<std::size_t>(new_index[n])] = next[n];
+    names_[static_cast<std::size_t>(new_index[n])] = next[n].name;
   }
   return {classes_, from};
 }
 
 ClassSettings strictest_of(const ClassSettings& old, const ClassSettings& next) {
   ClassSettings c = next;
-  auto strict = [](Idempotency r) { return r == Idempotency::safe ? 0 : r == Idempotency::keyed ? 1 : 2; };
-  if (strict(old.idempotency) > strict(c.idempotency)) c.idempotency = old.idempotency;
-  // Only `keyed` classes have a window: another class's doesn't limit it.
+  auto strictness = [](Idempotency r) {
+    return r == Idempotency::safe ? 0 : r == Idempotency::keyed ? 1 : 2;
+  };
+  if (strictness(old.idempotency) > strictness(c.idempotency)) c.idempotency = old.idempotency;
+  // Only `keyed` classes have a window; the value of another version doesn't limit it.
   if (old.idempotency == Idempotency::keyed && next.idempotency == Idempotency::keyed)
     c.idempotency_window = std::min(old.idempotency_window, next.idempotency_window);
   else if (old.idempotency == Idempotency::keyed)
--- a/src/aggregator/coordination/class_registry.hpp
+++ b/src/aggregator/coordination/class_registry.hpp
@@ -15,6 +15,7 @@
  public:
   explicit ClassRegistry(std::vector<winchhall::ClassSettings> classes);
 
+  // The result of change().
   struct Change {
     std::vector<winchhall::ClassSettings> classes{};  // by index; an empty name: used by open queries only
     std::vector<int> from{};                          // by index: the old index whose statistics apply, or -1
@@ -26,6 +27,7 @@
   // Counts an open query of the class at `index`; each opened() needs one closed().
   void opened(int index) { ++open_[static_cast<std::size_t>(index)]; }
   void closed(int index) { --open_[static_cast<std::size_t>(index)]; }
+  // Number of indices, including unused ones and those that only open queries refer to.
   std::size_t size() const { return classes_.size(); }
   // The class's name, also for a class that only open queries still use.
   const std::string& name(int index) const { return names_[static_cast<std::size_t>(index)]; }
--- a/src/aggregator/coordination/query_validation.hpp
+++ b/src/aggregator/coordination/query_validation.hpp
@@ -8,9 +8,11 @@
 
 namespace winchhall::coordination {
 
-constexpr std::size_t kMaxParts = 4096;  // parts of one query at most
-constexpr std::size_t kMaxSpans = 1024;  // spans of one query at most: as many fit into a request body
-// Part of a client's time-out that is reserved for the network, in ms.
+constexpr std::size_t kMaxParts = 4096;  // maximum number of parts of one query
+// Maximum number of account ranges of one query: as many fit into a request body.
+constexpr std::size_t kMaxSpans = 1024;
+// Time in ms of a client's time-out that is reserved for the answer's way through the network, at most a
+// quarter of the time-out.
 constexpr Millis kResponseTransitTime = 15;
 
 // Returns what is wrong with the query, or an empty string if it is valid: its shards exist and are distinct,
--- a/src/aggregator/coordination/request_router.cpp
+++ b/src/aggregator/coordination/request_router.cpp
@@ -28,8 +28,8 @@
 }
 
 void RequestRouter::start(const std::vector<Member>& known) {
-  inbox_.push_back([this] {
-    for (const Action& a : coordinator_.start()) act(a);
+  event_queue_.push_back([this] {
+    for (const Action& a : coordinator_.start()) execute(a);
   });
   update_endpoints(ServerList::Kind::cached, known);
   run();
@@ -49,29 +49,29 @@
   QueryCounters& f = counters_for(q.spec.query_class);
   ++f.received;
   f.value_requested += settings_.classes[q.spec.query_class].value;
-  ++open_;
+  ++open_queries_;
   classes_.opened(q.spec.query_class);
   // Above Settings::max_open a query is rejected without reaching the coordinator.
-  bool full = settings_.max_open > 0 && held_ >= static_cast<std::size_t>(settings_.max_open);
-  bool later = true;
+  bool full = settings_.max_open > 0 && open_items_ >= static_cast<std::size_t>(settings_.max_open);
+  bool retry_may_succeed = true;
   std::string why = full ? "as many queries as may be held are open" : "";
-  if (!full && !q.spec.spans.empty()) why = plan(q, later);
-  q.held = 1 + q.parts.size();
-  held_ += q.held;
+  if (!full && !q.spec.spans.empty()) why = plan(q, retry_may_succeed);
+  q.counted_items = 1 + q.parts.size();
+  open_items_ += q.counted_items;
   if (!why.empty()) {
-    inbox_.push_back([this, number, later, why] {
-      finish(number, {.kind = later ? QueryResult::Kind::refused : QueryResult::Kind::invalid,
+    event_queue_.push_back([this, number, retry_may_succeed, why] {
+      finish(number, {.kind = retry_may_succeed ? QueryResult::Kind::refused : QueryResult::Kind::invalid,
                       .retry_after = settings_.honors_retry_after ? settings_.max_retry_after : 0,
                       .why = why});
     });
     return number;
   }
   query_ends_.insert({q.spec.give_up_at, number});
-  inbox_.push_back([this, number] {
+  event_queue_.push_back([this, number] {
     auto it = queries_.find(number);
     if (it == queries_.end() || !it->second.on_complete) return;
     QueryState& state = it->second;
-    state.arrived_at_module = true;
+    state.delivered_to_coordinator = true;
     QueryArrived e;
     e.query = std::to_string(number);
     e.query_class = state.spec.query_class;
@@ -95,13 +95,13 @@
 }
 
 void RequestRouter::withdraw(QueryNumber number) {
-  inbox_.push_back([this, number] {
+  event_queue_.push_back([this, number] {
     auto it = queries_.find(number);
     if (it == queries_.end() || !it->second.on_complete) return;
     ++counters_for(it->second.spec.query_class).withdrawn;
     it->second.on_complete = nullptr;
-    --open_;
-    held_ -= it->second.held;
+    --open_queries_;
+    open_items_ -= it->second.counted_items;
     query_ends_.erase({it->second.spec.give_up_at, number});
     handle(QueryWithdrawn{std::to_string(number)});
     recall_unsent(number);
@@ -112,37 +112,37 @@
 // ---- Server side
 
 void RequestRouter::attempt_ended(AttemptNumber attempt, AttemptResult result) {
-  inbox_.push_back(
+  event_queue_.push_back(
       [this, attempt, r = std::move(result)]() mutable { finish_attempt(attempt, std::move(r)); });
 }
 
 void RequestRouter::probe_ended(const std::string& server, Outcome outcome, Millis elapsed,
                                 const Load& load) {
-  inbox_.push_back([this, e = ProbeEnded{server, outcome, elapsed, report(load)}] { handle(e); });
+  event_queue_.push_back([this, e = ProbeEnded{server, outcome, elapsed, report(load)}] { handle(e); });
 }
 
 void RequestRouter::on_list_keepalive() {
-  inbox_.push_back([this] { handle(ListKeepalive{}); });
+  event_queue_.push_back([this] { handle(ListKeepalive{}); });
 }
 
 void RequestRouter::on_list_service_moved() {
-  inbox_.push_back([this] { handle(ListServiceMoved{}); });
+  event_queue_.push_back([this] { handle(ListServiceMoved{}); });
 }
 
 void RequestRouter::update_endpoints(ServerList::Kind kind, const std::vector<Member>& members, CallEnd end,
                                      long long revision) {
-  inbox_.push_back([this, kind, members, end, revision] {
+  event_queue_.push_back([this, kind, members, end, revision] {
     if (revision != 0) list_revision_ = revision;
     ServerList e{kind, {}, end};
     for (const Member& m : members) {
-      auto [it, fresh] = servers_.try_emplace(m.entry.server);
-      Member& held = it->second.member;
-      std::optional<Millis> started = held.entry.started;
-      bool later = m.entry.started && (!started || *m.entry.started > *started);
+      auto [it, is_new] = servers_.try_emplace(m.entry.server);
+      Member& known = it->second.member;
+      std::optional<Millis> started = known.entry.started;
+      bool restarted = m.entry.started && (!started || *m.entry.started > *started);
       // The process was restarted: its old connections may look open but get no answers (half-open TCP).
-      if (!fresh && later) transport_->retire(m.entry.server);
-      held = m;
-      if (!later) held.entry.started = started;
+      if (!is_new && restarted) transport_->retire(m.entry.server);
+      known = m;
+      if (!restarted) known.entry.started = started;
       it->second.last_list = lists_delivered_;
       e.servers.push_back(m.entry);
     }
@@ -185,8 +185,8 @@
   for (bool again = true; again;) {
     Millis now = clock_();
     // Received events go before due timers, so that an answer already received isn't timed out.
-    while (!inbox_.empty())
-      for (auto& event : std::exchange(inbox_, {})) event();
+    while (!event_queue_.empty())
+      for (auto& event : std::exchange(event_queue_, {})) event();
     while (!attempt_ends_.empty() && attempt_ends_.begin()->first <= now) {
       AttemptNumber attempt = attempt_ends_.begin()->second;
       transport_->abandon(attempt);
@@ -203,23 +203,24 @@
       auto it = queries_.find(number);
       if (it == queries_.end() || !it->second.on_complete) continue;
       const PartState& p = it->second.parts[part];
-      if (p.span->on_hold && !p.span->replaced && !p.in && p.span->out == 0) holders(number, part, false);
+      if (p.span->on_hold && !p.span->replaced && !p.received && p.span->in_flight == 0)
+        set_holders(number, part, false);
     }
     // Safety net for the one final answer: the coordinator ends its queries before this.
     while (!query_ends_.empty() && query_ends_.begin()->first <= now) {
       QueryNumber number = query_ends_.begin()->second;
-      log_("query overdue, failed by the exchange");
+      log_("query overdue, failed by the router: no final action of the coordinator");
       finish(number, {});
       handle(QueryWithdrawn{std::to_string(number)});
     }
-    again = !inbox_.empty();
+    again = !event_queue_.empty();
   }
   transport_->flush();
   running_ = false;
 }
 
 Millis RequestRouter::next_due() const {
-  Millis due = inbox_.empty() ? std::numeric_limits<double>::infinity() : 0;
+  Millis due = event_queue_.empty() ? std::numeric_limits<double>::infinity() : 0;
   if (!timers_.empty()) due = std::min(due, timers_.begin()->first);
   if (!attempt_ends_.empty()) due = std::min(due, attempt_ends_.begin()->first);
   if (!query_ends_.empty()) due = std::min(due, query_ends_.begin()->first);
@@ -228,10 +229,10 @@
 }
 
 void RequestRouter::handle(const Event& event) {
-  for (const Action& a : coordinator_.handle(clock_(), event)) act(a);
+  for (const Action& a : coordinator_.handle(clock_(), event)) execute(a);
 }
 
-void RequestRouter::act(const Action& action) {
+void RequestRouter::execute(const Action& action) {
   struct {
     RequestRouter& x;
     static QueryNumber number(const std::string& id) { return std::stoull(id); }
@@ -275,11 +276,11 @@
   Millis now = clock_();
   AttemptState state{number, index, static_cast<int>(p.attempts.size()), a.server, now, now + a.timeout};
   p.attempts.push_back(attempt);
-  ++q.out;
+  ++q.in_flight;
   ++counters_for(q.spec.query_class).attempts;
   if (p.span) {
-    ++p.span->out;
-    p.span->asked = p.span->planned.revision;
+    ++p.span->in_flight;
+    p.span->requested_revision = p.span->planned.revision;
     q.coverage->sent(p.span->planned.span);
   }
   attempt_ends_.insert({state.until, attempt});
@@ -310,23 +311,23 @@
   attempts_.erase(it);
   attempt_ends_.erase({a.until, attempt});
   QueryState& q = queries_.at(a.query);
-  --q.out;
-  if (q.coverage) --q.parts[a.part].span->out;
+  --q.in_flight;
+  if (q.coverage) --q.parts[a.part].span->in_flight;
   bool open = static_cast<bool>(q.on_complete), ok = r.outcome == Outcome::ok;
-  if (q.coverage && open) ok = on_span_attempt_ended(q, a, r);
+  if (q.coverage && open) ok = accept_span_answer(q, a, r);
   if (ok && open) {
-    q.parts[a.part].in = true;
+    q.parts[a.part].received = true;
     q.parts[a.part].values = std::move(r.values);
   }
   bool denies = q.coverage && open && r.outcome == Outcome::not_mine;
   if (denies && !r.denial) r.denial = std::make_shared<const ranges::NotMine>();
   if (denies)
-    denied(a.query, a.part, r, false);
+    handle_denial(a.query, a.part, r, false);
   else if (q.coverage && q.parts[a.part].span->on_hold && open && !ok)
-    holders(a.query, a.part, true);  // no attempt under an outdated plan
+    set_holders(a.query, a.part, true);  // no attempt under an outdated plan
   handle(AttemptEnded{part_id(a.query, a.part), a.count, a.server, r.outcome, clock_() - a.sent, ok || !open,
                       report(r.load), r.written});
-  if (q.coverage) on_span_attempt_settled(q, a, denies, r);
+  if (q.coverage) replan_after_attempt(q, a, denies, r);
   forget_if_finished(a.query);
 }
 
@@ -343,8 +344,8 @@
     double value = c.value * (v.complete ? 1 : c.partial_value * v.share / c.complete_share);
     f.value_earned += value * (clock_() - q.arrived <= c.latency_target ? 1 : c.late_value);
   }
-  --open_;
-  held_ -= q.held;
+  --open_queries_;
+  open_items_ -= q.counted_items;
   query_ends_.erase({q.spec.give_up_at, number});
   CompletionCallback on_complete = std::exchange(q.on_complete, nullptr);
   on_complete(std::move(v));
@@ -356,10 +357,10 @@
 // may still refer to its parts.
 void RequestRouter::forget_if_finished(QueryNumber number) {
   auto it = queries_.find(number);
-  if (it == queries_.end() || it->second.on_complete || it->second.out > 0) return;
-  inbox_.push_back([this, number] {
+  if (it == queries_.end() || it->second.on_complete || it->second.in_flight > 0) return;
+  event_queue_.push_back([this, number] {
     auto late = queries_.find(number);
-    if (late == queries_.end() || late->second.on_complete || late->second.out > 0) return;
+    if (late == queries_.end() || late->second.on_complete || late->second.in_flight > 0) return;
     classes_.closed(late->second.spec.query_class);
     queries_.erase(late);
   });
--- a/src/aggregator/coordination/request_router.hpp
+++ b/src/aggregator/coordination/request_router.hpp
@@ -109,8 +109,8 @@
 
 // Detects a connection that is open but no longer answers, while its server would answer on a new one.
 // Without it all parts sent there would be lost, including trial parts for ejected servers. The transport
-// reports its traffic and opens a new connection once is_unresponsive() holds. Times in ms; one instance per
-// connection.
+// reports its traffic and opens a new connection once is_unresponsive() returns true. Times are in ms; one
+// instance per connection.
 class UnresponsivenessDetector {
  public:
   void on_activity(Millis now) {
@@ -126,9 +126,11 @@
   bool is_unresponsive() const { return lost_attempts_ >= kMaxLostAttempts; }
 
  private:
-  static constexpr Millis kLongSilence = 50;  // ms: more than a healthy server with a short queue needs
-  static constexpr int kMaxLostAttempts =
-      2;  // consecutive lost attempts: a single one may be a client that left
+  // ms without an answer after which one lost attempt is enough: a healthy server with a short queue needs
+  // less.
+  static constexpr Millis kLongSilence = 50;
+  // Consecutive lost attempts; a single one may be due to a client that disconnected.
+  static constexpr int kMaxLostAttempts = 2;
   Millis last_activity_at_ = 0, last_lost_at_ = 0;
   int lost_attempts_ = 0;
 };
@@ -141,11 +143,13 @@
   virtual void launch(const AttemptRequest& request) = 0;
   // No more launches in this round of events: buffered requests may be written.
   virtual void flush() = 0;
-  // Gives up an attempt; its end is not reported any more.
+  // Gives up an attempt; its end is no longer reported.
   virtual void abandon(AttemptNumber attempt) = 0;
   // Drops an attempt if nothing of it was written, without a report; false if something was.
   virtual bool recall(AttemptNumber attempt) = 0;
+  // Starts a health check; its end is reported once by RequestRouter::probe_ended().
   virtual void probe(const std::string& server, const std::string& endpoint) = 0;
+  // Closes the connections to a server on which no attempt is in flight.
   virtual void close_idle(const std::string& server) = 0;
   // The process behind existing connections has ended: nothing new may be sent on them.
   virtual void retire(const std::string& server) = 0;
@@ -205,7 +209,7 @@
   // Client side.
   // Accepts a query. `on_complete` is called from run(), never during this call.
   QueryNumber submit(QuerySpec spec, CompletionCallback on_complete);
-  // The client has gone: no result is delivered. Unknown and completed queries are ignored.
+  // The client has disconnected: no result is delivered. Unknown and completed queries are ignored.
   void withdraw(QueryNumber number);
 
   // Server side.
@@ -234,17 +238,19 @@
   // appearance.
   const std::vector<QueryCounters>& counters() const { return counters_; }
   const std::string& counter_name(std::size_t i) const { return counter_names_[i]; }
-  std::size_t open_queries() const { return open_; }
+  std::size_t open_queries() const { return open_queries_; }
   std::size_t attempts_in_flight() const { return attempts_.size(); }
   std::size_t known_servers() const { return servers_.size(); }
   std::vector<Member> members() const;                        // the current endpoint list
   long long list_revision() const { return list_revision_; }  // of that list; 0: none
-  std::size_t lists_delivered() const {
-    return lists_delivered_;
-  }  // to the coordinator, failed requests included
+  // Lists delivered to the coordinator, including failed requests.
+  std::size_t lists_delivered() const { return lists_delivered_; }
   const ranges::RangeMap& map() const { return map_; }
 
-  // Effects of range changes on parts of open queries since the start.
+  // Effects of range changes on parts of open queries since the start. replaced: by parts over the new
+  // ranges; merged: with a neighbouring part; rerouted: to other replicas of the same range; on_hold: kept
+  // from new attempts while one is in flight; denied: rejected by a server as not the owner; dropped: answers
+  // that overlapped accounts already received.
   struct RangeMigrations {
     std::uint64_t replaced = 0, merged = 0, rerouted = 0, on_hold = 0, denied = 0, dropped = 0;
   };
@@ -254,14 +260,14 @@
   // Additional state of a part over an account range; separate, since parts of shards don't need it.
   struct SpanPart {
     ranges::PlannedPart planned{};
-    ranges::Revision asked{};  // revision of the range map of its last attempt
-    int out = 0;               // attempts in flight
-    bool replaced = false;     // by successors: no further attempts, late answers are dropped
-    bool on_hold = false;      // its range no longer exists, or a newer map is awaited
+    ranges::Revision requested_revision{};  // revision of the range map of its last attempt
+    int in_flight = 0;                      // attempts in flight
+    bool replaced = false;                  // by successors: no further attempts, late answers are dropped
+    bool on_hold = false;                   // its range no longer exists, or a newer map is awaited
   };
   struct PartState {
     QueryPart spec{};
-    bool in = false;  // its answer was received
+    bool received = false;  // its answer was received
     std::vector<std::string> values{};
     std::vector<AttemptNumber> attempts{};
     std::unique_ptr<SpanPart> span{};
@@ -272,9 +278,9 @@
     Millis arrived = 0;
     std::shared_ptr<const std::string> text;
     std::vector<PartState> parts;
-    int out = 0;                     // attempts in flight
-    std::size_t held = 0;            // counted against Settings::max_open
-    bool arrived_at_module = false;  // QueryArrived was delivered to the coordinator
+    int in_flight = 0;                      // attempts in flight
+    std::size_t counted_items = 0;          // the query and its parts, counted against Settings::max_open
+    bool delivered_to_coordinator = false;  // QueryArrived was delivered to the coordinator
     std::optional<ranges::Coverage> coverage;
   };
   struct AttemptState {
@@ -294,26 +300,27 @@
     return counters_[counters_by_class_[static_cast<std::size_t>(query_class)]];
   }
   void handle(const winchhall::Event& event);
-  void act(const winchhall::Action& action);
+  void execute(const winchhall::Action& action);
   void send(const winchhall::SendPart& action);
   void finish_attempt(AttemptNumber attempt, AttemptResult result);
   void finish(QueryNumber number, QueryResult result);
   void recall_unsent(QueryNumber number);
   void recall(AttemptNumber attempt);
   void forget_if_finished(QueryNumber number);
-  bool on_span_attempt_ended(QueryState& query, const AttemptState& attempt, AttemptResult& result);
-  void on_span_attempt_settled(QueryState& query, const AttemptState& attempt, bool denies,
-                               const AttemptResult& result);
+  bool accept_span_answer(QueryState& query, const AttemptState& attempt, AttemptResult& result);
+  void replan_after_attempt(QueryState& query, const AttemptState& attempt, bool denies,
+                            const AttemptResult& result);
   static PartState span_part(ranges::PlannedPart planned);
   QueryResult answer(const QueryState& query, bool complete) const;
-  // Plans the query's spans. Returns the reason if that fails, else an empty string; `later`: a retry may
-  // succeed.
-  std::string plan(QueryState& query, bool& later);
+  // Plans the query's spans. Returns the reason if that fails, else an empty string; sets
+  // `retry_may_succeed` to whether a retry may.
+  std::string plan(QueryState& query, bool& retry_may_succeed);
   void replan(QueryNumber number);
-  void carry_out(QueryNumber number, const ranges::Decision& decision);
-  void replace(QueryNumber number, const ranges::Decision& decision);
-  void holders(QueryNumber number, std::size_t part, bool on_hold);
-  void denied(QueryNumber number, std::size_t part, const AttemptResult& result, bool coordinator_notified);
+  void apply_decision(QueryNumber number, const ranges::Decision& decision);
+  void replace_parts(QueryNumber number, const ranges::Decision& decision);
+  void set_holders(QueryNumber number, std::size_t part, bool on_hold);
+  void handle_denial(QueryNumber number, std::size_t part, const AttemptResult& result,
+                     bool coordinator_notified);
   static ranges::OpenPart open_part(const QueryState& query, std::size_t part);
   std::vector<double> report(const Load& load) const;
   static std::string part_id(QueryNumber number, std::size_t part);
@@ -326,7 +333,7 @@
   Transport* transport_ = nullptr;
   MembershipSource* members_ = nullptr;
   long long list_revision_ = 0;
-  std::vector<std::function<void()>> inbox_;
+  std::vector<std::function<void()>> event_queue_;
   bool running_ = false;
   QueryNumber next_query_ = 1;
   AttemptNumber next_attempt_ = 1;
@@ -341,7 +348,7 @@
   RangeSource* range_source_ = nullptr;
   ranges::RangeMap map_;
   RangeMigrations range_migrations_;
-  std::size_t open_ = 0, held_ = 0, lists_delivered_ = 0;
+  std::size_t open_queries_ = 0, open_items_ = 0, lists_delivered_ = 0;
   ClassRegistry classes_;
   std::vector<QueryCounters> counters_;         // a class keeps its counters when its settings change
   std::vector<std::string> counter_names_;      // class names, in the same order
--- a/src/aggregator/coordination/request_router_recall.cpp
+++ b/src/aggregator/coordination/request_router_recall.cpp
@@ -3,11 +3,11 @@
 
 namespace winchhall::coordination {
 
-// Avoids work without a recipient: an unwritten attempt can be dropped even where the settings forbid the
-// cancellation of running ones.
+// Recalls a query's attempts that were not written yet. It avoids work without a recipient: an unwritten
+// attempt can be dropped even where the settings forbid the cancellation of running ones.
 void RequestRouter::recall_unsent(QueryNumber number) {
   const QueryState& q = queries_.at(number);
-  for (std::size_t part = 0; q.out > 0 && part < q.parts.size(); ++part)
+  for (std::size_t part = 0; q.in_flight > 0 && part < q.parts.size(); ++part)
     for (AttemptNumber attempt : q.parts[part].attempts) recall(attempt);
 }
 
--- a/src/aggregator/coordination/request_router_settings.cpp
+++ b/src/aggregator/coordination/request_router_settings.cpp
@@ -23,7 +23,7 @@
 }
 
 void RequestRouter::change_settings(const Settings& settings) {
-  inbox_.push_back([this, settings] {
+  event_queue_.push_back([this, settings] {
     ClassRegistry::Change change = classes_.change(settings.classes);
     settings_ = settings;
     settings_.classes = std::move(change.classes);
--- a/src/aggregator/coordination/settings_transition.hpp
+++ b/src/aggregator/coordination/settings_transition.hpp
@@ -26,8 +26,8 @@
   winchhall::Millis due() const { return complete_at_; }
   const winchhall::Settings& effective() const { return effective_; }
 
-  // ms: clients use new settings from 1.2 s after the change (operators' page); the rest allows for requests
-  // in transit.
+  // ms. Clients use new settings from 1.2 s after the change, as the operators state; the rest allows for
+  // requests in transit.
   static constexpr winchhall::Millis kOverlapTime = 1600;
 
  private:
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -250,7 +250,7 @@
   for (const auto& node : nodes_)
     if (node->counts().fell) checker_.broke("cold nodes", node->name() + " fell over");
   for (const Aggregator& a : aggregators_)
-    for (const char* words : {"query overdue", "an answer of less than it is called"})
+    for (const char* words : {"query overdue", "answer covers less than the coordinator reported"})
       if (a.process->count(words) > 0) checker_.broke("module's word", std::string("the log says: ") + words);
 }
 
