--- a/examples/by_hand.cpp
+++ b/examples/by_hand.cpp
@@ -1,4 +1,5 @@
-// Drives one Coordinator by hand: two servers, one query of two parts, both answered.
+// Uses the decision module alone, without sockets: one Coordinator, two servers, and one query of two parts
+// that both get an answer.
 #include <iostream>
 #include <string>
 #include <variant>
@@ -14,7 +15,7 @@
   settings.max_attempts = 2;
 
   Coordinator coordinator(settings, /*seed=*/1, /*now=*/0);
-  coordinator.start();  // a real broker would carry out the timers it returns
+  coordinator.start();  // a real aggregator executes the actions it returns, such as timers
   coordinator.handle(0, ServerList{ServerList::Kind::complete, {{.server = "a"}, {.server = "b"}}});
 
   bool complete = false;
--- a/examples/toy_leaf.cpp
+++ b/examples/toy_leaf.cpp
@@ -1,4 +1,5 @@
-// A toy leaf on frames: toy_leaf PORT. It answers each part with its shard's number, 20 ms later.
+// An example of a leaf server: toy_leaf PORT. It answers each part after 20 ms with a text that names its
+// shard.
 #include <cstdio>
 #include <cstdlib>
 #include <memory>
@@ -13,12 +14,14 @@
 
 namespace {
 
-struct Side : event_loop::Stream::Owner, std::enable_shared_from_this<Side> {
-  Side(event_loop::Loop& l, std::set<std::shared_ptr<Side>>& a) : loop(l), all(a) {}
+// A connection from an aggregator. Owned by `all` and by its answers that are still to be sent.
+struct Connection : event_loop::Stream::Owner, std::enable_shared_from_this<Connection> {
+  Connection(event_loop::Loop& l, std::set<std::shared_ptr<Connection>>& a) : loop(l), all(a) {}
   void received(std::string& in) override {
     bool bad = false;
     while (auto frame = http::take_frame(in, bad)) {
-      if (frame->message == 'U') stream->write(http::make_frame('U', "inflight=" + std::to_string(held)));
+      if (frame->message == 'U')
+        stream->write(http::make_frame('U', "inflight=" + std::to_string(in_flight)));
       if (frame->message == 'I') stream->write(http::make_frame('I', "200"));
       if (frame->message != 'D') continue;
       for (std::string rest = frame->rest; !rest.empty();) {
@@ -30,10 +33,11 @@
             std::sscanf(rest.substr(0, line).c_str(), "%199s %d %*s %lu", id, &shard, &size) != 3)
           return stream->close();
         rest.erase(0, line + 1 + size);
-        ++held;
+        ++in_flight;
         loop.at(loop.now() + 20, [self = shared_from_this(), name = std::string(id), shard] {
-          --self->held;
-          self->stream->write(http::make_frame('O', name + " 200 0 inflight=" + std::to_string(self->held) +
+          --self->in_flight;
+          self->stream->write(http::make_frame('O', name +
+                                                        " 200 0 inflight=" + std::to_string(self->in_flight) +
                                                         "\n" + "value of shard " + std::to_string(shard)));
         });
       }
@@ -47,9 +51,9 @@
     loop.destroy_later(std::move(self));
   }
   event_loop::Loop& loop;
-  std::set<std::shared_ptr<Side>>& all;
+  std::set<std::shared_ptr<Connection>>& all;
   std::shared_ptr<event_loop::Stream> stream;
-  int held = 0;
+  int in_flight = 0;  // parts that are not answered yet
 };
 
 }  // namespace
@@ -58,11 +62,11 @@
   auto address = event_loop::parse_address("127.0.0.1:" + std::string(argc > 1 ? argv[1] : ""));
   if (!address) return std::fprintf(stderr, "usage: toy_leaf PORT\n"), EXIT_FAILURE;
   event_loop::Loop loop;
-  std::set<std::shared_ptr<Side>> sides;
+  std::set<std::shared_ptr<Connection>> connections;
   event_loop::Listener listener(loop, *address, [&](event_loop::UniqueFd fd) {
-    auto side = std::make_shared<Side>(loop, sides);
-    sides.insert(side);
-    side->stream = event_loop::Stream::adopt(loop, std::move(fd), *side);
+    auto connection = std::make_shared<Connection>(loop, connections);
+    connections.insert(connection);
+    connection->stream = event_loop::Stream::adopt(loop, std::move(fd), *connection);
   });
   std::printf("toy leaf on port %d\n", listener.port());
   std::fflush(stdout);
--- a/include/winchhall/coordinator.hpp
+++ b/include/winchhall/coordinator.hpp
@@ -46,7 +46,7 @@
 // A tenant and its quota.
 struct TenantSettings {
   std::string name{};
-  double quota_per_s = 0;  // queries per second over all brokers; 0: no quota
+  double quota_per_s = 0;  // queries per second over all instances; 0: no quota
   bool operator==(const TenantSettings&) const = default;
 };
 
@@ -61,7 +61,7 @@
   int instances = 1;            // aggregator instances that send to the same servers
   int cells = 1;                // shard s is replicated in cells (s + j) mod cells, 0 <= j < cells_per_shard
   int cells_per_shard = 1;
-  Millis tick = 1;               // events may be delivered this late
+  Millis tick = 1;               // maximum delay with which events are delivered
   bool list_on_request = false;  // the endpoint list must be requested
   bool list_watched = false;     // the list is pushed, but a watch must be kept open as well
   Millis max_poll_interval = 0;  // maximum interval between requests while no watch is open
@@ -90,7 +90,7 @@
 
 // ---- Events
 
-// Lifecycle state of a server: accepts parts; gets no new ones; no longer a member.
+// Lifecycle state of a server. ready: accepts parts; draining: gets no new ones; removed: no longer a member.
 enum class ServerState { ready, draining, removed };
 
 // One entry of the endpoint list.
@@ -119,8 +119,8 @@
   CallEnd end = CallEnd::failed;  // of kind `failed` only
 };
 
-// The watch delivered data, possibly just a keepalive line. If this event never occurs, a silent watch isn't
-// taken for a broken one.
+// The watch delivered data, possibly just a keepalive line. Until the first such event a silent watch doesn't
+// count as broken.
 struct ListKeepalive {};
 
 // The discovery service has a new address; open requests and the watch at the old one are lost.
--- a/sim/simulation_adapter.cpp
+++ b/sim/simulation_adapter.cpp
@@ -1,5 +1,6 @@
-// winchhall-simulation-adapter: hosts Coordinators on the simulator's wire. Translation only; it decides
-// nothing. Batches come on standard input, one JSON array a line; replies go to standard output.
+// winchhall-simulation-adapter: runs Coordinators for the simulator. It only translates between the
+// simulator's protocol and the events and actions of the decision module. Batches of events come on standard
+// input, one JSON array per line; the actions go to standard output.
 
 #include <exception>
 #include <iostream>
@@ -17,33 +18,39 @@
 
 namespace {
 
+// Ends the program with an error that names the input line.
 [[noreturn]] void malformed(const std::string& what) { throw std::runtime_error(what); }
 
+// The i-th value of a line.
 const json& at(const json& row, std::size_t i) {
   if (i >= row.size()) malformed("'" + row.at(0).get<std::string>() + "' has too few values");
   return row[i];
 }
 
+// The value of a key, or `fallback` if it is missing or null.
 template <class T>
-T take(const json& object, const char* key, T otherwise) {
+T take(const json& object, const char* key, T fallback) {
   auto it = object.find(key);
-  if (it == object.end() || it->is_null()) return otherwise;
+  if (it == object.end() || it->is_null()) return fallback;
   return it->get<T>();
 }
 
+// The object of a key, or an empty one.
 const json& section(const json& object, const char* key) {
   static const json none = json::object();
   auto it = object.find(key);
   return it == object.end() || !it->is_object() ? none : *it;
 }
 
+// The i-th value of the array of a key, or `fallback`.
 template <class T>
-T pick(const json& object, const char* key, std::size_t i, T otherwise) {
+T pick(const json& object, const char* key, std::size_t i, T fallback) {
   auto it = object.find(key);
-  if (it == object.end() || !it->is_array() || i >= it->size() || (*it)[i].is_null()) return otherwise;
+  if (it == object.end() || !it->is_array() || i >= it->size() || (*it)[i].is_null()) return fallback;
   return (*it)[i].get<T>();
 }
 
+// Index of a name, or -1.
 int index_of(const std::vector<std::string>& names, const json& name) {
   if (!name.is_string()) return -1;
   for (std::size_t i = 0; i < names.size(); ++i)
@@ -140,24 +147,24 @@
       {"econnreset", Outcome::reset}, {"econnrefused", Outcome::connect_failed},
       {"skipped", Outcome::unsent},   {"ecanceled", Outcome::cancelled}};
   auto it = known.find(rc.get<std::string>());
-  return it == known.end() ? Outcome::error : it->second;  // an unknown end may have run
+  return it == known.end() ? Outcome::error : it->second;  // unknown: the part may have been executed
 }
 
 std::vector<double> read_report(const json& row, std::size_t i) {
   std::vector<double> report;
   if (i < row.size() && row[i].is_array())
     for (const json& v : row[i])
-      report.push_back(v.is_number() ? v.get<double>() : -1.0);  // -1: not a figure
+      report.push_back(v.is_number() ? v.get<double>() : -1.0);  // -1: not a number
   return report;
 }
 
 std::string from_hex(const std::string& hex) {
-  if (hex.size() % 2) malformed("odd number of hex digits");
+  if (hex.size() % 2) malformed("a message has an odd number of hex digits");
   std::string bytes;
   for (std::size_t i = 0; i < hex.size(); i += 2) {
     std::size_t used = 0;
     bytes.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), &used, 16)));
-    if (used != 2) malformed("not hex digits");
+    if (used != 2) malformed("a message contains characters that are not hex digits");
   }
   return bytes;
 }
@@ -172,7 +179,7 @@
   return hex;
 }
 
-json to_wire(const std::string& broker, const Action& action) {
+json to_wire(const std::string& instance_id, const Action& action) {
   struct {
     const std::string& b;
     json operator()(const SendPart& a) { return json::array({"Send", b, a.part, a.timeout, a.server}); }
@@ -187,45 +194,46 @@
     json operator()(const SendToPeers& a) { return json::array({"Publish", b, a.to, to_hex(a.bytes)}); }
     json operator()(const SetTimer& a) { return json::array({"WakeMe", b, a.at, a.tag}); }
     json operator()(const LogLine& a) { return json::array({"Trace", b, a.text}); }
-  } writer{broker};
+  } writer{instance_id};
   return std::visit(writer, action);
 }
 
-// One broker: its Coordinator, and the query whose parts are still being read from the batch.
+// One aggregator instance: its Coordinator, and the query whose parts are still being read from the batch.
 struct Instance {
   std::optional<Coordinator> coordinator;
   std::vector<std::string> classes, tenants;
-  std::map<std::int64_t, std::string> groups;  // query number at this broker -> query id
-  struct Gathering {
+  std::map<std::int64_t, std::string> query_by_group;  // query number at this instance -> query id
+  struct PendingQuery {
     std::int64_t group = 0;
     std::optional<QueryArrived> query;  // absent: the second step of a known query
     std::vector<PartSpec> parts;
   };
-  std::optional<Gathering> gathering;
+  std::optional<PendingQuery> pending;
 };
 
-class Host {
+// Reads events, passes them to the instances and collects their actions for the reply.
+class Adapter {
  public:
-  // Reads one line; returns true when a reply is due.
+  // Processes one line; returns true when a reply is due.
   bool read(const json& row) {
     if (!row.is_array() || row.empty() || !row[0].is_string())
-      malformed("not an array that starts with a name");
+      malformed("expected an array whose first value is the event's name");
     const std::string& name = row[0].get_ref<const std::string&>();
     if (name == "Clock") {
       now_ = at(row, 1).get<double>();
       batch_ = at(row, 2);
     } else if (name == "End") {
-      for (auto& [broker, instance] : instances_) flush(broker, instance);
+      for (auto& [instance_id, instance] : instances_) deliver_pending(instance_id, instance);
       return true;
     } else if (name == "Page") {
       pages_[at(row, 1).get<int>()] = read_page(at(row, 2));
     } else if (name == "Up") {
-      up(row);
+      start_instance(row);
     } else if (name == "Detach") {
       instances_.erase(at(row, 1).get<std::string>());
     } else if (auto it = row.size() > 1 && row[1].is_string() ? instances_.find(row[1]) : instances_.end();
                it != instances_.end()) {
-      event(name, row, it->first, it->second);
+      deliver(name, row, it->first, it->second);
     }
     return false;
   }
@@ -237,25 +245,25 @@
   }
 
  private:
-  void up(const json& row) {
-    std::string broker = at(row, 1).get<std::string>();
+  void start_instance(const json& row) {
+    std::string instance_id = at(row, 1).get<std::string>();
     const json& setup = at(row, 3);
     Settings settings = read_settings(setup);
-    Instance fresh;
-    for (const auto& c : settings.classes) fresh.classes.push_back(c.name);
-    for (const auto& t : settings.tenants) fresh.tenants.push_back(t.name);
-    fresh.coordinator.emplace(std::move(settings), at(row, 2).get<std::uint64_t>(), now_);
-    instances_.erase(broker);
-    Instance& instance = instances_[broker] = std::move(fresh);
-    put(broker, instance.coordinator->start());
+    Instance started;
+    for (const auto& c : settings.classes) started.classes.push_back(c.name);
+    for (const auto& t : settings.tenants) started.tenants.push_back(t.name);
+    started.coordinator.emplace(std::move(settings), at(row, 2).get<std::uint64_t>(), now_);
+    instances_.erase(instance_id);
+    Instance& instance = instances_[instance_id] = std::move(started);
+    append_actions(instance_id, instance.coordinator->start());
   }
 
-  void event(const std::string& name, const json& row, const std::string& broker, Instance& instance) {
-    if (name == "WorkItem") return work(row, broker, instance);
+  void deliver(const std::string& name, const json& row, const std::string& instance_id, Instance& instance) {
+    if (name == "WorkItem") return add_work_item(row, instance_id, instance);
     std::optional<Event> event = translate(name, row);
-    if (!event) return;  // an event of a later wire
-    flush(broker, instance);
-    put(broker, instance.coordinator->handle(now_, *event));
+    if (!event) return;  // an event of a later version of the protocol
+    deliver_pending(instance_id, instance);
+    append_actions(instance_id, instance.coordinator->handle(now_, *event));
   }
 
   std::optional<Event> translate(const std::string& name, const json& row) {
@@ -291,14 +299,14 @@
     return std::nullopt;
   }
 
-  // A query comes as a line for itself and one for each part: gather them into one event.
-  void work(const json& row, const std::string& broker, Instance& instance) {
+  // A query comes as one line for itself and one for each part: collects them into one event.
+  void add_work_item(const json& row, const std::string& instance_id, Instance& instance) {
     std::string id = at(row, 2).get<std::string>();
     int options = at(row, 3).is_number() ? row[3].get<int>() : 0;
     std::int64_t group = at(row, 8).get<std::int64_t>();
     int shard = at(row, 10).is_number() ? row[10].get<int>() : -1;
     if (shard < 0) {
-      flush(broker, instance);
+      deliver_pending(instance_id, instance);
       QueryArrived q;
       q.query = id;
       q.query_class = index_of(instance.classes, at(row, 6));
@@ -306,35 +314,38 @@
       q.give_up_at = at(row, 7).get<double>();
       q.is_retry = (options & 2) != 0;
       if (at(row, 9).is_number()) q.key = row[9].get<std::uint64_t>();
-      instance.groups[group] = id;
-      while (instance.groups.size() > 100000) instance.groups.erase(instance.groups.begin());
-      instance.gathering = Instance::Gathering{group, std::move(q), {}};
+      instance.query_by_group[group] = id;
+      while (instance.query_by_group.size() > 100000)
+        instance.query_by_group.erase(instance.query_by_group.begin());
+      instance.pending = Instance::PendingQuery{group, std::move(q), {}};
       return;
     }
-    if (instance.gathering && instance.gathering->group != group) flush(broker, instance);
-    if (!instance.gathering) instance.gathering = Instance::Gathering{group, std::nullopt, {}};
+    if (instance.pending && instance.pending->group != group) deliver_pending(instance_id, instance);
+    if (!instance.pending) instance.pending = Instance::PendingQuery{group, std::nullopt, {}};
     PartSpec p;
     p.part = id;
     p.shard = shard;
     p.weight = at(row, 4).get<double>();
     if ((options & 1) && at(row, 5).is_number()) p.hint = row[5].get<double>();
-    instance.gathering->parts.push_back(std::move(p));
+    instance.pending->parts.push_back(std::move(p));
   }
 
-  void flush(const std::string& broker, Instance& instance) {
-    if (!instance.gathering) return;
-    Instance::Gathering g = std::move(*instance.gathering);
-    instance.gathering.reset();
+  // Delivers the collected query or second step, if there is one.
+  void deliver_pending(const std::string& instance_id, Instance& instance) {
+    if (!instance.pending) return;
+    Instance::PendingQuery g = std::move(*instance.pending);
+    instance.pending.reset();
     if (g.query) {
       g.query->parts = std::move(g.parts);
-      put(broker, instance.coordinator->handle(now_, std::move(*g.query)));
-    } else if (auto it = instance.groups.find(g.group); it != instance.groups.end()) {
-      put(broker, instance.coordinator->handle(now_, PartsAdded{it->second, std::move(g.parts)}));
+      append_actions(instance_id, instance.coordinator->handle(now_, std::move(*g.query)));
+    } else if (auto it = instance.query_by_group.find(g.group); it != instance.query_by_group.end()) {
+      append_actions(instance_id,
+                     instance.coordinator->handle(now_, PartsAdded{it->second, std::move(g.parts)}));
     }
   }
 
-  void put(const std::string& broker, const std::vector<Action>& actions) {
-    for (const Action& a : actions) out_.push_back(to_wire(broker, a));
+  void append_actions(const std::string& instance_id, const std::vector<Action>& actions) {
+    for (const Action& a : actions) out_.push_back(to_wire(instance_id, a));
   }
 
   double now_ = 0;
@@ -348,12 +359,12 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  Host host;
+  Adapter adapter;
   std::string line;
   for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
     if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
     try {
-      if (host.read(json::parse(line))) host.reply();
+      if (adapter.read(json::parse(line))) adapter.reply();
     } catch (const std::exception& error) {
       std::cerr << "winchhall-simulation-adapter: line " << number << ": " << error.what() << '\n';
       return 1;
