--- a/tests/aggregator/coordination/request_router_integration_test.cpp
+++ b/tests/aggregator/coordination/request_router_integration_test.cpp
@@ -1,4 +1,4 @@
-// The exchange by itself, on a clock that the test sets: what must hold at which moment, whatever the wire.
+// RequestRouter by itself, without a protocol, on a clock that the test sets.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <malloc.h>
@@ -13,7 +13,7 @@
 using coordination::QueryResult;
 using testing::Desk;
 
-TEST_CASE("servers that stay silent: one final answer, before the client's time is up") {
+TEST_CASE("unresponsive servers: one final result before the client's deadline") {
   Desk d;
   d.ask(0, 800);
   d.pass(3000);
@@ -24,11 +24,11 @@
   CHECK(d.out.empty());
 }
 
-TEST_CASE("an answer that comes after its attempt was given up is in no verdict") {
+TEST_CASE("an answer that arrives after its attempt was abandoned is not in the result") {
   Desk d;
   d.ask(0, 2000, 1);
   auto first = d.out.begin()->first;
-  d.pass(1500);  // its patience is over: moved, under a new number
+  d.pass(1500);  // it is late: retried under a new attempt number
   REQUIRE(!d.out.empty());
   CHECK(d.out.count(first) == 0);
   d.end(first, Outcome::ok, "late");
@@ -38,7 +38,7 @@
   CHECK(d.verdicts[0].rows[0].values == std::vector<std::string>{"second"});
 }
 
-TEST_CASE("a partial answer holds the least share at least, and is not called whole") {
+TEST_CASE("a partial answer has at least the minimum share and is not marked complete") {
   Desk d;
   d.ask(1, 6000);
   REQUIRE(d.out.size() == 4);
@@ -47,7 +47,7 @@
   for (int i = 0; i < 3; ++i) d.end((it++)->first, Outcome::ok);
   d.pass(200);
   CHECK(d.verdicts.empty());
-  d.pass(200);  // the aim is over
+  d.pass(200);  // the latency target has passed
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].kind == QueryResult::Kind::answered);
   CHECK(!d.verdicts[0].complete);
@@ -57,7 +57,7 @@
   CHECK(d.router.attempts_in_flight() == 0);
 }
 
-TEST_CASE("parts go where less load is reported") {
+TEST_CASE("parts go to the server that reports less load") {
   Desk d;
   d.ask(0, 5000, 2);  // a part for each of the two servers
   REQUIRE(d.out.size() == 2);
@@ -72,7 +72,7 @@
   for (const auto& [n, order] : d.out) CHECK(order.server == "b");
 }
 
-TEST_CASE("weights count where an installation states them, and nowhere else") {
+TEST_CASE("capacities of servers count only where Settings::weights_count is set") {
   for (bool count : {false, true}) {
     winchhall::Settings settings = testing::two_classes();
     settings.weights_count = count;
@@ -88,9 +88,9 @@
   }
 }
 
-// A state left between the arrival of a list and its taking up would name a revision that its members don't
-// have.
-TEST_CASE("the list's revision rises when its members are taken up, not before") {
+// A state saved between the arrival of a list and its processing must not name a revision that its members
+// don't have yet.
+TEST_CASE("the list's revision changes together with its members") {
   Desk d;
   const std::size_t before = d.router.members().size();
   d.router.update_endpoints(winchhall::ServerList::Kind::changes, {testing::member("c", 1, 0)},
@@ -102,7 +102,7 @@
   CHECK(d.router.members().size() == before + 1);
 }
 
-TEST_CASE("what is over the limit is refused at once, with a time to come back") {
+TEST_CASE("a query above max_open is refused at once, with a retry-after") {
   winchhall::Settings settings = testing::two_classes();
   settings.max_open = 5;
   Desk d(settings);
@@ -115,7 +115,7 @@
   CHECK(d.decided_at == d.now);
 }
 
-TEST_CASE("a query that is withdrawn leaves nothing behind and gets no verdict") {
+TEST_CASE("a withdrawn query leaves no attempts behind and gets no result") {
   Desk d;
   d.ask(0, 2000);
   d.router.withdraw(d.last);
@@ -127,12 +127,12 @@
   CHECK(d.verdicts.empty());
 }
 
-TEST_CASE("memory stays flat with ever new servers and ever new queries") {
+TEST_CASE("memory use stays constant while servers and queries are replaced") {
   Desk d;
   std::size_t before = 0;
   for (int round = 0; round < 1500; ++round) {
-    // Each round all servers are new; the old ones are gone for longer than anything is owed on their
-    // account.
+    // Each round all servers are new, and the previous ones have been gone for longer than their state is
+    // kept.
     std::string a = "a" + std::to_string(round), b = "b" + std::to_string(round);
     d.router.update_endpoints(winchhall::ServerList::Kind::complete,
                               {testing::member(a, 1, 0), testing::member(b, 2, 1)});
@@ -150,19 +150,19 @@
   CHECK(mallinfo2().uordblks < before + 20000);  // under a sanitizer both are 0
 }
 
-TEST_CASE("the module's log goes on after a bad hour, at a bounded rate") {
+TEST_CASE("the coordinator logs at a limited rate after many failures") {
   winchhall::Settings settings = testing::two_classes();
   settings.list_on_request = true;
-  winchhall::Coordinator module(settings, 3, 0);
+  winchhall::Coordinator coordinator(settings, 3, 0);
   int lines = 0;
   for (int i = 0; i < 1000; ++i)
     for (const auto& action :
-         module.handle(i * 1000.0, winchhall::ServerList{winchhall::ServerList::Kind::failed, {}}))
+         coordinator.handle(i * 1000.0, winchhall::ServerList{winchhall::ServerList::Kind::failed, {}}))
       lines += std::holds_alternative<winchhall::LogLine>(action);
   CHECK(lines > 900);
   for (int i = 0; i < 1000; ++i)
     for (const auto& action :
-         module.handle(1e6, winchhall::ServerList{winchhall::ServerList::Kind::failed, {}}))
+         coordinator.handle(1e6, winchhall::ServerList{winchhall::ServerList::Kind::failed, {}}))
       lines += std::holds_alternative<winchhall::LogLine>(action);
   CHECK(lines < 1300);
 }
--- a/tests/aggregator/decision/coordinator_health_test.cpp
+++ b/tests/aggregator/decision/coordinator_health_test.cpp
@@ -1,4 +1,4 @@
-// The module, driven through its interface: servers that fail, and overload.
+// Coordinator, tested through its public interface: failing servers, and overload.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,7 +12,7 @@
 namespace winchhall::testing {
 namespace {
 
-TEST(ServerHealth, AServerThatErrsIsSetAsideThoughItsSumIsLeast) {
+TEST(ServerHealth, FailingServerIsEjectedThoughItHasTheLeastCost) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   for (int i = 0, errors = 0; i < 20 && errors < 2; ++i) {
@@ -26,12 +26,12 @@
   d.query("big", {500});
   d.query("next", {10});
   EXPECT_EQ(d.sent_to("next/0"), "b");
-  d.now += 600;  // after its rest it gets one trial part, not more
+  d.now += 600;  // after the ejection time it gets one trial part only
   d.query("trial", {10, 10});
   EXPECT_NE(d.sent_to("trial/0"), d.sent_to("trial/1"));
 }
 
-TEST(ServerHealth, ErrorsOfOneClassAreNotForgivenForAnothersSuccesses) {
+TEST(ServerHealth, SuccessesOfOneClassDoNotOffsetErrorsOfAnother) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   Driver d(s);
@@ -55,13 +55,13 @@
   }
 }
 
-TEST(ServerHealth, AQueryThatFellsServersIsStoppedAndRemembered) {
+TEST(ServerHealth, QueryThatCrashesServersIsStoppedAndItsKeyRejected) {
   Settings s = plain_settings(3);
   Driver d(s);
   std::vector<std::string> names;
   for (int i = 0; i < 12; ++i) names.push_back("s" + std::to_string(i));
   d.servers(names);
-  std::set<std::string> fallen;
+  std::set<std::string> crashed;
   auto ask = [&](const std::string& id, std::uint64_t key) {
     QueryArrived q;
     q.query = id;
@@ -71,43 +71,43 @@
     d.event(q);
   };
   ask("poison", 99);
-  std::vector<SendPart> sends = d.of<SendPart>();
+  std::vector<SendPart> sends = d.actions_of<SendPart>();
   std::map<std::string, int> attempts;
   ASSERT_EQ(sends.size(), 4u);
-  for (std::size_t i = 0; i < sends.size(); ++i) {  // grows: every attempt breaks its server
-    fallen.insert(sends[i].server);
+  for (std::size_t i = 0; i < sends.size(); ++i) {  // grows: each attempt crashes its server
+    crashed.insert(sends[i].server);
     d.ended(sends[i].part, sends[i].server, Outcome::reset, attempts[sends[i].part]++);
-    for (const SendPart& more : d.of<SendPart>()) sends.push_back(more);
+    for (const SendPart& more : d.actions_of<SendPart>()) sends.push_back(more);
   }
-  EXPECT_LE(fallen.size(), 6u);  // the four it was first sent to, and two more
+  EXPECT_LE(crashed.size(), 6u);  // the four servers of the first attempts, and two more
   ask("again", 99);
-  EXPECT_TRUE(d.of<SendPart>().empty());
-  EXPECT_EQ(d.of<FailQuery>().size() + d.of<RefuseQuery>().size(), 1u);
-  ask("other", 98);  // one part first, the rest when it has come back
-  ASSERT_EQ(d.of<SendPart>().size(), 1u);
-  auto first = d.of<SendPart>()[0];
+  EXPECT_TRUE(d.actions_of<SendPart>().empty());
+  EXPECT_EQ(d.actions_of<FailQuery>().size() + d.actions_of<RefuseQuery>().size(), 1u);
+  ask("other", 98);  // one part first, the others after its answer
+  ASSERT_EQ(d.actions_of<SendPart>().size(), 1u);
+  auto first = d.actions_of<SendPart>()[0];
   d.ended(first.part, first.server, Outcome::ok);
-  d.pass(20);
-  EXPECT_EQ(d.of<SendPart>().size(), 3u);
+  d.advance(20);
+  EXPECT_EQ(d.actions_of<SendPart>().size(), 3u);
 }
 
-TEST(ServerHealth, ABystanderOfACrashGoesOnOnePartAtATimeAndIsCleared) {
+TEST(ServerHealth, QueryWithTwoBrokenConnectionsContinuesOnePartAtATimeUntilOneSucceeds) {
   Driver d(plain_settings(3));
   d.servers({"a", "b", "c", "d"});
   d.query("q", {10, 10, 10, 10});
-  auto sends = d.of<SendPart>();
+  auto sends = d.actions_of<SendPart>();
   d.ended(sends[2].part, sends[2].server, Outcome::ok);
   d.ended(sends[0].part, sends[0].server, Outcome::reset);
-  std::vector<SendPart> retries = d.of<SendPart>();
+  std::vector<SendPart> retries = d.actions_of<SendPart>();
   d.ended(sends[1].part, sends[1].server, Outcome::reset);
-  EXPECT_TRUE(d.of<SendPart>().empty());
-  d.ended(sends[3].part, sends[3].server, Outcome::ok);  // clears it
-  d.pass(20);
-  EXPECT_EQ(d.of<SendPart>().size() + retries.size(), 2u);
-  EXPECT_TRUE(d.of<FailQuery>().empty());
+  EXPECT_TRUE(d.actions_of<SendPart>().empty());
+  d.ended(sends[3].part, sends[3].server, Outcome::ok);  // ends the restriction to one part at a time
+  d.advance(20);
+  EXPECT_EQ(d.actions_of<SendPart>().size() + retries.size(), 2u);
+  EXPECT_TRUE(d.actions_of<FailQuery>().empty());
 }
 
-TEST(ServerHealth, AServerThatFailsAtOnceRanksBehindSilentOnes) {
+TEST(ServerHealth, ImmediatelyFailingServerRanksBehindOneAtCapacity) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   for (int i = 0, errors = 0; errors < 2; ++i) {
@@ -125,19 +125,19 @@
   EXPECT_EQ(d.sent_to("next/0"), "b");
 }
 
-TEST(ServerHealth, AFurtherAttemptWaitsWhileAllFailAtOnce) {
+TEST(ServerHealth, RetryWaitsWhileAllReplicasFailImmediately) {
   Driver d(plain_settings(4));
   d.servers({"a"});
   d.query("q", {10});
   d.ended("q/0", "a", Outcome::connect_failed);
-  EXPECT_TRUE(d.of<SendPart>().empty());
-  d.pass(400);
-  EXPECT_TRUE(d.of<SendPart>().empty());
-  d.pass(200);
-  EXPECT_EQ(d.of<SendPart>().size(), 1u);
+  EXPECT_TRUE(d.actions_of<SendPart>().empty());
+  d.advance(400);
+  EXPECT_TRUE(d.actions_of<SendPart>().empty());
+  d.advance(200);
+  EXPECT_EQ(d.actions_of<SendPart>().size(), 1u);
 }
 
-TEST(ServerHealth, WhenAllReplicasLookBadTheLeastSumDecides) {
+TEST(ServerHealth, QueryIsSentThoughAllReplicasAreEjected) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   d.query("q", {10, 10});
@@ -145,25 +145,25 @@
   d.ended("q/0", s0, Outcome::connect_failed);
   d.ended("q/1", s1, Outcome::connect_failed);
   d.query("r", {10});
-  EXPECT_EQ(d.of<SendPart>().size(), 1u);
+  EXPECT_EQ(d.actions_of<SendPart>().size(), 1u);
 }
 
-TEST(ServerHealth, AnOverdueAttemptAtASilentServerIsMoved) {
+TEST(ServerHealth, LateAttemptAtAnUnresponsiveServerIsRetriedElsewhere) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
   teach(d, 20, 100);
   d.query("q", {100});
   std::string first = d.sent_to("q/0");
-  d.pass(450);
-  ASSERT_EQ(d.of<CancelAttempt>().size(), 1u);
+  d.advance(450);
+  ASSERT_EQ(d.actions_of<CancelAttempt>().size(), 1u);
   d.ended("q/0", first, Outcome::cancelled);
-  ASSERT_EQ(d.of<SendPart>().size(), 1u);
-  EXPECT_NE(d.of<SendPart>()[0].server, first);
+  ASSERT_EQ(d.actions_of<SendPart>().size(), 1u);
+  EXPECT_NE(d.actions_of<SendPart>()[0].server, first);
 }
 
-TEST(ServerHealth, ACutConnectionOfALivingServerCondemnsNobody) {
-  // Servers go on answering right after connections broke: later breaks are cuts, and a query under which
-  // several broke is neither ended nor made to wait.
+TEST(ServerHealth, BrokenConnectionsOfRunningServersDoNotCountAsCrashes) {
+  // Servers answer right after their connections broke, so later breaks count as network faults: a query that
+  // sees several of them is neither ended nor sent one part at a time.
   Driver d(plain_settings(5));
   d.servers({"a", "b", "c"});
   for (int i = 0; i < 6; ++i) {
@@ -171,8 +171,8 @@
     d.query(id, {100});
     std::string server = d.sent_to(id + "/0");
     ASSERT_NE(server, "");
-    d.query(id + "x", {100, 100, 100});  // something out on every server
-    auto others = d.of<SendPart>();
+    d.query(id + "x", {100, 100, 100});  // an attempt in flight at each server
+    auto others = d.actions_of<SendPart>();
     d.now += 30;
     d.ended(id + "/0", server, Outcome::reset);
     std::string again = d.sent_to(id + "/0");
@@ -180,16 +180,16 @@
     if (!again.empty()) d.ended(id + "/0", again, Outcome::ok, 1);
   }
   d.query("q", {100, 100, 100});
-  auto sends = d.of<SendPart>();
+  auto sends = d.actions_of<SendPart>();
   ASSERT_EQ(sends.size(), 3u);
   for (const SendPart& s : sends) {
     d.ended(s.part, s.server, Outcome::reset);
-    EXPECT_EQ(d.of<RefuseQuery>().size() + d.of<FailQuery>().size(), 0u);
-    EXPECT_EQ(d.of<SendPart>().size(), 1u) << s.part;
+    EXPECT_EQ(d.actions_of<RefuseQuery>().size() + d.actions_of<FailQuery>().size(), 0u);
+    EXPECT_EQ(d.actions_of<SendPart>().size(), 1u) << s.part;
   }
 }
 
-TEST(ServerHealth, AServerThatSwallowsOneClassIsAvoidedForThatClassOnly) {
+TEST(ServerHealth, ServerUnresponsiveForOneClassIsAvoidedForThatClassOnly) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   Driver d(s);
@@ -214,13 +214,13 @@
   EXPECT_GE(served, 5);
 }
 
-TEST(Overload, WhatCannotBeInTimeIsRefusedBeforeItIsSent) {
+TEST(Overload, QueryThatCannotFinishInTimeIsRejectedBeforeItIsSent) {
   Settings s = plain_settings();
   s.honors_retry_after = true;
   s.max_retry_after = 400;
   Driver d(s);
   d.servers({"a"});
-  for (int round = 0; round < 5; ++round) {  // queues of five, worked off one after another
+  for (int round = 0; round < 5; ++round) {  // five queries at a time, answered one after another
     std::string id = "deep" + std::to_string(round) + ".";
     for (int i = 0; i < 5; ++i) d.query(id + std::to_string(i), {100});
     for (int i = 0; i < 5; ++i) {
@@ -230,38 +230,38 @@
   }
   for (int i = 0; i < 30; ++i) {
     d.query("q" + std::to_string(i), {100});
-    if (!d.of<RefuseQuery>().empty()) break;
+    if (!d.actions_of<RefuseQuery>().empty()) break;
   }
-  ASSERT_EQ(d.of<RefuseQuery>().size(), 1u);
-  EXPECT_GT(d.of<RefuseQuery>()[0].retry_after, 0);
-  EXPECT_TRUE(d.of<SendPart>().empty());
+  ASSERT_EQ(d.actions_of<RefuseQuery>().size(), 1u);
+  EXPECT_GT(d.actions_of<RefuseQuery>()[0].retry_after, 0);
+  EXPECT_TRUE(d.actions_of<SendPart>().empty());
 }
 
-// Seen on a day of many slow leafs: a server's pace, learned as its time over a part's hint with its queue of
-// then in it, was multiplied into the work ahead once more, and parts that its server would answer in time
-// were refused.
-TEST(Overload, APartItsServerAnsweredInTimeAloneOfLateIsNotRefused) {
+// Guards against counting queueing twice: a server's response ratio (response time over cost estimate)
+// includes the queue at that time. When it was multiplied with the cost ahead, parts that a slow server would
+// have answered in time were rejected.
+TEST(Overload, QueueingIsNotCountedTwiceForASlowServer) {
   Driver d(plain_settings());
   d.servers({"a", "b", "c"});
   auto only = [&](const std::vector<std::string>& ready) {
     for (const char* name : {"a", "b", "c"}) {
       bool is = std::find(ready.begin(), ready.end(), name) != ready.end();
-      d.change(Driver::entry(name, is ? ServerState::ready : ServerState::draining));
+      d.update_server(Driver::entry(name, is ? ServerState::ready : ServerState::draining));
     }
   };
   only({"a"});
-  teach(d, 8, 400);  // alone, 400 ms a part
+  teach(d, 8, 400);  // as the only server, 400 ms per part
   only({"b", "c"});
   teach(d, 8, 50);
   only({"a", "b", "c"});
-  d.pass(10);  // the peers' median pace is now b's and c's, an eighth of a's
+  d.advance(10);  // the median response ratio is now that of b and c, an eighth of a's
   only({"a"});
   d.query("q", {100}, 0, 600);
-  EXPECT_TRUE(d.of<RefuseQuery>().empty());
+  EXPECT_TRUE(d.actions_of<RefuseQuery>().empty());
   EXPECT_EQ(d.sent_to("q/0"), "a");
 }
 
-TEST(Overload, UnderPressureThePartsThatWeighLeastForTheirWorkAreLeftOut) {
+TEST(Overload, PartsOfLowWeightPerCostAreLeftOut) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].min_share = 0.6;
@@ -285,15 +285,15 @@
     for (int i = 0; i < 3; ++i) q.parts[static_cast<std::size_t>(i)].part = id + "/" + std::to_string(i);
     d.event(q);
   };
-  ask("calm");
-  EXPECT_EQ(d.of<SendPart>().size(), 3u);
+  ask("idle");
+  EXPECT_EQ(d.actions_of<SendPart>().size(), 3u);
   for (int i = 0; i < 5; ++i) d.query("before" + std::to_string(i), {100});
-  ask("pressed");
-  ASSERT_EQ(d.of<SendPart>().size(), 1u);
-  EXPECT_EQ(d.of<SendPart>()[0].part, "pressed/0");
-  d.ended("pressed/0", "a", Outcome::ok);
-  ASSERT_EQ(d.of<AnswerQuery>().size(), 1u);
-  EXPECT_FALSE(d.of<AnswerQuery>()[0].complete);
+  ask("overloaded");
+  ASSERT_EQ(d.actions_of<SendPart>().size(), 1u);
+  EXPECT_EQ(d.actions_of<SendPart>()[0].part, "overloaded/0");
+  d.ended("overloaded/0", "a", Outcome::ok);
+  ASSERT_EQ(d.actions_of<AnswerQuery>().size(), 1u);
+  EXPECT_FALSE(d.actions_of<AnswerQuery>()[0].complete);
 }
 
 }  // namespace
--- a/tests/aggregator/decision/driver.hpp
+++ b/tests/aggregator/decision/driver.hpp
@@ -1,5 +1,4 @@
-// A small hand-held broker for tests: keeps the actions of the last event and offers short ways to say
-// events.
+// Test driver of a Coordinator: sets the time, builds events and keeps the actions that the last one caused.
 #pragma once
 
 #include <string>
@@ -10,7 +9,8 @@
 
 namespace winchhall::testing {
 
-inline Settings plain_settings(int servers_per_shard_attempts = 3) {
+// One class with a target of 1 s; slow start over 10 s from a quarter of the capacity.
+inline Settings plain_settings(int max_attempts = 3) {
   Settings s;
   ClassSettings c;
   c.name = "any";
@@ -18,7 +18,7 @@
   c.deadline = 3000;
   s.classes.push_back(c);
   s.tick = 1;
-  s.max_attempts = servers_per_shard_attempts;
+  s.max_attempts = max_attempts;
   s.may_cancel = true;
   s.warm_up_time = 10000;
   s.warm_up_initial_share = 0.25;
@@ -27,6 +27,7 @@
   return s;
 }
 
+// Owns the Coordinator. `now` is in ms and is set by the test or by advance().
 class Driver {
  public:
   explicit Driver(Settings settings, std::uint64_t seed = 7) : coordinator(std::move(settings), seed, 0) {
@@ -46,9 +47,9 @@
     e.state = state;
     return e;
   }
-  void change(const ServerEntry& e) { event(ServerList{ServerList::Kind::changes, {e}}); }
+  void update_server(const ServerEntry& e) { event(ServerList{ServerList::Kind::changes, {e}}); }
 
-  // A query whose parts have equal weights; all on shard 0.
+  // Submits a query whose parts have equal weights and are all on shard 0.
   std::vector<Action>& query(const std::string& id, const std::vector<double>& hints, int query_class = 0,
                              Millis lasts = 3000) {
     QueryArrived q;
@@ -71,8 +72,8 @@
     return event(e);
   }
 
-  // Lets time pass in steps, firing the timer; keeps every action that came.
-  std::vector<Action> pass(Millis time, Millis step = 10) {
+  // Advances the time in steps of `step` ms and fires the timer at each; returns and keeps all actions.
+  std::vector<Action> advance(Millis time, Millis step = 10) {
     std::vector<Action> all;
     for (Millis until = now + time; now < until;) {
       now += step;
@@ -81,15 +82,17 @@
     return last = all;
   }
 
+  // The kept actions of one type.
   template <class T>
-  std::vector<T> of() const {
+  std::vector<T> actions_of() const {
     std::vector<T> found;
     for (const Action& a : last)
       if (const T* t = std::get_if<T>(&a)) found.push_back(*t);
     return found;
   }
+  // The server that the part was sent to, or an empty string.
   std::string sent_to(const std::string& part) const {
-    for (const SendPart& s : of<SendPart>())
+    for (const SendPart& s : actions_of<SendPart>())
       if (s.part == part) return s.server;
     return "";
   }
--- a/tests/aggregator/decision/warm_up_window_test.cpp
+++ b/tests/aggregator/decision/warm_up_window_test.cpp
@@ -1,4 +1,4 @@
-// What counts as sent to a warming server, and for how long.
+// WarmUpWindow: which parts count as sent to a warming server, and for how long.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "aggregator/decision/warm_up_window.hpp"
 
@@ -6,7 +6,7 @@
 
 using winchhall::detail::WarmUpWindow;
 
-TEST_CASE("a part counts from its sending for as long as the window reaches back") {
+TEST_CASE("a part counts until its latest possible arrival is before the window") {
   WarmUpWindow window;
   CHECK(window.empty());
   window.add(1, 1000, 20);
@@ -16,7 +16,7 @@
   CHECK(window.empty());
 }
 
-TEST_CASE("a part in flight counts however long ago it was sent") {
+TEST_CASE("a part in flight counts, however long ago it was sent") {
   WarmUpWindow window;
   window.add(1, 1000, 20);
   window.add(2, 1500, 30);
@@ -43,7 +43,7 @@
   CHECK(window.empty());
 }
 
-TEST_CASE("what was in flight to the previous process of a server counts from its sending alone") {
+TEST_CASE("parts in flight to a previous process of the server count from their sending") {
   WarmUpWindow window;
   window.add(1, 1000, 20);
   window.add(2, 2000, 30);
