--- a/src/aggregator/coordination/class_registry.hpp
+++ b/src/aggregator/coordination/class_registry.hpp
@@ -11,10 +11,11 @@
 namespace winchhall::coordination {
 
 // Assigns indices to class versions and counts the open queries of each.
-class ClassTable {
+class ClassRegistry {
  public:
-  explicit ClassTable(std::vector<winchhall::ClassSettings> classes);
+  explicit ClassRegistry(std::vector<winchhall::ClassSettings> classes);
 
+  // The result of change().
   struct Change {
     std::vector<winchhall::ClassSettings> classes{};  // by index; an empty name: used by open queries only
     std::vector<int> from{};                          // by index: the old index whose statistics apply, or -1
@@ -26,6 +27,7 @@
   // Counts an open query of the class at `index`; each opened() needs one closed().
   void opened(int index) { ++open_[static_cast<std::size_t>(index)]; }
   void closed(int index) { --open_[static_cast<std::size_t>(index)]; }
+  // Number of indices, including unused ones and those that only open queries refer to.
   std::size_t size() const { return classes_.size(); }
   // The class's name, also for a class that only open queries still use.
   const std::string& name(int index) const { return names_[static_cast<std::size_t>(index)]; }
@@ -38,10 +40,10 @@
 
 // The stricter of the old and the new value of each rule of a class, for the time in which clients may use
 // either version.
-winchhall::ClassSettings safe_under_both(const winchhall::ClassSettings& old,
-                                         const winchhall::ClassSettings& next);
+winchhall::ClassSettings strictest_of(const winchhall::ClassSettings& old,
+                                      const winchhall::ClassSettings& next);
 // The same for complete settings. The result has the classes of both: a removed class may still be requested,
 // an added one already.
-winchhall::Settings safe_under_both(const winchhall::Settings& old, const winchhall::Settings& next);
+winchhall::Settings strictest_of(const winchhall::Settings& old, const winchhall::Settings& next);
 
 }  // namespace winchhall::coordination
--- a/src/aggregator/coordination/request_router_settings.cpp
+++ b/src/aggregator/coordination/request_router_settings.cpp
@@ -23,8 +23,8 @@
 }
 
 void RequestRouter::change_settings(const Settings& settings) {
-  inbox_.push_back([this, settings] {
-    ClassTable::Change change = classes_.change(settings.classes);
+  event_queue_.push_back([this, settings] {
+    ClassRegistry::Change change = classes_.change(settings.classes);
     settings_ = settings;
     settings_.classes = std::move(change.classes);
     assign_counters();
--- a/src/aggregator/http/leaf_connection.cpp
+++ b/src/aggregator/http/leaf_connection.cpp
@@ -236,7 +236,7 @@
   if (attempt == 0) return true;
   attempts_.erase(attempt);
   pool_.connection_of_attempt_.erase(attempt);
-  coordination::Result r;
+  coordination::AttemptResult r;
   r.outcome = answer.status == 200            ? Outcome::ok
               : answer.status == 503          ? Outcome::full
               : answer.status == kMisdirected ? Outcome::not_mine
--- a/src/aggregator/http/request.cpp
+++ b/src/aggregator/http/request.cpp
@@ -101,7 +101,7 @@
   if (m.method != "POST")
     return rejected(405, "method " + m.method.substr(0, kMaxEchoedBytes) + ", wanted is POST");
   const std::string* id = m.header("x-request-id");
-  if (!id || !coordination::fit_name(*id))
+  if (!id || !coordination::is_valid_query_id(*id))
     return rejected(400, "X-Request-ID: wanted are 1 to 128 signs, none of them a space");
   q.id = *id;
   if (const std::string* tenant = m.header("x-tenant-id"))
@@ -116,9 +116,9 @@
   }
   // The client's timeout runs from its sending: time on the network, in either direction, is not available
   // here.
-  q.give_up_at = coordination::due(arrived, timeout);
+  q.give_up_at = coordination::answer_deadline(arrived, timeout);
   const std::string* retried = m.header("x-retried");
-  q.repeat = retried && *retried == "1";
+  q.is_retry = retried && *retried == "1";
   while (!query.empty()) {
     query.remove_prefix(1);
     std::string_view item = query.substr(0, query.find('&'));
@@ -126,7 +126,8 @@
     query.remove_prefix(item.size());
   }
   if (std::string what = read_body(m.body, context.spans, q); !what.empty()) return rejected(400, what);
-  if (std::string what = coordination::unsound(q, context.shards); !what.empty()) return rejected(400, what);
+  if (std::string what = coordination::validation_error(q, context.shards); !what.empty())
+    return rejected(400, what);
   return d;
 }
 
--- a/tests/aggregator/ranges/spans_moves_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_moves_integration_test.cpp
@@ -45,7 +45,7 @@
   auto first = d.out_for({0, 100});
   d.update_ranges(apply_change(four_ranges(), kSplitFirstRange));
   CHECK(d.out.size() == 1);  // no further attempt is sent
-  CHECK(d.router.moves().on_hold == 1);
+  CHECK(d.router.range_migrations().on_hold == 1);
   d.end(first, Outcome::ok, "all of it");
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].complete);
@@ -173,13 +173,13 @@
   winchhall::Settings s = two_classes();
   s.warm_up_time = 10000;
   s.warm_up_initial_share = 0.25;
-  s.fall_multiple = 4;
-  s.fall_time = 1000;
+  s.overload_multiple = 4;
+  s.overload_time = 1000;
   Desk d(s);
   d.pass(1200);  // what other processes sent before this one's start has ended by then
   coordination::Member cold = member("c", 3, 0);
   cold.entry.started = d.now;
-  d.router.list(winchhall::ServerList::Kind::changes, {cold});
+  d.router.update_endpoints(winchhall::ServerList::Kind::changes, {cold});
   d.router.run();
   std::string why;
   RangeMap map = *RangeMap::build({1, 5}, {{0, {0, kKeyEnd}, 1, serving_holders({"c"})}}, why);
--- a/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_not_mine_integration_test.cpp
@@ -27,7 +27,7 @@
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].kind == QueryResult::Kind::refused);
   CHECK(d.verdicts[0].retry_after > 0);
-  CHECK(d.router.moves().denied == 3);
+  CHECK(d.router.range_migrations().denied == 3);
 }
 
 TEST_CASE("the only holder denies with an older map: it is requested again after a delay") {
@@ -160,7 +160,7 @@
   CHECK(at_zero <= 3);
   REQUIRE(d.verdicts.size() == 1);
   CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
-  CHECK(d.router.moves().dropped == 0);
+  CHECK(d.router.range_migrations().dropped == 0);
 }
 
 TEST_CASE("many changes during many queries: one result each, every account at most once, no state left") {
@@ -195,7 +195,7 @@
   d.pass(6000);
   CHECK(d.verdicts.size() == static_cast<std::size_t>(d.asked));
   CHECK(d.router.open_queries() == 0);
-  CHECK(d.router.attempts_out() == 0);
+  CHECK(d.router.attempts_in_flight() == 0);
   std::size_t complete = 0;
   for (const QueryResult& v : d.verdicts) {
     SpanSet seen;
