--- a/examples/toy_leaf.cpp
+++ b/examples/toy_leaf.cpp
@@ -20,8 +20,7 @@
   void received(std::string& in) override {
     bool bad = false;
     while (auto frame = http::take_frame(in, bad)) {
-      if (frame->type == 'U')
-        stream->write(http::make_frame('U', "inflight=" + std::to_string(in_flight)));
+      if (frame->type == 'U') stream->write(http::make_frame('U', "inflight=" + std::to_string(in_flight)));
       if (frame->type == 'I') stream->write(http::make_frame('I', "200"));
       if (frame->type != 'D') continue;
       for (std::string rest = frame->payload; !rest.empty();) {
