--- a/src/aggregator/decision/query_table.hpp
+++ b/src/aggregator/decision/query_table.hpp
@@ -13,7 +13,7 @@
  protected:
   using ServerPool::ServerPool;
 
-  // Rule: the retry budget holds in each time window of its length. True if one more retry fits.
+  // Rule: the retry budget, counted over an exact sliding window. True if one more retry fits.
   bool retry_budget_allows() {
     if (!settings_.budget) return true;
     while (!accepted_.empty() && accepted_.front().first <= now_ - settings_.budget_window) {
