--- a/src/cluster/control/inspection_responses.cpp
+++ b/src/cluster/control/inspection_responses.cpp
@@ -48,7 +48,7 @@
 
 json::object ends_json(const SchedulerCounters& counters) {
   json::object ends;
-  for (std::size_t kind = 0; kind < kEndKinds; ++kind) {
+  for (std::size_t kind = 0; kind < kEndKindCount; ++kind) {
     ends[end_kind_name(static_cast<wire::EndKind>(kind))] = counters.ends[kind];
   }
   return ends;
--- a/src/cluster/control/service_leader.cpp
+++ b/src/cluster/control/service_leader.cpp
@@ -13,8 +13,8 @@
 constexpr Millis kPlanningDelay{1};  // requests that arrive together are planned together
 constexpr Millis kTickInterval{50};  // planning without requests: jobs that fall due, task leases that expire
 
-SchedulerTerms scheduler_terms(const NodeSettings& settings, std::string service) {
-  SchedulerTerms terms;
+SchedulerOptions scheduler_terms(const NodeSettings& settings, std::string service) {
+  SchedulerOptions terms;
   terms.service = std::move(service);
   terms.bounds = settings.bounds;
   terms.lease_duration = settings.bounds.hold_max;
--- a/src/cluster/control/service_leader.hpp
+++ b/src/cluster/control/service_leader.hpp
@@ -66,7 +66,7 @@
 
   Runtime& runtime_;
   ControlGroup& group_;
-  SchedulerTerms terms_;
+  SchedulerOptions terms_;
   JobRequestEndpoint job_requests_;
   WorkerReportEndpoint worker_reports_;
   std::unique_ptr<ReplicatedShard> shard_;
--- a/src/cluster/control/worker_report_endpoint.cpp
+++ b/src/cluster/control/worker_report_endpoint.cpp
@@ -27,7 +27,7 @@
 }
 
 void WorkerReportEndpoint::answer(Scheduler& scheduler, const PendingReport& report) const {
-  wire::WorkerOrders orders = scheduler.orders(report.leaf_id, runtime_.now());
+  wire::WorkerOrders orders = scheduler.make_orders(report.leaf_id, runtime_.now());
   orders.set_report_number(report.report_number);
   if (log_enabled(LogLevel::debug)) log_delivered_orders(orders);
   report.reply(worker_orders_envelope(std::move(orders)));
--- a/src/cluster/metrics/control_collector.cpp
+++ b/src/cluster/metrics/control_collector.cpp
@@ -78,7 +78,7 @@
 void collect_run_ends(const std::vector<ServiceStatus>& services, MetricFamilies& families) {
   FamilyBuilder ends = counter_family("winchhall_task_ends_total", "Ends of runs by kind.");
   for (const ServiceStatus& service : services) {
-    for (std::size_t kind = 0; kind < kEndKinds; ++kind) {
+    for (std::size_t kind = 0; kind < kEndKindCount; ++kind) {
       ends.add(static_cast<double>(service.stats.counters.ends[kind]),
                {{"service", service.service}, {"kind", end_kind_name(static_cast<wire::EndKind>(kind))}});
     }
--- a/src/cluster/scheduler/eligibility.cpp
+++ b/src/cluster/scheduler/eligibility.cpp
@@ -57,11 +57,11 @@
 }
 
 double estimate_ms_on(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage) {
-  return stage.estimate_ms * (is_remote(leaf, stage) ? state.terms.bounds.far_factor : 1);
+  return stage.estimate_ms * (is_remote(leaf, stage) ? state.options.bounds.far_factor : 1);
 }
 
 double remote_penalty_ms(const SchedulerState& state, const StageInstance& stage) {
-  return stage.estimate_ms * (state.terms.bounds.far_factor - 1);
+  return stage.estimate_ms * (state.options.bounds.far_factor - 1);
 }
 
 bool respects_reservation(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage) {
--- a/src/cluster/scheduler/gang_placement.cpp
+++ b/src/cluster/scheduler/gang_placement.cpp
@@ -88,7 +88,7 @@
 
 GangPlacement spread_over_racks(SchedulerState& state, const StageInstance& stage,
                                 const std::vector<Leaf*>& candidates) {
-  const double estimate_ms = stage.estimate_ms * state.terms.bounds.far_factor;
+  const double estimate_ms = stage.estimate_ms * state.options.bounds.far_factor;
   double total_ms = 0;
   std::vector<Leaf*> members = spread_members(state, stage, candidates, estimate_ms, total_ms);
   if (members.empty()) return {};
--- a/src/cluster/scheduler/job_lifecycle.cpp
+++ b/src/cluster/scheduler/job_lifecycle.cpp
@@ -31,7 +31,7 @@
   if (Job* known = state_.jobs.find(id))
     return {wire::JOB_OK, known->durable ? 0 : known->last_change_batch, {}};
   if (const auto violation = find_violation(id, spec)) return {wire::JOB_INVALID, 0, *violation};
-  if (state_.jobs.live() >= state_.terms.max_live_jobs) return {wire::JOB_REJECTED, 0, "too many jobs"};
+  if (state_.jobs.live() >= state_.options.max_live_jobs) return {wire::JOB_REJECTED, 0, "too many jobs"};
   ++state_.counters.jobs_accepted;
   Job& job = state_.jobs.add(id, spec, terms);
   job.accepted_at = state_.now;
@@ -91,7 +91,7 @@
   start_due_repeats(job);
 }
 
-Millis JobLifecycle::retention_after_end() const { return state_.terms.bounds.status * 3 / 2; }
+Millis JobLifecycle::retention_after_end() const { return state_.options.bounds.status * 3 / 2; }
 
 void JobLifecycle::mark_progress_changed(Job& job) {
   job.last_change_batch = state_.records.mark_progress(job.id);
--- a/src/cluster/scheduler/order_responder.hpp
+++ b/src/cluster/scheduler/order_responder.hpp
@@ -13,7 +13,7 @@
  public:
   explicit OrderResponder(SchedulerState& state) : state_(state) {}
 
-  // See Scheduler::orders.
+  // See Scheduler::make_orders.
   wire::WorkerOrders make_orders(const std::string& leaf_id);
   // See Scheduler::has_undelivered_orders.
   bool has_undelivered_orders(const std::string& leaf_id) const;
--- a/src/cluster/scheduler/run_end_estimate.cpp
+++ b/src/cluster/scheduler/run_end_estimate.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 TimePoint estimate_run_end(const SchedulerState& state, const Run& run) {
-  if (run.stop_revision > 0) return state.now + state.terms.bounds.stop;
+  if (run.stop_revision > 0) return state.now + state.options.bounds.stop;
   if (run.stage == nullptr || run.stage->spec->long_running()) return state.now + kLongRunningRest;
   const TimePoint started = run.reported ? run.first_reported_at : run.ordered_at;
   const double elapsed_ms = std::chrono::duration<double, std::milli>(state.now - started).count();
--- a/src/cluster/scheduler/scheduler.cpp
+++ b/src/cluster/scheduler/scheduler.cpp
@@ -20,8 +20,8 @@
 // Puts the components together; decides nothing itself.
 class ServiceScheduler : public Scheduler {
  public:
-  ServiceScheduler(SchedulerTerms terms, std::uint64_t epoch, std::uint64_t seed)
-      : state_(std::move(terms), epoch, seed),
+  ServiceScheduler(SchedulerOptions options, std::uint64_t epoch, std::uint64_t seed)
+      : state_(std::move(options), epoch, seed),
         runs_(state_),
         jobs_(state_, runs_),
         ends_(state_, runs_, jobs_),
@@ -77,7 +77,7 @@
     placer_.place_waiting_tasks();
   }
 
-  wire::WorkerOrders orders(const std::string& leaf_id, TimePoint now) override {
+  wire::WorkerOrders make_orders(const std::string& leaf_id, TimePoint now) override {
     state_.now = std::max(state_.now, now);
     return order_responder_.make_orders(leaf_id);
   }
@@ -141,8 +141,8 @@
 }  // namespace
 }  // namespace scheduling
 
-std::unique_ptr<Scheduler> make_scheduler(SchedulerTerms terms, std::uint64_t epoch, std::uint64_t seed) {
-  return std::make_unique<scheduling::ServiceScheduler>(std::move(terms), epoch, seed);
+std::unique_ptr<Scheduler> make_scheduler(SchedulerOptions options, std::uint64_t epoch, std::uint64_t seed) {
+  return std::make_unique<scheduling::ServiceScheduler>(std::move(options), epoch, seed);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/scheduler/scheduler.hpp
+++ b/src/cluster/scheduler/scheduler.hpp
@@ -19,7 +19,7 @@
 using ChangeBatchNumber = std::uint64_t;
 
 // Settings of a scheduler, fixed for its lifetime.
-struct SchedulerTerms {
+struct SchedulerOptions {
   std::string service;
   Bounds bounds;
   // Execution lease of a leaf: how long its runs may go on without a further grant, counted from the sending
@@ -27,7 +27,7 @@
   Millis lease_duration{10000};
   // Longest time between the worker-agent's sending of a report and the handling of its answer that still
   // extends the lease.
-  Millis answer_slack{1000};
+  Millis max_report_round_trip{1000};
   // Jobs that have not ended; a submission beyond them is rejected.
   std::uint32_t max_live_jobs = 20000;
 };
@@ -47,7 +47,7 @@
 
 // The scheduler of one service, for as long as its owner holds the service's lease.
 //
-// It does no I/O. Calls and reports go in; orders for leaves (`orders`) and changes of durable records
+// It does no I/O. Calls and reports go in; orders for leaves (`make_orders`) and changes of durable records
 // (`take_changes`) come out. The owner writes the changes to the service's replicated shard in the order of
 // their batches and confirms them with `on_changes_durable`; whatever must outlive a change of leader is
 // neither shown nor acted on before that.
@@ -83,7 +83,8 @@
   // Number of a queue's jobs that are queued or running.
   virtual std::uint32_t pending(const std::string& queue) const = 0;
 
-  // Handles a worker-agent's report. Reports may be lost, doubled or late. Their answer is made by `orders`.
+  // Handles a worker-agent's report. Reports may be lost, doubled or late. Their answer is made by
+  // `make_orders`.
   virtual void report(const wire::WorkerReport& report, TimePoint now, std::int64_t wall_ms) = 0;
 
   // Starts waiting tasks where there is capacity, preempts, and runs whatever is due. To be called after
@@ -92,8 +93,8 @@
 
   // Makes the answer to a leaf's newest report: all orders above the report's `orders_received`. It grants
   // the leaf its execution lease, and what it contains counts as delivered: it has to be sent.
-  virtual wire::WorkerOrders orders(const std::string& leaf_id, TimePoint now) = 0;
-  // True if `orders` would contain something that no earlier answer to this leaf did.
+  virtual wire::WorkerOrders make_orders(const std::string& leaf_id, TimePoint now) = 0;
+  // True if `make_orders` would contain something that no earlier answer to this leaf did.
   virtual bool has_undelivered_orders(const std::string& leaf_id) const = 0;
 
   // All changes of records since the last call; no changes: number 0.
@@ -119,6 +120,6 @@
 
 // `epoch`: of the service's lease, above 0; it is the fencing token of the orders and keeps run numbers apart
 // from those of earlier leaders. `seed`: for breaking ties among leaves.
-std::unique_ptr<Scheduler> make_scheduler(SchedulerTerms terms, std::uint64_t epoch, std::uint64_t seed);
+std::unique_ptr<Scheduler> make_scheduler(SchedulerOptions options, std::uint64_t epoch, std::uint64_t seed);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/scheduler/scheduler_state.hpp
+++ b/src/cluster/scheduler/scheduler_state.hpp
@@ -28,10 +28,10 @@
 // Owned by the scheduler; its components keep references. Each field says which component changes it, where
 // it isn't all of them.
 struct SchedulerState {
-  SchedulerState(SchedulerTerms given_terms, std::uint64_t lease_epoch, std::uint64_t seed)
-      : terms(std::move(given_terms)), epoch(lease_epoch), random(seed) {}
+  SchedulerState(SchedulerOptions scheduler_options, std::uint64_t lease_epoch, std::uint64_t seed)
+      : options(std::move(scheduler_options)), epoch(lease_epoch), random(seed) {}
 
-  const SchedulerTerms terms;
+  const SchedulerOptions options;
   const std::uint64_t epoch;
   std::mt19937_64 random;  // breaks ties among leaves
   TimePoint now;           // of the current call; never falls
@@ -54,13 +54,13 @@
   bool ejection_enabled = true;       // RunMonitor
   TimePoint last_start_at;            // when a run was last ordered; RunTable
 
-  Millis lease_duration() const { return std::min(terms.lease_duration, terms.bounds.hold_max); }
+  Millis lease_duration() const { return std::min(options.lease_duration, options.bounds.hold_max); }
   // Longest time for which a leaf may rely on a lease that is granted now, whatever the drift of its clock.
   Millis max_lease_duration() const {
     constexpr double kMaxClockDrift = 1.02;  // of a leaf's clock that runs slow
     constexpr Millis kMargin{200};
     return Millis(static_cast<std::int64_t>(static_cast<double>(lease_duration().count()) * kMaxClockDrift)) +
-           terms.answer_slack + kMargin;
+           options.max_report_round_trip + kMargin;
   }
   // True if nothing should be started on the leaf, judged by the runs that failed there.
   bool is_ejected(const Leaf& leaf) const { return ejection_enabled && leaf.health.is_ejected(now); }
--- a/src/cluster/scheduler/scheduler_views.hpp
+++ b/src/cluster/scheduler/scheduler_views.hpp
@@ -12,17 +12,17 @@
 namespace winchhall::cluster {
 
 // Number of kinds of ends (wire::EndKind).
-inline constexpr std::size_t kEndKinds = wire::EndKind_MAX + 1;
+inline constexpr std::size_t kEndKindCount = wire::EndKind_MAX + 1;
 
 // Counts of events since this node acquired the service's lease; they only rise.
 struct SchedulerCounters {
   std::uint64_t jobs_accepted = 0;
-  std::uint64_t tasks_started = 0;                 // runs ordered, retries and speculative runs included
-  std::uint64_t reports = 0;                       // of worker-agents, duplicates included
-  std::uint64_t runs_adopted = 0;                  // that leaves listed and an earlier leader had ordered
-  std::uint64_t surplus_runs = 0;                  // of `runs_adopted`, those beside another run of the task
-  std::uint64_t leaf_leases_expired = 0;           // execution leases of leaves
-  std::array<std::uint64_t, kEndKinds> ends = {};  // of runs, by wire::EndKind
+  std::uint64_t tasks_started = 0;        // runs ordered, retries and speculative runs included
+  std::uint64_t reports = 0;              // of worker-agents, duplicates included
+  std::uint64_t runs_adopted = 0;         // that leaves listed and an earlier leader had ordered
+  std::uint64_t surplus_runs = 0;         // of `runs_adopted`, those beside another run of the task
+  std::uint64_t leaf_leases_expired = 0;  // execution leases of leaves
+  std::array<std::uint64_t, kEndKindCount> ends = {};  // of runs, by wire::EndKind
 };
 
 struct SchedulerStats {
--- a/src/cluster/scheduler/task_preemptor.cpp
+++ b/src/cluster/scheduler/task_preemptor.cpp
@@ -36,7 +36,7 @@
 }
 
 TaskPreemptor::FutureCapacity TaskPreemptor::future_capacity(const StageInstance& stage, Leaf& leaf) const {
-  const TimePoint soon = state_.now + state_.terms.bounds.stop;
+  const TimePoint soon = state_.now + state_.options.bounds.stop;
   Resources allocated = leaf.allocated;
   for (const auto& [key, run] : leaf.runs)
     if (estimate_run_end(state_, run) <= soon) allocated = allocated.without(run.demand);
@@ -50,7 +50,7 @@
                                               const std::vector<FutureCapacity>& capacities) const {
   const bool lose_work = state_.now - stage.waiting_since >= kLoseWorkAfter;
   const LostWork lost_work = lose_work ? LostWork::accept : LostWork::avoid;
-  const TimePoint soon = state_.now + state_.terms.bounds.stop;
+  const TimePoint soon = state_.now + state_.options.bounds.stop;
   std::vector<Run*> victims;
   for (const FutureCapacity& capacity : capacities)
     for (auto& [key, run] : capacity.leaf->runs)
--- a/src/cluster/scheduler/worker_report_handler.cpp
+++ b/src/cluster/scheduler/worker_report_handler.cpp
@@ -52,7 +52,7 @@
   Node& node = state_.leaves.node(report.node_name());
   const auto& ended = node.ended_incarnations;
   if (id.empty() || std::find(ended.begin(), ended.end(), id) != ended.end()) return nullptr;
-  if (!report.leaf().service().empty() && report.leaf().service() != state_.terms.service) return nullptr;
+  if (!report.leaf().service().empty() && report.leaf().service() != state_.options.service) return nullptr;
   Leaf* leaf = state_.leaves.find(id);
   if (leaf != nullptr && leaf->node != report.node_name()) return nullptr;
   if (leaf != nullptr && node.current_leaf_id == id && leaf->synchronized) return leaf;
--- a/tests/cluster/compatibility/http_test.cpp
+++ b/tests/cluster/compatibility/http_test.cpp
@@ -84,7 +84,7 @@
   service.stats.counters.jobs_accepted = 35;
   service.stats.counters.tasks_started = 36;
   service.stats.counters.reports = 37;
-  for (std::size_t kind = 0; kind < kEndKinds; ++kind) service.stats.counters.ends[kind] = 40 + kind;
+  for (std::size_t kind = 0; kind < kEndKindCount; ++kind) service.stats.counters.ends[kind] = 40 + kind;
   service.leases_acquired = 51;
   service.leases_lost = 52;
   service.pending_job_replies = 53;
--- a/tests/cluster/control/job_request_endpoint_test.cpp
+++ b/tests/cluster/control/job_request_endpoint_test.cpp
@@ -28,7 +28,7 @@
   EndpointFixture() { lead(); }
 
   void lead() {
-    SchedulerTerms terms;
+    SchedulerOptions terms;
     terms.service = "s";
     terms.max_live_jobs = kMaxLiveJobs;
     scheduler = make_scheduler(terms, ++epoch, 5);
--- a/tests/cluster/scheduler/scheduler_harness.hpp
+++ b/tests/cluster/scheduler/scheduler_harness.hpp
@@ -23,9 +23,9 @@
 
   explicit SchedulerHarness(std::uint64_t lease_epoch = 1, std::vector<ShardEntry> entries = {})
       : epoch(lease_epoch) {
-    SchedulerTerms terms;
-    terms.service = "s";
-    scheduler = make_scheduler(terms, epoch, 5);
+    SchedulerOptions options;
+    options.service = "s";
+    scheduler = make_scheduler(options, epoch, 5);
     scheduler->restore(entries, time(), wall());
   }
   TimePoint time() const { return TimePoint(Millis(now_ms)); }
@@ -65,7 +65,7 @@
     scheduler->report(report, time(), wall());
     make_durable_and_plan();
   }
-  wire::WorkerOrders orders(const std::string& leaf) { return scheduler->orders(leaf, time()); }
+  wire::WorkerOrders orders(const std::string& leaf) { return scheduler->make_orders(leaf, time()); }
 
   SubmitResult submit(const std::string& id, const wire::JobSpec& spec, std::uint32_t max_retries = 2,
                       std::uint32_t priority = 0) {
--- a/tests/cluster/scheduler/scheduler_inspection_test.cpp
+++ b/tests/cluster/scheduler/scheduler_inspection_test.cpp
@@ -16,9 +16,9 @@
   std::uint64_t report_number = 0;
 
   SchedulerWithOneLeaf() {
-    SchedulerTerms terms;
-    terms.service = "core";
-    scheduler = make_scheduler(terms, 2, 1);
+    SchedulerOptions options;
+    options.service = "core";
+    scheduler = make_scheduler(options, 2, 1);
     scheduler->restore({}, now, kWallClockStartMs);
   }
 
--- a/tests/cluster/scheduler/service_simulation_impl.hpp
+++ b/tests/cluster/scheduler/service_simulation_impl.hpp
@@ -40,11 +40,11 @@
 }
 
 inline void ServiceSimulation::start_leader() {
-  SchedulerTerms terms;
-  terms.service = "s";
-  terms.bounds = checker_.bounds;
-  terms.lease_duration = Millis(4000);
-  leader_ = make_scheduler(terms, ++epoch_, random_());
+  SchedulerOptions options;
+  options.service = "s";
+  options.bounds = checker_.bounds;
+  options.lease_duration = Millis(4000);
+  leader_ = make_scheduler(options, ++epoch_, random_());
   leader_->restore(shard_entries(records_), time(), now_);
 }
 
--- a/tests/cluster/scheduler/service_simulation_leaves.hpp
+++ b/tests/cluster/scheduler/service_simulation_leaves.hpp
@@ -187,7 +187,7 @@
 
 inline void ServiceSimulation::deliver_answer(Node& node) {
   node.answer_by = -1;
-  wire::WorkerOrders orders = leader_->orders(node.worker.leaf_id, time());
+  wire::WorkerOrders orders = leader_->make_orders(node.worker.leaf_id, time());
   if (now_ < node.partitioned_until || loses_message()) return;
   at(now_ + message_delay(), [this, &node, orders] { node.worker.apply_answer(orders, now_); });
 }
