--- a/src/cluster/scheduler/backfill_reservations.cpp
+++ b/src/cluster/scheduler/backfill_reservations.cpp
@@ -11,17 +11,20 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr int kMaxReservingStages = 2;  // in a round
-// A task is large for a leaf if fewer than this many of it fit there.
+constexpr int kMaxReservingStages = 2;  // per round
+// A task is large for a leaf if fewer than this many such tasks fit there.
 constexpr std::uint64_t kSmallTasksPerLeaf = 4;
 
-// Runs are stopped for a stage that has waited for this time and whose reservation starts even later.
+// Runs are stopped for a stage that has waited for this time and whose reservation starts no sooner than this
+// time from now.
 constexpr Millis kPreemptForReservationAfter{300};
+// After this wait, runs that lose work are stopped, too.
 constexpr Millis kLoseWorkForReservationAfter{2000};
-constexpr Millis kPreemptionInterval{600};  // between two preemptions for one stage
-constexpr Millis kNeverAvailable{3600000};  // for a leaf whose runs all ended would still be too full
+constexpr Millis kPreemptionInterval{600};  // least time between two preemptions for one stage
+// Assumed for a leaf on which the tasks would not fit even if all its runs ended.
+constexpr Millis kNeverAvailable{3600000};
 
-// How many tasks a reservation must have room for.
+// The number of tasks that a reservation must have slots for.
 std::uint64_t slots_required(const StageInstance& stage) {
   return stage.spec->gang() ? stage.tasks.size() : 1;
 }
@@ -35,10 +38,11 @@
 
 bool BackfillReservations::needs_reservation(const StageInstance& stage) const {
   if (stage.spec->gang()) return true;
-  const Resources several{stage.demand.cpu * kSmallTasksPerLeaf, stage.demand.mem_mb * kSmallTasksPerLeaf,
-                          stage.demand.gpu * kSmallTasksPerLeaf};
+  const Resources combined_demand{stage.demand.cpu * kSmallTasksPerLeaf,
+                                  stage.demand.mem_mb * kSmallTasksPerLeaf,
+                                  stage.demand.gpu * kSmallTasksPerLeaf};
   return std::any_of(state_.leaves.all().begin(), state_.leaves.all().end(), [&](const auto& leaf) {
-    return is_feasible(*leaf, stage) && !several.fits_in(leaf->capacity);
+    return is_feasible(*leaf, stage) && !combined_demand.fits_in(leaf->capacity);
   });
 }
 
@@ -83,8 +87,8 @@
     const StageInstance& stage) const {
   const bool one_rack = stage.spec->gang() && stage.spec->same_rack();
   const std::uint64_t required = slots_required(stage);
-  // Candidates come in the order in which they become available, so the group that first has enough slots is
-  // the one that is available first.
+  // Candidates are sorted by the time at which they become available, so the first group that has enough
+  // slots is the one that is available first.
   std::map<std::string, std::vector<Candidate>> groups;  // by rack, or all in one
   for (const Candidate& candidate : find_candidates(stage)) {
     std::vector<Candidate>& group = groups[one_rack ? candidate.leaf->rack : std::string()];
--- a/src/cluster/scheduler/eligibility.cpp
+++ b/src/cluster/scheduler/eligibility.cpp
@@ -5,14 +5,14 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// Greatest age of a leaf's newest report, and of the heartbeat it stands for.
+// Greatest allowed age of a leaf's newest report, and of its newest heartbeat at the time of that report.
 constexpr Millis kReachableReportAge{2500};
 constexpr Millis kSchedulableReportAge{1500};
 constexpr Millis kGangSchedulableReportAge{700};
 constexpr std::uint32_t kSchedulableHeartbeatAgeMs = 2000;
 constexpr std::uint32_t kGangSchedulableHeartbeatAgeMs = 1000;
 
-// Multiple of its estimate that a task must have before a reservation starts.
+// A task may start on a reserved leaf if this multiple of its estimate is left before the reservation starts.
 constexpr double kReservationMargin = 1.2;
 
 }  // namespace
@@ -30,7 +30,7 @@
 }
 
 bool is_schedulable(const SchedulerState& state, const Leaf& leaf, const StageInstance& stage) {
-  if (!is_feasible(leaf, stage) || leaf.unknown_runs > 0) return false;
+  if (!is_feasible(leaf, stage) || leaf.runs_with_unknown_demand > 0) return false;
   if (!leaf.has_record || !state.records.is_durable(leaf.record_batch)) return false;
   const bool gang = stage.spec->gang();
   const Millis max_report_age = gang ? kGangSchedulableReportAge : kSchedulableReportAge;
--- a/src/cluster/scheduler/gang_placement.cpp
+++ b/src/cluster/scheduler/gang_placement.cpp
@@ -11,18 +11,19 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// Part of the time lost by being spread over racks that a gang waits for one rack.
+// A gang waits for capacity in one rack for this fraction of the time that it loses by being spread over
+// racks.
 constexpr double kRackWaitFactor = 0.5;
 
-// A leaf with what it has left while a placement is made.
+// A leaf with the slots that are left on it while a placement is planned.
 struct PlannedLeaf {
   Leaf* leaf = nullptr;
   std::uint64_t slots = 0;
   double load_ms = 0;  // with the members planned so far
 };
 
-// Gives each member to the leaf with the least load; empty if they don't all fit. Sets `total_ms` to the sum,
-// over all members, of the load of their leaf after each.
+// Places each member on the leaf with the least load; returns nothing if they don't all fit. Sets `total_ms`
+// to the sum over all members of the load of their leaf after the member was added.
 std::vector<Leaf*> spread_members(SchedulerState& state, const StageInstance& stage,
                                   const std::vector<Leaf*>& leaves, double estimate_ms, double& total_ms) {
   std::vector<PlannedLeaf> planned;
@@ -55,7 +56,7 @@
                      [&](const Leaf* leaf) { return leaf->rack == leaves.front()->rack; });
 }
 
-// The groups of leaves that the members may be placed on: racks, or all leaves together.
+// The groups of leaves of which one must hold all members: the racks, or all candidates as one group.
 std::vector<std::vector<Leaf*>> placement_groups(const StageInstance& stage,
                                                  const std::vector<Leaf*>& candidates) {
   if (!stage.spec->same_rack()) return {candidates};
@@ -67,7 +68,7 @@
   return groups;
 }
 
-// Places all members in the group with the least total load; empty if no group has room for all.
+// Places all members in the group with the least total load; no members if no group has capacity for all.
 GangPlacement place_in_one_group(SchedulerState& state, const StageInstance& stage,
                                  const std::vector<Leaf*>& candidates) {
   placement::LeastCost<std::size_t> choice;
--- a/src/cluster/scheduler/job_lifecycle.cpp
+++ b/src/cluster/scheduler/job_lifecycle.cpp
@@ -9,11 +9,14 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr std::uint64_t kMaxUnfinishedTasks = 20000;  // of one job, unless one repeat alone has more
-constexpr Millis kMinRepeatTimer{20};           // the wall clock may have been set back since a timer was set
-constexpr Millis kUnfinishedTasksBackoff{500};  // of a repeat, while its job has too many unfinished tasks
-
-// Why the job is invalid; none if it is valid.
+// A job with more unfinished tasks than this starts no further repeat; the last started one may exceed it.
+constexpr std::uint64_t kMaxUnfinishedTasks = 20000;
+// Shortest timer for a repeat: the wall clock may have been set back since a timer was set.
+constexpr Millis kMinRepeatTimer{20};
+// Delay of a repeat while its job has too many unfinished tasks.
+constexpr Millis kUnfinishedTasksBackoff{500};
+
+// Returns the reason why the job is invalid; none if it is valid.
 std::optional<std::string> find_violation(const std::string& id, const wire::JobSpec& spec) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::optional<std::string>> {
@@ -35,7 +38,7 @@
   ++state_.counters.jobs_accepted;
   Job& job = state_.jobs.add(id, spec, terms);
   job.accepted_at = state_.now;
-  job.accepted_wall_ms = state_.wall.wall_ms_at(state_.now);
+  job.accepted_wall_ms = state_.wall_clock.wall_ms_at(state_.now);
   job.last_change_batch = state_.records.put(job_key(id), encode_job(job));
   state_.awaiting_durability.push_back({job.last_change_batch, id});
   return {wire::JOB_OK, job.last_change_batch, {}};
@@ -52,7 +55,7 @@
   const wire::JobRecord& record = restored.record;
   Job& job = state_.jobs.add(record.id(), record.spec(), record.terms());
   job.accepted_wall_ms = record.accepted_wall_ms();
-  job.accepted_at = std::min(state_.now, state_.wall.steady_time_of(record.accepted_wall_ms()));
+  job.accepted_at = std::min(state_.now, state_.wall_clock.steady_time_of(record.accepted_wall_ms()));
   job.durable = true;
   job.restored = true;
   if (restored.progress.state() >= wire::JOB_COMPLETED) {
@@ -67,8 +70,9 @@
   job.ended_wall_ms = progress.ended_wall_ms();
   job.final_state_durable = true;
   state_.jobs.on_job_ended(job);
-  // The clocks of two leaders may differ: never keep the job for longer than the full retention time.
-  const TimePoint end = state_.wall.steady_time_of(job.ended_wall_ms) + retention_after_end();
+  // The clocks of two leaders may differ, so the end is clamped: the job is never kept for longer than the
+  // full retention time.
+  const TimePoint end = state_.wall_clock.steady_time_of(job.ended_wall_ms) + retention_after_end();
   state_.removals_due.emplace(std::clamp(end, state_.now, state_.now + retention_after_end()), job.id);
 }
 
@@ -77,7 +81,7 @@
   for (std::uint32_t number = 0; number < job.repeat_count(); ++number) {
     const bool done = is_repeat_done(progress, number);
     const bool started = done || number < started_count;
-    if (!started && due_wall_ms(job, number) > state_.wall.wall_ms_at(state_.now)) break;
+    if (!started && due_wall_ms(job, number) > state_.wall_clock.wall_ms_at(state_.now)) break;
     job.next_repeat = number + 1;
     if (done) {
       job.repeats[number].done = true;
@@ -114,7 +118,7 @@
   }
 }
 
-// Only now may the spec be dropped from the job's record, see `encode_ended_job`.
+// Drops the spec from the job's record, which is not allowed any earlier; see `encode_ended_job`.
 void JobLifecycle::on_final_state_durable(Job& job) {
   job.final_state_durable = true;
   state_.records.put(job_key(job.id), encode_ended_job(job));
@@ -133,7 +137,7 @@
       ++job.next_repeat;
       continue;
     }
-    TimePoint due = timed ? state_.wall.steady_time_of(due_wall_ms(job, number)) : job.accepted_at;
+    TimePoint due = timed ? state_.wall_clock.steady_time_of(due_wall_ms(job, number)) : job.accepted_at;
     if (timed && due > state_.now) {
       state_.repeats_due.emplace(std::max(due, state_.now + kMinRepeatTimer), job.id);
       return;
@@ -155,7 +159,7 @@
 void JobLifecycle::start_repeat(Job& job, std::uint32_t number, const wire::ProgressRecord* progress) {
   TimePoint due = job.accepted_at;
   if (job.spec.repeat_count() > 0)
-    due = std::min(state_.now, state_.wall.steady_time_of(due_wall_ms(job, number)));
+    due = std::min(state_.now, state_.wall_clock.steady_time_of(due_wall_ms(job, number)));
   Repeat& repeat = state_.jobs.add_repeat(job, number, due);
   if (progress != nullptr) apply_progress(*progress, number, repeat);
   for (StageInstance& stage : repeat.stages) {
@@ -172,8 +176,8 @@
   for (StageInstance& stage : repeat.stages) {
     if (job.is_final()) return;
     if (stage.ready) continue;
-    const auto& earlier = stage.spec->depends_on();
-    bool ready = std::all_of(earlier.begin(), earlier.end(),
+    const auto& dependencies = stage.spec->depends_on();
+    bool ready = std::all_of(dependencies.begin(), dependencies.end(),
                              [&](std::uint32_t number) { return repeat.stages[number].done(); });
     if (ready) release_stage(stage);
   }
@@ -231,7 +235,7 @@
 
 void JobLifecycle::finish(Job& job, wire::JobState final_state) {
   job.state = final_state;
-  job.ended_wall_ms = state_.wall.wall_ms_at(state_.now);
+  job.ended_wall_ms = state_.wall_clock.wall_ms_at(state_.now);
   state_.jobs.on_job_ended(job);
   for (auto& [number, repeat] : job.repeats) {
     for (StageInstance& stage : repeat.stages) {
@@ -299,7 +303,7 @@
     state_.removals_due.erase(state_.removals_due.begin());
     Job* job = state_.jobs.find(id);
     if (job == nullptr) continue;
-    if (!job->final_state_durable) {  // the write takes long: clients must see the end for its time
+    if (!job->final_state_durable) {  // slow write: clients must be able to see the end for the full time
       state_.removals_due.emplace(state_.now + retention_after_end(), id);
       continue;
     }
--- a/src/cluster/scheduler/job_lifecycle.hpp
+++ b/src/cluster/scheduler/job_lifecycle.hpp
@@ -1,4 +1,4 @@
-// The lifecycle of jobs: submission, repeats by timetable, stages by dependency, end, removal.
+// The lifecycle of jobs: submission, timed repeats, dependent stages, end and removal.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,8 @@
 namespace winchhall::cluster::scheduling {
 
 // Changes the states of jobs, repeats, stages and tasks, and writes their records. A job's state becomes
-// final exactly once. Its tasks start only once its record is durable, and its final state is shown only once
-// that is durable. It is removed, with its records, when its retention time is over.
+// final exactly once. Its tasks start only once its record is durable, and clients see its final state only
+// once that state is durable. The job and its records are removed when its retention time has passed.
 class JobLifecycle {
  public:
   JobLifecycle(SchedulerState& state, RunTable& runs) : state_(state), runs_(runs) {}
@@ -21,33 +21,36 @@
   CancelResult cancel(const std::string& id);
   // Adds a job from an earlier leader's records, with the repeats that have started or are due.
   void restore(const RestoredJob& restored);
-  // More batches are durable: starts jobs whose records are, and shows final states that are.
+  // Must be called when more batches are durable: starts jobs whose records are now durable, and makes final
+  // states visible that are now durable.
   void on_changes_durable();
-  // Does what has fallen due: tasks at the end of their backoff, repeats, removal of ended jobs.
+  // Performs the timed work that is due: enqueues tasks at the end of their backoff, starts repeats, drops
+  // the stages of done repeats and removes ended jobs.
   void run_timers();
 
-  // Starts a repeat that a leaf reports a run or end of, and that has therefore begun under an earlier
-  // leader, although it may not be due by this machine's clock. No effect if the job has ended or has started
-  // it.
+  // Starts a repeat of which a leaf has reported a run or an end. An earlier leader must have started it,
+  // although it may not be due by this machine's clock. No effect if the job has ended or has already started
+  // the repeat.
   void start_repeat_early(Job& job, std::uint32_t repeat);
-  // A run of the task has ended END_DONE; of a gang, that completes all members. Stops other runs of the
-  // task.
+  // Marks the task as done, after a run of it has ended END_DONE, and stops its other runs. In a gang, all
+  // members are done as soon as one is, and their runs end by themselves.
   void complete_task(StageInstance& stage, Task& task);
-  // A run of the task has ended END_FAILED; counts each run once. Ends the job if that was the last attempt.
+  // Records that a run of the task has ended END_FAILED; counts each run once. The job fails if that was the
+  // task's last attempt.
   void record_failure(StageInstance& stage, Task& task, RunNumber run);
   // Schedules the writing of the job's progress record.
   void mark_progress_changed(Job& job);
 
  private:
-  // When a repeat is due, in milliseconds since 1970.
+  // Wall-clock time at which a repeat is due, in milliseconds since 1970.
   std::int64_t due_wall_ms(const Job& job, std::uint32_t repeat) const;
   void restore_ended(Job& job, const wire::ProgressRecord& progress);
   void restore_repeats(Job& job, const wire::ProgressRecord& progress);
-  // Starts what is due by the timetable, and sets a timer for the next repeat.
+  // Starts the repeats that are due by the timetable, and sets a timer for the next one.
   void start_due_repeats(Job& job);
-  // `progress`: of an earlier leader; null: nothing is done yet.
+  // `progress` is the record of an earlier leader; null: no task of the repeat is done yet.
   void start_repeat(Job& job, std::uint32_t number, const wire::ProgressRecord* progress);
-  // Enqueues the tasks of stages whose dependencies are done.
+  // Makes stages ready whose dependencies are done, and enqueues their tasks.
   void release_ready_stages(Job& job, Repeat& repeat);
   void release_stage(StageInstance& stage);
   void mark_task_done(StageInstance& stage, Task& task);
--- a/src/cluster/scheduler/job_table.cpp
+++ b/src/cluster/scheduler/job_table.cpp
@@ -5,10 +5,11 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr double kDefaultEstimateMs = 1;      // while no job of the queue has stated an estimate
-constexpr double kWorthlessAtObjectives = 3;  // a job is worthless beyond this multiple of its objective
+constexpr double kDefaultEstimateMs = 1;  // used while no job of the queue has stated an estimate
+// A job's result has no value after this multiple of its objective.
+constexpr double kWorthlessObjectiveMultiple = 3;
 constexpr double kMinStretch = 1;
-constexpr double kMinEstimateFraction = 0.5;  // of an estimate that the work takes at least
+constexpr double kMinEstimateFraction = 0.5;  // work takes at least this fraction of its estimate
 
 Millis to_millis(double ms) { return Millis(static_cast<std::int64_t>(ms)); }
 
@@ -73,8 +74,8 @@
   for (std::size_t i = paths.size(); i-- > 0;) {
     const wire::Stage& stage = job.spec.stages(static_cast<int>(i));
     paths[i] += estimate_ms_for(job, stage);
-    for (std::uint32_t earlier : stage.depends_on())
-      if (earlier < i) paths[earlier] = std::max(paths[earlier], paths[i]);
+    for (std::uint32_t dependency : stage.depends_on())
+      if (dependency < i) paths[dependency] = std::max(paths[dependency], paths[i]);
   }
   return paths;
 }
@@ -107,7 +108,7 @@
   stage.key.estimate_ms = stage.estimate_ms;
   stage.key.sequence = next_sequence_++;
   stage.late_after = due + to_millis(objective - critical_path_ms * kMinEstimateFraction);
-  stage.worthless_after = due + to_millis(objective * kWorthlessAtObjectives);
+  stage.worthless_after = due + to_millis(objective * kWorthlessObjectiveMultiple);
 }
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/job_validation.cpp
+++ b/src/cluster/scheduler/job_validation.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kMaxLabelBytes = 256;
 constexpr int kMaxStages = 256;
 constexpr std::uint32_t kMaxTasksPerStage = 10000;
-constexpr std::uint64_t kMaxTasksPerRepeat = 20000;  // of all stages
+constexpr std::uint64_t kMaxTasksPerRepeat = 20000;  // in all stages together
 constexpr std::uint32_t kMaxRepeats = 1000000;
 
 leaf::error_id invalid_job(const std::string& field, const std::string& value, const std::string& allowed) {
@@ -22,9 +22,9 @@
   if (stage.count() == 0 || stage.count() > kMaxTasksPerStage)
     return invalid_job(field + ".count", std::to_string(stage.count()),
                        "1 to " + std::to_string(kMaxTasksPerStage));
-  for (std::uint32_t earlier : stage.depends_on())
-    if (earlier >= number)
-      return invalid_job(field + ".depends_on", std::to_string(earlier), "numbers of earlier stages");
+  for (std::uint32_t dependency : stage.depends_on())
+    if (dependency >= number)
+      return invalid_job(field + ".depends_on", std::to_string(dependency), "numbers of earlier stages");
   if (stage.requirements().size() > kMaxLabelBytes || stage.colocation().size() > kMaxLabelBytes)
     return invalid_job(field, "long label", "labels of at most " + std::to_string(kMaxLabelBytes) + " bytes");
   return {};
--- a/src/cluster/scheduler/job_validation.hpp
+++ b/src/cluster/scheduler/job_validation.hpp
@@ -1,4 +1,4 @@
-// Validates what clients submit.
+// Validates jobs that clients submit.
 #pragma once
 
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Checks a job's ID and spec against the limits of size and number, and that stages depend on earlier stages
-// only, which rules out cycles. Fails with InvalidInput for the first violation, naming the field, its value
-// and what is allowed.
+// Checks a job's ID and spec against the limits on sizes and counts, and that stages depend only on earlier
+// stages, which rules out cycles. Fails with InvalidInput for the first violation, which names the field, its
+// value and the allowed values.
 leaf::result<void> validate_job(const std::string& id, const wire::JobSpec& spec);
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/leaf_registry.hpp
+++ b/src/cluster/scheduler/leaf_registry.hpp
@@ -1,4 +1,4 @@
-// All leaves of a service, and which incarnation of a leaf each node has.
+// The leaves of a service, and the nodes that they run on.
 #pragma once
 
 #include <deque>
@@ -12,11 +12,11 @@
 
 namespace winchhall::cluster::scheduling {
 
-// A node that a worker-agent has reported from. Nodes are never forgotten.
+// A node whose worker-agent has sent a report. Nodes are never removed.
 struct Node {
   ReportDeduplicator deduplicator;
-  std::string current_leaf_id;                 // of the present incarnation; empty: none known
-  std::deque<std::string> ended_incarnations;  // IDs of the latest that have ended, newest last
+  std::string current_leaf_id;                 // ID of the present incarnation of its leaf; empty: none known
+  std::deque<std::string> ended_incarnations;  // leaf IDs of the latest ended incarnations, newest last
 };
 
 // Owns the leaves and nodes. References to them stay valid until `erase`.
@@ -24,13 +24,13 @@
  public:
   using Leaves = std::vector<std::unique_ptr<Leaf>>;
 
-  // `id` must not be registered.
+  // Adds a leaf; `id` must not be registered.
   Leaf& add(const std::string& id, const std::string& node);
   // Null if there is no such leaf.
   Leaf* find(const std::string& id) const;
   // Destroys the leaf; its runs must have been removed.
   void erase(const std::string& id);
-  // Creates the node if it isn't known.
+  // Returns the node of this name; creates it if it isn't known.
   Node& node(const std::string& name) { return nodes_[name]; }
   // In the order of registration.
   const Leaves& all() const { return leaves_; }
--- a/src/cluster/scheduler/order_responder.cpp
+++ b/src/cluster/scheduler/order_responder.cpp
@@ -7,7 +7,7 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// How long heartbeats stay frequent after a start.
+// How long after the start of a run the leaves are asked for frequent heartbeats.
 constexpr Millis kBusyAfterStart{500};
 
 template <class Order>
--- a/src/cluster/scheduler/order_responder.hpp
+++ b/src/cluster/scheduler/order_responder.hpp
@@ -7,8 +7,8 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Delivers orders, grants execution leases and acknowledges ends. Every order is repeated in each answer
-// until the worker-agent confirms that it has received it.
+// Delivers orders, grants execution leases and acknowledges ends. Every answer repeats all orders that the
+// worker-agent has not yet confirmed as received.
 class OrderResponder {
  public:
   explicit OrderResponder(SchedulerState& state) : state_(state) {}
@@ -19,7 +19,7 @@
   bool has_undelivered_orders(const std::string& leaf_id) const;
 
  private:
-  // The lease isn't renewed for a leaf whose heartbeats have stopped.
+  // Grants the leaf an execution lease, unless its heartbeats have stopped.
   void grant_lease(Leaf& leaf, wire::WorkerOrders& orders) const;
   void add_orders(Leaf& leaf, wire::WorkerOrders& orders) const;
 
--- a/src/cluster/scheduler/record_codec.cpp
+++ b/src/cluster/scheduler/record_codec.cpp
@@ -38,13 +38,13 @@
 
 void add_stage(wire::ProgressRecord& record, const StageInstance& stage) {
   if (stage.done()) {
-    add_entry(record, stage.repeat, stage.number, kAll)->set_done(true);
+    add_entry(record, stage.repeat, stage.number, kAllIndices)->set_done(true);
     return;
   }
   for (const Task& task : stage.tasks) add_task(record, stage, task);
 }
 
-// Number of repeats, from the first, that are done without a gap.
+// Number of done repeats before the first that isn't done.
 std::uint32_t count_leading_done_repeats(const Job& job) {
   std::uint32_t count = 0;
   for (const auto& [number, repeat] : job.repeats) {
@@ -55,7 +55,7 @@
 }
 
 void apply_entry(const wire::TaskProgress& entry, StageInstance& stage) {
-  if (entry.index() == kAll) {
+  if (entry.index() == kAllIndices) {
     for (Task& task : stage.tasks) task.done = entry.done();
     return;
   }
@@ -75,7 +75,8 @@
   return record;
 }
 
-// Decodes one record into `state`, or into `progress` to be matched with its job.
+// Decodes one record into `state`, or into `progress` if it is a progress record, which is assigned to its
+// job later.
 void decode_record(const ShardEntry& entry, RestoredState& state, ProgressById& progress) {
   if (entry.key.starts_with(kJobKeyPrefix)) {
     RestoredJob job;
@@ -110,11 +111,11 @@
   record.set_ended_wall_ms(job.ended_wall_ms);
   if (job.is_final()) return record.SerializeAsString();
   const std::uint32_t leading_done = count_leading_done_repeats(job);
-  if (leading_done > 0) add_entry(record, leading_done - 1, kAll, kAll)->set_done(true);
+  if (leading_done > 0) add_entry(record, leading_done - 1, kAllIndices, kAllIndices)->set_done(true);
   for (const auto& [number, repeat] : job.repeats) {
     if (number < leading_done) continue;
     if (repeat.done) {
-      add_entry(record, number, kAll, 0)->set_done(true);
+      add_entry(record, number, kAllIndices, 0)->set_done(true);
       continue;
     }
     for (const StageInstance& stage : repeat.stages) add_stage(record, stage);
@@ -139,14 +140,14 @@
     job.progress = std::move(found->second);
     progress.erase(found);
   }
-  for (const auto& [id, record] : progress) state.stray_keys.push_back(progress_key(id));
+  for (const auto& [id, record] : progress) state.orphaned_keys.push_back(progress_key(id));
   return state;
 }
 
 bool is_repeat_done(const wire::ProgressRecord& progress, std::uint32_t repeat) {
   for (const wire::TaskProgress& entry : progress.tasks()) {
-    if (entry.stage() != kAll || !entry.done()) continue;
-    if (entry.index() == kAll ? repeat <= entry.repeat() : repeat == entry.repeat()) return true;
+    if (entry.stage() != kAllIndices || !entry.done()) continue;
+    if (entry.index() == kAllIndices ? repeat <= entry.repeat() : repeat == entry.repeat()) return true;
   }
   return false;
 }
--- a/src/cluster/scheduler/record_write_buffer.cpp
+++ b/src/cluster/scheduler/record_write_buffer.cpp
@@ -6,25 +6,25 @@
 
 ChangeBatchNumber RecordWriteBuffer::put(const std::string& key, std::string value) {
   changes_[key] = std::move(value);
-  return next_;
+  return current_;
 }
 
 ChangeBatchNumber RecordWriteBuffer::remove(const std::string& key) {
   changes_[key] = std::nullopt;
-  return next_;
+  return current_;
 }
 
 ChangeBatchNumber RecordWriteBuffer::mark_progress(const std::string& job_id) {
-  marked_.insert(job_id);
-  return next_;
+  jobs_with_new_progress_.insert(job_id);
+  return current_;
 }
 
-void RecordWriteBuffer::unmark_progress(const std::string& job_id) { marked_.erase(job_id); }
+void RecordWriteBuffer::unmark_progress(const std::string& job_id) { jobs_with_new_progress_.erase(job_id); }
 
 Scheduler::ChangeBatch RecordWriteBuffer::take_batch() {
   Scheduler::ChangeBatch taken;
   if (changes_.empty()) return taken;
-  taken.number = next_++;
+  taken.number = current_++;
   taken.changes.reserve(changes_.size());
   for (auto& [key, value] : changes_) taken.changes.push_back({key, std::move(value)});
   changes_.clear();
--- a/src/cluster/scheduler/report_deduplicator.cpp
+++ b/src/cluster/scheduler/report_deduplicator.cpp
@@ -13,7 +13,7 @@
   auto earlier = std::find_if(retired_.begin(), retired_.end(),
                               [&](const Session& retired) { return retired.id == session; });
   if (earlier != retired_.end()) {
-    // More reports than can have been in flight when it was retired: the process is alive after all.
+    // A higher number can't have been in flight when the session was retired: the process is still alive.
     if (number <= earlier->newest + kMaxReportsInFlight) return false;
     retired_.erase(earlier);
   }
--- a/src/cluster/scheduler/resources.hpp
+++ b/src/cluster/scheduler/resources.hpp
@@ -17,7 +17,7 @@
   bool fits_in(const Resources& available) const {
     return cpu <= available.cpu && mem_mb <= available.mem_mb && gpu <= available.gpu;
   }
-  // The difference of each resource, clamped at zero.
+  // These amounts less `taken`; each difference is clamped at zero.
   Resources without(const Resources& taken) const {
     return {cpu - std::min(cpu, taken.cpu), mem_mb - std::min(mem_mb, taken.mem_mb),
             gpu - std::min(gpu, taken.gpu)};
@@ -28,7 +28,7 @@
     gpu += other.gpu;
     return *this;
   }
-  // Number of tasks of this demand that fit side by side; a demand of nothing fits 2^32 - 1 times.
+  // Number of tasks with this demand that fit at the same time; 2^32 - 1 for a demand of zero.
   std::uint64_t slots_for(const Resources& demand) const {
     std::uint64_t slots = std::numeric_limits<std::uint32_t>::max();
     if (demand.cpu > 0) slots = std::min(slots, cpu / demand.cpu);
--- a/src/cluster/scheduler/run_counts_by_priority.hpp
+++ b/src/cluster/scheduler/run_counts_by_priority.hpp
@@ -10,7 +10,7 @@
 class RunCountsByPriority {
  public:
   void add(std::uint32_t priority) { ++counts_[priority]; }
-  // Takes one run off that was added with this priority; no effect if there is none.
+  // Removes one run that was added with this priority; no effect if there is none.
   void remove(std::uint32_t priority) {
     const auto found = counts_.find(priority);
     if (found != counts_.end() && --found->second == 0) counts_.erase(found);
@@ -21,7 +21,7 @@
   }
 
  private:
-  std::map<std::uint32_t, std::uint64_t> counts_;  // by priority, never 0
+  std::map<std::uint32_t, std::uint64_t> counts_;  // by priority; no count is 0
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/run_end_handler.cpp
+++ b/src/cluster/scheduler/run_end_handler.cpp
@@ -6,15 +6,16 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// Restart backoff of long-running tasks that end early again and again.
+// Restart backoff of a long-running task: starts with the second run in succession that ends within
+// kShortRun, and doubles with each further one.
 constexpr Millis kShortRun{10000};
 constexpr Millis kFirstBackoff{100};
 constexpr std::uint32_t kMaxBackoffDoublings = 6;
 
-constexpr Millis kRefusalBackoff{200};
+constexpr Millis kRefusalBackoff{200};            // after a leaf has refused to start the task
 constexpr std::size_t kMaxEndedIncarnations = 8;  // remembered per node
 
-// Copies, because handling one run may remove others of the same leaf.
+// Returns copies, because handling one run may remove others of the same leaf.
 std::vector<RunKey> keys_of_runs(const Leaf& leaf) {
   std::vector<RunKey> keys;
   for (const auto& [key, run] : leaf.runs) keys.push_back(key);
--- a/src/cluster/scheduler/run_monitor.cpp
+++ b/src/cluster/scheduler/run_monitor.cpp
@@ -10,16 +10,17 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// A leaf whose Deregister isn't acknowledged runs on for some seconds.
-constexpr Millis kDeregisteredLeafLinger{4000};
-// A run is stalled after this time without a percent of progress, or after this part of its estimated
-// duration if that is longer.
+// Time until a deregistered leaf has certainly ended: without an acknowledgement of its Deregister, a leaf
+// continues for some seconds.
+constexpr Millis kDeregisteredLeafExitDelay{4000};
+// A run has stalled after this time without a change of its progress percentage, or after this fraction of
+// its estimated duration if that is longer.
 constexpr Millis kMinStallTime{3000};
 constexpr double kStallEstimateFraction = 0.3;
-constexpr Millis kGangAssemblyTime{3500};  // until the members of a gang have found one another
-// Long-running tasks move when their draining leaf has less time left.
+constexpr Millis kGangAssemblyTime{3500};  // until the members of a gang have connected to one another
+// A long-running task is moved when its draining leaf has less time left than this.
 constexpr std::uint32_t kEvacuateLongRunningBelowMs = 2500;
-constexpr double kMaxEjectedFraction = 0.5;  // of all leaves
+constexpr double kMaxEjectedFraction = 0.5;  // if more of all leaves qualify, none is ejected
 
 double elapsed_ms(TimePoint from, TimePoint to) {
   return std::chrono::duration<double, std::milli>(to - from).count();
@@ -44,7 +45,7 @@
 }
 
 void RunMonitor::check_leaf(Leaf& leaf) {
-  if (leaf.deregistered && state_.now - leaf.deregistered_at >= kDeregisteredLeafLinger) {
+  if (leaf.deregistered && state_.now - leaf.deregistered_at >= kDeregisteredLeafExitDelay) {
     ends_.on_incarnation_ended(leaf);
     return;
   }
@@ -101,7 +102,7 @@
 }
 
 bool RunMonitor::must_protect_last_attempt(const Leaf& leaf, const Run& run) const {
-  // A run that was ordered later is the leaf's trial and may end there.
+  // A run that was ordered since is the leaf's trial run and is allowed to finish there.
   if (!leaf.health.is_suspect() || run.ordered_at >= leaf.health.suspect_since()) return false;
   return is_risky_last_attempt(state_, leaf, *run.stage, *run.task);
 }
--- a/src/cluster/scheduler/run_table.cpp
+++ b/src/cluster/scheduler/run_table.cpp
@@ -7,7 +7,7 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr std::size_t kMaxSpeculativeRuns = 2;  // of one task at a time
+constexpr std::size_t kMaxSpeculativeRuns = 2;  // runs of one speculative task at a time
 
 template <class Order>
 void erase_order(std::deque<Order>& orders, Revision revision) {
@@ -74,10 +74,11 @@
   return run;
 }
 
-// A leader starts a run only once every earlier one is certainly over. So of several runs that leaves report,
-// the one with the highest number is the one that exists, whichever is reported first: the last lists of a
-// leaf that is lost go on naming the earlier ones. Those stay attached until they are over all the same,
-// since nothing may start beside a run that might exist.
+// A leader starts a run only once every earlier one has certainly ended. So if leaves report several runs of
+// a task, the one with the highest number is the one that exists, in whichever order they are reported: the
+// earlier ones come from the last lists of lost leaves, which worker-agents continue to report. They
+// nevertheless stay attached until they have certainly ended, since no run may start while another might
+// exist.
 void RunTable::stop_surplus_runs(const TaskRef& ref) {
   for (Run* run : find_surplus_runs(ref)) {
     if (run->stop_revision > 0) continue;
@@ -124,7 +125,7 @@
     ++ref.job->repeats.at(ref.stage->repeat).live_runs;
   } else {
     run.demand_known = false;
-    ++leaf.unknown_runs;
+    ++leaf.runs_with_unknown_demand;
   }
   if (ref.job != nullptr) ++ref.job->live_runs;
   allocate(run);
@@ -161,7 +162,7 @@
   Leaf& leaf = *run.leaf;
   release(run);
   leaf.load_ms = std::max(0.0, leaf.load_ms - run.cost_ms);
-  if (!run.demand_known) --leaf.unknown_runs;
+  if (!run.demand_known) --leaf.runs_with_unknown_demand;
   detach_job(run);
   erase_order(leaf.pending_starts, run.start_revision);
   erase_order(leaf.pending_stops, run.stop_revision);
--- a/src/cluster/scheduler/scheduler.cpp
+++ b/src/cluster/scheduler/scheduler.cpp
@@ -14,10 +14,10 @@
 namespace scheduling {
 namespace {
 
-constexpr Millis kReplanInterval{100};  // of planning although nothing has changed
-constexpr Millis kCheckInterval{100};   // of leaves and runs
+constexpr Millis kReplanInterval{100};  // interval of planning while nothing has changed
+constexpr Millis kCheckInterval{100};   // interval of the checks of leaves and runs
 
-// Puts the components together; decides nothing itself.
+// Connects the components of the scheduler; makes no decisions itself.
 class ServiceScheduler : public Scheduler {
  public:
   ServiceScheduler(SchedulerOptions options, std::uint64_t epoch, std::uint64_t seed)
@@ -37,7 +37,7 @@
     RestoredState restored = decode_records(entries);
     for (const wire::WorkerRecord& worker : restored.workers) restore_leaf(worker);
     for (const RestoredJob& job : restored.jobs) jobs_.restore(job);
-    for (const std::string& key : restored.stray_keys) state_.records.remove(key);
+    for (const std::string& key : restored.orphaned_keys) state_.records.remove(key);
   }
 
   SubmitResult submit(const std::string& id, const wire::JobSpec& spec, const wire::QueueTerms& terms,
@@ -112,10 +112,11 @@
  private:
   void observe(TimePoint now, std::int64_t wall_ms) {
     state_.now = std::max(state_.now, now);
-    state_.wall.observe(state_.now, wall_ms);
+    state_.wall_clock.observe(state_.now, wall_ms);
   }
 
-  // A leaf that an earlier leader may have given orders to. Its lease may just have been granted.
+  // Registers a leaf to which an earlier leader may have given orders. The lease is assumed to have been
+  // granted just now, since the earlier leader may have granted it until now.
   void restore_leaf(const wire::WorkerRecord& worker) {
     if (state_.leaves.find(worker.leaf_id()) != nullptr) return;
     Leaf& leaf = state_.leaves.add(worker.leaf_id(), worker.node_name());
--- a/src/cluster/scheduler/scheduler_inspection.hpp
+++ b/src/cluster/scheduler/scheduler_inspection.hpp
@@ -1,4 +1,4 @@
-// Makes operators' views of a scheduler's state. Reads only.
+// Makes the views of a scheduler's state that operators see. Changes nothing.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace winchhall::cluster::scheduling {
 
-// The state that clients may see: while a final state isn't durable, JOB_RUNNING in its place.
+// The state that clients may see: JOB_RUNNING in place of a final state that isn't durable yet.
 wire::JobState visible_state(const Job& job);
 
 SchedulerStats collect_stats(const SchedulerState& state);
@@ -19,7 +19,7 @@
 JobList list_jobs(const SchedulerState& state, std::size_t limit);
 // None if there is no such job.
 std::optional<JobDetail> find_job(const SchedulerState& state, const std::string& id);
-// In the order of leaf IDs. `now`: from which the ages of reports are counted.
+// Sorted by leaf ID. The ages of reports are relative to `now`.
 std::vector<LeafView> list_leaves(const SchedulerState& state, TimePoint now);
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/scheduler_state.hpp
+++ b/src/cluster/scheduler/scheduler_state.hpp
@@ -1,4 +1,4 @@
-// State shared by the components of one scheduler.
+// The state that the components of one scheduler share.
 #pragma once
 
 #include <algorithm>
@@ -19,53 +19,57 @@
 
 namespace winchhall::cluster::scheduling {
 
-// A job that waits until a batch of changes is durable: to start, or to show its final state.
+// A job that waits until a batch of changes is durable, either to start its tasks or to show its final state.
 struct JobAwaitingDurability {
   ChangeBatchNumber number = 0;
-  std::string job;
+  std::string job;  // ID
 };
 
-// Owned by the scheduler; its components keep references. Each field says which component changes it, where
-// it isn't all of them.
+// Owned by the scheduler; its components keep references. Where only one component changes a field, the
+// field's comment names it.
 struct SchedulerState {
   SchedulerState(SchedulerOptions scheduler_options, std::uint64_t lease_epoch, std::uint64_t seed)
       : options(std::move(scheduler_options)), epoch(lease_epoch), random(seed) {}
 
   const SchedulerOptions options;
   const std::uint64_t epoch;
-  std::mt19937_64 random;  // breaks ties among leaves
-  TimePoint now;           // of the current call; never falls
-  WallClock wall;
+  std::mt19937_64 random;  // for the choice among leaves of equal cost
+  TimePoint now;           // time of the current call; never decreases
+  WallClock wall_clock;
   JobTable jobs;
   LeafRegistry leaves;
-  RunCountsByPriority run_counts;  // of all leaves; RunTable
+  RunCountsByPriority run_counts;  // runs on all leaves; changed by RunTable
   RecordWriteBuffer records;
   SchedulerCounters counters;
   StageQueue queue;
-  // IDs of leaves that may run what an earlier leader ordered: no report of them was reconciled yet, nor is
-  // it certain that nothing runs there. While there is one, restored jobs start nothing.
+  // IDs of leaves that may have runs ordered by an earlier leader: no report of the leaf was reconciled yet,
+  // and it isn't certain that nothing runs there, since neither its lease has expired nor its incarnation
+  // ended. Restored jobs start no tasks until the set is empty.
   std::set<std::string> unsynchronized_leaves;
-  std::deque<JobAwaitingDurability> awaiting_durability;  // in the order of batches; JobLifecycle
-  std::multimap<TimePoint, TaskName> delayed_tasks;       // by the time when they may be enqueued
-  std::multimap<TimePoint, std::string> repeats_due;      // job IDs, by the next look at their timetable
-  std::multimap<TimePoint, std::string> removals_due;     // IDs of ended jobs, by the end of their retention
-  std::deque<TaskName> done_repeats;  // whose stages are still kept (only job and repeat count); JobLifecycle
-  bool replan_needed = true;          // something may be placed now that could not be before
-  bool ejection_enabled = true;       // RunMonitor
-  TimePoint last_start_at;            // when a run was last ordered; RunTable
+  std::deque<JobAwaitingDurability> awaiting_durability;  // by batch number; changed by JobLifecycle
+  std::multimap<TimePoint, TaskName> delayed_tasks;       // by the time at which they may be enqueued
+  std::multimap<TimePoint, std::string> repeats_due;   // job IDs, by the time of their next timetable check
+  std::multimap<TimePoint, std::string> removals_due;  // IDs of ended jobs, by the end of their retention
+  // Done repeats whose stages are still kept; only the job and repeat of each name are used. Changed by
+  // JobLifecycle.
+  std::deque<TaskName> done_repeats;
+  bool replan_needed = true;     // a task that could not be placed before might be placed now
+  bool ejection_enabled = true;  // changed by RunMonitor
+  TimePoint last_start_at;       // when a run was last ordered; changed by RunTable
 
   Millis lease_duration() const { return std::min(options.lease_duration, options.bounds.hold_max); }
-  // Longest time for which a leaf may rely on a lease that is granted now, whatever the drift of its clock.
+  // Upper bound of the time until a lease that is granted now expires on the leaf, even if its clock is slow.
   Millis max_lease_duration() const {
-    constexpr double kMaxClockDrift = 1.02;  // of a leaf's clock that runs slow
+    constexpr double kMaxClockSlowdown = 1.02;  // real time per time measured by a slow leaf
     constexpr Millis kMargin{200};
-    return Millis(static_cast<std::int64_t>(static_cast<double>(lease_duration().count()) * kMaxClockDrift)) +
+    return Millis(
+               static_cast<std::int64_t>(static_cast<double>(lease_duration().count()) * kMaxClockSlowdown)) +
            options.max_report_round_trip + kMargin;
   }
-  // True if nothing should be started on the leaf, judged by the runs that failed there.
+  // True if so many runs failed on the leaf that nothing should be started there.
   bool is_ejected(const Leaf& leaf) const { return ejection_enabled && leaf.health.is_ejected(now); }
-  // Lowest run number that this leader may give. Earlier leaders can't have given it: each epoch has its own
-  // range.
+  // Lowest run number that this leader may assign. Each epoch has its own range, so that no earlier leader
+  // can have assigned it.
   RunNumber first_run_number() const {
     constexpr RunNumber kRunNumbersPerEpoch = 4096;
     return (epoch > 0 ? epoch - 1 : 0) * kRunNumbersPerEpoch + 1;
--- a/src/cluster/scheduler/scheduler_views.hpp
+++ b/src/cluster/scheduler/scheduler_views.hpp
@@ -1,4 +1,4 @@
-// Operators' views of a scheduler: plain copies of its state, made on request.
+// Views of a scheduler for operators: copies of its state, made on request.
 #pragma once
 
 #include <array>
@@ -11,29 +11,31 @@
 
 namespace winchhall::cluster {
 
-// Number of kinds of ends (wire::EndKind).
+// Number of values of wire::EndKind.
 inline constexpr std::size_t kEndKindCount = wire::EndKind_MAX + 1;
 
-// Counts of events since this node acquired the service's lease; they only rise.
+// Counts of events since this node acquired the service's lease; they never decrease.
 struct SchedulerCounters {
   std::uint64_t jobs_accepted = 0;
-  std::uint64_t tasks_started = 0;        // runs ordered, retries and speculative runs included
-  std::uint64_t reports = 0;              // of worker-agents, duplicates included
-  std::uint64_t runs_adopted = 0;         // that leaves listed and an earlier leader had ordered
-  std::uint64_t surplus_runs = 0;         // of `runs_adopted`, those beside another run of the task
-  std::uint64_t leaf_leases_expired = 0;  // execution leases of leaves
-  std::array<std::uint64_t, kEndKindCount> ends = {};  // of runs, by wire::EndKind
+  std::uint64_t tasks_started = 0;        // runs ordered, including retries and speculative runs
+  std::uint64_t reports = 0;              // reports from worker-agents, including duplicates
+  std::uint64_t runs_adopted = 0;         // runs listed by leaves that an earlier leader had ordered
+  std::uint64_t surplus_runs = 0;         // adopted runs ordered to stop in favour of a newer run of the task
+  std::uint64_t leaf_leases_expired = 0;  // expired execution leases of leaves
+  std::array<std::uint64_t, kEndKindCount> ends = {};  // ends of runs, by wire::EndKind
 };
 
+// Counters, and the present size of the scheduler's tables.
 struct SchedulerStats {
   SchedulerCounters counters;
-  std::uint64_t live_jobs = 0;      // queued or running
-  std::uint64_t waiting_tasks = 0;  // that may be placed
-  std::uint64_t runs = 0;           // that may exist on a leaf
+  std::uint64_t live_jobs = 0;      // jobs that are queued or running
+  std::uint64_t waiting_tasks = 0;  // tasks that may be placed
+  std::uint64_t runs = 0;           // runs that may exist on a leaf
   std::uint64_t leaves = 0;
-  std::uint64_t unsynchronized_leaves = 0;  // whose reports the restored jobs wait for
+  std::uint64_t unsynchronized_leaves = 0;  // leaves whose reports the restored jobs wait for
 };
 
+// One job.
 struct JobView {
   std::string id;
   std::string queue;
@@ -42,7 +44,7 @@
   std::int64_t accepted_wall_ms = 0;         // milliseconds since 1970
   std::uint32_t repeats = 0;
   std::uint32_t repeats_done = 0;
-  std::uint32_t runs = 0;  // that may exist on a leaf
+  std::uint32_t runs = 0;  // runs that may exist on a leaf
 };
 
 // One stage of one started repeat.
@@ -50,45 +52,50 @@
   std::uint32_t repeat = 0;
   std::uint32_t number = 0;
   std::uint64_t tasks = 0;
-  std::uint64_t done = 0;      // of `tasks`
-  std::uint64_t waiting = 0;   // of `tasks`, those that may be placed
+  std::uint64_t done = 0;      // tasks that are done
+  std::uint64_t waiting = 0;   // tasks that may be placed
   std::uint64_t failures = 0;  // failed runs of all tasks
 };
 
+// One run that may exist on a leaf.
 struct RunView {
-  std::string task;  // "ID.K.STEP.INDEX"
-  std::uint64_t run = 0;
-  std::string leaf;           // ID
+  std::string task;           // name "ID.K.STEP.INDEX", see TaskName
+  std::uint64_t run = 0;      // run number
+  std::string leaf;           // leaf ID
   std::uint32_t percent = 0;  // reported progress
-  bool stopping = false;
+  bool stopping = false;      // has been ordered to stop
 };
 
+// One job with its stages and runs.
 struct JobDetail {
   JobView job;
   std::vector<StageView> stages;
   std::vector<RunView> runs;
 };
 
+// Amounts of resources.
 struct ResourcesView {
   std::uint64_t cpu = 0;     // thousandths of a core
   std::uint64_t mem_mb = 0;  // megabytes
   std::uint64_t gpu = 0;     // devices
 };
 
+// One leaf.
 struct LeafView {
   std::string id;
   std::string node;
   std::vector<std::string> labels;
   ResourcesView capacity;
   ResourcesView reserved;  // allocated to runs
-  std::uint64_t runs = 0;  // that may exist there
+  std::uint64_t runs = 0;  // runs that may exist there
   bool draining = false;
-  bool reported = false;           // to this leader
-  std::int64_t report_age_ms = 0;  // of its newest report; 0 if there was none
+  bool reported = false;           // this leader has received a report of the leaf
+  std::int64_t report_age_ms = 0;  // age of its newest report; 0 if there was none
 };
 
+// The newest jobs.
 struct JobList {
-  std::uint64_t total = 0;  // of all jobs that are kept, also those not listed
+  std::uint64_t total = 0;  // number of all jobs that are kept, including those not listed
   std::vector<JobView> jobs;
 };
 
--- a/src/cluster/scheduler/speculative_executor.cpp
+++ b/src/cluster/scheduler/speculative_executor.cpp
@@ -9,7 +9,7 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// A run is slow after this multiple of its stage's estimate, and no sooner than after this time.
+// A run is slow after this multiple of its stage's estimate, but not before this time.
 constexpr double kSlowEstimateFactor = 2.5;
 constexpr Millis kMinSlowTime{1000};
 
@@ -40,7 +40,7 @@
       std::max(static_cast<double>(kMinSlowTime.count()), stage.estimate_ms * kSlowEstimateFactor);
   const std::chrono::duration<double, std::milli> elapsed = state_.now - run.first_reported_at;
   if (elapsed.count() < limit_ms) return false;
-  // The first run may yet fail, and then the second must not be the last attempt.
+  // The first run may still fail, and then the second one must not be the last attempt.
   return count_failed_runs(stage, task) + 1 < stage.job->max_retries();
 }
 
--- a/src/cluster/scheduler/speculative_executor.hpp
+++ b/src/cluster/scheduler/speculative_executor.hpp
@@ -7,23 +7,24 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Speculative execution (as in Dean and Ghemawat, "MapReduce", 2004): a task of a stage marked `speculative`
-// whose only run lasts far beyond its estimate gets a second run on another leaf; the first to end done
-// counts and the other is stopped. Only spare capacity is used: nothing is done while tasks wait.
+// Speculative execution (as in Dean and Ghemawat, "MapReduce", 2004): if a stage is marked `speculative` and
+// the only run of one of its tasks takes much longer than estimated, the task gets a second run on another
+// leaf. The first run that succeeds completes the task, and the other is stopped. Only spare capacity is
+// used: no second run is started while tasks wait.
 class SpeculativeExecutor {
  public:
   SpeculativeExecutor(SchedulerState& state, RunTable& runs) : state_(state), runs_(runs) {}
 
-  // Orders second runs where they are due. To be called at a fixed interval.
+  // Orders second runs for slow tasks. Must be called at a fixed interval.
   void check();
 
  private:
   // Stages with running tasks that may have second runs.
   std::vector<StageInstance*> find_stages() const;
   void check_stage(StageInstance& stage);
-  // True if the task has one run, which is slow, and a failure of it would not end the job.
+  // True if the task has one run, which is slow, and the job would survive a failure of that run.
   bool needs_second_run(const StageInstance& stage, const Task& task) const;
-  // The leaf with the least load other than `first_leaf`; null: none has capacity.
+  // The leaf with the least load among those with capacity, except `first_leaf`; null: there is none.
   Leaf* choose_leaf(const StageInstance& stage, const Leaf& first_leaf);
 
   SchedulerState& state_;
--- a/src/cluster/scheduler/stage_queue.hpp
+++ b/src/cluster/scheduler/stage_queue.hpp
@@ -8,8 +8,8 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Orders stages by their QueueKey. Keeps `StageInstance::queued`; a queued stage's key is changed only by
-// `update_deadline_status`. Stages are not owned and must be removed before they are destroyed.
+// Sorts stages by their QueueKey. Maintains `StageInstance::queued`; the key of a queued stage may be changed
+// only by `update_deadline_status`. Stages are not owned and must be removed before they are destroyed.
 class StageQueue {
  public:
   using Stages = std::map<QueueKey, StageInstance*>;
@@ -26,8 +26,8 @@
     stages_.erase(stage.key);
     stage.queued = false;
   }
-  // Moves a stage that has become late or worthless behind those of its priority that are not. A status never
-  // improves.
+  // Moves a stage that has become late or worthless behind those of its priority that have not. A status
+  // never returns to an earlier one.
   void update_deadline_status(StageInstance& stage, TimePoint now) {
     DeadlineStatus status = stage.key.deadline_status;
     if (now > stage.late_after) status = std::max(status, DeadlineStatus::late);
--- a/src/cluster/scheduler/task_name.cpp
+++ b/src/cluster/scheduler/task_name.cpp
@@ -6,7 +6,7 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-constexpr std::size_t kMaxQuotedCharacters = 64;  // of an invalid name, in the error
+constexpr std::size_t kMaxQuotedCharacters = 64;  // how much of an invalid name an error quotes
 
 // Removes the last dot and the number behind it from `text` and returns the number; none if there is no such
 // suffix, in which case `text` is unchanged.
--- a/src/cluster/scheduler/task_name.hpp
+++ b/src/cluster/scheduler/task_name.hpp
@@ -1,4 +1,5 @@
-// Names that identify tasks on the wire: "ID.K.STEP.INDEX".
+// Names that identify tasks on the wire: "ID.K.STEP.INDEX", where ID is the job, K the repeat and STEP the
+// stage.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace winchhall::cluster::scheduling {
 
-// The parts of a task's name, in the order in which they are written.
+// The parts of a task's name, in the order in which they are formatted.
 struct TaskName {
   std::string job;           // job ID; may contain dots
   std::uint32_t repeat = 0;  // 0 for jobs without a timetable
@@ -19,6 +20,7 @@
   bool operator==(const TaskName&) const = default;
 };
 
+// Returns the name in the form "ID.K.STEP.INDEX".
 std::string format_task_name(const TaskName& name);
 
 // Inverse of `format_task_name`. Fails with InvalidInput if the text is not of that form or a number exceeds
--- a/src/cluster/scheduler/task_placer.cpp
+++ b/src/cluster/scheduler/task_placer.cpp
@@ -10,15 +10,16 @@
 namespace {
 
 constexpr std::size_t kMaxStagesPerRound = 2000;
-constexpr double kLocalityWaitFactor = 0.5;  // part of the time lost by running away from the data
-constexpr Millis kLastAttemptWait{2000};     // for a leaf where a last attempt isn't risky
+// A task waits for capacity near its data for this fraction of the time that it would lose on a remote leaf.
+constexpr double kLocalityWaitFactor = 0.5;
+constexpr Millis kLastAttemptWait{2000};  // longest wait for a leaf on which a last attempt isn't risky
 
-// True if the task failed there and that may be the leaf's fault.
+// True if the task failed there and the leaf may be at fault.
 bool is_deprioritized_for(const Leaf& leaf, const Task& task) {
   return leaf.health.has_elevated_failure_rate() && has_failed_on(leaf, task);
 }
 
-// Leaves of a lower rank are used first, whatever their load.
+// Leaves of a lower rank are used first, regardless of load.
 int rank_of(const Leaf& leaf, const StageInstance& stage, const Task& task) {
   constexpr int kDeprioritized = 4;
   constexpr int kSuspect = 2;
@@ -29,7 +30,7 @@
   return rank;
 }
 
-// True if any run of the task may exist on the leaf, also one that no longer counts for it: a leaf executes
+// True if any run of the task may exist on the leaf, including one that was detached from it: a leaf executes
 // at most one run of a task at a time.
 bool has_run_of(const Leaf& leaf, const StageInstance& stage, const Task& task) {
   if (!stage.runs_by_leaf.contains(&leaf)) return false;
--- a/src/cluster/scheduler/task_preemptor.cpp
+++ b/src/cluster/scheduler/task_preemptor.cpp
@@ -8,7 +8,7 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// How long a stage waits before others are preempted for it.
+// How long a stage waits before runs are preempted for it: runs that lose no work, and any runs.
 constexpr Millis kPreemptAfter{60};
 constexpr Millis kLoseWorkAfter{500};
 
@@ -36,13 +36,13 @@
 }
 
 TaskPreemptor::FutureCapacity TaskPreemptor::future_capacity(const StageInstance& stage, Leaf& leaf) const {
-  const TimePoint soon = state_.now + state_.options.bounds.stop;
+  const TimePoint stop_complete_at = state_.now + state_.options.bounds.stop;
   Resources allocated = leaf.allocated;
   for (const auto& [key, run] : leaf.runs)
-    if (estimate_run_end(state_, run) <= soon) allocated = allocated.without(run.demand);
+    if (estimate_run_end(state_, run) <= stop_complete_at) allocated = allocated.without(run.demand);
   Resources available = leaf.capacity.without(allocated);
-  const auto promised = promised_.find(&leaf);
-  if (promised != promised_.end()) available = available.without(promised->second);
+  const auto claimed = claimed_.find(&leaf);
+  if (claimed != claimed_.end()) available = available.without(claimed->second);
   return {&leaf, available, slots_for(leaf, stage, available)};
 }
 
@@ -50,11 +50,12 @@
                                               const std::vector<FutureCapacity>& capacities) const {
   const bool lose_work = state_.now - stage.waiting_since >= kLoseWorkAfter;
   const LostWork lost_work = lose_work ? LostWork::accept : LostWork::avoid;
-  const TimePoint soon = state_.now + state_.options.bounds.stop;
+  const TimePoint stop_complete_at = state_.now + state_.options.bounds.stop;
   std::vector<Run*> victims;
   for (const FutureCapacity& capacity : capacities)
     for (auto& [key, run] : capacity.leaf->runs)
-      if (may_preempt(stage, run, lost_work) && estimate_run_end(state_, run) > soon) victims.push_back(&run);
+      if (may_preempt(stage, run, lost_work) && estimate_run_end(state_, run) > stop_complete_at)
+        victims.push_back(&run);
   std::sort(victims.begin(), victims.end(), is_preempted_before);
   return victims;
 }
@@ -86,8 +87,8 @@
   for (const FutureCapacity& capacity : capacities) {
     const std::uint64_t taken = std::min(required_slots, capacity.slots);
     required_slots -= taken;
-    Resources& promised = promised_[capacity.leaf];
-    for (std::uint64_t i = 0; i < taken; ++i) promised += stage.demand;
+    Resources& claimed = claimed_[capacity.leaf];
+    for (std::uint64_t i = 0; i < taken; ++i) claimed += stage.demand;
   }
 }
 
--- a/src/cluster/scheduler/task_preemptor.hpp
+++ b/src/cluster/scheduler/task_preemptor.hpp
@@ -1,4 +1,4 @@
-// Preempts runs of lower priority for small tasks that wait.
+// Preempts runs of lower priority for small waiting tasks.
 #pragma once
 
 #include <cstdint>
@@ -9,37 +9,37 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Whether preemption may lose work: a run that doesn't checkpoint starts over, and the job of a long-running
-// task is without it until it is placed again.
+// Whether preemption may lose work: the task of a run that doesn't checkpoint starts again from the
+// beginning, and a long-running task is interrupted until it is placed again.
 enum class LostWork : std::uint8_t { avoid, accept };
 
-// True if the run may be stopped in favour of the stage: it is of strictly lower priority, not a member of a
-// gang, and loses no work where that is to be avoided.
+// True if the run may be stopped in favour of the stage: it has a strictly lower priority, is not a member of
+// a gang, and loses no work if that is to be avoided.
 bool may_preempt(const StageInstance& stage, const Run& run, LostWork lost_work);
 
-// Order of preemption within one priority: runs that checkpoint first, then those ordered latest, which have
-// done least.
+// Order of preemption within one priority: runs that checkpoint come first; among runs that are equal in
+// this, those that were ordered last come first, since they have done the least work.
 bool loses_less_work(const Run& left, const Run& right);
 
-// Frees capacity for stages whose tasks are placed one by one and each fit in a small part of a leaf; stages
-// that need more use BackfillReservations. Stops only as many runs as tasks wait beyond the slots that come
-// free by themselves within the time that a stop takes.
+// Frees capacity for stages whose tasks are placed one by one and each fit in a small part of a leaf; for
+// other stages see BackfillReservations. Stops runs only for those waiting tasks that don't fit in the
+// capacity that becomes free anyway within the time that a stop takes.
 class TaskPreemptor {
  public:
   TaskPreemptor(SchedulerState& state, RunTable& runs) : state_(state), runs_(runs) {}
 
-  // Begins a planning round: no stage counts on capacity yet.
-  void begin_round() { promised_.clear(); }
-  // Stops runs for the stage's waiting tasks. `candidates`: its schedulable leaves. No effect before the
-  // stage has waited for a moment.
+  // Begins a planning round: drops the claims of the last one.
+  void begin_round() { claimed_.clear(); }
+  // Stops runs for the stage's waiting tasks on `candidates`, its schedulable leaves. No effect until the
+  // stage has waited for a short time.
   void preempt_for(const StageInstance& stage, const std::vector<Leaf*>& candidates);
 
  private:
-  // A leaf with the capacity that it will have within the time that a stop takes.
+  // A leaf with the capacity that will be available there after the time that a stop takes.
   struct FutureCapacity {
     Leaf* leaf = nullptr;
     Resources available;
-    std::uint64_t slots = 0;  // of the stage in hand
+    std::uint64_t slots = 0;  // number of the stage's tasks that fit in `available`
   };
   FutureCapacity future_capacity(const StageInstance& stage, Leaf& leaf) const;
   std::vector<Run*> find_victims(const StageInstance& stage,
@@ -49,8 +49,8 @@
 
   SchedulerState& state_;
   RunTable& runs_;
-  // Future capacity that earlier stages of this round count on.
-  std::unordered_map<const Leaf*, Resources> promised_;
+  // Future capacity that earlier stages of this round have claimed.
+  std::unordered_map<const Leaf*, Resources> claimed_;
 };
 
 }  // namespace winchhall::cluster::scheduling
--- a/src/cluster/scheduler/wall_clock.hpp
+++ b/src/cluster/scheduler/wall_clock.hpp
@@ -1,4 +1,4 @@
-// Time of day that is not thrown off by passing jumps of the machine's clock.
+// Wall-clock time that is not affected by temporary jumps of the machine's clock.
 #pragma once
 
 #include <chrono>
@@ -10,12 +10,12 @@
 
 namespace winchhall::cluster::scheduling {
 
-// Converts between the steady clock and the time of day. Small corrections of the machine's clock are
-// followed at once, a jump only after it has lasted for some seconds, so that timed jobs start neither early
-// nor late because of a clock that is set wrong for a moment.
+// Converts between steady-clock time and wall-clock time. Small corrections of the machine's clock are
+// applied at once, a jump only after it has lasted for some seconds, so that timed jobs start neither early
+// nor late because the clock was set wrong for a moment.
 class WallClock {
  public:
-  // Takes a reading of both clocks; `wall_ms` in milliseconds since 1970.
+  // Records a reading of both clocks; `wall_ms` is in milliseconds since 1970.
   void observe(TimePoint now, std::int64_t wall_ms) {
     std::int64_t offset = wall_ms - steady_ms(now);
     if (!offset_ || std::abs(offset - *offset_) <= kMaxCorrectionMs) {
@@ -29,27 +29,27 @@
     jump_.reset();
   }
 
-  // Time of day at a point of the steady clock, in milliseconds since 1970.
+  // Wall-clock time at a steady-clock time, in milliseconds since 1970.
   std::int64_t wall_ms_at(TimePoint now) const { return steady_ms(now) + offset_.value_or(0); }
-  // The inverse: when, on the steady clock, the time of day is `wall_ms`.
+  // The inverse of `wall_ms_at`.
   TimePoint steady_time_of(std::int64_t wall_ms) const {
     return TimePoint(Millis(wall_ms - offset_.value_or(0)));
   }
 
  private:
-  // A jump that has not lasted long enough yet.
+  // A jump that has not lasted long enough to be accepted.
   struct Jump {
     std::int64_t offset = 0;
     TimePoint since;
   };
-  static constexpr std::int64_t kMaxCorrectionMs = 200;
+  static constexpr std::int64_t kMaxCorrectionMs = 200;  // a larger change of the offset is a jump
   static constexpr Millis kJumpAcceptedAfter{15000};
 
   static std::int64_t steady_ms(TimePoint now) {
     return std::chrono::duration_cast<Millis>(now.time_since_epoch()).count();
   }
 
-  std::optional<std::int64_t> offset_;  // ms from steady time to the accepted time of day
+  std::optional<std::int64_t> offset_;  // accepted wall-clock time less steady-clock time, in ms
   std::optional<Jump> jump_;
 };
 
--- a/src/cluster/scheduler/worker_report_handler.cpp
+++ b/src/cluster/scheduler/worker_report_handler.cpp
@@ -8,7 +8,8 @@
 namespace winchhall::cluster::scheduling {
 namespace {
 
-// A leaf lists no more ends at once; at this number, a run that isn't listed may have ended all the same.
+// Largest number of ends that a leaf lists at once. If the list is full, a run that isn't listed may have
+// ended without being lost.
 constexpr std::size_t kMaxListedEnds = 500;
 
 template <class Order>
@@ -134,7 +135,7 @@
 
 void WorkerReportHandler::reconcile(Leaf& leaf) {
   ++leaf.report_generation;
-  // Ends first: a task whose run has ended may be listed as running again, under a later run.
+  // Ends are processed first: a task whose run has ended may be listed as running with a later run.
   process_ends(leaf);
   for (const wire::RunningTask& entry : leaf.task_lists.running) process_running(leaf, entry);
   remove_missing_runs(leaf);
@@ -174,12 +175,12 @@
 void WorkerReportHandler::process_ends(Leaf& leaf) {
   std::vector<const wire::FinishedTask*> new_ends;
   for (const wire::FinishedTask& entry : leaf.task_lists.finished)
-    if (entry.number() > leaf.processed_ends) new_ends.push_back(&entry);
+    if (entry.number() > leaf.processed_end) new_ends.push_back(&entry);
   std::sort(new_ends.begin(), new_ends.end(),
             [](const auto* a, const auto* b) { return a->number() < b->number(); });
   for (const wire::FinishedTask* entry : new_ends) {
-    if (entry->number() <= leaf.processed_ends) continue;
-    leaf.processed_ends = entry->number();
+    if (entry->number() <= leaf.processed_end) continue;
+    leaf.processed_end = entry->number();
     leaf.unacknowledged_ends.push_back({entry->number(), ends_.on_end_reported(leaf, *entry)});
   }
 }
@@ -202,7 +203,7 @@
   drop_orders_up_to(leaf.pending_stops, leaf.applied_revision);
   for (auto& [key, run] : leaf.runs) {
     if (run.stop_revision == 0 || run.stop_revision > leaf.applied_revision) continue;
-    run.stop_revision = 0;  // the stop was applied, but the run is still there: order it again
+    run.stop_revision = 0;  // the stop was applied, but the run is still listed: order the stop again
     runs_.stop_run(run);
   }
 }
--- a/tests/cluster/scheduler/record_codec_test.cpp
+++ b/tests/cluster/scheduler/record_codec_test.cpp
@@ -34,7 +34,7 @@
                                   {"job/c", "\xff\xff"}};
   RestoredState state = decode_records(entries);
   REQUIRE(state.jobs.size() == 1);
-  CHECK(state.stray_keys == std::vector<std::string>{"progress/b"});
+  CHECK(state.orphaned_keys == std::vector<std::string>{"progress/b"});
   REQUIRE(state.workers.size() == 1);
   CHECK(state.workers[0].node_name() == "node");
   const wire::ProgressRecord& progress = state.jobs[0].progress;
@@ -45,16 +45,16 @@
   CHECK(is_repeat_done(progress, 3));
 
   JobTable restored;
-  Job& again = restored.add("a", spec, {});
-  Repeat& opened = restored.add_repeat(again, 2, at(0));
-  apply_progress(progress, 2, opened);
-  for (const Task& done : opened.stages[0].tasks) CHECK(done.done);
-  CHECK_FALSE(opened.stages[1].tasks[0].done);
-  const Task& failed = opened.stages[1].tasks[1];
-  CHECK(failed.failed_runs == std::vector<RunNumber>{4, 9});
-  CHECK(failed.checkpoint.text == "text");
-  CHECK(failed.checkpoint.run == 9);
-  CHECK(failed.last_run == 9);
+  Job& restored_job = restored.add("a", spec, {});
+  Repeat& restored_repeat = restored.add_repeat(restored_job, 2, at(0));
+  apply_progress(progress, 2, restored_repeat);
+  for (const Task& done_task : restored_repeat.stages[0].tasks) CHECK(done_task.done);
+  CHECK_FALSE(restored_repeat.stages[1].tasks[0].done);
+  const Task& failed_task = restored_repeat.stages[1].tasks[1];
+  CHECK(failed_task.failed_runs == std::vector<RunNumber>{4, 9});
+  CHECK(failed_task.checkpoint.text == "text");
+  CHECK(failed_task.checkpoint.run == 9);
+  CHECK(failed_task.last_run == 9);
 }
 
 }  // namespace
