--- a/tests/cluster/scheduler/event_log.hpp
+++ b/tests/cluster/scheduler/event_log.hpp
@@ -1,4 +1,4 @@
-// What happens in a simulation of a service: its jobs, and the events that the rule checker judges.
+// The jobs of a simulated service, and the events that RuleChecker checks.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,18 @@
 
 using Ms = std::int64_t;  // simulated time in milliseconds
 
-// A submitted job, the true behaviour of its tasks, and what its client has seen.
+// A submitted job, how its tasks behave, and the states that its client has seen.
 struct SimulatedJob {
   std::string id;
   wire::JobSpec spec;
   wire::QueueTerms terms;
-  double fail_rate = 0;
+  double fail_rate = 0;  // probability that a run fails
   Ms submitted_at = -1;
   Ms accepted_at = -1;   // when the client was answered; -1: not yet
   Ms cancelled_at = -1;  // when the cancellation was answered; -1: not yet
   bool cancel_sent = false;
   wire::JobState visible_state = wire::JOB_UNKNOWN;
-  Ms final_at = -1;
+  Ms final_at = -1;  // when its client first saw a final state; -1: not yet
 };
 
 // A run began on a leaf.
@@ -43,17 +43,17 @@
   Ms at = 0;
   wire::EndKind how = wire::END_UNKNOWN;
   std::string leaf;
-  std::uint64_t lease_expiries = 0;  // of its leaf until then
-  bool acknowledged = false;         // by a leader, and no lease of the leaf expired in between
+  std::uint64_t lease_expiries = 0;  // how often the leaf's lease had expired by then
+  bool acknowledged = false;         // a leader acknowledged it before the leaf's lease expired again
 };
 
-// All events of a simulation, and the violations of rules among them.
+// All events of a simulation, and the violations of rules that were found.
 struct EventLog {
   std::deque<StartEvent> starts;
   std::deque<EndEvent> ends;
   std::vector<std::string> violations;
   std::set<std::string> done;  // tasks with a run that ended END_DONE
-  std::map<std::pair<std::string, std::uint64_t>, std::set<wire::EndKind>> gang_ends;  // by stage and run
+  std::map<std::pair<std::string, std::uint64_t>, std::set<wire::EndKind>> gang_ends;  // by stage, run number
 
   void add_end(EndEvent end) {
     if (end.how == wire::END_DONE) done.insert(end.task);
--- a/tests/cluster/scheduler/job_lifecycle_test.cpp
+++ b/tests/cluster/scheduler/job_lifecycle_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // Plans and takes the changes without making them durable.
-std::vector<ShardChange> taken_changes(SchedulerHarness& harness, ChangeBatchNumber& number) {
+std::vector<ShardChange> plan_and_take_changes(SchedulerHarness& harness, ChangeBatchNumber& number) {
   harness.scheduler->plan(harness.time(), harness.wall());
   Scheduler::ChangeBatch changes = harness.scheduler->take_changes();
   number = changes.number;
@@ -51,7 +51,7 @@
   }
 }
 
-// Otherwise a leader that finds neither spec nor final state would show a cancelled job as completed.
+// Without this, a leader that found neither spec nor final state would show a cancelled job as completed.
 TEST_CASE("the spec is kept until the final state is durable") {
   SchedulerHarness harness;
   harness.deliver(harness.make_report("i-1"));
@@ -59,12 +59,12 @@
   harness.make_durable_and_plan();
   harness.scheduler->cancel("a", harness.time(), harness.wall());
   ChangeBatchNumber end = 0;
-  for (const ShardChange& change : taken_changes(harness, end)) CHECK(change.key != "job/a");
+  for (const ShardChange& change : plan_and_take_changes(harness, end)) CHECK(change.key != "job/a");
   ChangeBatchNumber none = 0;
-  for (const ShardChange& change : taken_changes(harness, none)) CHECK(change.key != "job/a");
+  for (const ShardChange& change : plan_and_take_changes(harness, none)) CHECK(change.key != "job/a");
   harness.scheduler->on_changes_durable(end);
   ChangeBatchNumber after = 0;
-  const std::vector<ShardChange> changes = taken_changes(harness, after);
+  const std::vector<ShardChange> changes = plan_and_take_changes(harness, after);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].key == "job/a");
 }
--- a/tests/cluster/scheduler/random_workload.hpp
+++ b/tests/cluster/scheduler/random_workload.hpp
@@ -1,4 +1,4 @@
-// A random workload for the simulation of one service, and the check that it holds the rules and ends.
+// Random workloads for ServiceSimulation, and the check that the rules hold and that all jobs end.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -59,18 +59,18 @@
 
 inline bool is_long_running(const SimulatedJob& job) { return job.spec.stages(0).long_running(); }
 
-// Submits random jobs to a service of six leaves, injects faults meanwhile, and requires that no rule is
-// violated and all jobs end. `damage`: makes the first leaf faulty.
+// Submits random jobs to a service of six leaves while faults are injected, and requires that no rule is
+// violated and that all jobs end. `make_faulty` is applied to the first leaf.
 inline void simulate(std::uint64_t seed, FaultRates faults, int jobs,
-                     const std::function<void(SimulatedLeaf&)>& damage = {}) {
+                     const std::function<void(SimulatedLeaf&)>& make_faulty = {}) {
   constexpr Ms kSubmissionPeriod = 20000;
   constexpr Ms kTimeLimit = 240000;
   ServiceSimulation sim(seed, 6, faults);
   sim.checker().bounds.status = Millis(400000);
   sim.faults_until = kSubmissionPeriod + 5000;
-  if (damage) {
+  if (make_faulty) {
     sim.checker().fault_free = false;
-    damage(*sim.leaves().front());
+    make_faulty(*sim.leaves().front());
   }
   for (int i = 0; i < jobs; ++i) {
     Ms at = sim.between(0, kSubmissionPeriod);
@@ -91,10 +91,11 @@
   sim.checker().check_after_run();
   INFO("seed " << seed);
   for (const std::string& violation : sim.checker().log.violations) FAIL_CHECK(violation);
-  std::string open;
+  std::string not_ended;
   for (const auto& [id, job] : sim.checker().jobs)
-    if (job.final_at < 0) open += " " + id;
-  INFO("not ended:" << open << "; " << (sim.leader() != nullptr ? sim.leader()->summary() : "no leader"));
+    if (job.final_at < 0) not_ended += " " + id;
+  INFO("not ended:" << not_ended << "; "
+                    << (sim.leader() != nullptr ? sim.leader()->summary() : "no leader"));
   CHECK(sim.all_ended());
 }
 
--- a/tests/cluster/scheduler/record_map.hpp
+++ b/tests/cluster/scheduler/record_map.hpp
@@ -21,7 +21,7 @@
   }
 }
 
-// What a new leader finds in the shard.
+// The records in the form in which a new leader reads them from the shard.
 inline std::vector<ShardEntry> shard_entries(const RecordMap& records) {
   std::vector<ShardEntry> entries;
   for (const auto& [key, value] : records) entries.push_back({key, value});
--- a/tests/cluster/scheduler/rule_checker.hpp
+++ b/tests/cluster/scheduler/rule_checker.hpp
@@ -1,5 +1,5 @@
-// Checks the rules for jobs from what leaves executed and what clients saw, without knowledge of the
-// scheduler.
+// Checks the rules for jobs against what leaves executed and what clients saw, without access to the
+// scheduler's state.
 #pragma once
 
 #include <algorithm>
@@ -13,20 +13,20 @@
 
 namespace winchhall::cluster::test {
 
-// Violations are logged under the name of the rule:
-// UNASKED  only submitted work runs, with its own spec and checkpoints, and none after a confirmed cancel
-// LIMIT    runs never exceed a leaf's capacity
-// TWICE    a task has one run at a time, and none after an acknowledged end as done
-// ORDER    stages start after those that they depend on, repeats when they are due
-// ROUTE    labels and anti-affinity are heeded
-// DRAIN    no start on a leaf that has been draining for longer than the bound
-// GANG     without faults, no member of a gang waits in vain for the others
-// BUDGET   no run of a task after max_retries acknowledged failures
-// LOST     no job is lost, changes its final state, or ends without a cause
-// MIXED    a completed job has all its tasks done
-// Logged by the simulation itself:
-// RUN      on one leaf, run numbers of a task rise
-// SUBMIT   valid jobs are accepted
+// Violations are logged with the name of the rule:
+// - UNASKED: only submitted jobs run, with their own spec and checkpoints, and not after a confirmed cancel
+// - LIMIT: the runs on a leaf never exceed its capacity
+// - TWICE: a task has one run at a time, and none after an acknowledged end as done
+// - ORDER: stages start after those that they depend on, and repeats when they are due
+// - ROUTE: labels and anti-affinity are respected
+// - DRAIN: no run starts on a leaf that has been draining for longer than the bound
+// - GANG: without faults, no member of a gang ends because others have not started
+// - BUDGET: no run of a task starts after max_retries acknowledged failures
+// - LOST: no job is lost, changes its final state, or ends without a cause
+// - MIXED: all tasks of a completed job are done
+// Logged by ServiceSimulation:
+// - RUN: the run numbers of a task on one leaf increase
+// - SUBMIT: valid jobs are accepted
 class RuleChecker {
  public:
   using Leaves = std::vector<std::unique_ptr<SimulatedLeaf>>;
@@ -36,7 +36,7 @@
   std::map<std::string, SimulatedJob> jobs;
   bool fault_free = false;  // no faults are injected
 
-  // To be called before the run is added to the leaf.
+  // Checks a run that starts. Must be called before the run is added to the leaf.
   void on_start(const SimulatedLeaf& leaf, const SimulatedRun& run, const Leaves& leaves,
                 const std::string& spec, const std::string& checkpoint, Ms now) {
     const wire::Stage& stage = leaf.stage_of(run);
@@ -55,12 +55,13 @@
     log.starts.push_back({run.task, run.run, now, leaf.id});
   }
 
-  // A member of a gang gave up waiting for the others.
+  // Checks a member of a gang that ended because not all members had started, which is a violation unless
+  // faults are injected or the job was cancelled.
   void on_incomplete_gang(const SimulatedRun& run, Ms now) {
     if (fault_free && !run.job->cancel_sent) log.add_violation("GANG", run.task, now);
   }
 
-  // A client sees this state of its job.
+  // Checks a state of a job that its client sees.
   void on_visible_state(SimulatedJob& job, wire::JobState state, Ms now) {
     if (state == wire::JOB_UNKNOWN && job.accepted_at >= 0 &&
         (job.final_at < 0 || now < job.final_at + bounds.status.count()))
@@ -75,7 +76,8 @@
     if (final) job.visible_state = state;
   }
 
-  // Checks the rules that depend on which ends were acknowledged later. To be called once, at the end.
+  // Checks the rules for ends that were acknowledged. Must be called once, after the simulation, because an
+  // end is acknowledged later than it happens.
   void check_after_run() {
     std::map<std::string, std::vector<const EndEvent*>> ends;
     for (const EndEvent& end : log.ends)
@@ -168,7 +170,7 @@
     log.add_violation("LOST", "failed without cause: " + job.id, now);
   }
 
-  // A member of a gang that ended done stands for all members.
+  // True if the task has a run that ended END_DONE; for a gang, one done member suffices.
   bool has_ended_done(const std::string& task) const {
     if (log.done.contains(task)) return true;
     auto name = scheduling::parse_task_name(task);
--- a/tests/cluster/scheduler/scheduler_harness.hpp
+++ b/tests/cluster/scheduler/scheduler_harness.hpp
@@ -13,13 +13,13 @@
 
 inline constexpr std::int64_t kWallClockStartMs = 1700000000000;
 
-// One scheduler with its durable records; the test plays the worker-agents.
+// One scheduler with its durable records. The test sends the reports that worker-agents would send.
 struct SchedulerHarness {
   std::int64_t now_ms = 1000;
   std::unique_ptr<Scheduler> scheduler;
   std::uint64_t epoch = 1;
   RecordMap records;
-  std::map<std::string, std::uint64_t> report_numbers;
+  std::map<std::string, std::uint64_t> report_numbers;  // of the newest report, by leaf ID
 
   explicit SchedulerHarness(std::uint64_t lease_epoch = 1, std::vector<ShardEntry> entries = {})
       : epoch(lease_epoch) {
@@ -32,7 +32,7 @@
   std::int64_t wall() const { return kWallClockStartMs + now_ms; }
   std::vector<ShardEntry> entries() const { return shard_entries(records); }
 
-  // Makes all changes durable, with what follows from them, and plans.
+  // Plans and makes all changes durable, also the changes that follow from these.
   void make_durable_and_plan() {
     for (int i = 0; i < 3; ++i) {
       scheduler->plan(time(), wall());
@@ -60,7 +60,7 @@
     report.set_lists_included(true);
     return report;
   }
-  // The scheduler receives the report; its changes become durable.
+  // Passes a report to the scheduler and makes the resulting changes durable.
   void deliver(const wire::WorkerReport& report) {
     scheduler->report(report, time(), wall());
     make_durable_and_plan();
--- a/tests/cluster/scheduler/scheduler_inspection_test.cpp
+++ b/tests/cluster/scheduler/scheduler_inspection_test.cpp
@@ -1,4 +1,4 @@
-// Operators' views of a scheduler.
+// The views of a scheduler that operators see.
 #include <catch2/catch.hpp>
 
 #include "cluster/scheduler/scheduler.hpp"
--- a/tests/cluster/scheduler/scheduler_test.cpp
+++ b/tests/cluster/scheduler/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler as a whole: single jobs step by step, the test playing the worker-agents.
+// The scheduler with all its components: single jobs step by step, with reports made by the test.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/scheduler/scheduler_harness.hpp"
@@ -123,7 +123,7 @@
   CHECK_FALSE(harness.scheduler->cancel("c", harness.time(), harness.wall()).found);
 }
 
-TEST_CASE("a timed job starts when it is due, whatever the machine's clock jumps to") {
+TEST_CASE("a timed job starts when it is due although the machine's clock jumps") {
   SchedulerHarness harness;
   harness.deliver(harness.make_report("i-1"));
   wire::JobSpec spec = single_stage_job(1);
@@ -216,7 +216,7 @@
   CHECK(orders.starts(0).run() == 2);
 }
 
-TEST_CASE("a long-running task is restarted however it ends") {
+TEST_CASE("a long-running task is restarted after every kind of end") {
   SchedulerHarness harness;
   harness.deliver(harness.make_report("i-1"));
   wire::JobSpec spec = single_stage_job(1);
--- a/tests/cluster/scheduler/service_simulation.hpp
+++ b/tests/cluster/scheduler/service_simulation.hpp
@@ -1,5 +1,5 @@
 // Simulation of one service on a virtual clock: leaves with their worker-agents, successive leaders, clients,
-// and injected faults. The same seed gives the same course of events.
+// and injected faults. The same seed produces the same sequence of events.
 #pragma once
 
 #include <deque>
@@ -17,14 +17,14 @@
 
 namespace winchhall::cluster::test {
 
-// Injected faults: shares of messages, and events per second over all nodes.
+// Rates of injected faults: fractions of messages, or events per second over all nodes.
 struct FaultRates {
-  double loss = 0;          // share of messages that are lost
-  double delay = 0;         // share of messages that arrive up to two seconds late
-  double leaf_crashes = 0;  // the leaf is back within three seconds
-  double leaf_losses = 0;   // it is away for longer than its lease, while its worker-agent lives on
+  double loss = 0;          // fraction of messages that are lost
+  double delay = 0;         // fraction of messages that arrive up to two seconds late
+  double leaf_crashes = 0;  // the next leaf process starts within three seconds
+  double leaf_losses = 0;   // it starts only after the lease has expired; the worker-agent continues to run
   double worker_restarts = 0;
-  double partitions = 0;  // of a worker-agent from the leader
+  double partitions = 0;  // partitions of a worker-agent from the leader
   double leader_changes = 0;
   double drains = 0;
   bool any() const {
@@ -34,8 +34,8 @@
   }
 };
 
-// Drives a real Scheduler. The leader's changes become durable some ms after they are taken; when a leader is
-// lost, those that weren't durable survive up to some random batch.
+// Runs a real Scheduler as the leader. Its changes become durable some milliseconds after they are taken.
+// When a leader is lost, of the batches that weren't durable those up to a random one are kept.
 class ServiceSimulation {
  public:
   ServiceSimulation(std::uint64_t seed, std::size_t leaves, FaultRates faults);
@@ -49,15 +49,15 @@
   void at(Ms time, std::function<void()> action) { events_.push({time, next_event_++, std::move(action)}); }
   // Submits a job, and retries until it is accepted.
   void submit(SimulatedJob job);
-  // Cancels a job, and retries until that is confirmed.
+  // Cancels a job, and retries until the cancellation is confirmed.
   void cancel(const std::string& id);
-  // Stops early if a rule is violated.
+  // Runs the simulation until this time, or until a rule is violated.
   void run_until(Ms time);
   void stop_faults() { faults_ = {}; }
   // True if clients have seen a final state of every job.
   bool all_ended() const;
   std::vector<std::unique_ptr<SimulatedLeaf>>& leaves() { return leaves_; }
-  // Null while there is none.
+  // Null while there is no leader.
   Scheduler* leader() { return leader_.get(); }
   Ms faults_until = 0;  // no faults are injected from then on
 
@@ -73,36 +73,36 @@
     SimulatedLeaf* leaf = nullptr;
     Ms next_heartbeat = 0;
     Ms partitioned_until = -1;
-    Ms answer_by = -1;   // when a pending report is answered at the latest; -1:
-                         // none is pending
-    Ms restart_at = -1;  // when the next leaf process starts, while there is none
+    Ms answer_by = -1;   // latest time to answer the pending report; -1: none is pending
+    Ms restart_at = -1;  // when the next leaf process starts; valid while there is none
   };
   TimePoint time() const { return TimePoint(Millis(now_ + 1000000)); }
 
   void step();
   void start_leader();
   void stop_leader();
-  // Takes the leader's changes and makes them durable a little later.
+  // Takes the leader's changes and makes them durable after a short delay.
   void write_changes();
-  // Calls `action` once the leader's changes up to `number` are durable, unless the leader is lost before.
+  // Calls `action` once the leader's changes up to `number` are durable; never if the leader is lost before.
   void when_durable(ChangeBatchNumber number, std::function<void()> action);
   void start_leaf(Node& node);
-  // The next leaf of the node starts after the given time.
+  // Stops the node's leaf; the next one starts after the given time.
   void stop_leaf(Node& node, Ms restart_after);
   void step_leaf(SimulatedLeaf& leaf);
   void step_gang(SimulatedLeaf& leaf, const std::string& task);
-  // The leaf's heartbeat to its worker-agent, and the orders in the answer.
+  // Sends the leaf's heartbeat to its worker-agent, and applies the orders in the answer.
   void heartbeat(Node& node);
-  // The worker-agent takes over the leaf's description and lists.
+  // Updates the worker-agent with the leaf's description and lists.
   void update_worker(Node& node);
   static wire::LeafDescription describe(const SimulatedLeaf& leaf, Ms now);
   static std::vector<wire::RunningTask> list_running(const SimulatedLeaf& leaf);
-  // `lease_until`: -1 where no lease is granted; then nothing starts.
+  // Applies the orders in the answer to a heartbeat. `lease_until` is -1 if no lease is granted; then no run
+  // starts.
   void apply_orders(SimulatedLeaf& leaf, const wire::WorkerOrders& orders, Ms lease_until);
   void start_run(SimulatedLeaf& leaf, const wire::StartOrder& order);
   // Sends the worker-agent's report to the leader.
   void report(Node& node);
-  // The leader answers the node's pending report.
+  // Sends the leader's answer to the node's pending report.
   void deliver_answer(Node& node);
   void inject_faults();
   void check_visible_states();
@@ -120,8 +120,8 @@
   std::uint64_t next_leaf_ = 1;
   std::uint64_t epoch_ = 0;
   std::unique_ptr<Scheduler> leader_;
-  RecordMap records_;                          // durable
-  std::deque<Scheduler::ChangeBatch> writes_;  // of the leader, not durable yet
+  RecordMap records_;                          // durable records
+  std::deque<Scheduler::ChangeBatch> writes_;  // batches of the leader that are not durable yet
 };
 
 }  // namespace winchhall::cluster::test
--- a/tests/cluster/scheduler/service_simulation_impl.hpp
+++ b/tests/cluster/scheduler/service_simulation_impl.hpp
@@ -5,7 +5,7 @@
 
 namespace winchhall::cluster::test {
 
-inline constexpr Ms kStep = 5;  // of the virtual clock
+inline constexpr Ms kStep = 5;  // by which the virtual clock advances
 inline constexpr Ms kStateCheckInterval = 100;
 
 inline ServiceSimulation::ServiceSimulation(std::uint64_t seed, std::size_t leaves, FaultRates faults)
@@ -50,7 +50,7 @@
 
 inline void ServiceSimulation::stop_leader() {
   leader_.reset();
-  // Batches that were being written are durable up to some random one.
+  // Of the batches that were being written, those up to a random one become durable.
   for (const Scheduler::ChangeBatch& batch : writes_) {
     if (chance() >= 0.5) break;
     apply_changes(records_, batch.changes);
--- a/tests/cluster/scheduler/simulated_leaf.hpp
+++ b/tests/cluster/scheduler/simulated_leaf.hpp
@@ -1,4 +1,4 @@
-// A simulated leaf: executes start and stop orders, and logs events for the rule checker.
+// A simulated leaf: executes start and stop orders, and logs events for RuleChecker.
 #pragma once
 
 #include <algorithm>
@@ -19,37 +19,37 @@
 
 // A run that is executed on a leaf.
 struct SimulatedRun {
-  std::string task;
+  std::string task;  // name
   std::uint64_t run = 0;
   scheduling::TaskName name;
   const SimulatedJob* job = nullptr;
   Ms started_at = 0;
-  Ms work_ms = 0;
-  Ms worked_ms = 0;
-  Ms stop_at = -1;
-  bool fails = false;
-  std::string checkpoint;  // newest, empty: none
+  Ms work_ms = 0;          // duration of the run unless it ends early
+  Ms worked_ms = 0;        // how much of it has passed
+  Ms stop_at = -1;         // when its stop takes effect; -1: not ordered to stop
+  bool fails = false;      // it ends END_FAILED instead of END_DONE
+  std::string checkpoint;  // the newest; empty: none
 };
 
-// A leaf process. Its runs end when they have worked for their time, are stopped, or the execution lease
+// A leaf process. Its runs end after their duration, when they are stopped, or when the execution lease
 // expires.
 struct SimulatedLeaf {
   std::string id;
   Resources capacity;
   std::vector<std::string> labels;
   bool draining = false;
-  Ms drain_acknowledged = -1;  // when a heartbeat first said that it drains
-  Ms ends_at = -1;             // when a draining leaf deregisters
-  double clock_slowdown = 1;   // how much longer the leaf takes its lease to be
-  bool fails_everything = false;
-  bool stalls = false;  // its tasks make no progress
+  Ms drain_acknowledged = -1;     // when a heartbeat first said that it drains; -1: not yet
+  Ms ends_at = -1;                // when a draining leaf deregisters
+  double clock_slowdown = 1;      // factor by which its slow clock extends its lease
+  bool fails_everything = false;  // all its runs end END_FAILED
+  bool stalls = false;            // its tasks make no progress
   std::map<std::string, SimulatedRun> running;
   std::vector<wire::FinishedTask> finished;
   std::deque<EndEvent*> unacknowledged;                // the events of `finished`, in the same order
-  std::map<std::string, std::uint64_t> highest_ended;  // run number, by task
+  std::map<std::string, std::uint64_t> highest_ended;  // highest number of an ended run, by task
   std::uint64_t next_end_number = 1;
-  std::uint64_t fencing_epoch = 0;
-  Ms lease_expires_at = -1;
+  std::uint64_t fencing_epoch = 0;  // orders of lower epochs are ignored
+  Ms lease_expires_at = -1;         // -1: it has no lease
   std::uint64_t lease_expiries = 0;
 
   const wire::Stage& stage_of(const SimulatedRun& run) const {
@@ -65,7 +65,7 @@
     return sum;
   }
 
-  // Ends the run of a task, which must be running.
+  // Ends the run of a task; the task must be running.
   void end(const std::string& task, wire::EndKind how, EventLog& log, Ms now) {
     auto found = running.find(task);
     SimulatedRun run = found->second;
@@ -81,7 +81,7 @@
     unacknowledged.push_back(&log.ends.back());
   }
 
-  // Drops the ends up to this number from the list.
+  // Removes the ends up to this number from `finished`.
   void acknowledge_ends(std::uint64_t last_seen) {
     while (!finished.empty() && finished.front().number() <= last_seen) {
       unacknowledged.front()->acknowledged = unacknowledged.front()->lease_expiries == lease_expiries;
@@ -90,7 +90,7 @@
     }
   }
 
-  // Ends all runs.
+  // Ends all runs, because the execution lease has expired.
   void expire_lease(EventLog& log, Ms now) {
     ++lease_expiries;
     lease_expires_at = -1;
--- a/tests/cluster/scheduler/simulated_worker_agent.hpp
+++ b/tests/cluster/scheduler/simulated_worker_agent.hpp
@@ -1,4 +1,4 @@
-// A simulated worker-agent: keeps orders until its leaf's lists reflect them, sends reports, applies the
+// A simulated worker-agent: keeps orders until its leaf's lists reflect them, makes reports, and applies the
 // leader's answers.
 #pragma once
 
@@ -10,21 +10,22 @@
 
 namespace winchhall::cluster::test {
 
-// The process beside a leaf; its reports are its only link to the leader.
+// The process on a leaf's node that reports to the leader; its reports and their answers are the only
+// communication between leaf and leader.
 struct SimulatedWorkerAgent {
   std::string node;
   std::uint64_t session = 1;
   std::uint64_t report_number = 0;
-  std::uint64_t epoch = 0;          // of the newest leader that answered
-  bool orders_in_flight = false;    // sent to the leaf, and no heartbeat has come since
-  bool reports_name_epoch = false;  // no order of an earlier epoch is in flight any more
+  std::uint64_t epoch = 0;          // epoch of the newest leader that answered
+  bool orders_in_flight = false;    // orders were sent to the leaf, and no heartbeat has arrived since
+  bool reports_name_epoch = false;  // no order of an earlier epoch is in flight, so reports name `epoch`
   std::uint64_t received = 0;       // highest revision received from that leader
   std::uint64_t applied = 0;        // highest revision up to which the lists reflect all orders
-  std::map<std::uint64_t, wire::StartOrder> starts;  // not reflected in the lists, by revision
-  std::map<std::uint64_t, wire::StopOrder> stops;
-  std::uint64_t last_seen = 0;
-  Ms grant_until = -1;                  // end of the lease that may be passed on to the leaf
-  std::map<std::uint64_t, Ms> sent_at;  // by report number
+  std::map<std::uint64_t, wire::StartOrder> starts;  // orders that the lists don't reflect, by revision
+  std::map<std::uint64_t, wire::StopOrder> stops;    // as `starts`
+  std::uint64_t last_seen = 0;                       // highest number of an acknowledged end
+  Ms grant_until = -1;                               // end of the lease that may be granted to the leaf
+  std::map<std::uint64_t, Ms> sent_at;               // by report number
   Ms heartbeat_at = -100000;
   std::string leaf_id;
   std::string previous_leaf_id;
@@ -32,13 +33,13 @@
   wire::LeafDescription description;
   std::vector<wire::RunningTask> running;
   std::vector<wire::FinishedTask> finished;
-  std::uint64_t lists_number = 0;    // of the report that last included the lists
-  std::uint64_t lists_answered = 0;  // the newest such report that was answered
+  std::uint64_t lists_number = 0;    // number of the last report that included the lists
+  std::uint64_t lists_answered = 0;  // number of the last such report that was answered
   bool lists_changed = true;
   bool has_changes = false;
   Ms next_report = 0;
 
-  // Starts anew, without memory.
+  // Replaces this process by a new one, which has lost all state.
   void restart(std::uint64_t new_session) {
     std::string name = node;
     *this = SimulatedWorkerAgent();
@@ -46,7 +47,7 @@
     session = new_session;
   }
 
-  // A heartbeat came from a leaf; a new ID is a new incarnation, to which no order was given.
+  // Handles a heartbeat from a leaf. A new ID means a new incarnation, to which no order was given.
   void observe_leaf(const std::string& id) {
     if (id == leaf_id) return;
     previous_leaf_id = leaf_id;
--- a/tests/cluster/scheduler/simulation_test.cpp
+++ b/tests/cluster/scheduler/simulation_test.cpp
@@ -1,4 +1,4 @@
-// Randomized simulations: the rules for jobs hold under random workloads and injected faults.
+// Randomized simulations: RuleChecker's rules for jobs hold under random workloads and injected faults.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/scheduler/random_workload.hpp"
@@ -28,14 +28,15 @@
   for (std::uint64_t seed = 4000; seed < 4060; ++seed) simulate(seed, {.leader_changes = 0.4}, 40);
 }
 
-// Found by users, see run_table_test: a leaf that crashed in these simulations was back before its lease had
-// expired, so no worker-agent ever reported to a new leader of a leaf that was long gone.
-TEST_CASE("the rules hold when leaves stay away for longer than their lease and leaders change") {
+// Guards against the failure described in run_table_test.cpp, which users saw and the tests above can't show:
+// there a crashed leaf restarts before its lease expires, so that no worker-agent reports a leaf that is lost
+// for good to a new leader.
+TEST_CASE("the rules hold when leaves are lost for longer than their lease and leaders change") {
   for (std::uint64_t seed = 8000; seed < 8100; ++seed)
     simulate(seed, {.leaf_losses = 0.3, .leader_changes = 0.3}, 40);
 }
 
-TEST_CASE("the rules hold when leaves stay away for long beside all other faults") {
+TEST_CASE("the rules hold when leaves are lost for longer than their lease among all other faults") {
   for (std::uint64_t seed = 9000; seed < 9100; ++seed)
     simulate(seed,
              {.loss = 0.05,
--- a/tests/cluster/scheduler/task_placer_test.cpp
+++ b/tests/cluster/scheduler/task_placer_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks and gangs are placed, by the scheduler as a whole.
+// Placement of tasks and gangs, tested with the whole scheduler.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/scheduler/scheduler_harness.hpp"
@@ -99,7 +99,7 @@
   for (const wire::StartOrder& start : orders.starts()) add_running(full, start);
   harness.deliver(harness.make_report("i-1"));
   wire::WorkerReport failed = fail_once(harness);
-  const auto pass = [&](int rounds) {
+  const auto run_rounds = [&](int rounds) {
     for (int i = 0; i < rounds; ++i) {
       harness.now_ms += 200;
       full.set_report_number(harness.make_report("i-2").report_number());
@@ -108,9 +108,9 @@
       harness.deliver(failed);
     }
   };
-  pass(8);
+  run_rounds(8);
   CHECK(harness.orders("i-1").starts_size() == 0);
-  pass(3);
+  run_rounds(3);
   CHECK(harness.orders("i-1").starts_size() == 1);
 }
 
--- a/tests/cluster/scheduler/task_preemptor_test.cpp
+++ b/tests/cluster/scheduler/task_preemptor_test.cpp
@@ -1,4 +1,4 @@
-// Preemption for small tasks, by the scheduler as a whole.
+// Preemption for small tasks, tested with the whole scheduler.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/scheduler/scheduler_harness.hpp"
