--- a/src/cluster/control/service_leader.cpp
+++ b/src/cluster/control/service_leader.cpp
@@ -13,8 +13,8 @@
 constexpr Millis kPlanningDelay{1};  // batches requests that arrive together
 constexpr Millis kTickInterval{50};  // between plans without requests, for due jobs and expired task leases
 
-SchedulerTerms scheduler_terms(const NodeSettings& settings, std::string service) {
-  SchedulerTerms terms;
+SchedulerOptions scheduler_terms(const NodeSettings& settings, std::string service) {
+  SchedulerOptions terms;
   terms.service = std::move(service);
   terms.bounds = settings.bounds;
   terms.lease_duration = settings.bounds.hold_max;
--- a/tests/cluster/scheduler/scheduler_harness.hpp
+++ b/tests/cluster/scheduler/scheduler_harness.hpp
@@ -13,26 +13,26 @@
 
 inline constexpr std::int64_t kWallClockStartMs = 1700000000000;
 
-// One scheduler with its durable records; the test plays the worker-agents.
+// One scheduler with its durable records. The test sends the reports that worker-agents would send.
 struct SchedulerHarness {
   std::int64_t now_ms = 1000;
   std::unique_ptr<Scheduler> scheduler;
   std::uint64_t epoch = 1;
   RecordMap records;
-  std::map<std::string, std::uint64_t> report_numbers;
+  std::map<std::string, std::uint64_t> report_numbers;  // of the newest report, by leaf ID
 
   explicit SchedulerHarness(std::uint64_t lease_epoch = 1, std::vector<ShardEntry> entries = {})
       : epoch(lease_epoch) {
-    SchedulerTerms terms;
-    terms.service = "s";
-    scheduler = make_scheduler(terms, epoch, 5);
+    SchedulerOptions options;
+    options.service = "s";
+    scheduler = make_scheduler(options, epoch, 5);
     scheduler->restore(entries, time(), wall());
   }
   TimePoint time() const { return TimePoint(Millis(now_ms)); }
   std::int64_t wall() const { return kWallClockStartMs + now_ms; }
   std::vector<ShardEntry> entries() const { return shard_entries(records); }
 
-  // Makes all changes durable, with what follows from them, and plans.
+  // Plans and makes all changes durable, also the changes that follow from these.
   void make_durable_and_plan() {
     for (int i = 0; i < 3; ++i) {
       scheduler->plan(time(), wall());
@@ -60,12 +60,12 @@
     report.set_lists_included(true);
     return report;
   }
-  // The scheduler receives the report; its changes become durable.
+  // Passes a report to the scheduler and makes the resulting changes durable.
   void deliver(const wire::WorkerReport& report) {
     scheduler->report(report, time(), wall());
     make_durable_and_plan();
   }
-  wire::WorkerOrders orders(const std::string& leaf) { return scheduler->orders(leaf, time()); }
+  wire::WorkerOrders orders(const std::string& leaf) { return scheduler->make_orders(leaf, time()); }
 
   SubmitResult submit(const std::string& id, const wire::JobSpec& spec, std::uint32_t max_retries = 2,
                       std::uint32_t priority = 0) {
--- a/tests/cluster/scheduler/scheduler_inspection_test.cpp
+++ b/tests/cluster/scheduler/scheduler_inspection_test.cpp
@@ -1,4 +1,4 @@
-// Operators' views of a scheduler.
+// The views of a scheduler that operators see.
 #include <catch2/catch.hpp>
 
 #include "cluster/scheduler/scheduler.hpp"
@@ -16,9 +16,9 @@
   std::uint64_t report_number = 0;
 
   SchedulerWithOneLeaf() {
-    SchedulerTerms terms;
-    terms.service = "core";
-    scheduler = make_scheduler(terms, 2, 1);
+    SchedulerOptions options;
+    options.service = "core";
+    scheduler = make_scheduler(options, 2, 1);
     scheduler->restore({}, now, kWallClockStartMs);
   }
 
--- a/tests/cluster/scheduler/service_simulation_impl.hpp
+++ b/tests/cluster/scheduler/service_simulation_impl.hpp
@@ -5,7 +5,7 @@
 
 namespace winchhall::cluster::test {
 
-inline constexpr Ms kStep = 5;  // of the virtual clock
+inline constexpr Ms kStep = 5;  // by which the virtual clock advances
 inline constexpr Ms kStateCheckInterval = 100;
 
 inline ServiceSimulation::ServiceSimulation(std::uint64_t seed, std::size_t leaves, FaultRates faults)
@@ -40,17 +40,17 @@
 }
 
 inline void ServiceSimulation::start_leader() {
-  SchedulerTerms terms;
-  terms.service = "s";
-  terms.bounds = checker_.bounds;
-  terms.lease_duration = Millis(4000);
-  leader_ = make_scheduler(terms, ++epoch_, random_());
+  SchedulerOptions options;
+  options.service = "s";
+  options.bounds = checker_.bounds;
+  options.lease_duration = Millis(4000);
+  leader_ = make_scheduler(options, ++epoch_, random_());
   leader_->restore(shard_entries(records_), time(), now_);
 }
 
 inline void ServiceSimulation::stop_leader() {
   leader_.reset();
-  // Batches that were being written are durable up to some random one.
+  // Of the batches that were being written, those up to a random one become durable.
   for (const Scheduler::ChangeBatch& batch : writes_) {
     if (chance() >= 0.5) break;
     apply_changes(records_, batch.changes);
