--- a/src/aggregator/decision/coordinator.cpp
+++ b/src/aggregator/decision/coordinator.cpp
@@ -128,8 +128,7 @@
   // Limits the damage of a query that crashes each server that executes it (query of death). After
   // kCrashSuspectCount crashes its parts are sent one at a time. The query is given up, and its key rejected
   // for kCrashSuspectTime, when a part crashes a second server, when a part that was sent alone crashes its
-  // server, or when kCrashSuspectCount servers crashed and no part has succeeded. Returns true if it must be
-  // given up.
+  // server, or when kCrashSuspectCount servers crashed and no part has succeeded. True: it must be given up.
   bool crashes_servers(Query& q, Part& p, int server) {
     q.crashed_servers.insert(server);
     bool several = q.crashed_servers.size() >= kCrashSuspectCount;
@@ -186,8 +185,7 @@
 
   // Limits the effect of one slow server on a query's latency: a part that exceeds the hedge delay gets a
   // second attempt where that is allowed (hedged requests: J. Dean and L. A. Barroso, "The Tail at Scale",
-  // CACM 56(2), 2013); otherwise its attempt is cancelled, to be retried elsewhere, if the server is
-  // unresponsive.
+  // CACM 56(2), 2013); otherwise, if the server is unresponsive, its attempt is cancelled and retried.
   void retry_or_hedge_overdue(Query& q) {
     int c = q.query_class;
     for (Part* p : step_parts(q)) {
--- a/src/aggregator/decision/query_table.hpp
+++ b/src/aggregator/decision/query_table.hpp
@@ -35,8 +35,7 @@
   // storm). Retries of rejected attempts need no token.
   bool consume_late_retry_token() { return late_retry_tokens_ >= 1 && late_retry_tokens_-- > 0; }
 
-  // Rule: no duplicate execution beyond what the class's idempotency allows. True if an attempt may be sent
-  // now.
+  // Rule: no duplicate execution beyond what the class's idempotency allows. True: may be sent now.
   bool retry_allowed(const Part& p, const ClassSettings& c) const {
     if (p.has_attempt_in_flight() || p.attempt_count() >= p.max_attempts) return false;
     if (p.first_possible_run == kInfinity || c.idempotency == Idempotency::safe) return true;
@@ -236,8 +235,8 @@
   }
 
   // Deviation, where a partial answer is allowed and queueing takes most of the remaining time: turns the
-  // parts with the lowest weight per cost into spares, down to the class's minimum share. Returns the weight
-  // still placed.
+  // parts with the lowest weight per cost into spares, down to the class's minimum share. Returns what is
+  // placed.
   double reduce_to_min_share(Query& q, std::vector<Part*> list, double placed) {
     std::sort(list.begin(), list.end(),
               [](Part* a, Part* b) { return a->weight * b->hint < b->weight * a->hint; });
--- a/src/aggregator/decision/server_pool.hpp
+++ b/src/aggregator/decision/server_pool.hpp
@@ -216,8 +216,7 @@
 
   // Rank for selection, lower is preferred. 0: healthy; 1: healthy, but this part was already tried there;
   // 2: ejected as unresponsive or at capacity, or unresponsive now; 3: ejected for immediate failures, last
-  // because such a server always has the least outstanding cost. If all replicas have the same rank, cost
-  // alone decides.
+  // because such a server always has the least outstanding cost. Among equal ranks, cost alone decides.
   int health_rank(const Server& s, const Part& p, int c) const {
     int worst = 0;
     for (const ServerHealth* h : {&s.health, &s.by_class[c]})
@@ -241,8 +240,7 @@
     });
   }
 
-  // Index of the eligible replica with the lowest (rank, cost), ties at random; -1 if there is none. `c`:
-  // class.
+  // Index of the eligible replica with the lowest (rank, cost), ties at random; -1: none. `c`: the class.
   int choose(const Part& p, int c, int max_health_rank = 3) {
     winchhall::placement::LeastCost<int> least;
     for (std::size_t k = 0; k < (p.holders ? p.holders->size() : servers_.size()); ++k) {
