--- a/src/cluster/common/rejected_submissions.cpp
+++ b/src/cluster/common/rejected_submissions.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxRemembered = 16384;
+constexpr std::size_t kMaxRejections = 16384;
 constexpr std::size_t kMaxOrigins = 4096;
 
 }  // namespace
@@ -26,7 +26,7 @@
   origin.last_recorded = ++recordings_;
   if (!origin.rejected.insert(request.number()).second) return;
   newest_.emplace_back(request.origin(), request.number());
-  if (newest_.size() > kMaxRemembered) drop_oldest();
+  if (newest_.size() > kMaxRejections) drop_oldest();
 }
 
 void RejectedSubmissions::drop_oldest() {
--- a/src/cluster/common/rejected_submissions.hpp
+++ b/src/cluster/common/rejected_submissions.hpp
@@ -37,7 +37,7 @@
   EarlierRejection find(const wire::JobRequest& request) const;
   void record(const wire::JobRequest& request);
 
-  std::size_t remembered() const { return newest_.size(); }
+  std::size_t size() const { return newest_.size(); }
 
  private:
   struct Origin {
--- a/src/cluster/rpc/request_socket.cpp
+++ b/src/cluster/rpc/request_socket.cpp
@@ -80,7 +80,7 @@
     receive_aio_ = nullptr;
   }
   pipes_->close_all();
-  close_socket_when_quiet(socket_, std::move(pipes_));
+  close_socket_in_background(socket_, std::move(pipes_));
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/rpc/rpc_server.cpp
+++ b/src/cluster/rpc/rpc_server.cpp
@@ -43,7 +43,7 @@
     nng_aio_free(receive_aio_);
   }
   pipes_->close_all();
-  close_socket_when_quiet(socket_, std::move(pipes_));
+  close_socket_in_background(socket_, std::move(pipes_));
 }
 
 void RpcServer::start_receive() { nng_recv_aio(socket_, receive_aio_); }
--- a/src/cluster/rpc/socket_closer.cpp
+++ b/src/cluster/rpc/socket_closer.cpp
@@ -115,7 +115,7 @@
 
 }  // namespace
 
-void close_socket_when_quiet(nng_socket socket, std::unique_ptr<SocketPipes> pipes) {
+void close_socket_in_background(nng_socket socket, std::unique_ptr<SocketPipes> pipes) {
   socket_closer().add(socket, std::move(pipes));
 }
 
--- a/src/cluster/rpc/socket_closer.hpp
+++ b/src/cluster/rpc/socket_closer.hpp
@@ -37,6 +37,6 @@
 // meets connections of the socket that are being established or closed at the same time. So a thread of its
 // own calls it only after all connections have ended and a further second, and the event loop never waits for
 // it. A socket whose connections don't end stays open until the process ends. Thread-safe.
-void close_socket_when_quiet(nng_socket socket, std::unique_ptr<SocketPipes> pipes);
+void close_socket_in_background(nng_socket socket, std::unique_ptr<SocketPipes> pipes);
 
 }  // namespace winchhall::cluster
--- a/testbed/cluster/main.cpp
+++ b/testbed/cluster/main.cpp
@@ -106,7 +106,7 @@
 
 int main(int argc, char** argv) {
   if (argc == 1) return demo();
-  if (argc == 4 && std::string(argv[1]) == "rolling-upgrade") return try_rolling_upgrade(argv[2], argv[3]);
+  if (argc == 4 && std::string(argv[1]) == "rolling-upgrade") return run_rolling_upgrade(argv[2], argv[3]);
   if ((argc == 4 || argc == 6) && std::string(argv[1]) == "soak")
     return soak(std::vector<std::string>(argv + 2, argv + argc));
   std::fprintf(stderr,
--- a/testbed/cluster/rolling_upgrade.cpp
+++ b/testbed/cluster/rolling_upgrade.cpp
@@ -219,7 +219,7 @@
 
 }  // namespace
 
-int try_rolling_upgrade(const std::string& old_program, const std::string& new_program) {
+int run_rolling_upgrade(const std::string& old_program, const std::string& new_program) {
   RollingUpgrade upgrade(old_program, new_program);
   return upgrade.run();
 }
--- a/testbed/cluster/rolling_upgrade.hpp
+++ b/testbed/cluster/rolling_upgrade.hpp
@@ -14,6 +14,6 @@
 // Returns EXIT_SUCCESS if every process ended in order, every acknowledged job is known and completed, no
 // task was completed twice, and the configuration holds every acknowledged change in the order of the
 // changes.
-int try_rolling_upgrade(const std::string& old_program, const std::string& new_program);
+int run_rolling_upgrade(const std::string& old_program, const std::string& new_program);
 
 }  // namespace winchhall::testbed::cluster
--- a/tests/cluster/common/rejected_submissions_test.cpp
+++ b/tests/cluster/common/rejected_submissions_test.cpp
@@ -30,13 +30,13 @@
   RejectedSubmissions rejected;
   rejected.record(message(0, 3));
   CHECK(rejected.find(message(0, 3)) == EarlierRejection::none);
-  CHECK(rejected.remembered() == 0);
+  CHECK(rejected.size() == 0);
 }
 
 TEST_CASE("what was dropped for want of memory is unknown, not none") {
   RejectedSubmissions rejected;
   for (std::uint64_t number = 1; number <= 20000; ++number) rejected.record(message(7, number));
-  CHECK(rejected.remembered() == 16384);
+  CHECK(rejected.size() == 16384);
   CHECK(rejected.find(message(7, 1)) == EarlierRejection::unknown);
   CHECK(rejected.find(message(7, 20000 - 16384)) == EarlierRejection::unknown);
   CHECK(rejected.find(message(7, 20000 - 16383)) == EarlierRejection::rejected);
@@ -61,7 +61,7 @@
     const std::uint64_t number = step > late ? step - late : step;
     rejected.record(message(origin, number));
     recorded.insert({origin, number});
-    CHECK(rejected.remembered() <= 16384);
+    CHECK(rejected.size() <= 16384);
   }
   for (const auto& [origin, number] : recorded)
     CHECK(rejected.find(message(origin, number)) != EarlierRejection::none);
--- a/tests/cluster/rpc/sockets_test.cpp
+++ b/tests/cluster/rpc/sockets_test.cpp
@@ -87,7 +87,7 @@
     nng_dialer_close(dialer);
     nng_listener_close(listener);
     pipes->close_all();
-    close_socket_when_quiet(socket, std::move(pipes));
+    close_socket_in_background(socket, std::move(pipes));
   }
   TestSocket(const TestSocket&) = delete;
   TestSocket& operator=(const TestSocket&) = delete;
