--- a/src/cluster/common/asio_runtime.hpp
+++ b/src/cluster/common/asio_runtime.hpp
@@ -16,8 +16,8 @@
                     std::function<void(CallResult)> done) = 0;
 };
 
-// `Runtime` on one event loop. Neither the loop nor the channel is owned; both must outlive the runtime's
-// use.
+// `Runtime` on one event loop. Owns neither the loop nor the channel; both must live for as long as the
+// runtime is used.
 class AsioRuntime : public Runtime {
  public:
   explicit AsioRuntime(boost::asio::io_context& loop);
--- a/src/cluster/common/duration_histogram.hpp
+++ b/src/cluster/common/duration_histogram.hpp
@@ -13,6 +13,7 @@
 inline constexpr std::array<std::int64_t, 10> kDurationBucketBoundsMs = {1,  2,   5,   10,  20,
                                                                          50, 100, 200, 500, 1000};
 
+// Counts durations in the buckets of `kDurationBucketBoundsMs`. Not thread-safe.
 class DurationHistogram {
  public:
   void add(std::chrono::nanoseconds duration) {
@@ -29,6 +30,7 @@
 
   // Number of durations added.
   std::uint64_t count() const { return count_; }
+  // Sum of all durations added, in milliseconds.
   double sum_ms() const { return sum_ms_; }
   // Number of durations in one bucket alone (not cumulative). The unbounded bucket has the index
   // `kDurationBucketBoundsMs.size()`. Throws std::out_of_range beyond it.
--- a/src/cluster/common/runtime.hpp
+++ b/src/cluster/common/runtime.hpp
@@ -25,10 +25,10 @@
 // Why a call ended without a response.
 enum class CallError {
   timed_out,    // no response arrived within the time-out
-  unreachable,  // the peer is known not to be there
+  unreachable,  // the peer is known not to be running or not to be reachable
 };
 
-// Outcome of a remote call. Without an answer the peer may still have carried out the request.
+// Outcome of a remote call. Even without an answer, the peer may have carried out the request.
 struct CallResult {
   std::optional<wire::Envelope> answer;
   CallError error = CallError::timed_out;  // meaningful only without an answer
--- a/src/cluster/common/settings.hpp
+++ b/src/cluster/common/settings.hpp
@@ -26,23 +26,26 @@
   Millis rollback_slack{250};
   Millis recovery{12000};
   Millis hold_max{10000};  // longest lease of a leaf on its running tasks
-  Millis stop{400};        // until a leaf has stopped a task
+  Millis stop{400};        // longest time that a leaf takes to stop a task
   Millis gang{3000};
   Millis cancel{3000};
   Millis visible{3000};
   Millis early{250};
-  Millis status{120000};  // for which the state of an ended job can be queried
+  Millis status{120000};  // how long the state of an ended job can be queried
   Millis save{2000};
   Millis restore{100};
-  double far_factor = 1.5;  // run time of a task away from its data, relative to one beside it (key `far_x`)
+  double far_factor =
+      1.5;  // run time of a task on a leaf remote from its data, relative to a local one (key `far_x`)
 
   bool operator==(const Bounds&) const = default;
 };
 
-// How orders reach the leaves: in the answers to their heartbeats, or by calls to them (not implemented).
+// How orders reach the leaves: in the responses to their heartbeats, or by calls to the leaves (not
+// implemented).
 enum class CommandMode { heartbeat, invocation };
 
-// Top-level keys of the settings file unless noted; a field that the file lacks keeps the default given here.
+// Settings of one process. Fields are top-level keys of the settings file unless noted; a field that is
+// missing from the file keeps the default given here.
 struct NodeSettings {
   std::string path;  // file that the settings were read from; empty: none
   std::string node_name;
--- a/src/cluster/common/settings_file.hpp
+++ b/src/cluster/common/settings_file.hpp
@@ -9,6 +9,8 @@
 
 namespace winchhall::cluster {
 
+// The settings in effect and the file that they were read from. Reads the file only on request. Not
+// thread-safe.
 class SettingsFile {
  public:
   // `current`: the settings in effect, with the path of their file.
--- a/src/cluster/common/settings_watcher.hpp
+++ b/src/cluster/common/settings_watcher.hpp
@@ -9,7 +9,9 @@
 
 namespace winchhall::cluster {
 
-// An invalid file is logged and has no effect. Runs on the event loop of `runtime`.
+// Polls the settings file every 2 s and reports changes that take effect at run time. An invalid file is
+// logged
+// ("settings_refused") and has no effect. Runs on the event loop of `runtime`.
 class SettingsWatcher {
  public:
   // Called with the settings in effect after each change of them.
@@ -21,6 +23,7 @@
 
   // Starts polling.
   void start();
+  // Stops polling.
   void stop() { timer_.reset(); }
   // Reads the file now.
   void reload();
--- a/src/cluster/common/toml_table_reader.hpp
+++ b/src/cluster/common/toml_table_reader.hpp
@@ -13,8 +13,9 @@
 
 namespace winchhall::cluster {
 
-// Reads fields of one table into variables. A field that is missing leaves its target as it was, unless it is
-// required. The first invalid field is kept as the error of the whole table; reading may go on after it.
+// Reads fields of one table into variables. A missing field leaves its target unchanged, unless the field is
+// required. The first invalid field is kept as the error of the whole table; further fields can be read after
+// it.
 class TomlTableReader {
  public:
   // `path` is prepended to field names in errors, e.g. "bounds.". The table must outlive the reader.
--- a/tests/cluster/common/rejected_submissions_test.cpp
+++ b/tests/cluster/common/rejected_submissions_test.cpp
@@ -1,4 +1,5 @@
-// The memory of rejected submissions: bounded, and never wrong about what it was told.
+// The record of rejected submissions: its size is limited, and it never reports a recorded message of a held
+// origin as not rejected.
 #include "cluster/common/rejected_submissions.hpp"
 
 #include <catch2/catch.hpp>
@@ -33,7 +34,7 @@
   CHECK(rejected.size() == 0);
 }
 
-TEST_CASE("what was dropped for want of memory is unknown, not none") {
+TEST_CASE("a rejection dropped because of the size limit is reported as unknown, not as none") {
   RejectedSubmissions rejected;
   for (std::uint64_t number = 1; number <= 20000; ++number) rejected.record(message(7, number));
   CHECK(rejected.size() == 16384);
@@ -43,7 +44,7 @@
   CHECK(rejected.find(message(7, 20001)) == EarlierRejection::none);
 }
 
-TEST_CASE("origins are bounded: the one that was rejected least recently is dropped") {
+TEST_CASE("the number of origins is limited: the one with the oldest last rejection is dropped") {
   RejectedSubmissions rejected;
   for (std::uint64_t origin = 1; origin <= 4097; ++origin) rejected.record(message(origin, 1));
   CHECK(rejected.find(message(1, 1)) == EarlierRejection::none);
--- a/tests/cluster/common/settings_test.cpp
+++ b/tests/cluster/common/settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings file: valid files, and errors of invalid ones.
+// Loading of settings files: values of a valid file, and errors for invalid ones.
 #include "cluster/common/settings.hpp"
 
 #include <catch2/catch.hpp>
