--- a/src/cluster/common/settings.hpp
+++ b/src/cluster/common/settings.hpp
@@ -34,8 +34,8 @@
   Millis status{120000};  // how long the state of an ended job can be queried
   Millis save{2000};
   Millis restore{100};
-  double far_factor =
-      1.5;  // run time of a task on a leaf remote from its data, relative to a local one (key `far_x`)
+  // Run time of a task on a leaf remote from its data, relative to a local one. Key `far_x`.
+  double far_factor = 1.5;
 
   bool operator==(const Bounds&) const = default;
 };
--- a/src/cluster/common/settings_watcher.hpp
+++ b/src/cluster/common/settings_watcher.hpp
@@ -10,8 +10,7 @@
 namespace winchhall::cluster {
 
 // Polls the settings file every 2 s and reports changes that take effect at run time. An invalid file is
-// logged
-// ("settings_refused") and has no effect. Runs on the event loop of `runtime`.
+// logged ("settings_refused") and has no effect. Runs on the event loop of `runtime`.
 class SettingsWatcher {
  public:
   // Called with the settings in effect after each change of them.
--- a/src/cluster/rpc/async_send.cpp
+++ b/src/cluster/rpc/async_send.cpp
@@ -8,8 +8,7 @@
 
 constexpr nng_duration kSendTimeoutMs = 400;
 
-// Context of one send operation. Owned by the operation itself: released to it at the start, deleted by its
-// callback.
+// Context of one send operation. Ownership passes to the operation when it starts; its callback deletes it.
 struct SendOperation {
   nng_aio* aio = nullptr;
 };
--- a/src/cluster/rpc/nng_message.hpp
+++ b/src/cluster/rpc/nng_message.hpp
@@ -30,7 +30,7 @@
   static NngMessage with_body(const std::string& body);
 
   nng_msg* get() const { return message_; }
-  // Gives up ownership.
+  // Passes ownership to the caller.
   nng_msg* release() { return std::exchange(message_, nullptr); }
   explicit operator bool() const { return message_ != nullptr; }
 
--- a/src/cluster/rpc/peer_connections.cpp
+++ b/src/cluster/rpc/peer_connections.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Millis kMinDialInterval{250};  // between additional connections
+constexpr Millis kMinDialInterval{250};  // shortest time between the openings of additional connections
 constexpr std::size_t kMaxSockets = 4;
 
 }  // namespace
@@ -41,9 +41,9 @@
                       [](const std::shared_ptr<RequestSocket>& socket) { return socket->is_connected(); });
 }
 
-// When the limit is reached, the oldest additional connection is replaced: the intervals between its SYNs
-// have grown longest. The first connection stays, because it may still be established and is then the fastest
-// after a partition.
+// At the limit, the oldest additional connection is replaced: the intervals between its SYNs have grown
+// longest. The first connection is kept, because it may still be established, and it is then the fastest to
+// recover after a partition.
 void PeerConnections::dial_additional() {
   last_dialled_ = runtime_.now();
   auto socket = open_socket();
--- a/src/cluster/rpc/peer_connections.hpp
+++ b/src/cluster/rpc/peer_connections.hpp
@@ -1,4 +1,4 @@
-// Connections to one peer: normally one, more while the peer doesn't respond.
+// Connections to one peer: normally one; several while the peer doesn't respond.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,10 +16,10 @@
 // Sends requests to one peer and recovers quickly when the path to it is restored.
 //
 // A TCP connection attempt to a machine that is off or partitioned away loses its SYN, and TCP retransmits it
-// only after a second or more. So while nothing is received, or no connection comes up, additional
-// connections are opened in parallel, every request is sent on all of them, and the first one that delivers a
-// reply becomes the only one. Handlers are idempotent, so a request that arrives on several connections is
-// harmless.
+// only after a second or more. Therefore, while nothing is received or no connection is established,
+// additional connections are opened in parallel, every request is sent on all of them, and the first one that
+// delivers a reply is kept while the others are closed. Handlers are idempotent, so a request that arrives on
+// several connections is harmless. Not thread-safe: used on the event loop.
 class PeerConnections {
  public:
   using ReplyHandler = std::function<void(wire::Envelope)>;
@@ -28,14 +28,16 @@
   PeerConnections(boost::asio::io_context& loop, Runtime& runtime, Address peer, ReplyHandler on_reply);
   ~PeerConnections();
 
+  // Sends the serialized request on all connections; opens an additional one first if needed.
   void send(const std::string& body, std::uint32_t call_id);
-  // Reports that the call sent at `sent_at` timed out. If nothing was received since, the connection is
-  // suspect and later sends may open additional ones.
+  // Reports that the call sent at `sent_at` timed out. If nothing was received since then, the connection
+  // is suspect, and later sends may open additional ones.
   void on_call_timeout(TimePoint sent_at);
+  // Time of the last send; at first, of the construction.
   TimePoint last_used() const { return last_used_; }
 
  private:
-  // True where the next message needs an additional connection: the peer doesn't reply, or none is
+  // True if the next message needs an additional connection: the peer doesn't reply, or no connection is
   // established.
   bool needs_additional() const;
   std::shared_ptr<RequestSocket> open_socket();
@@ -50,7 +52,7 @@
   TimePoint last_used_;
   TimePoint last_received_;
   TimePoint last_dialled_;
-  bool suspect_ = false;
+  bool suspect_ = false;  // a call timed out and nothing was received since it was sent
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/rpc/request_socket.cpp
+++ b/src/cluster/rpc/request_socket.cpp
@@ -72,7 +72,7 @@
   if (closed_) return;
   closed_ = true;
   if (!pipes_) return;
-  // No new connection from here on, so that the closer sees the last one end.
+  // Prevents new connections, so that the background closer sees the end of the last one.
   nng_dialer_close(dialer_);
   if (receive_aio_) {
     nng_aio_stop(receive_aio_);  // waits for the callback, which uses this object
--- a/src/cluster/rpc/rpc_client.hpp
+++ b/src/cluster/rpc/rpc_client.hpp
@@ -12,8 +12,9 @@
 class PeerConnections;
 
 // A call is one request message and one reply message, matched by a call id. NNG's raw mode is used because
-// it allows many concurrent calls on a socket and never resends by itself. A silent peer (partition, power
-// loss) raises no error on a connection; `PeerConnections` deals with that.
+// it allows many concurrent calls on a socket and never resends by itself. A peer that stops responding
+// (partition, power loss) causes no error on its connection; `PeerConnections` handles that case. Connections
+// that were not used for 20 s are closed. Not thread-safe: used on the event loop.
 class RpcClient : public RpcChannel {
  public:
   // `loop` and `runtime` must outlive the client.
--- a/src/cluster/rpc/rpc_server.cpp
+++ b/src/cluster/rpc/rpc_server.cpp
@@ -36,7 +36,7 @@
 
 RpcServer::~RpcServer() {
   if (!pipes_) return;
-  // No new connection from here on, so that the closer sees the last one end.
+  // Prevents new connections, so that the background closer sees the end of the last one.
   nng_listener_close(listener_);
   if (receive_aio_) {
     nng_aio_stop(receive_aio_);  // waits for the callback, which uses this object
--- a/src/cluster/rpc/socket_closer.cpp
+++ b/src/cluster/rpc/socket_closer.cpp
@@ -43,7 +43,7 @@
     const std::lock_guard lock(state_->mutex);
     open = state_->open;
   }
-  // Not under the lock: NNG may report the end from within the call.
+  // Without the lock: NNG may call `on_event` from within nng_pipe_close().
   for (const std::uint32_t id : open) {
     nng_pipe pipe = NNG_PIPE_INITIALIZER;
     pipe.id = id;
@@ -60,11 +60,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-// Between the end of a socket's last connection and nng_close(): NNG frees the connections on threads of its
-// own.
-constexpr std::chrono::milliseconds kQuietTime{1000};
+// Time between the end of a socket's last connection and nng_close(): NNG frees the connections
+// asynchronously, on threads of its own.
+constexpr std::chrono::milliseconds kCloseDelay{1000};
 constexpr std::chrono::milliseconds kCheckInterval{200};
 
+// Holds the sockets to be closed, and closes them on one background thread, which the first socket starts.
 class SocketCloser {
  public:
   void add(nng_socket socket, std::unique_ptr<SocketPipes> pipes) {
@@ -78,26 +79,27 @@
   struct ClosingSocket {
     nng_socket socket;
     std::unique_ptr<SocketPipes> pipes;
-    Clock::time_point busy_at;  // when a connection was seen last, or when it was added
+    Clock::time_point last_connected_at;  // last check that found a connection; initially when it was added
   };
 
   [[noreturn]] void run() {
     for (;;) {
-      for (ClosingSocket& closing : take_quiet()) nng_close(closing.socket);
+      for (ClosingSocket& closing : take_closable()) nng_close(closing.socket);
       std::this_thread::sleep_for(kCheckInterval);
     }
   }
-  // Waits while there is no socket at all.
-  std::vector<ClosingSocket> take_quiet() {
+  // Removes and returns the sockets that can be closed now. Blocks while there is no socket to close.
+  std::vector<ClosingSocket> take_closable() {
     std::unique_lock lock(mutex_);
     added_.wait(lock, [this] { return !sockets_.empty(); });
     const Clock::time_point now = Clock::now();
-    const auto quiet = std::partition(sockets_.begin(), sockets_.end(), [now](ClosingSocket& closing) {
-      if (!closing.pipes->empty()) closing.busy_at = now;
-      return now - closing.busy_at < kQuietTime;
+    const auto closable = std::partition(sockets_.begin(), sockets_.end(), [now](ClosingSocket& closing) {
+      if (!closing.pipes->empty()) closing.last_connected_at = now;
+      return now - closing.last_connected_at < kCloseDelay;
     });
-    std::vector<ClosingSocket> taken(std::make_move_iterator(quiet), std::make_move_iterator(sockets_.end()));
-    sockets_.erase(quiet, sockets_.end());
+    std::vector<ClosingSocket> taken(std::make_move_iterator(closable),
+                                     std::make_move_iterator(sockets_.end()));
+    sockets_.erase(closable, sockets_.end());
     return taken;
   }
 
--- a/tests/cluster/rpc/sockets_test.cpp
+++ b/tests/cluster/rpc/sockets_test.cpp
@@ -1,5 +1,6 @@
 // RPC between processes over NNG on loopback: replies, time-outs, late replies, peers that start later.
-// NNG requires its main header first.
+//
+// NNG requires its main header to be included first.
 #include <nng/nng.h>
 //
 #include <nng/protocol/reqrep0/rep.h>
@@ -21,10 +22,11 @@
 constexpr Millis kTimeout{5000};
 
 constexpr int kPortsPerProcess = 48;
-constexpr int kSingleUsePorts = 8;  // of these, for the tests with one server, and as many for faulty peers
+// Ports of a process that tests with one server try in turn; as many more are reserved for faulty peers.
+constexpr int kSingleServerPorts = 8;
 
-// Below the ports that the kernel gives to clients, and others for each process: several of these tests may
-// run at the same time.
+// First port of this process. The range lies below the ephemeral ports of the kernel and depends on the
+// process ID, because several of these tests may run at the same time.
 int first_port() {
   constexpr int kFirst = 10240;
   constexpr int kProcesses = 400;
@@ -62,7 +64,7 @@
 std::shared_ptr<RpcServer> listen_on_free_port(ClientFixture& client, Address& address,
                                                const RequestHandler& handler) {
   const int first = first_port();
-  for (int port = first; port < first + kSingleUsePorts; ++port) {
+  for (int port = first; port < first + kSingleServerPorts; ++port) {
     address = "127.0.0.1:" + std::to_string(port);
     if (auto server = listen(client, address, handler)) return server;
   }
@@ -77,7 +79,8 @@
   return true;
 }
 
-// A socket of the test's own. It is closed as those of the program are: see socket_closer.hpp.
+// An NNG socket owned by a test. It is closed in the background as sockets of the program are, see
+// socket_closer.hpp.
 struct TestSocket {
   explicit TestSocket(int (*open)(nng_socket*)) {
     REQUIRE(open(&socket) == 0);
@@ -98,7 +101,7 @@
   std::unique_ptr<SocketPipes> pipes = std::make_unique<SocketPipes>();
 };
 
-// Sends bytes that are no envelope over a socket of the same protocol.
+// Sends bytes that are not a serialized Envelope over a socket of the same protocol. False if that failed.
 bool send_garbage(const Address& address) {
   TestSocket test(&nng_req0_open);
   std::string garbage = "\xff\xff\xff not a message";
@@ -201,7 +204,7 @@
   std::vector<boost::asio::ip::tcp::socket> connections_;
 };
 
-TEST_CASE("while a peer is silent, additional connections are opened several times a second") {
+TEST_CASE("while a peer doesn't respond, additional connections are opened several times a second") {
   ClientFixture client;
   Address address;
   SilentServer silent(client.loop, address);
@@ -224,8 +227,8 @@
   CHECK(calls <= 4);
 }
 
-// As after a lost opening packet: the connection doesn't come up though the peer would accept another one.
-TEST_CASE("a connection that is not established gets another one beside it before any call has timed out") {
+// Simulates a lost SYN: the first connection is not established, although the peer would accept another one.
+TEST_CASE("while a connection is not established, another one is opened before any call has timed out") {
   ClientFixture client;
   Address address;
   SilentServer silent(client.loop, address);
@@ -245,7 +248,7 @@
   CHECK(client.run_until([&] { return answered; }));
 }
 
-TEST_CASE("a message that is no envelope is dropped and the server continues") {
+TEST_CASE("a message that can't be parsed is dropped and the server continues") {
   ClientFixture client;
   Address address;
   const auto server = listen_on_free_port(client, address, answer_with_length);
@@ -288,8 +291,8 @@
 
 namespace {
 
-// Opens and closes a server and a client of it again and again, while their connections come up. Returns the
-// longest time that closing them took.
+// Repeatedly opens and closes a server and a client of it while their connections are being established.
+// Returns the longest time that closing them took.
 Millis open_and_close(int first_port_used, int rounds) {
   constexpr int kPorts = 2;
   ClientFixture client;
@@ -303,7 +306,7 @@
       for (int call = 0; call < calls; ++call)
         rpc_client->call(address, count_request("abc"), Millis(50), [&ended](const CallResult&) { ++ended; });
     };
-    if (round % 3 == 0) call_all();  // these dial before there is a server
+    if (round % 3 == 0) call_all();  // these calls connect before the server listens
     std::shared_ptr<RpcServer> server = listen(client, address, answer_with_length);
     if (round % 3 != 0) call_all();
     const TimePoint wait_until = client.runtime.now() + Millis(round % 5 == 0 ? 0 : 60);
@@ -319,8 +322,9 @@
 
 }  // namespace
 
-// nng_close() beside connections that come up or end aborts, or never returns; see socket_closer.hpp.
-TEST_CASE("servers and clients that close while connections come up neither abort nor block") {
+// Guards against calls of nng_close() while connections are being established or closed, which abort the
+// process or never return; see socket_closer.hpp.
+TEST_CASE("servers and clients that close while connections are being established neither abort nor block") {
   constexpr int kThreads = 16;
   constexpr int kRounds = 60;
   std::vector<Millis> longest(kThreads, Millis(0));
@@ -328,7 +332,7 @@
   for (int thread = 0; thread < kThreads; ++thread) {
     threads.emplace_back([&longest, thread] {
       longest[static_cast<std::size_t>(thread)] =
-          open_and_close(first_port() + 2 * kSingleUsePorts + 2 * thread, kRounds);
+          open_and_close(first_port() + 2 * kSingleServerPorts + 2 * thread, kRounds);
     });
   }
   for (std::thread& thread : threads) thread.join();
@@ -341,8 +345,8 @@
 class WrongCallIdPeer {
  public:
   explicit WrongCallIdPeer(Address& address) {
-    const int first = first_port() + kSingleUsePorts;
-    for (int port = first; port < first + kSingleUsePorts; ++port) {
+    const int first = first_port() + kSingleServerPorts;
+    for (int port = first; port < first + kSingleServerPorts; ++port) {
       address = "127.0.0.1:" + std::to_string(port);
       if (nng_listen(test_.socket, ("tcp://" + address).c_str(), &test_.listener, 0) == 0) return;
     }
