--- a/src/cluster/http/connection.cpp
+++ b/src/cluster/http/connection.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Millis kLingerTimeout{1000};
+constexpr Millis kLingerTimeout{1000};  // longest wait for the client to close after the last response
 
-// The obligation to answer one request. If it is destroyed without a response, the connection is closed.
+// Handle of a request that has no response yet. If it is destroyed without one, the connection is closed.
 class PendingResponse {
  public:
   PendingResponse(std::shared_ptr<Connection> connection, std::uint64_t request_number)
@@ -179,7 +179,8 @@
     }
     if (error || step == 0) break;
   }
-  // The header has a total time limit; the body has one that restarts with every progress.
+  // The time limit of the header is for the whole header; the one of the body restarts whenever bytes of it
+  // arrive.
   const bool body_progressed = parser_->is_header_done() && (!had_header || used > 0);
   if (body_progressed) enter_phase(ConnectionPhase::reading, Millis(state_->limits.idle_timeout_ms));
   return used;
--- a/src/cluster/http/connection.hpp
+++ b/src/cluster/http/connection.hpp
@@ -13,6 +13,7 @@
 
 namespace winchhall::cluster {
 
+// What a connection does at present. Each phase but `handling` and `closed` has a time limit.
 enum class ConnectionPhase {
   idle,       // waits for a request
   reading,    // has received a part of a request
@@ -81,8 +82,8 @@
   std::string unparsed_;  // input that the parser has not consumed
   std::string output_;
   ResponseFraming framing_;
-  std::uint64_t request_number_ = 0;  // of the last request handled
-  bool counted_ = false;              // in HttpServerState::open_requests
+  std::uint64_t request_number_ = 0;  // number of the last request handled; the first one has 1
+  bool counted_ = false;              // whether HttpServerState::open_requests includes the request
   bool continue_sent_ = false;
 };
 
--- a/src/cluster/http/message.hpp
+++ b/src/cluster/http/message.hpp
@@ -15,7 +15,7 @@
 // destroyed without a response, the connection is closed.
 using HttpReplyCallback = std::function<void(HttpResponse)>;
 
-// Handles one request. A handler that throws is answered for with status 500.
+// Handles one request. If it throws a std::exception, the server responds with status 500.
 using HttpHandler = std::function<void(HttpRequest request, HttpReplyCallback reply)>;
 
 // A response with a JSON body.
--- a/src/cluster/http/server.cpp
+++ b/src/cluster/http/server.cpp
@@ -99,7 +99,8 @@
     if (ensure_capacity()) accept();
   }
 
-  // Closes the connection idle longest if the limit is reached. False: the limit is reached and all are busy.
+  // If the limit is reached, closes the connection that has been idle longest. False if all connections are
+  // busy then.
   bool ensure_capacity() {
     if (state_->connections() < max_connections_) return true;
     if (state_->idle.empty()) return false;
--- a/src/cluster/http/server.hpp
+++ b/src/cluster/http/server.hpp
@@ -24,7 +24,7 @@
  public:
   virtual ~HttpServer() = default;
 
-  // Limits for requests from now on.
+  // Sets the limits for requests from now on.
   virtual void set_limits(const RequestLimits& limits) = 0;
   // Closes the listening socket. Open connections continue to be served.
   virtual void stop_accepting() = 0;
@@ -38,7 +38,7 @@
   virtual std::size_t open_connections() const = 0;
   // Number of responses so far, by HTTP status.
   virtual const std::map<unsigned, std::uint64_t>& responses_by_status() const = 0;
-  // Port of the listening socket (for a server on port 0).
+  // Port of the listening socket. For a server on port 0: the port that the system chose.
   virtual unsigned short port() const = 0;
 };
 
--- a/src/cluster/http/server_state.hpp
+++ b/src/cluster/http/server_state.hpp
@@ -19,7 +19,8 @@
 // Largest number of bytes read from a socket at once.
 inline constexpr std::size_t kReadBufferBytes = 64 * 1024;
 
-// Connections hold it by shared pointer, so it outlives a server whose connections have pending operations.
+// State of one server. Connections share its ownership, because their pending operations may outlive the
+// server.
 struct HttpServerState {
   HttpServerState(boost::asio::io_context& event_loop, HttpHandler request_handler)
       : loop(event_loop), handler(std::move(request_handler)) {}
@@ -33,9 +34,9 @@
   std::map<unsigned, std::uint64_t> responses_by_status;
   ConnectionList idle;              // between requests; the one idle longest is first
   ConnectionList busy;              // all others
-  std::function<void()> on_closed;  // called after each connection that was closed
-  // One buffer serves all connections: a read happens synchronously when a socket is readable, and its bytes
-  // are consumed before the next read.
+  std::function<void()> on_closed;  // called after the closing of each connection
+  // Shared by all connections: a read is synchronous, happens when a socket is readable, and its bytes are
+  // consumed before the next read.
   std::array<char, kReadBufferBytes> read_buffer;
 
   std::size_t connections() const { return idle.size() + busy.size(); }
--- a/tests/cluster/http/server_test.cpp
+++ b/tests/cluster/http/server_test.cpp
@@ -1,4 +1,5 @@
-// The HTTP server on loopback sockets. The tests drive the event loop.
+// The HTTP server on loopback sockets: framing, limits, time-outs, draining. Each test runs the event loop
+// itself.
 #include "cluster/http/server.hpp"
 
 #include <catch2/catch.hpp>
