--- a/src/cluster/metrics/control_collector.cpp
+++ b/src/cluster/metrics/control_collector.cpp
@@ -7,7 +7,7 @@
 
 using prometheus::MetricType;
 
-// A family with one sample for each service.
+// Definition of a metric family with one sample for each service.
 struct ServiceMetric {
   MetricType type;
   const char* name;
--- a/src/cluster/metrics/metric_families.hpp
+++ b/src/cluster/metrics/metric_families.hpp
@@ -21,7 +21,7 @@
 
   // Adds a sample of a counter or gauge.
   void add(double value, MetricLabels labels = {});
-  // Adds a sample of a histogram, in seconds.
+  // Adds a sample of a histogram. The bucket bounds and the sum are exported in seconds.
   void add(const DurationHistogram& durations, MetricLabels labels = {});
   // Returns the family. Called last, once.
   prometheus::MetricFamily build() { return std::move(family_); }
@@ -30,6 +30,7 @@
   prometheus::MetricFamily family_;
 };
 
+// Builders for families of each type, with `name` and `help` as exported.
 FamilyBuilder counter_family(std::string name, std::string help);
 FamilyBuilder gauge_family(std::string name, std::string help);
 FamilyBuilder histogram_family(std::string name, std::string help);
--- a/tests/cluster/metrics/collectors_test.cpp
+++ b/tests/cluster/metrics/collectors_test.cpp
@@ -1,4 +1,4 @@
-// Metrics: families and their text, and the loopback server.
+// Metric families, their text format, and the metrics server on loopback.
 #include "cluster/metrics/collectors.hpp"
 
 #include <catch2/catch.hpp>
