--- a/src/cluster/cli/command_line.cpp
+++ b/src/cluster/cli/command_line.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kMaxIntervalSeconds = 3600;
 constexpr std::uint64_t kNoLimit = std::numeric_limits<std::uint64_t>::max();
 
-// Values that popt returns for the options.
+// Return values of poptGetNextOpt() for the options.
 enum OptionCode {
   kSettings = 1,
   kDebug,
--- a/src/cluster/cli/configuration_command.cpp
+++ b/src/cluster/cli/configuration_command.cpp
@@ -1,4 +1,5 @@
-// `config get`, `config put FILE`, `config patch FILE`, `config check FILE`.
+// Commands on the configuration: `config get`, `config put FILE`, `config patch FILE`, `config check FILE`.
+// The file name "-" stands for standard input.
 #include <fstream>
 #include <iostream>
 #include <iterator>
@@ -23,7 +24,7 @@
   return leaf::new_error(InvalidInput{path, "file", "", "a file that can be read"});
 }
 
-// Default base version of a change: the current one, 0 if there is none.
+// Default base version of a change: the current version, or 0 if there is no configuration.
 leaf::result<std::uint64_t> current_version(ControlClient& client) {
   ControlRequest request;
   request.target = kGetPath;
--- a/src/cluster/cli/control_client.cpp
+++ b/src/cluster/cli/control_client.cpp
@@ -13,7 +13,7 @@
 constexpr unsigned kTemporaryRedirect = 307;
 constexpr std::string_view kScheme = "http://";
 
-// The node may or may not have carried out the request.
+// Whether the status leaves open if the node has carried out the request.
 bool is_indefinite(unsigned status) { return status >= 500 || status == 408 || status == 429; }
 
 struct RedirectTarget {
@@ -21,7 +21,7 @@
   std::string target;  // path and query
 };
 
-// Splits an absolute URL; empty if it has another form.
+// Splits the URL of a Location header. Empty if it isn't an absolute http URL with a path.
 std::optional<RedirectTarget> parse_redirect(const std::string& location) {
   const std::size_t path = location.find('/', kScheme.size());
   if (location.rfind(kScheme, 0) != 0 || path == std::string::npos) return std::nullopt;
--- a/src/cluster/cli/control_client.hpp
+++ b/src/cluster/cli/control_client.hpp
@@ -12,6 +12,7 @@
 
 namespace winchhall::cluster {
 
+// A request to the operator API of a control node.
 struct ControlRequest {
   boost::beast::http::verb method = boost::beast::http::verb::get;
   std::string target = "/";  // path and query
@@ -25,13 +26,13 @@
 };
 
 struct ControlClientOptions {
-  std::vector<Address> nodes;
-  Millis timeout{5000};         // of one attempt
-  Millis initial_backoff{100};  // after all nodes failed; doubled after each round
+  std::vector<Address> nodes;   // addresses of operator APIs, "ip:port"
+  Millis timeout{5000};         // of one attempt at one node
+  Millis initial_backoff{100};  // wait after all nodes failed; doubled after each round
   unsigned rounds = 4;          // attempts at each node
 };
 
-// Calls control nodes, one after another, until one gives a definite response. Synchronous.
+// Calls control nodes, one after another, until one gives a definite response. Synchronous; not thread-safe.
 class ControlClient {
  public:
   explicit ControlClient(ControlClientOptions options) : options_(std::move(options)) {}
@@ -43,7 +44,7 @@
 
  private:
   leaf::result<ControlResponse> call_node(const Address& node, const ControlRequest& request) const;
-  // One attempt at each node. Empty if all failed; `last_failure` then describes the last one.
+  // Makes one attempt at each node. Empty if all attempts failed; `last_failure` then describes the last one.
   leaf::result<std::optional<ControlResponse>> try_each_node(const ControlRequest& request,
                                                              std::string& last_failure);
 
--- a/src/cluster/cli/control_responses.hpp
+++ b/src/cluster/cli/control_responses.hpp
@@ -1,5 +1,5 @@
-// Typed responses of the operator API. Fields that are missing read as zero, false or empty, so that versions
-// of the program can be mixed.
+// Typed responses of the operator API. Missing fields read as zero, false or empty, so that processes of
+// different versions of the program can work together.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +10,7 @@
 
 namespace winchhall::cluster {
 
+// A member of the control group, with its RPC address and the address of its operator API.
 struct MemberInfo {
   std::uint64_t id = 0;
   std::string zone;
@@ -17,6 +18,7 @@
   std::string http_address;
 };
 
+// The leader of a shard. `member`: ID of the member that holds the lease.
 struct LeaderInfo {
   std::string shard;
   std::uint64_t epoch = 0;
@@ -61,7 +63,7 @@
   std::string service;
   std::string id;
   std::string node;
-  std::string labels;  // joined by commas
+  std::string labels;  // separated by commas
   std::uint64_t cpu_reserved = 0;
   std::uint64_t cpu = 0;
   std::uint64_t runs = 0;
@@ -69,15 +71,15 @@
   bool draining = false;
 };
 
-// All errors of these: ControlUnavailable if the body is not a JSON object.
+// Each parses the body of a response. Errors: ControlUnavailable if the body is not a JSON object.
 leaf::result<StatusResponse> read_status(const ControlResponse& response);
 leaf::result<std::vector<JobInfo>> read_jobs(const ControlResponse& response);
 leaf::result<std::vector<NodeInfo>> read_nodes(const ControlResponse& response);
-// Version of a complete configuration, or of the response to a change.
+// Version in the body of a complete configuration or of the response to a change. Errors: as above.
 leaf::result<std::uint64_t> read_version(const ControlResponse& response);
 
-// Returns a response with status 200. Errors: the one that the status stands for, i.e. InvalidInput,
-// VersionConflict, NotFound (with `what`) or ControlUnavailable.
+// Returns the response if its status is 200. Errors, by status: NotFound (404 and 410, with `what`),
+// VersionConflict (409 and 412), InvalidInput (other 4xx), ControlUnavailable (all others).
 leaf::result<ControlResponse> require_success(const ControlResponse& response, const std::string& what);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/exit_codes.hpp
+++ b/src/cluster/cli/exit_codes.hpp
@@ -7,8 +7,8 @@
 inline constexpr int kExitInternal = 1;  // any other failure
 inline constexpr int kExitUsage = 2;     // invalid command line
 inline constexpr int kExitInvalid = 3;   // invalid settings or input
-inline constexpr int kExitUnavailable =
-    4;  // no control node, no majority, or a store or address is not available
+// No control node or no majority responds, or a store or an address is not available.
+inline constexpr int kExitUnavailable = 4;
 inline constexpr int kExitConflict = 5;  // another configuration version is current
 inline constexpr int kExitNotFound = 6;  // no such job, service or configuration
 
--- a/src/cluster/cli/http_exchange.hpp
+++ b/src/cluster/cli/http_exchange.hpp
@@ -13,7 +13,7 @@
 };
 
 // Sends `request` to `node` on a new connection and waits for the response, at most for `timeout`. Errors:
-// InvalidInput if `node` is no "ip:port", ControlUnavailable if there is no response.
+// InvalidInput if `node` is not an "ip:port", ControlUnavailable if no response arrives.
 leaf::result<HttpExchangeResult> exchange_http(const Address& node, const ControlRequest& request,
                                                Millis timeout);
 
--- a/src/cluster/cli/json_object_view.hpp
+++ b/src/cluster/cli/json_object_view.hpp
@@ -9,8 +9,8 @@
 namespace winchhall::cluster {
 
 // View of a JSON value as an object. A field that is missing or of another type reads as zero, false or
-// empty, and a value that is no object has no fields: responses of other versions of the program stay
-// readable. The value must outlive the view.
+// empty, and a value that is not an object has no fields, so that responses of other versions of the program
+// can be read. The value must outlive the view.
 class JsonObjectView {
  public:
   explicit JsonObjectView(const boost::json::value& value) : object_(value.if_object()) {}
--- a/src/cluster/cli/leader_calls.hpp
+++ b/src/cluster/cli/leader_calls.hpp
@@ -12,15 +12,16 @@
 // The status of the control group as one node sees it. Errors: ControlUnavailable.
 leaf::result<StatusResponse> fetch_status(ControlClient& client);
 
-// The service of the command line, or else all services that the control group knows. Errors: InvalidInput,
-// ControlUnavailable.
+// The service that the command line names, or else all services that the control group knows. Errors:
+// InvalidInput, ControlUnavailable.
 leaf::result<std::vector<std::string>> resolve_services(const CommandLine& line, ControlClient& client);
 
-// Errors: InvalidInput if the text can't be part of a request's path.
+// Checks that `text` can be a segment of a request's path without escaping. `field`: name for the error.
+// Errors: InvalidInput.
 leaf::result<void> check_path_text(const char* field, const std::string& text);
 
-// Calls the leader of a service. `request.target`: the path, without a query. `query`: without the service.
-// Errors: ControlUnavailable.
+// Calls the leader of a service. `request.target`: the path without a query. `query`: parameters in addition
+// to the service, or empty. Errors: ControlUnavailable.
 leaf::result<ControlResponse> call_leader(ControlClient& client, ControlRequest request,
                                           const std::string& service, const std::string& query = "");
 
--- a/src/cluster/cli/operator_commands.hpp
+++ b/src/cluster/cli/operator_commands.hpp
@@ -1,4 +1,4 @@
-// Operators' commands: calls to control nodes whose responses are printed.
+// The operators' commands: they call control nodes and print the responses.
 #pragma once
 
 #include <optional>
@@ -16,11 +16,11 @@
 // VersionConflict, NotFound.
 leaf::result<void> run_operator_command(const CommandLine& line, std::ostream& out);
 
-// The control nodes to call: those of the command line, or else of the settings file. Errors: UsageError if
-// there are neither; InvalidInput for invalid settings.
+// The control nodes to call: those of the command line, or else those of the settings file. Errors:
+// UsageError if there are neither; InvalidInput for invalid settings.
 leaf::result<std::vector<Address>> control_nodes(const CommandLine& line);
 
-// The individual commands, by their first word. Errors: as of `run_operator_command`.
+// One function for each command or group of commands. Errors: as of `run_operator_command`.
 leaf::result<void> run_configuration_command(const CommandLine& line, std::ostream& out);
 leaf::result<void> run_jobs_command(const CommandLine& line, ControlClient& client, std::ostream& out);
 leaf::result<void> run_nodes_command(const CommandLine& line, ControlClient& client, std::ostream& out);
--- a/src/cluster/cli/operator_errors.hpp
+++ b/src/cluster/cli/operator_errors.hpp
@@ -12,12 +12,12 @@
 
 // No control node gave a definite answer. A requested change may or may not take effect.
 struct ControlUnavailable {
-  std::string detail;  // of the last attempt
+  std::string detail;  // why the last attempt failed
 };
 
 // The requested object does not exist.
 struct NotFound {
-  std::string what;
+  std::string what;  // kind and name, e.g. "job 00000000000000a1"
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/cli/peer_sampling.hpp
+++ b/src/cluster/cli/peer_sampling.hpp
@@ -12,8 +12,8 @@
 // The descriptor of this process for other peers: its RPC listener, role and zone.
 PeerDescriptor own_descriptor(const NodeSettings& settings, PeerRole role);
 
-// Opens the RPC listener of a process that serves nothing but shuffles there. If the address can't be
-// listened on, this is logged, and the process takes part in the sampling as a caller only. The sampler must
+// Opens the RPC listener of a process that serves only shuffle requests there. If listening fails, this is
+// logged ("listen_failed"), and the process takes part in the sampling as a caller only. The sampler must
 // live as long as the process runs.
 void listen_for_shuffles(Process& process, PeerSampler& sampler);
 
--- a/src/cluster/cli/process.hpp
+++ b/src/cluster/cli/process.hpp
@@ -15,24 +15,26 @@
 
 namespace winchhall::cluster {
 
-// One per process. Everything runs on one event loop in the thread that calls `run`. Ignores SIGPIPE.
+// Owns the event loop and everything that runs on it; one object per process. Callbacks run on the thread
+// that calls `run`. SIGPIPE is ignored.
 class Process {
  public:
   explicit Process(NodeSettings settings);
 
   boost::asio::io_context& loop() { return loop_; }
   Runtime& runtime() { return runtime_; }
-  // As read at the start.
+  // The settings as read at the start of the process.
   const NodeSettings& settings() const { return settings_; }
 
   // Serves RPC requests on `address` until the end of the process. Errors: NngFailure.
   leaf::result<void> listen(const Address& address, RequestHandler handler);
 
-  // Sets the handler of SIGTERM and SIGINT. It is called once; the process ends when it calls `done`.
+  // Sets the handler for SIGTERM and SIGINT. It is called once, for the first signal; `run` returns after it
+  // has called `done`.
   void on_stop(std::function<void(std::function<void()> done)> stop);
 
-  // Sets the handler of changes of those settings that may change at run time; it gets the settings in
-  // effect. The file is read again at SIGHUP and, after this call, when polling detects a change.
+  // Sets the handler for changes of settings that take effect at run time; it receives the settings in
+  // effect. The file is read again on SIGHUP and, after this call, when polling detects a change.
   void on_settings(std::function<void(const NodeSettings& settings)> change);
 
   // Runs the event loop until the process is stopped.
--- a/src/cluster/cli/roles.hpp
+++ b/src/cluster/cli/roles.hpp
@@ -1,11 +1,11 @@
-// The long-running sub-commands.
+// The roles of the program: its long-running sub-commands.
 #pragma once
 
 #include "cluster/common/settings.hpp"
 
 namespace winchhall::cluster {
 
-// Settings from the command line.
+// Settings of a role that the command line may override.
 struct RoleOptions {
   std::uint16_t metrics_port = 0;  // on loopback; 0: metrics are off
 };
--- a/src/cluster/cli/run_control.cpp
+++ b/src/cluster/cli/run_control.cpp
@@ -20,7 +20,7 @@
   };
   BOOST_LEAF_AUTO(store, open_leveldb_store(process.settings().data_dir, post_to_loop));
   NodeSettings effective_settings = process.settings();
-  // A store that replaces a corrupt one has none of the promises that this node made as an acceptor: the node
+  // A store that replaces a corrupt one lacks the promises that this node made as an acceptor, so the node
   // must join the group as a new member.
   if (store->replaces_damaged()) effective_settings.bootstrap = false;
   ControlNode node(process.runtime(), *store, effective_settings);
--- a/src/cluster/cli/status_command.cpp
+++ b/src/cluster/cli/status_command.cpp
@@ -13,7 +13,7 @@
 
 constexpr Millis kMemberTimeout{1000};
 
-// A member of the control group and its own status; empty if it did not respond.
+// A member of the control group and the status that it reports; no status if it did not respond.
 struct MemberView {
   MemberInfo member;
   std::optional<StatusResponse> status;
--- a/src/cluster/cli/store_command.cpp
+++ b/src/cluster/cli/store_command.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr int kExitCorrupt = 1;
+constexpr int kExitCorrupt = 1;  // `store check` and the other actions: the store is corrupt
 
-// Arguments of an action.
+// Parsed arguments of an action.
 struct Arguments {
   std::vector<std::string> paths;
   std::string prefix;
@@ -48,7 +48,7 @@
   return nullptr;
 }
 
-// False for an unknown option, or one without a value.
+// Parses the words after the name of the action. False for an unknown option or an option without a value.
 bool parse(const std::vector<std::string>& words, Arguments& arguments) {
   for (std::size_t index = 1; index < words.size(); ++index) {
     if (!words[index].starts_with("--")) {
--- a/src/cluster/cli/store_command.hpp
+++ b/src/cluster/cli/store_command.hpp
@@ -4,7 +4,8 @@
 //   store backup DIR FILE             writes a backup
 //   store restore FILE DIR [--address IP:PORT] [--http IP:PORT]
 //                                     creates a store for a NEW group of one member from a backup. The
-//                                     addresses are the node's own; default: those of the node backed up
+//                                     addresses are those of the restored node; default: those of the node
+//                                     that the backup was made of
 #pragma once
 
 #include <string>
--- a/src/cluster/cli/text_table.hpp
+++ b/src/cluster/cli/text_table.hpp
@@ -7,7 +7,7 @@
 
 namespace winchhall::cluster {
 
-// Rows of texts; each column is as wide as its widest text.
+// A table with a row of headings; each column is as wide as its widest text.
 class TextTable {
  public:
   explicit TextTable(std::vector<std::string> headings) : rows_{std::move(headings)} {}
--- a/src/cluster/main.cpp
+++ b/src/cluster/main.cpp
@@ -1,5 +1,5 @@
-// winchhall-cluster: the cluster scheduler. Its processes, the operators' commands and the store's tools are
-// sub-commands of this one program.
+// winchhall-cluster: the cluster scheduler. Its roles, the operators' commands and the maintenance of stores
+// are sub-commands of this program.
 #include <cstdlib>
 #include <iostream>
 #include <string>
@@ -79,7 +79,8 @@
   const int code = report_failures([argc, argv] { return run_arguments(argc, argv); }, std::cerr);
   std::cout.flush();
   std::cerr.flush();
-  // Skips NNG's cleanup at exit, which waits for connections that are still being established: to a machine
-  // that is off, longer than the grace period. Everything that must be durable has been written by now.
+  // Skips NNG's cleanup at exit, which waits for connections that are still being established; if their peer
+  // is powered off, it waits longer than the grace period. Everything that must be durable has been written
+  // by now.
   std::quick_exit(code);
 }
