--- a/tests/cluster/cli/commands_test.cpp
+++ b/tests/cluster/cli/commands_test.cpp
@@ -1,4 +1,4 @@
-// The command line, the operators' commands against fake control nodes, and the exit codes.
+// Parsing of the command line, the operators' commands to fake control nodes, and the exit codes.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <functional>
--- a/tests/cluster/compatibility/command_line_test.cpp
+++ b/tests/cluster/compatibility/command_line_test.cpp
@@ -1,5 +1,5 @@
-// Holds the command line of winchhall-cluster still: options, commands, exit codes, keys of JSON and columns
-// of tables.
+// Guards the interface of winchhall-cluster's command line against unintended changes: options, commands,
+// exit codes, keys of JSON and columns of tables are compared with the recorded ones.
 #include <stdlib.h>
 
 #include <catch2/catch.hpp>
@@ -27,11 +27,11 @@
 const std::string kProgram = WINCHHALL_CLUSTER_PROGRAM;
 const std::string kRecords = WINCHHALL_COMPATIBILITY_FOLDER;
 const std::string kInputs = kRecords + "/data/command_line";
-constexpr std::chrono::seconds kPatience{40};
-constexpr std::chrono::milliseconds kTurn{50};
+constexpr std::chrono::seconds kTimeout{40};
+constexpr std::chrono::milliseconds kPollInterval{50};
 constexpr const char* kJobId = "00000000000000a1";
 
-// A folder of this test alone, removed at its end.
+// A temporary directory, removed by the destructor.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
@@ -54,7 +54,7 @@
   CHECK(lines_missing(present, recorded) == "");
 }
 
-// The lines of a help text that no option stands in: how the program is called, and its commands.
+// The lines of a help text without those of the options: how the program is called, and its commands.
 std::set<std::string> usage_lines(const std::string& help) {
   std::istringstream text(help);
   std::set<std::string> lines;
@@ -80,19 +80,19 @@
   return headers;
 }
 
-bool until(const std::function<bool()>& reached) {
-  const auto limit = std::chrono::steady_clock::now() + kPatience;
+bool wait_until(const std::function<bool()>& reached) {
+  const auto limit = std::chrono::steady_clock::now() + kTimeout;
   while (std::chrono::steady_clock::now() < limit) {
     if (reached()) return true;
-    std::this_thread::sleep_for(kTurn);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return false;
 }
 
-// A cluster of real processes with one leaf, and the operator's commands against it.
-class CommandSite {
+// A cluster of real processes with one fake leaf, and the operator's commands to it.
+class CommandCluster {
  public:
-  CommandSite() : cluster_(kProgram, 1, "records") {
+  CommandCluster() : cluster_(kProgram, 1, "records") {
     cluster_.start_all();
     leaf_ = std::make_unique<FakeLeaf>(FakeLeafOptions{cluster_.worker_address(0), "i-1", "records", "a"});
   }
@@ -102,7 +102,7 @@
                                      cluster_.control_address(1) + " " + arguments);
   }
 
-  // True once every member has named the leaders and services that it knows.
+  // True if every member responds and reports leaders and services.
   bool all_members_know_leaders() const {
     const std::string status = run("--json status").output;
     return status.find("\"leaders\":[]") == std::string::npos &&
@@ -110,16 +110,16 @@
            status.find("\"reachable\":false") == std::string::npos;
   }
 
-  // Submits a job and waits for its end.
+  // Submits a job and waits until it has completed.
   bool run_job() const {
     const std::string job =
         R"({"spec":"x","stages":[{"count":2,"cpu":500,"mem_mb":100,"estimated_ms":100}]})";
-    return until([&] { return client("POST", job).status == 200; }) &&
-           until([&] { return client("GET", "").body.find("completed") != std::string::npos; });
+    return wait_until([&] { return call_as_client("POST", job).status == 200; }) &&
+           wait_until([&] { return call_as_client("GET", "").body.find("completed") != std::string::npos; });
   }
 
  private:
-  HttpCallResponse client(const std::string& method, const std::string& body) const {
+  HttpCallResponse call_as_client(const std::string& method, const std::string& body) const {
     HttpCall call;
     call.address = cluster_.front_address();
     call.method = method;
@@ -133,14 +133,15 @@
   std::unique_ptr<FakeLeaf> leaf_;
 };
 
-// Adds key paths and types of a command's JSON, and the columns of its table.
-void add_forms(const CommandSite& site, const std::string& command, std::set<std::string>& lines) {
-  const ProgramRun json = site.run("--json " + command);
+// Adds the key paths and types of a command's JSON output, and the columns of its table.
+void add_json_and_columns(const CommandCluster& cluster, const std::string& command,
+                          std::set<std::string>& lines) {
+  const ProgramRun json = cluster.run("--json " + command);
   INFO(command << ": " << json.output);
   REQUIRE(json.exit_code == 0);
   for (const std::string& line : json_lines(json.output, JsonDetail::types))
     lines.insert(command + " " + line);
-  lines.merge(table_headers(command, site.run(command).output));
+  lines.merge(table_headers(command, cluster.run(command).output));
 }
 
 }  // namespace
@@ -169,31 +170,31 @@
 }
 
 TEST_CASE("commands to a running cluster end with their exit codes and print the recorded keys and columns") {
-  const CommandSite site;
-  REQUIRE(until([&] { return site.run("config get").exit_code == 6; }));
+  const CommandCluster cluster;
+  REQUIRE(wait_until([&] { return cluster.run("config get").exit_code == 6; }));
   const std::string put = "config put " + kInputs + "/configuration.json";
-  REQUIRE(until([&] { return site.run("--base 0 " + put).exit_code == 0; }));
-  CHECK(site.run("--base 0 " + put).exit_code == 0);
-  CHECK(site.run("--base 7 " + put).exit_code == 5);
-  CHECK(site.run("config put " + kInputs + "/refused_configuration.json").exit_code == 3);
-  CHECK(site.run("config put " + kInputs + "/none.json").exit_code == 3);
-  REQUIRE(site.run_job());
-  REQUIRE(until([&] { return site.all_members_know_leaders(); }));
+  REQUIRE(wait_until([&] { return cluster.run("--base 0 " + put).exit_code == 0; }));
+  CHECK(cluster.run("--base 0 " + put).exit_code == 0);
+  CHECK(cluster.run("--base 7 " + put).exit_code == 5);
+  CHECK(cluster.run("config put " + kInputs + "/refused_configuration.json").exit_code == 3);
+  CHECK(cluster.run("config put " + kInputs + "/none.json").exit_code == 3);
+  REQUIRE(cluster.run_job());
+  REQUIRE(wait_until([&] { return cluster.all_members_know_leaders(); }));
   std::set<std::string> lines;
   for (const char* command : {"jobs list", "nodes", "members", "leader", "status"})
-    add_forms(site, command, lines);
-  add_forms(site, std::string("jobs show ") + kJobId, lines);
-  add_forms(site, "top --rounds 1 --interval 0", lines);
-  for (const std::string& line : json_lines(site.run("config get").output, JsonDetail::types)) {
+    add_json_and_columns(cluster, command, lines);
+  add_json_and_columns(cluster, std::string("jobs show ") + kJobId, lines);
+  add_json_and_columns(cluster, "top --rounds 1 --interval 0", lines);
+  for (const std::string& line : json_lines(cluster.run("config get").output, JsonDetail::types)) {
     lines.insert("config get " + line);
   }
-  for (const std::string& line : json_lines(site.run("--base 0 " + put).output, JsonDetail::types)) {
+  for (const std::string& line : json_lines(cluster.run("--base 0 " + put).output, JsonDetail::types)) {
     lines.insert("config put " + line);
   }
   check_recorded(lines, "command_line_output.txt");
-  CHECK(site.run("--service records jobs list").exit_code == 0);
-  CHECK(site.run("--service unknown jobs list").exit_code == 6);
-  CHECK(site.run("jobs show 00000000000000ff").exit_code == 6);
-  CHECK(site.run("jobs cancel 00000000000000ff").exit_code == 6);
-  CHECK(site.run(std::string("jobs cancel ") + kJobId).exit_code == 0);
+  CHECK(cluster.run("--service records jobs list").exit_code == 0);
+  CHECK(cluster.run("--service unknown jobs list").exit_code == 6);
+  CHECK(cluster.run("jobs show 00000000000000ff").exit_code == 6);
+  CHECK(cluster.run("jobs cancel 00000000000000ff").exit_code == 6);
+  CHECK(cluster.run(std::string("jobs cancel ") + kJobId).exit_code == 0);
 }
--- a/tests/cluster/compatibility/http_test.cpp
+++ b/tests/cluster/compatibility/http_test.cpp
@@ -1,5 +1,5 @@
-// Holds still what others see of the HTTP interfaces: paths, statuses, keys and values of JSON, headers,
-// metrics.
+// Guards the HTTP interfaces against unintended changes: paths, statuses, keys and values of JSON, headers
+// and metrics are compared with the recorded ones.
 #include <catch2/catch.hpp>
 #include <set>
 #include <sstream>
@@ -27,8 +27,8 @@
 
 const std::string kRecords = WINCHHALL_COMPATIBILITY_FOLDER;
 
-// Answers by name, as lines "NAME STATUS PATH = VALUE" and "NAME STATUS header NAME: VALUE".
-class AnswerLines {
+// Named responses, as lines "NAME STATUS PATH = VALUE" and "NAME STATUS header NAME: VALUE".
+class ResponseLines {
  public:
   void add(const std::string& name, const HttpResponse& response) {
     const std::string head = name + " " + std::to_string(response.result_int()) + " ";
@@ -144,41 +144,41 @@
   return leaf;
 }
 
-void add_inspection_answers(AnswerLines& answers) {
-  answers.add("status", status_response(example_status()));
+void add_inspection_responses(ResponseLines& responses) {
+  responses.add("status", status_response(example_status()));
   std::vector<JobView> jobs;
   for (int state = wire::JobState_MIN; state <= wire::JobState_MAX; ++state) {
     jobs.push_back(example_job(static_cast<wire::JobState>(state)));
   }
-  answers.add("jobs", jobs_response({ServiceJobs{"records", JobList{40, jobs}}}));
-  answers.add("job", job_response(example_job_detail()));
-  answers.add("nodes", nodes_response({ServiceLeaves{"records", {example_leaf()}}}));
-  answers.add("cancel.canceled", cancel_response(CancelOutcome::canceled, "00000000000000a1"));
-  answers.add("cancel.not_found", cancel_response(CancelOutcome::not_found, "00000000000000a1"));
-  answers.add("cancel.unavailable", cancel_response(CancelOutcome::unavailable, "00000000000000a1"));
-  answers.add("redirect", redirect_response("127.0.0.2:7102", "/v1/jobs?service=records"));
-  answers.add("out_of_touch", no_quorum_contact_response());
-  answers.add("error", error_response(400, {"source", "field", "value", "allowed"}));
+  responses.add("jobs", jobs_response({ServiceJobs{"records", JobList{40, jobs}}}));
+  responses.add("job", job_response(example_job_detail()));
+  responses.add("nodes", nodes_response({ServiceLeaves{"records", {example_leaf()}}}));
+  responses.add("cancel.canceled", cancel_response(CancelOutcome::canceled, "00000000000000a1"));
+  responses.add("cancel.not_found", cancel_response(CancelOutcome::not_found, "00000000000000a1"));
+  responses.add("cancel.unavailable", cancel_response(CancelOutcome::unavailable, "00000000000000a1"));
+  responses.add("redirect", redirect_response("127.0.0.2:7102", "/v1/jobs?service=records"));
+  responses.add("out_of_touch", no_quorum_contact_response());
+  responses.add("error", error_response(400, {"source", "field", "value", "allowed"}));
 }
 
-void add_configuration_answers(AnswerLines& answers) {
+void add_configuration_responses(ResponseLines& responses) {
   ConfigurationOutcome outcome;
   outcome.version = 12;
   outcome.error = {"source", "field", "value", "allowed"};
   outcome.kind = ConfigurationOutcomeKind::applied;
-  answers.add("change.applied", change_response(outcome));
+  responses.add("change.applied", change_response(outcome));
   outcome.kind = ConfigurationOutcomeKind::conflict;
-  answers.add("change.conflict", change_response(outcome));
+  responses.add("change.conflict", change_response(outcome));
   outcome.kind = ConfigurationOutcomeKind::invalid;
-  answers.add("change.invalid", change_response(outcome));
+  responses.add("change.invalid", change_response(outcome));
   outcome.kind = ConfigurationOutcomeKind::unavailable;
-  answers.add("change.unavailable", change_response(outcome));
-  answers.add("read.found", read_response({ConfigurationReadKind::found, 12, R"({"version":12})"}));
-  answers.add("read.missing", read_response({ConfigurationReadKind::missing, 0, ""}));
-  answers.add("read.unavailable", read_response({ConfigurationReadKind::unavailable, 0, ""}));
+  responses.add("change.unavailable", change_response(outcome));
+  responses.add("read.found", read_response({ConfigurationReadKind::found, 12, R"({"version":12})"}));
+  responses.add("read.missing", read_response({ConfigurationReadKind::missing, 0, ""}));
+  responses.add("read.unavailable", read_response({ConfigurationReadKind::unavailable, 0, ""}));
 }
 
-void add_job_answers(AnswerLines& answers) {
+void add_job_responses(ResponseLines& responses) {
   for (int verb = wire::JobVerb_MIN; verb <= wire::JobVerb_MAX; ++verb) {
     for (int outcome = wire::JobOutcome_MIN; outcome <= wire::JobOutcome_MAX; ++outcome) {
       wire::JobReply reply;
@@ -188,36 +188,36 @@
       reply.set_retry_after_ms(1300);
       reply.set_reason("why");
       const std::string name = "client." + std::to_string(verb) + "." + std::to_string(outcome);
-      answers.add(name, make_job_response(static_cast<wire::JobVerb>(verb), reply));
+      responses.add(name, make_job_response(static_cast<wire::JobVerb>(verb), reply));
     }
   }
   for (int state = wire::JobState_MIN; state <= wire::JobState_MAX; ++state) {
     wire::JobReply reply;
     reply.set_outcome(wire::JOB_OK);
     reply.set_state(static_cast<wire::JobState>(state));
-    answers.add("client.state." + std::to_string(state), make_job_response(wire::JOB_QUERY, reply));
+    responses.add("client.state." + std::to_string(state), make_job_response(wire::JOB_QUERY, reply));
   }
-  answers.add("client.not_taken", make_unavailable_response(Millis(2500)));
-  answers.add("client.in_doubt", make_unknown_outcome_response());
+  responses.add("client.not_taken", make_unavailable_response(Millis(2500)));
+  responses.add("client.in_doubt", make_unknown_outcome_response());
 }
 
-void add_heartbeat_answers(AnswerLines& answers) {
-  HeartbeatResponse answer;
-  answers.add_text("heartbeat.empty", heartbeat_response_json(answer));
-  answer.lease = Millis(4000);
-  answer.last_seen = 3;
-  answer.fence_token = 21;
-  wire::StartOrder& start = answer.starts.emplace_back();
+void add_heartbeat_responses(ResponseLines& responses) {
+  HeartbeatResponse response;
+  responses.add_text("heartbeat.empty", heartbeat_response_json(response));
+  response.lease = Millis(4000);
+  response.last_seen = 3;
+  response.fence_token = 21;
+  wire::StartOrder& start = response.starts.emplace_back();
   start.set_task("00000000000000a1.0.1.2");
   start.set_run(4097);
   start.set_spec("count rainfall");
   start.set_saved("half");
-  wire::StopOrder& stop = answer.stops.emplace_back();
+  wire::StopOrder& stop = response.stops.emplace_back();
   stop.set_task("00000000000000a1.0.1.3");
   stop.set_run(4098);
-  answer.retry_after = Millis(700);
-  answers.add_text("heartbeat.full", heartbeat_response_json(answer));
-  answers.add_text("heartbeat.error", error_json({"source", "field", "value", "allowed"}));
+  response.retry_after = Millis(700);
+  responses.add_text("heartbeat.full", heartbeat_response_json(response));
+  responses.add_text("heartbeat.error", error_json({"source", "field", "value", "allowed"}));
 }
 
 constexpr const char* kConfiguration =
@@ -234,7 +234,7 @@
   return request;
 }
 
-// What reads a configuration back never fails here.
+// The parsed `kConfiguration`. Fails the test if it can't be parsed.
 Configuration read_example_configuration() {
   return winchhall::cluster::leaf::try_handle_all(
       [] { return parse_configuration(kConfiguration, "example"); },
@@ -256,31 +256,31 @@
   return lines;
 }
 
-// A server with fixed figures.
-class StandInServer : public HttpServer {
+// A server that only reports fixed numbers of requests, connections and responses.
+class FakeHttpServer : public HttpServer {
  public:
   void set_limits(const RequestLimits&) override {}
   void stop_accepting() override {}
   void drain() override {}
   std::size_t open_requests() const override { return 1; }
   std::size_t open_connections() const override { return 2; }
-  const std::map<unsigned, std::uint64_t>& responses_by_status() const override { return answers_; }
+  const std::map<unsigned, std::uint64_t>& responses_by_status() const override { return responses_; }
   unsigned short port() const override { return 0; }
 
  private:
-  std::map<unsigned, std::uint64_t> answers_{{200, 3}, {503, 4}};
+  std::map<unsigned, std::uint64_t> responses_{{200, 3}, {503, 4}};
 };
 
 }  // namespace
 
-TEST_CASE("JSON answers have the recorded statuses, headers, keys and values") {
-  AnswerLines answers;
-  add_inspection_answers(answers);
-  add_configuration_answers(answers);
-  add_job_answers(answers);
-  add_heartbeat_answers(answers);
-  answers.add_text("configuration", configuration_json(read_example_configuration()));
-  check_recorded(answers.lines(), "http_answers.txt");
+TEST_CASE("JSON responses have the recorded statuses, headers, keys and values") {
+  ResponseLines responses;
+  add_inspection_responses(responses);
+  add_configuration_responses(responses);
+  add_job_responses(responses);
+  add_heartbeat_responses(responses);
+  responses.add_text("configuration", configuration_json(read_example_configuration()));
+  check_recorded(responses.lines(), "http_answers.txt");
 }
 
 TEST_CASE("metrics have the recorded names, types and labels") {
@@ -292,7 +292,7 @@
   };
   add("control", [](MetricFamilies& families) { collect_control(example_status(), families); });
   add("agent", [](MetricFamilies& families) { collect_agent(true, 12, families); });
-  add("http", [](MetricFamilies& families) { collect_http(StandInServer(), families); });
+  add("http", [](MetricFamilies& families) { collect_http(FakeHttpServer(), families); });
   add("process", [](MetricFamilies& families) { collect_process(families); });
   check_recorded(lines, "metrics.txt");
 }
--- a/tests/cluster/compatibility/store_test.cpp
+++ b/tests/cluster/compatibility/store_test.cpp
@@ -1,7 +1,8 @@
-// Opens what a control node of revision 1ef7631 left on disk: its LevelDB folder and its backup file.
+// Reads data that a control node of revision 1ef7631 wrote: its LevelDB directory and its backup file. Guards
+// against changes of the stored format that would make existing stores unreadable.
 //
-// The node was one of three; it had taken three versions of a configuration (a snapshot and a patch) and five
-// jobs: two completed, one canceled, one running and one waiting.
+// The node was one of three. It had accepted three versions of a configuration (stored as a snapshot and a
+// patch) and five jobs: two completed, one canceled, one running and one waiting.
 #include <stdlib.h>
 #include <unistd.h>
 
@@ -34,10 +35,10 @@
 
 const std::string kProgram = WINCHHALL_CLUSTER_PROGRAM;
 const std::string kData = std::string(WINCHHALL_COMPATIBILITY_FOLDER) + "/data/1ef7631/cluster";
-constexpr std::chrono::seconds kPatience{40};
-constexpr std::chrono::milliseconds kTurn{50};
+constexpr std::chrono::seconds kTimeout{40};
+constexpr std::chrono::milliseconds kPollInterval{50};
 
-// A folder of this test alone with a copy of the recorded store, removed at its end.
+// A temporary directory with a copy of the recorded store, removed by the destructor.
 class StoreCopy {
  public:
   StoreCopy() {
@@ -59,7 +60,7 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// The value of an action; a failure fails the test.
+// The value of a successful action. Fails the test if the action fails.
 template <typename Value>
 Value value_of(const std::function<winchhall::cluster::leaf::result<Value>()>& action) {
   return winchhall::cluster::leaf::try_handle_all(action, []() -> Value {
@@ -78,7 +79,8 @@
   return {kDigits[value >> 4], kDigits[value & 15]};
 }
 
-// Entries as recorded: "KEY HEX", in order; other characters than printable ones in a key as "\xHEX".
+// Entries in the recorded form: lines "KEY HEX", in order. Characters of a key that are not printable ASCII
+// are written as "\xHEX".
 std::string entry_lines(const std::vector<StoreEntry>& entries) {
   std::string lines;
   for (const StoreEntry& entry : entries) {
@@ -113,16 +115,17 @@
   return records;
 }
 
-bool until(const std::function<bool()>& reached) {
-  const auto limit = std::chrono::steady_clock::now() + kPatience;
+bool wait_until(const std::function<bool()>& reached) {
+  const auto limit = std::chrono::steady_clock::now() + kTimeout;
   while (std::chrono::steady_clock::now() < limit) {
     if (reached()) return true;
-    std::this_thread::sleep_for(kTurn);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return false;
 }
 
-// The state of ended jobs may be asked for longer than this data will be used: they are not forgotten.
+// Settings of the restored control node. `status_s` is so long that the ended jobs of the recorded data are
+// not removed, however old they are.
 std::string settings_of(const std::string& ip, const std::string& data) {
   return "node_name = \"restored\"\nrole = \"control\"\nip = \"" + ip +
          "\"\nzone = \"a\"\nregion = \"r\"\ninternal_ports = [7380,7395]\nseeds = [\"" + ip +
@@ -259,19 +262,20 @@
   REQUIRE(restore.exit_code == 0);
   std::ofstream(copy.path("settings.toml")) << settings_of(ip, restored);
   const ChildProcess node(kProgram, "control", copy.path("settings.toml"), copy.path("log"));
-  const auto ask = [&](const std::string& command) {
+  const auto run_command = [&](const std::string& command) {
     return run_program(kProgram, "--control " + ip + ":8144 --json " + command);
   };
   const auto jobs_listed = [&] {
-    const ProgramRun run = ask("jobs list");
+    const ProgramRun run = run_command("jobs list");
     return run.exit_code == 0 && run.output.find("00000000000000a1") != std::string::npos;
   };
-  const bool serves = until([&] { return ask("config get").exit_code == 0; }) && until(jobs_listed);
+  const bool serves =
+      wait_until([&] { return run_command("config get").exit_code == 0; }) && wait_until(jobs_listed);
   INFO(read_file(copy.path("log")));
   REQUIRE(serves);
-  CHECK(ask("config get").output == read_file(kData + "/configuration.json"));
+  CHECK(run_command("config get").output == read_file(kData + "/configuration.json"));
   std::map<std::string, std::string> states;
-  const boost::json::value list = boost::json::parse(ask("jobs list").output);
+  const boost::json::value list = boost::json::parse(run_command("jobs list").output);
   for (const auto& job : list.at("services").at(0).at("jobs").as_array()) {
     states[job.at("id").as_string().c_str()] = job.at("state").as_string().c_str();
   }
--- a/tests/cluster/compatibility/wire_test.cpp
+++ b/tests/cluster/compatibility/wire_test.cpp
@@ -1,5 +1,5 @@
-// Holds the wire format still: numbers, types and labels of all fields, and messages as revision 1ef7631
-// encoded them.
+// Guards the wire format against incompatible changes: the numbers, types and labels of all fields are
+// compared with the recorded ones, and messages encoded by revision 1ef7631 are decoded.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <map>
@@ -49,8 +49,8 @@
   return {};
 }
 
-// Decodes a recorded example. `same` is the same message set up by name: it must be encoded to the recorded
-// bytes.
+// Decodes a recorded example. `same` is the same message, built through the accessors of its fields; it must
+// encode to the recorded bytes.
 template <typename Message>
 Message decode_example(const std::string& name, const Message& same) {
   INFO(name);
--- a/tests/cluster/integration/processes_test.cpp
+++ b/tests/cluster/integration/processes_test.cpp
@@ -1,4 +1,5 @@
-// Real processes on loopback that are killed and restarted: what was acknowledged survives.
+// Real processes on loopback that are killed and restarted. Guards against the loss of acknowledged jobs and
+// configurations, and against tasks that are completed twice.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <functional>
@@ -21,7 +22,7 @@
 constexpr unsigned kControlNodes = 3;
 const std::string kService = "records";
 
-// `count` routes without jobs, each followed by a comma.
+// JSON of `count` routes that get no jobs, each followed by a comma.
 std::string idle_routes(unsigned count) {
   std::string routes;
   for (unsigned number = 0; number < count; ++number) {
@@ -33,7 +34,7 @@
   return routes;
 }
 
-// A configuration of one queue and `idle` unused ones.
+// JSON of a configuration with the route "extract" and `idle` unused routes.
 std::string configuration(unsigned version, unsigned timeout_ms, unsigned idle = 0) {
   return R"({"version":)" + std::to_string(version) + R"(,"routes":[)" + idle_routes(idle) +
          R"({"name":"extract","hostname":"demo.example","path_prefix":"/extract/","route_type":"unsafe",)"
@@ -47,7 +48,7 @@
 const std::string kJob = R"({"spec":"x","stages":[{"count":6,"cpu":1000,"mem_mb":100,"estimated_ms":300},)"
                          R"({"count":3,"cpu":1000,"mem_mb":100,"estimated_ms":300,"depends_on":[0]}]})";
 
-// A cluster of real processes with fake leaves, its operator and its client.
+// A cluster of real processes with fake leaves, and calls to it as its operator and as a client.
 class ClusterFixture {
  public:
   explicit ClusterFixture(unsigned workers = 2) : cluster(WINCHHALL_CLUSTER_PROGRAM, workers, kService) {
@@ -61,7 +62,7 @@
   // Replaces the configuration. Repeats the call, to the control nodes in turn, until it succeeds.
   bool put(unsigned base, const std::string& body) {
     unsigned turn = 0;
-    return until([&] {
+    return wait_until([&] {
       HttpCall call = operator_call(turn++, "POST", "/v1/Config.Put", body);
       call.headers.push_back({"X-Winchhall-Base-Version", std::to_string(base)});
       return send_http_call(call).status == 200;
@@ -71,7 +72,7 @@
   std::string get_configuration() {
     std::string body;
     unsigned turn = 0;
-    until([&] {
+    wait_until([&] {
       const HttpCallResponse response = send_http_call(operator_call(turn++, "GET", "/v1/Config.Get", ""));
       if (response.status == 200) body = response.body;
       return response.status == 200;
@@ -94,10 +95,10 @@
   }
 
   bool submit(const std::string& id) {
-    return until([&] { return call_queue("POST", id, kJob) == 200; });
+    return wait_until([&] { return call_queue("POST", id, kJob) == 200; });
   }
   bool completes(const std::string& id) {
-    return until([&] {
+    return wait_until([&] {
       std::string text;
       return call_queue("GET", id, "", &text) == 200 && text.find("completed") != std::string::npos;
     });
@@ -118,7 +119,7 @@
     return tasks;
   }
 
-  static bool until(const std::function<bool()>& reached) {
+  static bool wait_until(const std::function<bool()>& reached) {
     const Clock::time_point limit = Clock::now() + kTimeout;
     while (Clock::now() < limit) {
       if (reached()) return true;
@@ -191,7 +192,7 @@
   ClusterFixture fixture(1);
   REQUIRE(fixture.put(0, configuration(1, 3000)));
   REQUIRE(fixture.submit("00000000000000c1"));
-  REQUIRE(ClusterFixture::until([&] { return !fixture.leaves[0]->starts().empty(); }));
+  REQUIRE(ClusterFixture::wait_until([&] { return !fixture.leaves[0]->starts().empty(); }));
   fixture.cluster.kill("worker-0");
   fixture.cluster.start("worker-0");
   CHECK(fixture.completes("00000000000000c1"));
