--- a/src/cluster/cli/control_client.hpp
+++ b/src/cluster/cli/control_client.hpp
@@ -20,11 +20,13 @@
   std::optional<std::uint64_t> base_version;  // header X-Winchhall-Base-Version
 };
 
+// A definite response of a control node.
 struct ControlResponse {
   unsigned status = 0;
   std::string body;
 };
 
+// Control nodes to call, and limits of the attempts.
 struct ControlClientOptions {
   std::vector<Address> nodes;   // addresses of operator APIs, "ip:port"
   Millis timeout{5000};         // of one attempt at one node
--- a/src/cluster/cli/control_responses.hpp
+++ b/src/cluster/cli/control_responses.hpp
@@ -26,6 +26,8 @@
   std::string address;
 };
 
+// A service as one control node reports it. The epoch and the counts are 0 unless that node leads the
+// service.
 struct ServiceInfo {
   std::string service;
   bool leads = false;
@@ -36,6 +38,7 @@
   std::uint64_t nodes = 0;
 };
 
+// State of a control node, and of the control group as known to it.
 struct StatusResponse {
   std::string node;
   std::string zone;
@@ -43,29 +46,31 @@
   bool votes = false;
   bool has_quorum_contact = false;
   std::uint64_t configuration_version = 0;
-  std::uint64_t member_epoch = 0;
+  std::uint64_t member_epoch = 0;  // of the member record
   std::vector<MemberInfo> members;
   std::vector<LeaderInfo> leaders;
   std::vector<ServiceInfo> services;
   std::string json;  // the response's body
 };
 
+// A job as its service's leader lists it.
 struct JobInfo {
   std::string service;
   std::string id;
   std::string queue;
   std::string state;
-  std::uint64_t priority = 0;
+  std::uint64_t priority = 0;  // 0 is the most urgent
   std::uint64_t runs = 0;
 };
 
+// A leaf as its service's leader lists it.
 struct NodeInfo {
   std::string service;
   std::string id;
   std::string node;
-  std::string labels;  // separated by commas
-  std::uint64_t cpu_reserved = 0;
-  std::uint64_t cpu = 0;
+  std::string labels;              // separated by commas
+  std::uint64_t cpu_reserved = 0;  // allocated to runs, in thousandths of a core
+  std::uint64_t cpu = 0;           // capacity, in thousandths of a core
   std::uint64_t runs = 0;
   std::uint64_t report_age_ms = 0;
   bool draining = false;
--- a/src/cluster/cli/json_object_view.hpp
+++ b/src/cluster/cli/json_object_view.hpp
@@ -15,6 +15,7 @@
  public:
   explicit JsonObjectView(const boost::json::value& value) : object_(value.if_object()) {}
 
+  // Value of a field of the given type, or the default for that type.
   std::string text(std::string_view name) const;
   std::uint64_t number(std::string_view name) const;
   bool flag(std::string_view name) const;
--- a/src/cluster/cli/peer_sampling.hpp
+++ b/src/cluster/cli/peer_sampling.hpp
@@ -18,7 +18,8 @@
 void listen_for_shuffles(Process& process, PeerSampler& sampler);
 
 // Runs a process that consists of a component and its sampler: applies changed seeds to both, and shuts both
-// down when the process is stopped. `Component` has set_seeds, start and shut_down.
+// down when the process is stopped. Returns when the process has stopped. `Component` has set_seeds, start
+// and shut_down.
 template <typename Component>
 void run_with_sampler(Process& process, PeerSampler& sampler, Component& component) {
   process.on_settings([&component, &sampler](const NodeSettings& changed) {
--- a/src/cluster/cli/text_table.hpp
+++ b/src/cluster/cli/text_table.hpp
@@ -14,6 +14,7 @@
 
   // `row`: one text for each heading.
   void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
+  // Writes the headings and rows, one line each.
   void print(std::ostream& out) const;
 
  private:
--- a/src/cluster/common/digest.hpp
+++ b/src/cluster/common/digest.hpp
@@ -14,6 +14,7 @@
   void add_bytes(std::string_view text) {
     for (const char character : text) add_char(character);
   }
+  // Adds one byte.
   void add_char(char character) { add_byte(static_cast<unsigned char>(character)); }
   // Adds the length and the bytes, so that the boundaries between consecutive texts count.
   void add(std::string_view text) {
@@ -24,6 +25,7 @@
   void add(std::uint64_t number) {
     for (unsigned shift = 0; shift < 64; shift += 8) add_byte(static_cast<unsigned char>(number >> shift));
   }
+  // Hash of everything added so far.
   std::uint64_t value() const { return value_; }
 
  private:
--- a/src/cluster/common/settings_file.hpp
+++ b/src/cluster/common/settings_file.hpp
@@ -29,6 +29,7 @@
   // Whether the last file read differs in settings that take effect only at a restart.
   bool needs_restart() const { return needs_restart_; }
 
+  // The settings in effect.
   const NodeSettings& current() const { return current_; }
 
  private:
--- a/src/cluster/common/toml_table_reader.hpp
+++ b/src/cluster/common/toml_table_reader.hpp
@@ -21,7 +21,9 @@
   // `path` is prepended to field names in errors, e.g. "bounds.". The table must outlive the reader.
   TomlTableReader(const toml::table& table, std::string path) : table_(table), path_(std::move(path)) {}
 
+  // A text.
   void read_string(const char* name, std::string& target, bool required = false);
+  // A list of texts.
   void read_strings(const char* name, std::vector<std::string>& target);
   void read_bool(const char* name, bool& target);
   // A number that is not negative.
@@ -36,8 +38,9 @@
   // A required range of ports, [first, last] with first < last.
   void read_port_range(const char* name, std::uint16_t& first, std::uint16_t& last);
 
-  // Reports a field as invalid.
+  // Reports a field as invalid; `allowed` describes the allowed values.
   void fail(const char* name, const toml::node& node, std::string allowed);
+  // The first error; empty if all fields read so far are valid.
   const std::optional<InvalidInput>& error() const { return error_; }
 
  private:
--- a/testbed/cluster/fake_leaf.hpp
+++ b/testbed/cluster/fake_leaf.hpp
@@ -22,7 +22,7 @@
   std::string id;
   std::string service;
   std::string zone;
-  unsigned cpu = 4000;
+  unsigned cpu = 4000;  // in thousandths of a core
   unsigned mem_mb = 8192;
   std::chrono::milliseconds task_time{300};
   std::chrono::milliseconds max_task_time{0};  // above task_time: each task takes a random time up to this
--- a/testbed/cluster/local_cluster.hpp
+++ b/testbed/cluster/local_cluster.hpp
@@ -32,7 +32,9 @@
   LocalCluster(const LocalCluster&) = delete;
   LocalCluster& operator=(const LocalCluster&) = delete;
 
+  // Starts all processes; the first call starts a new control group.
   void start_all();
+  // Writes the settings file of a process and starts it.
   void start(const std::string& name);
   // From its next start on, the process runs `program`. Its settings and directory stay the same.
   void set_program(const std::string& name, std::string program);
@@ -46,6 +48,7 @@
   // The status of waitpid if the process has ended since it was started; afterwards it counts as not running.
   // Empty while it runs, or if it wasn't started.
   std::optional<int> poll_end(const std::string& name);
+  // Whether the process was started and its end was not observed yet.
   bool is_running(const std::string& name) { return find(name).pid > 0; }
   // Names of all processes: control nodes first, then ingress, agent and worker-agents.
   std::vector<std::string> process_names() const;
--- a/testbed/cluster/soak_clients.hpp
+++ b/testbed/cluster/soak_clients.hpp
@@ -18,6 +18,7 @@
 // until it is acknowledged. All run on threads of their own; public members are thread-safe.
 class SoakClients {
  public:
+  // Starts all threads. `clients`: number of clients.
   SoakClients(std::string front_address, std::vector<std::string> control_addresses, unsigned clients,
               std::uint64_t seed);
   // Stops and waits for all threads.
