--- a/src/cluster/cli/peer_sampling.hpp
+++ b/src/cluster/cli/peer_sampling.hpp
@@ -12,13 +12,14 @@
 // The descriptor of this process for other peers: its RPC listener, role and zone.
 PeerDescriptor own_descriptor(const NodeSettings& settings, PeerRole role);
 
-// Opens the RPC listener of a process that serves nothing but shuffles there. If the address can't be
-// listened on, this is logged, and the process takes part in the sampling as a caller only. The sampler must
+// Opens the RPC listener of a process that serves only shuffle requests there. If listening fails, this is
+// logged ("listen_failed"), and the process takes part in the sampling as a caller only. The sampler must
 // live as long as the process runs.
 void listen_for_shuffles(Process& process, PeerSampler& sampler);
 
 // Runs a process that consists of a component and its sampler: applies changed seeds to both, and shuts both
-// down when the process is stopped. `Component` has set_seeds, start and shut_down.
+// down when the process is stopped. Returns when the process has stopped. `Component` has set_seeds, start
+// and shut_down.
 template <typename Component>
 void run_with_sampler(Process& process, PeerSampler& sampler, Component& component) {
   process.on_settings([&component, &sampler](const NodeSettings& changed) {
--- a/src/cluster/cli/text_table.hpp
+++ b/src/cluster/cli/text_table.hpp
@@ -7,13 +7,14 @@
 
 namespace winchhall::cluster {
 
-// Rows of texts; each column is as wide as its widest text.
+// A table with a row of headings; each column is as wide as its widest text.
 class TextTable {
  public:
   explicit TextTable(std::vector<std::string> headings) : rows_{std::move(headings)} {}
 
   // `row`: one text for each heading.
   void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
+  // Writes the headings and rows, one line each.
   void print(std::ostream& out) const;
 
  private:
--- a/src/cluster/common/settings_file.hpp
+++ b/src/cluster/common/settings_file.hpp
@@ -9,6 +9,8 @@
 
 namespace winchhall::cluster {
 
+// The settings in effect and the file that they were read from. Reads the file only on request. Not
+// thread-safe.
 class SettingsFile {
  public:
   // `current`: the settings in effect, with the path of their file.
@@ -27,6 +29,7 @@
   // Whether the last file read differs in settings that take effect only at a restart.
   bool needs_restart() const { return needs_restart_; }
 
+  // The settings in effect.
   const NodeSettings& current() const { return current_; }
 
  private:
--- a/src/cluster/rpc/request_socket.cpp
+++ b/src/cluster/rpc/request_socket.cpp
@@ -72,7 +72,7 @@
   if (closed_) return;
   closed_ = true;
   if (!pipes_) return;
-  // No new connection from here on, so that the closer sees the last one end.
+  // Prevents new connections, so that the background closer sees the end of the last one.
   nng_dialer_close(dialer_);
   if (receive_aio_) {
     nng_aio_stop(receive_aio_);  // waits for the callback, which uses this object
@@ -80,7 +80,7 @@
     receive_aio_ = nullptr;
   }
   pipes_->close_all();
-  close_socket_when_quiet(socket_, std::move(pipes_));
+  close_socket_in_background(socket_, std::move(pipes_));
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/rpc/rpc_server.cpp
+++ b/src/cluster/rpc/rpc_server.cpp
@@ -36,14 +36,14 @@
 
 RpcServer::~RpcServer() {
   if (!pipes_) return;
-  // No new connection from here on, so that the closer sees the last one end.
+  // Prevents new connections, so that the background closer sees the end of the last one.
   nng_listener_close(listener_);
   if (receive_aio_) {
     nng_aio_stop(receive_aio_);  // waits for the callback, which uses this object
     nng_aio_free(receive_aio_);
   }
   pipes_->close_all();
-  close_socket_when_quiet(socket_, std::move(pipes_));
+  close_socket_in_background(socket_, std::move(pipes_));
 }
 
 void RpcServer::start_receive() { nng_recv_aio(socket_, receive_aio_); }
