--- a/src/cluster/agent/cluster_view.cpp
+++ b/src/cluster/agent/cluster_view.cpp
@@ -55,7 +55,8 @@
   return address_changed;
 }
 
-// Only a node with a quorum knows the present members: one that is partitioned may hold an old list.
+// Only a control node in contact with a quorum knows the current members; a partitioned one may have an
+// outdated list.
 bool ClusterView::apply_members(const wire::ConfigurationUpdate& update) {
   if (!update.in_touch() || update.members().empty()) return false;
   const auto& members = update.members();
--- a/src/cluster/agent/cluster_view.hpp
+++ b/src/cluster/agent/cluster_view.hpp
@@ -1,4 +1,4 @@
-// What this process knows of the cluster.
+// This process's view of the cluster: configuration, leaders of the services, members of the control group.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +12,33 @@
 
 namespace winchhall::cluster {
 
-// What an update has changed in the view.
+// The parts of a ClusterView that an update has changed.
 struct ViewChanges {
   bool configuration = false;
   bool leaders = false;
   bool members = false;
-  bool rejected = false;  // the update's configuration could not be read
+  bool rejected = false;  // the update's configuration was invalid
 };
 
-// The newest configuration, the leaders of the services and the members of the control group. Each part only
-// moves forward: an update that was overtaken by a newer one changes nothing. Not thread-safe.
+// Holds the newest known configuration, the leaders of the services and the members of the control group. No
+// part returns to an older state: what an update holds that is older than the view is ignored. Owns the
+// replica of the configuration and the history of its routes. Not thread-safe.
 class ClusterView {
  public:
   // Applies the parts of an update that are newer than what is known.
   ViewChanges apply_update(const wire::ConfigurationUpdate& update, TimePoint now);
 
-  // To be called after a difference was applied to `replica()`.
+  // Records the route changes of the difference that was last applied to `replica()`; must be called after
+  // each one.
   void on_difference_applied(TimePoint now);
 
-  // Version of the configuration; 0: none yet.
+  // Version of the configuration; 0 before the first one.
   std::uint64_t version() const { return replica_.version(); }
   // Null before the first version.
   const Configuration* configuration() const { return replica_.configuration(); }
   ConfigurationReplica& replica() { return replica_; }
   const ConfigurationReplica& replica() const { return replica_; }
-  // Address of the control node that leads a service; empty: none is known.
+  // Address of the control node that leads a service; empty if none is known.
   Address leader_of(const std::string& service) const;
   const std::vector<wire::Member>& members() const { return members_; }
   const RouteHistory& history() const { return history_; }
@@ -48,7 +50,7 @@
   bool apply_members(const wire::ConfigurationUpdate& update);
 
   ConfigurationReplica replica_;
-  std::map<std::string, wire::ShardLeader> leaders_;  // by shard
+  std::map<std::string, wire::ShardLeader> leaders_;  // by shard name
   std::vector<wire::Member> members_;
   RouteHistory history_;
 };
--- a/src/cluster/agent/configuration_watch_server.cpp
+++ b/src/cluster/agent/configuration_watch_server.cpp
@@ -7,7 +7,7 @@
 namespace winchhall::cluster {
 
 ConfigurationWatchServer::ConfigurationWatchServer(Runtime& runtime, const ClusterView& view)
-    : runtime_(runtime), view_(view), differences_(view.replica().table()) {}
+    : runtime_(runtime), view_(view), transfer_server_(view.replica().table()) {}
 
 void ConfigurationWatchServer::watch(const wire::ConfigurationWatch& watch, const ReplyCallback& reply) {
   polls_.push_back({watch.version(), watch.fetches(), reply, nullptr});
@@ -40,7 +40,7 @@
   auto& update = *envelope.mutable_configuration_update();
   update.set_version(view_.version());
   update.set_in_touch(has_quorum_contact_);
-  // Never to an ingress that has a newer configuration than this process.
+  // An ingress whose configuration is newer than this process's gets none.
   const bool send_configuration = !poll->fetches && view_.version() > poll->version;
   if (send_configuration) update.set_configuration(configuration_json(*view_.configuration()));
   Polls answered;
--- a/src/cluster/agent/configuration_watch_server.hpp
+++ b/src/cluster/agent/configuration_watch_server.hpp
@@ -10,30 +10,33 @@
 
 namespace winchhall::cluster {
 
-// Answers long polls for a newer configuration, and hands it on as differences, or as a whole to an ingress
-// that does not fetch. Not thread-safe.
+// Answers the long polls of an ingress for a newer configuration. An ingress that fetches is told the version
+// only and then fetches the difference; any other ingress gets the full configuration in the answer. Owns the
+// pending polls. Not thread-safe.
 class ConfigurationWatchServer {
  public:
-  // Both references outlive the server.
+  // `runtime` and `view` must outlive the server.
   ConfigurationWatchServer(Runtime& runtime, const ClusterView& view);
 
   // Answers at once if the view's version is newer than the poll's, else when it becomes so, when the quorum
   // contact changes, or after the poll's wait.
   void watch(const wire::ConfigurationWatch& watch, const ReplyCallback& reply);
+  // Replies with one part of a difference, see ConfigurationTransferServer::handle.
   void fetch(const wire::ConfigurationFetch& fetch, const ReplyCallback& reply) {
-    differences_.handle(fetch, reply);
+    transfer_server_.handle(fetch, reply);
   }
-  // The view has a newer configuration: answers the polls that wait for it.
+  // Must be called when the view has a newer configuration. Answers the polls that wait for it.
   void on_newer_configuration();
-  // Whether this process has contact to a control node with a quorum; a change answers all polls.
+  // Sets whether this process is in contact with a control node that has a quorum. A change answers all
+  // pending polls.
   void set_quorum_contact(bool has_contact);
-  // Bounds the wait of polls from now on, and answers all that are held.
+  // Limits the wait of further polls, and answers all pending ones.
   void set_max_wait(Millis max_wait);
 
  private:
   struct Poll {
-    std::uint64_t version = 0;  // that the ingress has
-    bool fetches = false;       // it fetches differences: answers do not contain the configuration
+    std::uint64_t version = 0;  // configuration version that the ingress has
+    bool fetches = false;       // the ingress fetches differences: the answer contains no configuration
     ReplyCallback reply;
     std::unique_ptr<Timer> timer;
   };
@@ -44,7 +47,7 @@
 
   Runtime& runtime_;
   const ClusterView& view_;
-  ConfigurationTransferServer differences_;
+  ConfigurationTransferServer transfer_server_;
   Polls polls_;
   bool has_quorum_contact_ = false;
   Millis max_wait_{10000};
--- a/src/cluster/agent/control_directory.cpp
+++ b/src/cluster/agent/control_directory.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Millis kInitialBackoff{200};  // doubled with each failure in a row
+constexpr Millis kInitialBackoff{200};  // doubled with each consecutive failure
 constexpr unsigned kMaxBackoffDoublings = 4;
 
 }  // namespace
@@ -44,7 +44,7 @@
 
 std::optional<ControlChoice> ControlDirectory::choose(const std::set<Address>& excluded) const {
   const Node* best = nullptr;
-  std::uint64_t ties = 0;  // with the best: each of them is chosen with equal probability
+  std::uint64_t ties = 0;  // number of nodes as good as the best one; each is chosen with equal probability
   for (const Node& node : nodes_) {
     if (excluded.count(node.address) != 0) continue;
     const bool better = best == nullptr || rank(node) < rank(*best);
@@ -98,6 +98,7 @@
 }
 
 int ControlDirectory::rank(const Node& node) const {
+  // Powers of two, so that each penalty outweighs all smaller ones together.
   constexpr int kBackingOff = 8;
   constexpr int kOnlySampled = 4;
   constexpr int kNotMember = 2;
--- a/src/cluster/agent/control_directory.hpp
+++ b/src/cluster/agent/control_directory.hpp
@@ -17,26 +17,27 @@
   bool ready = true;  // false: it has failed, and its backoff has not elapsed
 };
 
-// Lists the seeds, the members and the nodes known from peer sampling, and keeps a backoff for those that
-// fail. A node is removed once no source lists it any more. Not thread-safe.
+// Lists the seeds, the members of the control group and the nodes known from peer sampling, with a backoff
+// for nodes that fail. A node is removed once none of these sources lists it. Not thread-safe.
 class ControlDirectory {
  public:
-  // `runtime` outlives the directory.
+  // `runtime` must outlive the directory.
   ControlDirectory(Runtime& runtime, const NodeSettings& settings);
 
   // Replaces the seeds (their internal listeners).
   void set_seeds(const std::vector<Address>& seeds);
+  // Replaces the members of the control group.
   void set_members(const std::vector<wire::Member>& members);
-  // Replaces the nodes from peer sampling: these are chosen only while every seed and member is excluded or
-  // backing off.
+  // Replaces the nodes known from peer sampling. They are chosen only while every seed and member is excluded
+  // or backing off.
   void set_sampled(const std::vector<Address>& nodes);
 
-  // The best node that is not in `excluded`: by preference one that is not backing off, then a seed or member
-  // rather than a sampled node, a member, one of the own zone; at random among equals. None: all are
-  // excluded.
+  // Chooses the best node that is not in `excluded`; none if all nodes are excluded. The criteria, most
+  // important first: not backing off, a seed or member, a member, in this process's zone. Ties are broken at
+  // random.
   std::optional<ControlChoice> choose(const std::set<Address>& excluded) const;
-  // A random node other than `excluded`: a seed or member that is not backing off, if there is one. Empty: no
-  // other node is known.
+  // Chooses a random node other than `excluded`, by preference a seed or member that is not backing off.
+  // Empty if no other node is known.
   Address choose_any(const Address& excluded) const;
 
   // Ends the backoff of a node.
@@ -51,7 +52,7 @@
     bool seed = false;
     bool member = false;
     bool sampled = false;
-    unsigned failures = 0;  // in a row
+    unsigned failures = 0;  // consecutive
     TimePoint backoff_until;
   };
 
@@ -59,7 +60,7 @@
   Node& find_or_add(const Address& address);
   void remove_unlisted();
   bool is_backing_off(const Node& node) const { return node.backoff_until > runtime_.now(); }
-  // Lower is better.
+  // Sum of the penalties that apply to a node; lower is better.
   int rank(const Node& node) const;
 
   Runtime& runtime_;
--- a/src/cluster/agent/control_watcher.cpp
+++ b/src/cluster/agent/control_watcher.cpp
@@ -8,18 +8,21 @@
 
 constexpr Millis kLongPollWait{1000};
 constexpr Millis kLongPollTimeout{1600};
-// Time-out of a poll while no node with quorum contact is known: the call is answered at once, and a node
-// that starts later than this agent is found by a further poll, not by TCP's retransmission after a second.
-// It doubles with each failure in a row up to the time-out of a long poll, for nodes that are slow.
+// Time-out of a poll while no control node with quorum contact is known. Such a poll is answered at once. The
+// time-out is short so that a node which starts after this agent is found by the next poll, and not only when
+// TCP retransmits after one second. It is doubled with each consecutive failure, towards the time-out of a
+// long poll, so that slow nodes are found too.
 constexpr Millis kSearchPollTimeout{300};
 constexpr unsigned kMaxSearchTimeoutDoublings = 2;
-// Before a slot polls a node that is backing off, or looks again for a node.
+// Delay before a slot polls a node that is backing off, or searches again for a node to poll.
 constexpr Millis kNoReadyPeerDelay{100};
-// Between the starts of two polls of a slot, unless the first one brought a newer configuration.
+// Minimum time between the starts of two polls of a slot, unless the first one returned a newer
+// configuration.
 constexpr Millis kMinPollInterval{100};
 constexpr Millis kMinPollIntervalAfterRejection{1000};
 constexpr Millis kRefreshTimeout{500};
 constexpr Millis kMinRefreshInterval{50};
+// Quorum contact counts as lost if no node with a quorum has answered for this long.
 constexpr Millis kContactTimeout{3000};
 
 wire::Envelope watch_request(std::uint64_t version, std::uint64_t leaders_digest, Millis wait) {
--- a/src/cluster/agent/control_watcher.hpp
+++ b/src/cluster/agent/control_watcher.hpp
@@ -14,20 +14,21 @@
 
 namespace winchhall::cluster {
 
-// Keeps a long poll on each of several control nodes, replaces a node that fails or has no quorum contact by
-// another one, and fetches a newer configuration from the nodes that announce it. Not thread-safe; calls back
-// on the runtime's thread.
+// Keeps a long poll on each of several control nodes and updates the view from the answers. Replaces a node
+// that fails or is not in contact with a quorum of the control group, and fetches a newer configuration from
+// the nodes that announce it. Not thread-safe; calls back on the runtime's thread.
 class ControlWatcher {
  public:
   using OnChange = std::function<void(const ViewChanges&)>;
 
-  // `on_change` is called after each update that has changed the view's configuration or leaders. All
-  // references outlive the watcher.
+  // `on_change` is called after each update that has changed the view's configuration or leaders. `runtime`,
+  // `view` and `directory` must outlive the watcher.
   ControlWatcher(Runtime& runtime, ClusterView& view, ControlDirectory& directory, OnChange on_change);
 
+  // Starts the polls.
   void start();
-  // Queries a control node other than `failed` for the leaders at once, unless a query is under way or has
-  // just ended. `failed` may be empty.
+  // Queries a control node other than `failed` for the leaders at once, unless such a query is in progress or
+  // was started a moment ago. `failed` may be empty.
   void refresh(const Address& failed);
   // True if a control node with quorum contact has answered within the contact time-out.
   bool has_quorum_contact() const;
@@ -35,10 +36,10 @@
  private:
   // A long poll on one control node.
   struct Slot {
-    Address peer;                      // empty: none chosen
-    std::uint64_t leaders_digest = 0;  // of the leaders that the peer has named
+    Address peer;                      // empty: no node is chosen
+    std::uint64_t leaders_digest = 0;  // of the leaders that the peer returned last
     TimePoint sent_at;
-    unsigned failures = 0;  // polls in a row that brought no answer, of any peers
+    unsigned failures = 0;  // consecutive polls without an answer, whichever the peer
     std::unique_ptr<Timer> timer;
   };
 
@@ -55,6 +56,7 @@
   void on_difference_fetched();
   void on_refreshed(const Address& peer, const CallResult& result);
 
+  // Number of control nodes that are polled at the same time.
   static constexpr std::size_t kSlots = 3;
 
   Runtime& runtime_;
--- a/src/cluster/agent/edge_agent.cpp
+++ b/src/cluster/agent/edge_agent.cpp
@@ -11,9 +11,11 @@
 
 constexpr Millis kContactCheckInterval{500};
 constexpr Millis kShutdownCheckInterval{100};
-// Part of the grace period that is left for the process' end; less than the ingress leaves, which ends first.
+// Part of the grace period that is reserved for the exit of the process. Less than the ingress reserves,
+// because the ingress exits first.
 constexpr Millis kShutdownReserve{500};
-// Bounds the ingress' polls during a shutdown, so that it soon counts as idle once it has stopped calling.
+// Limit on the wait of polls during a shutdown. A running ingress then calls often, so that one which has
+// stopped calling is soon recognized as idle.
 constexpr Millis kMaxWaitDuringShutdown{300};
 constexpr Millis kIngressIdleTimeout{1000};
 
--- a/src/cluster/agent/edge_agent.hpp
+++ b/src/cluster/agent/edge_agent.hpp
@@ -1,4 +1,4 @@
-// The process beside the ingress of an `edge` machine (sub-command `agent`).
+// Agent of an `edge` machine: a process on the same machine as the ingress (sub-command `agent`).
 #pragma once
 
 #include <functional>
@@ -15,23 +15,26 @@
 
 namespace winchhall::cluster {
 
-// Follows the control group, serves the configuration to the ingress and relays its job requests to the
-// services' leaders. Not thread-safe: all calls are made on the runtime's thread.
+// Follows the control group, serves the configuration to the ingress and relays the ingress's job requests to
+// the leaders of the services. Owns the view of the cluster and all components of the agent. Not thread-safe:
+// all calls are made on the runtime's thread.
 class EdgeAgent {
  public:
-  // Uses the settings' seeds, internal ports, zone and grace period. `runtime` outlives the agent.
+  // Uses the settings' seeds, internal ports, zone and grace period. `runtime` must outlive the
+  // agent.
   EdgeAgent(Runtime& runtime, const NodeSettings& settings);
 
+  // Starts following the control group.
   void start();
   // Replaces the seeds (their internal listeners), after a change of the settings.
   void set_seeds(const std::vector<Address>& seeds) { directory_.set_seeds(seeds); }
   // Replaces the control nodes known from peer sampling, which are used besides seeds and members.
   void set_sampled_control(const std::vector<Address>& nodes) { directory_.set_sampled(nodes); }
-  // Handles ConfigurationWatch, ConfigurationFetch and JobRequest of the ingress on this machine; false:
-  // another kind of request.
+  // Handles a ConfigurationWatch, ConfigurationFetch or JobRequest of the ingress on this machine. Returns
+  // false for any other kind of request.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
-  // Planned end: goes on serving until the ingress has stopped calling, or until shortly before the end of
-  // the grace period; then calls `done`. Further calls do nothing.
+  // Graceful shutdown: serves until the ingress has stopped calling, or until shortly before the end of the
+  // grace period; then calls `done`. Further calls have no effect.
   void shut_down(std::function<void()> done);
 
   const ClusterView& view() const { return view_; }
@@ -42,7 +45,7 @@
   void on_change(const ViewChanges& changes);
   // Logs a change of the quorum contact and passes it on to the ingress.
   void update_quorum_contact();
-  // Checks the quorum contact periodically: it is lost without any event.
+  // Checks the quorum contact periodically, because no event reports its loss.
   void check_quorum_contact();
   void check_shutdown();
   bool is_ingress_idle() const;
--- a/src/cluster/agent/job_relay.cpp
+++ b/src/cluster/agent/job_relay.cpp
@@ -6,7 +6,8 @@
 
 constexpr Millis kDefaultDeadline{3000};
 constexpr std::uint32_t kRepeatedRejectionRetryAfterMs = 500;
-// A waiter that has at least this much time left when its relay runs out of time gets a relay of its own.
+// A waiter that has at least this much time left when its relay reaches the deadline is relayed again, with
+// its own deadline.
 constexpr Millis kMinTimeToRelayAgain{200};
 
 std::string request_key(const wire::JobRequest& request) {
@@ -50,15 +51,15 @@
   const auto node = open_requests_.extract(key);
   const OpenRequest& finished = node.mapped();
   const TimePoint now = context_.runtime.now();
-  const bool out_of_time = result.outcome() == wire::JOB_IN_DOUBT && now >= finished.deadline;
+  const bool deadline_reached = result.outcome() == wire::JOB_IN_DOUBT && now >= finished.deadline;
   for (const Waiter& waiter : finished.waiters) {
-    const auto left = std::chrono::duration_cast<Millis>(waiter.deadline - now);
-    if (out_of_time && left >= kMinTimeToRelayAgain) {
-      wire::JobRequest again = finished.request;
-      again.set_origin(waiter.identity.origin());
-      again.set_number(waiter.identity.number());
-      again.set_deadline_ms(static_cast<std::uint32_t>(left.count()));
-      handle(again, waiter.reply);
+    const auto time_left = std::chrono::duration_cast<Millis>(waiter.deadline - now);
+    if (deadline_reached && time_left >= kMinTimeToRelayAgain) {
+      wire::JobRequest retry = finished.request;
+      retry.set_origin(waiter.identity.origin());
+      retry.set_number(waiter.identity.number());
+      retry.set_deadline_ms(static_cast<std::uint32_t>(time_left.count()));
+      handle(retry, waiter.reply);
     } else {
       reply_to(waiter, result, std::chrono::duration_cast<Millis>(now - finished.started));
     }
--- a/src/cluster/agent/job_relay.hpp
+++ b/src/cluster/agent/job_relay.hpp
@@ -1,4 +1,4 @@
-// Relays the ingress' job requests to the leaders of the services.
+// Relays an ingress's job requests to the leaders of the services.
 #pragma once
 
 #include <map>
@@ -10,16 +10,18 @@
 
 namespace winchhall::cluster {
 
-// Coalesces equal requests: an ingress may send a request again while the first one is still relayed; one
-// relay then serves all of them. A submission that was rejected stays rejected, however late a duplicate of
-// its message comes: the leader by then may be one that never saw it. Not thread-safe.
+// Coalesces equal requests: an ingress may repeat a request while the first one is still being relayed, and
+// one relay then serves all of them. A rejected submission stays rejected, however late a duplicate of its
+// message arrives, because the leader at that time may be one that never received the submission. Not
+// thread-safe.
 class JobRelay {
  public:
-  // What `context` refers to outlives the relay.
+  // What `context` refers to must outlive the relay.
   explicit JobRelay(const LeaderCallContext& context);
 
   // Replies to every request by its deadline, or shortly after it.
   void handle(const wire::JobRequest& request, const ReplyCallback& reply);
+  // Must be called when the view has newer leaders.
   void on_leaders_changed() { router_.on_leaders_changed(); }
   // True while a request has not been replied to.
   bool has_open_requests() const { return !open_requests_.empty(); }
@@ -29,8 +31,9 @@
   struct Waiter {
     TimePoint deadline;
     ReplyCallback reply;
-    wire::JobRequest identity;  // origin and number alone
+    wire::JobRequest identity;  // only origin and number are set
   };
+  // A request that is being relayed, with the waiters for its result.
   struct OpenRequest {
     wire::JobRequest request;
     TimePoint started;
@@ -40,7 +43,7 @@
 
   void finish(const std::string& key, const wire::JobReply& result);
   void reply_to(const Waiter& waiter, const wire::JobReply& result, Millis relayed);
-  // True if this very request was rejected before and has been replied to accordingly.
+  // Replies to a submission that was rejected before with another rejection. Returns false if it was not.
   bool repeat_rejection(const wire::JobRequest& request, const ReplyCallback& reply);
 
   const LeaderCallContext context_;
--- a/src/cluster/agent/job_router.cpp
+++ b/src/cluster/agent/job_router.cpp
@@ -25,7 +25,7 @@
 }
 
 void JobRouter::on_leaders_changed() {
-  // A call may end, and remove itself, while it is notified.
+  // A call may finish, and remove itself from the list, while it is notified.
   for (auto next = calls_.begin(); next != calls_.end();) {
     const auto call = *next++;
     call->on_leaders_changed();
@@ -87,7 +87,7 @@
 void JobRouter::call_leader(wire::JobRequest request, TimePoint deadline, Done done) {
   const auto entry = calls_.emplace(calls_.end());
   const auto on_end = [this, entry, done = std::move(done)](const wire::JobReply& reply) {
-    const auto keep_alive = std::move(*entry);  // this function is a member of the call
+    const auto keep_alive = std::move(*entry);  // the call owns this callback, which is still running
     calls_.erase(entry);
     done(reply);
   };
--- a/src/cluster/agent/job_router.hpp
+++ b/src/cluster/agent/job_router.hpp
@@ -13,21 +13,22 @@
 // A job belongs to the service that accepted it, also after its queue has moved to another service. So
 // - a submit first queries the services that the queue was routed to until recently: a job that one of them
 //   accepted must not be accepted by a second one;
-// - a query or a cancellation that the queue's present service does not find goes to all other services;
-// - a count only goes to the service that it names.
+// - a query or a cancellation of a job that the queue's current service does not know goes to all other
+// services;
+// - a count goes only to the service that it names.
 //
-// The result is the leader's reply; JOB_IN_DOUBT where a service that may know the job did not reply clearly;
-// JOB_INVALID for another verb. Not thread-safe.
+// The result is the leader's reply; JOB_IN_DOUBT if a service that may know the job gave no definite reply;
+// JOB_INVALID for any other verb. Owns the calls to leaders that are in progress. Not thread-safe.
 class JobRouter {
  public:
   using Done = LeaderCall::Done;
 
-  // What `context` refers to outlives the router.
+  // What `context` refers to must outlive the router.
   explicit JobRouter(const LeaderCallContext& context);
 
-  // Calls `done` exactly once, by `deadline`; perhaps from within this function.
+  // Calls `done` exactly once, by `deadline`, possibly before this function returns.
   void route(const wire::JobRequest& request, TimePoint deadline, const Done& done);
-  // The view has newer leaders: passes it on to all calls that have not ended.
+  // Must be called when the view has newer leaders. Notifies all calls in progress.
   void on_leaders_changed();
 
  private:
@@ -43,7 +44,7 @@
   void call_leader(wire::JobRequest request, TimePoint deadline, Done done);
 
   LeaderCallContext context_;
-  std::list<std::shared_ptr<LeaderCall>> calls_;  // that have not ended
+  std::list<std::shared_ptr<LeaderCall>> calls_;  // in progress
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/leader_call.cpp
+++ b/src/cluster/agent/leader_call.cpp
@@ -10,7 +10,7 @@
 constexpr Millis kInitialCallBackoff{30};
 constexpr Millis kMaxCallBackoff{200};
 constexpr unsigned kMaxRedirects = 3;
-// A submit for which no leader is known is rejected after this long, so that its client retries later.
+// A submit for which no leader becomes known within this time is rejected, so that its client retries later.
 constexpr Millis kUnsentSubmitTimeout{2000};
 constexpr std::uint32_t kRetryAfterMs = 500;
 
@@ -38,8 +38,8 @@
   const Address leader = context_.view.leader_of(request_.service());
   if (leader.empty() || leader == attempt_target_) return;
   const bool waits_for_retry = attempt_target_.empty() && retry_timer_ != nullptr;
-  const bool is_under_way = !attempt_target_.empty();
-  if (waits_for_retry || is_under_way) send(leader);
+  const bool is_in_flight = !attempt_target_.empty();
+  if (waits_for_retry || is_in_flight) send(leader);
 }
 
 void LeaderCall::begin_attempt() {
@@ -74,7 +74,7 @@
   const bool answered = result.answer && result.answer->has_job_reply();
   const bool newest = attempt == attempts_ && !attempt_target_.empty();
   if (!newest) {
-    // Of an attempt that another one has replaced, only a success counts.
+    // Of an attempt that was superseded by another one, only a success counts.
     if (answered && result.answer->job_reply().outcome() == wire::JOB_OK) finish(result.answer->job_reply());
     return;
   }
@@ -149,8 +149,8 @@
 }
 
 Millis LeaderCall::time_until(TimePoint end) const {
-  const auto left = std::chrono::duration_cast<Millis>(end - context_.runtime.now());
-  return std::max(left, Millis(1));
+  const auto time_left = std::chrono::duration_cast<Millis>(end - context_.runtime.now());
+  return std::max(time_left, Millis(1));
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/leader_call.hpp
+++ b/src/cluster/agent/leader_call.hpp
@@ -1,4 +1,4 @@
-// One job request to the leader of one service.
+// Call of the leader of one service with one job request.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 namespace winchhall::cluster {
 
-// What calls to leaders share. The references outlive the calls.
+// What all calls to leaders share. The objects referred to must outlive the calls.
 struct LeaderCallContext {
   Runtime& runtime;
   const ClusterView& view;
@@ -19,22 +19,24 @@
   RetryBudget& budget;
 };
 
-// Finds the leader, follows it when it changes, and retries with backoff until the deadline.
+// Sends a job request to the leader of its service, also when the leader changes, and retries with backoff
+// until the deadline.
 //
-// The result is certain or says that it is not: JOB_OK, JOB_NOT_FOUND, JOB_INVALID or JOB_NO_QUEUE as the
-// leader replied; JOB_REJECTED only if no attempt can have been accepted by any node; else JOB_IN_DOUBT.
+// The result is definite or says that it is in doubt: JOB_OK, JOB_NOT_FOUND, JOB_INVALID or JOB_NO_QUEUE if
+// the leader replied so; JOB_REJECTED only if no node can have accepted any attempt; otherwise JOB_IN_DOUBT.
 //
-// Not thread-safe. Owned by a shared_ptr, since calls under way refer to it.
+// Not thread-safe. Must be owned by a shared_ptr, because attempts in flight refer to it.
 class LeaderCall : public std::enable_shared_from_this<LeaderCall> {
  public:
   using Done = std::function<void(const wire::JobReply&)>;
 
-  // `done` is called exactly once, by `deadline`; perhaps from within a function of this class.
+  // `done` is called exactly once, by `deadline`, possibly before a function of this class returns.
   LeaderCall(const LeaderCallContext& context, wire::JobRequest request, TimePoint deadline, Done done);
 
+  // Makes the first attempt.
   void start();
-  // The view has newer leaders: a call that waits for a retry, or whose attempt is under way at another node,
-  // is sent to the new leader at once.
+  // Must be called when the view has newer leaders. If the call waits for a retry, or its attempt is in
+  // flight to another node, sends the request to the new leader at once.
   void on_leaders_changed();
 
  private:
@@ -47,11 +49,11 @@
   // Schedules an attempt after a delay that doubles each time, with jitter.
   void back_off();
   void retry_after(Millis delay);
-  // No node can have accepted the request.
+  // If true, no node can have accepted the request.
   bool was_never_sent() const { return attempts_ == 0; }
-  // Until when a call waits for a leader to be known.
+  // The time until which a request that was never sent waits for a leader to be known.
   TimePoint unsent_deadline() const;
-  // Ends the call without a reply of the leader.
+  // Ends the call without a definite reply of the leader.
   void give_up();
   void finish(const wire::JobReply& reply);
   // At least 1 ms.
@@ -63,8 +65,8 @@
   TimePoint deadline_;
   Done done_;
   bool finished_ = false;
-  unsigned attempts_ = 0;   // number of the newest one
-  Address attempt_target_;  // of the newest attempt while it is under way; else empty
+  unsigned attempts_ = 0;   // so far; also the number of the newest one
+  Address attempt_target_;  // of the newest attempt while it is in flight; otherwise empty
   unsigned redirects_followed_ = 0;
   Millis backoff_;
   std::unique_ptr<Timer> retry_timer_;
--- a/src/cluster/agent/reply_aggregator.hpp
+++ b/src/cluster/agent/reply_aggregator.hpp
@@ -8,8 +8,8 @@
 
 namespace winchhall::cluster {
 
-// Reports the first JOB_OK at once; JOB_NOT_FOUND if every service has replied so; else JOB_IN_DOUBT, once
-// all have replied. Not thread-safe.
+// Reports the first JOB_OK at once; otherwise, once all services have replied, JOB_NOT_FOUND if every reply
+// was that, and JOB_IN_DOUBT if not. Not thread-safe.
 class ReplyAggregator {
  public:
   using Done = std::function<void(const wire::JobReply&)>;
@@ -17,7 +17,7 @@
   // `expected`: number of replies, at least 1. `done` is called exactly once.
   ReplyAggregator(std::size_t expected, Done done);
 
-  // Replies after the result are ignored.
+  // Adds the reply of one service. Replies after the result are ignored.
   void add(const wire::JobReply& reply);
 
  private:
@@ -25,7 +25,7 @@
 
   std::size_t missing_;
   bool all_not_found_ = true;
-  Done done_;  // empty: was called
+  Done done_;  // empty once it was called
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/agent/retry_budget.hpp
+++ b/src/cluster/agent/retry_budget.hpp
@@ -10,21 +10,23 @@
  public:
   // Retries allowed for each first attempt.
   static constexpr double kRetryRatio = 0.2;
-  // Retries allowed each second without any first attempt.
+  // Retries allowed each second in addition to the ratio, also without any first attempt.
   static constexpr double kMinRetriesPerSecond = 20;
-  // Capacity of the bucket: what ten seconds without first attempts bring.
+  // Capacity of the bucket: the retries that ten seconds without first attempts add.
   static constexpr double kMaxTokens = 200;
 
   explicit RetryBudget(TimePoint now) : refilled_at_(now) {}
 
+  // Adds kRetryRatio retries to the budget.
   void record_first_attempt(TimePoint now);
-  // Takes one retry out of the budget; false: there is none, the caller waits and asks again.
+  // Takes one retry out of the budget. False if there is none: the caller must wait and try again.
   bool try_acquire(TimePoint now);
 
  private:
   void refill(TimePoint now);
 
   TimePoint refilled_at_;
+  // Retries available now.
   double tokens_ = kMinRetriesPerSecond;
 };
 
--- a/src/cluster/agent/route_history.cpp
+++ b/src/cluster/agent/route_history.cpp
@@ -6,7 +6,8 @@
 
 void RouteHistory::record_changes(const std::vector<RouteChange>& changes, TimePoint now) {
   remove_expired(now);
-  // All ends before all beginnings: a queue may take over the host and prefix of another one.
+  // All former routes end before any new one begins, because a queue may take over the host and prefix of
+  // another.
   for (const RouteChange& change : changes) {
     if (change.before) end_use(*change.before, now);
   }
@@ -58,7 +59,8 @@
   }
 }
 
-// Keeps a use that has begun again since: it is in force, or has a later end that expires on its own.
+// Keeps a use that has begun again since: it is in force, or has ended later, for which there is another
+// entry in `ended_`.
 void RouteHistory::remove_uses_of(const EndedRoute& ended) {
   const auto uses = uses_.find(ended.key);
   if (uses == uses_.end()) return;
--- a/src/cluster/agent/route_history.hpp
+++ b/src/cluster/agent/route_history.hpp
@@ -16,10 +16,10 @@
 // already be known to one of them. Entries expire after `kRetention`. Not thread-safe.
 class RouteHistory {
  public:
-  // Longer than any client goes on retrying a submit.
+  // Longer than any client retries a submit.
   static constexpr Millis kRetention{60000};
 
-  // Records the changes of a configuration that comes into force.
+  // Records the route changes of a configuration that takes effect.
   void record_changes(const std::vector<RouteChange>& changes, TimePoint now);
   // The services other than `service` to which the queue named `queue`, or any queue with its host and path
   // prefix, was routed within the retention time.
@@ -27,13 +27,14 @@
                                                  TimePoint now) const;
 
  private:
-  // Host and path prefix.
+  // Hostname and path prefix.
   using RouteKey = std::pair<std::string, std::string>;
+  // A service that a hostname and path prefix is or was routed to.
   struct ServiceUse {
     std::string service;
-    TimePoint ended_at;  // max: the route is in force
+    TimePoint ended_at;  // TimePoint::max() while the route is in force
   };
-  // A route that has ended, in the queue of what will expire.
+  // A route that is no longer in force and whose entry has not expired yet.
   struct EndedRoute {
     TimePoint at;
     RouteKey key;
--- a/tests/cluster/agent/agent_fixture.hpp
+++ b/tests/cluster/agent/agent_fixture.hpp
@@ -1,4 +1,4 @@
-// An agent with scripted control nodes.
+// Fixture for tests of the agent with scripted control nodes.
 #pragma once
 
 #include <functional>
@@ -43,7 +43,7 @@
   void delay_answers(Millis delay) {
     runtime_.peers[address_] = [this, delay](const wire::Envelope& request, const ReplyCallback& reply) {
       handle(request, [this, delay, reply](const wire::Envelope& answer) {
-        delayed_.push_back(runtime_.after(delay, [reply, answer] { reply(answer); }));
+        delayed_answers_.push_back(runtime_.after(delay, [reply, answer] { reply(answer); }));
       });
     };
   }
@@ -127,7 +127,7 @@
   FakeRuntime& runtime_;
   wire::ConfigurationUpdate update_;
   std::list<Poll> polls_;
-  std::vector<std::unique_ptr<Timer>> delayed_;  // answers
+  std::vector<std::unique_ptr<Timer>> delayed_answers_;
 };
 
 inline ScriptedControl::JobHandler answer_with(wire::JobOutcome outcome, const Address& leader = {}) {
@@ -139,9 +139,9 @@
   };
 }
 
-// The answer to a call of the agent, once there is one.
+// The agent's answer to a request.
 struct AgentAnswer {
-  std::optional<wire::Envelope> answer;
+  std::optional<wire::Envelope> envelope;  // none: not answered yet
   TimePoint at;
 };
 
@@ -190,7 +190,7 @@
   std::shared_ptr<AgentAnswer> send(const wire::Envelope& request) {
     auto answer = std::make_shared<AgentAnswer>();
     agent->handle(request, [this, answer](wire::Envelope envelope) {
-      answer->answer = std::move(envelope);
+      answer->envelope = std::move(envelope);
       answer->at = runtime.now();
     });
     return answer;
@@ -217,7 +217,7 @@
 };
 
 inline wire::JobOutcome outcome_of(const std::shared_ptr<AgentAnswer>& answer) {
-  return answer->answer ? answer->answer->job_reply().outcome() : wire::JOB_OUTCOME_NONE;
+  return answer->envelope ? answer->envelope->job_reply().outcome() : wire::JOB_OUTCOME_NONE;
 }
 
 }  // namespace winchhall::cluster::testing
--- a/tests/cluster/agent/configuration_test.cpp
+++ b/tests/cluster/agent/configuration_test.cpp
@@ -1,4 +1,4 @@
-// How an agent follows the control group and serves the configuration to its ingress.
+// An agent follows the control group and serves the configuration to its ingress.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/agent/agent_fixture.hpp"
@@ -8,8 +8,9 @@
 
 namespace {
 
-std::uint64_t version_in(const std::shared_ptr<AgentAnswer>& answer) {
-  return answer->answer ? answer->answer->configuration_update().version() : 0;
+// Version of the configuration that the agent announced; 0: not answered yet.
+std::uint64_t announced_version(const std::shared_ptr<AgentAnswer>& answer) {
+  return answer->envelope ? answer->envelope->configuration_update().version() : 0;
 }
 
 }  // namespace
@@ -27,11 +28,11 @@
   runtime.run_for(Millis(1500));
   const auto poll = watch(1, Millis(2000));
   runtime.run_for(Millis(300));
-  REQUIRE_FALSE(poll->answer);
+  REQUIRE_FALSE(poll->envelope);
   set_configuration(5, {{"/a/", "first"}});
   runtime.run_for(Millis(150));
-  CHECK(version_in(poll) == 5);
-  CHECK_FALSE(poll->answer->configuration_update().configuration().empty());
+  CHECK(announced_version(poll) == 5);
+  CHECK_FALSE(poll->envelope->configuration_update().configuration().empty());
 }
 
 TEST_CASE_METHOD(AgentFixture, "a poll without a newer configuration ends after its wait") {
@@ -39,10 +40,10 @@
   runtime.run_for(Millis(1000));
   const auto poll = watch(1, Millis(2000));
   runtime.run_for(Millis(1990));
-  REQUIRE_FALSE(poll->answer);
+  REQUIRE_FALSE(poll->envelope);
   runtime.run_for(Millis(20));
-  REQUIRE(poll->answer);
-  CHECK(poll->answer->configuration_update().configuration().empty());
+  REQUIRE(poll->envelope);
+  CHECK(poll->envelope->configuration_update().configuration().empty());
 }
 
 TEST_CASE_METHOD(AgentFixture, "an ingress with a newer version gets no older configuration") {
@@ -50,8 +51,8 @@
   runtime.run_for(Millis(1000));
   const auto poll = watch(7, Millis(100));
   runtime.run_for(Millis(200));
-  REQUIRE(poll->answer);
-  CHECK(poll->answer->configuration_update().configuration().empty());
+  REQUIRE(poll->envelope);
+  CHECK(poll->envelope->configuration_update().configuration().empty());
 }
 
 TEST_CASE_METHOD(AgentFixture, "an older configuration of a lagging node changes nothing") {
@@ -89,10 +90,10 @@
     update.set_version(version);
     update.set_configuration(configuration_json(version, {{"/a/", "first"}}));
     update.set_in_touch(true);
-    wire::ShardLeader& led = *update.add_leaders();
-    led.set_shard("service/first");
-    led.set_epoch(epoch);
-    led.set_address(leader);
+    wire::ShardLeader& shard_leader = *update.add_leaders();
+    shard_leader.set_shard("service/first");
+    shard_leader.set_epoch(epoch);
+    shard_leader.set_address(leader);
     return update;
   };
   REQUIRE(view.apply_update(update(9, 5, "10.0.0.2:7000"), TimePoint()).configuration);
@@ -118,18 +119,18 @@
   start_agent();
   runtime.run_for(Millis(500));
   const auto before = watch(1, Millis(0));
-  CHECK(before->answer->configuration_update().in_touch());
+  CHECK(before->envelope->configuration_update().in_touch());
   for (auto& control : controls) control->stop();
   runtime.run_for(Millis(5000));
   CHECK_FALSE(agent->has_quorum_contact());
   const auto without_contact = watch(1, Millis(0));
-  CHECK_FALSE(without_contact->answer->configuration_update().in_touch());
+  CHECK_FALSE(without_contact->envelope->configuration_update().in_touch());
   const auto poll = watch(1, Millis(2000));
   controls[4]->start();
   runtime.run_for(Millis(1500));
   CHECK(agent->has_quorum_contact());
-  REQUIRE(poll->answer);
-  CHECK(poll->answer->configuration_update().in_touch());
+  REQUIRE(poll->envelope);
+  CHECK(poll->envelope->configuration_update().in_touch());
 }
 
 TEST_CASE_METHOD(AgentFixture, "watching three idle nodes costs about three calls a second") {
--- a/tests/cluster/agent/job_relay_test.cpp
+++ b/tests/cluster/agent/job_relay_test.cpp
@@ -1,4 +1,4 @@
-// How an agent relays job requests: a result is certain, or says that it is in doubt.
+// An agent relays job requests; each result is definite, or reported as in doubt.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/agent/agent_fixture.hpp"
@@ -8,6 +8,7 @@
 
 namespace {
 
+// An agent that has the configuration and knows the leaders.
 struct RelayFixture : AgentFixture {
   RelayFixture() {
     start_agent();
@@ -33,7 +34,7 @@
   CHECK(outcome_of(answer) == wire::JOB_OK);
 }
 
-TEST_CASE_METHOD(RelayFixture, "a redirect loop is not followed for ever") {
+TEST_CASE_METHOD(RelayFixture, "a redirect loop is not followed forever") {
   controls[0]->on_job = answer_with(wire::JOB_NOT_LEADER, address_of(2));
   controls[2]->on_job = answer_with(wire::JOB_NOT_LEADER, address_of(0));
   const auto answer = job(wire::JOB_SUBMIT);
@@ -74,7 +75,7 @@
   const auto second = job(wire::JOB_SUBMIT);
   runtime.run_for(Millis(1400));
   CHECK(outcome_of(first) == wire::JOB_IN_DOUBT);
-  REQUIRE_FALSE(second->answer);
+  REQUIRE_FALSE(second->envelope);
   set_leader("first", 2, address_of(3));
   controls[3]->on_job = answer_with(wire::JOB_OK);
   runtime.run_for(Millis(300));
@@ -85,7 +86,7 @@
   const auto answer = job(wire::JOB_SUBMIT, "unled", "queue/new/");
   runtime.run_for(Millis(2200));
   REQUIRE(outcome_of(answer) == wire::JOB_REJECTED);
-  CHECK(answer->answer->job_reply().retry_after_ms() == 500);
+  CHECK(answer->envelope->job_reply().retry_after_ms() == 500);
 }
 
 TEST_CASE_METHOD(RelayFixture, "a submit that a leader may have accepted is in doubt") {
--- a/tests/cluster/agent/reply_aggregator_test.cpp
+++ b/tests/cluster/agent/reply_aggregator_test.cpp
@@ -1,4 +1,4 @@
-// How the replies of several services become one result.
+// The replies of several services are combined into one result.
 #include "cluster/agent/reply_aggregator.hpp"
 
 #include <catch2/catch.hpp>
@@ -35,7 +35,7 @@
   CHECK(results == Outcomes{wire::JOB_OK});
 }
 
-TEST_CASE_METHOD(AggregatorFixture, "a job is not found only if every service has said so") {
+TEST_CASE_METHOD(AggregatorFixture, "a job is not found only if every service has replied so") {
   add(wire::JOB_NOT_FOUND);
   add(wire::JOB_NOT_FOUND);
   CHECK(results.empty());
--- a/tests/cluster/agent/retry_budget_test.cpp
+++ b/tests/cluster/agent/retry_budget_test.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// Empties the budget and returns the number of retries that were in it.
 unsigned acquire_all(RetryBudget& budget, TimePoint now) {
   unsigned acquired = 0;
   while (budget.try_acquire(now)) ++acquired;
@@ -15,14 +16,14 @@
 
 }  // namespace
 
-TEST_CASE("a second brings the minimum rate of retries") {
+TEST_CASE("each second allows retries at the minimum rate") {
   const TimePoint start{std::chrono::hours(1)};
   RetryBudget budget(start);
   acquire_all(budget, start);
   CHECK(acquire_all(budget, start + Millis(1000)) == 20);
 }
 
-TEST_CASE("five first attempts bring one retry") {
+TEST_CASE("five first attempts allow one retry") {
   const TimePoint start{std::chrono::hours(1)};
   RetryBudget budget(start);
   acquire_all(budget, start);
