--- a/src/cluster/delivery/compression.cpp
+++ b/src/cluster/delivery/compression.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Nearly the ratio of the default level in a third of its time.
-constexpr int kLevel = 3;
+constexpr int kCompressionLevel = 3;
 constexpr std::size_t kBufferBytes = 16u << 10;
 
 const Bytef* input_of(std::string_view text) { return reinterpret_cast<const Bytef*>(text.data()); }
@@ -20,7 +20,7 @@
   uLongf size = compressBound(static_cast<uLong>(text.size()));
   std::string bytes(size, '\0');
   compress2(reinterpret_cast<Bytef*>(bytes.data()), &size, input_of(text), static_cast<uLong>(text.size()),
-            kLevel);
+            kCompressionLevel);
   bytes.resize(size);
   return bytes;
 }
--- a/src/cluster/delivery/configuration_fetcher.cpp
+++ b/src/cluster/delivery/configuration_fetcher.cpp
@@ -14,14 +14,14 @@
 constexpr std::uint32_t kInitialPartBytes = 8u << 10;
 constexpr std::uint32_t kMinPartBytes = 2u << 10;
 constexpr std::uint32_t kMaxPartBytes = 128u << 10;
-// A part's size is adjusted until it takes between these times, so that it does not delay other calls on the
-// link for longer.
+// The size of the parts is adjusted so that a part takes between these two times, and delays other calls on
+// the same link no longer than that.
 constexpr Millis kFastPart{40};
 constexpr Millis kSlowPart{120};
 constexpr Millis kPartTimeout{1200};
 constexpr Millis kRetryDelayAfterFailure{50};
 constexpr Millis kRetryDelayAfterRejection{1000};
-// Limit on the size of a transfer, against peers that claim too much.
+// Limit on the size of a transfer, as a protection against peers that announce an excessive size.
 constexpr std::uint32_t kMaxTransferBytes = 32u << 20;
 
 }  // namespace
@@ -95,7 +95,7 @@
   }
   failed_.erase(peer);
   const wire::ConfigurationPart& part = result.answer->configuration_part();
-  // A transfer's last part may be short, which says nothing about the link.
+  // The last part of a transfer may be short, so its duration says nothing about the speed of the link.
   const bool is_full_size = part.bytes().size() >= part_bytes_;
   if (is_full_size) adjust_part_bytes(std::chrono::duration_cast<Millis>(runtime_.now() - sent));
   receive_part(peer, part);
--- a/src/cluster/delivery/configuration_fetcher.hpp
+++ b/src/cluster/delivery/configuration_fetcher.hpp
@@ -1,6 +1,4 @@
-// Fetches newer configurations from peers: one part at a time from one peer, with parts sized by how fast
-// they arrive. A failed request is retried with another peer where possible, and an interrupted transfer is
-// resumed at the offset reached.
+// Fetching of newer configurations from peers.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +13,11 @@
 
 namespace winchhall::cluster {
 
-// Runs on the thread of its runtime.
+// Brings a replica to the newest version that a peer has announced. Requests one part at a time from one
+// peer; the size of the parts is adapted to the speed at which they arrive. A failed request is retried with
+// another peer where possible, and an interrupted transfer is resumed at the offset reached.
+//
+// Owns the transfer in progress. Runs on the thread of its runtime.
 class ConfigurationFetcher {
  public:
   // Called after each difference that the replica has applied.
@@ -24,29 +26,31 @@
   // `runtime` and `replica` must outlive the fetcher.
   ConfigurationFetcher(Runtime& runtime, ConfigurationReplica& replica, OnApplied on_applied);
 
-  // A peer has announced that it has this version. Fetches from it if the version is newer than the
+  // Records that a peer has announced this version, and fetches from it if the version is newer than the
   // replica's.
   void on_version_announced(const Address& peer, std::uint64_t version);
-  // No further requests go to this peer until it announces a version again.
+  // Sends no further requests to this peer until it announces a version again.
   void remove_peer(const Address& peer) { announced_versions_.erase(peer); }
   // The version that the peer announced last; 0 if none.
   std::uint64_t announced_version(const Address& peer) const;
 
  private:
-  // The transfer in progress.
+  // The part of a transfer that has been received.
   struct Transfer {
     std::uint64_t digest = 0;  // identifies it; 0: none
-    std::uint32_t size = 0;
-    std::string bytes;  // received so far
+    std::uint32_t size = 0;    // of the complete transfer, in bytes
+    std::string bytes;         // received so far
   };
 
   void request_part();
   void request_part_after(Millis delay);
-  // A peer with a newer version than the replica's; empty if none. Preferred is the peer of the last request,
-  // then the peer with the newest version; peers whose last request failed come last.
+  // Chooses a peer with a newer version than the replica's; empty if there is none. The peer of the last
+  // request is preferred, then the peer with the newest version. Peers in `failed_` are chosen only if there
+  // is no other.
   Address choose_peer() const;
   Address newest_peer(bool include_failed) const;
   void on_response(const Address& peer, TimePoint sent, const CallResult& result);
+  // Adapts the size of the next parts to the time that a full-size part took.
   void adjust_part_bytes(Millis duration);
   void receive_part(const Address& peer, const wire::ConfigurationPart& part);
   void finish_transfer(const Address& peer);
--- a/src/cluster/delivery/configuration_item_table.cpp
+++ b/src/cluster/delivery/configuration_item_table.cpp
@@ -73,7 +73,7 @@
   erase_old_tombstones();
 }
 
-// Every remaining past version is at least as new as these removals, so no difference needs them any more.
+// These removals are not newer than any remaining past version, so no difference needs them any more.
 void ConfigurationItemTable::erase_old_tombstones() {
   auto& by_change = entries_.get<ByChange>();
   const auto end = by_change.upper_bound(past_versions_.front().version);
--- a/src/cluster/delivery/configuration_item_table.hpp
+++ b/src/cluster/delivery/configuration_item_table.hpp
@@ -1,5 +1,4 @@
-// The encoded items of a process's current configuration version, and which of them changed since the
-// versions before it. Makes, checks and applies differences, in time proportional to the items that change.
+// Table of a configuration's encoded items, from which differences between versions are made.
 #pragma once
 
 #include <boost/multi_index/composite_key.hpp>
@@ -29,15 +28,18 @@
 // Whether a difference can be applied, and if not, why.
 enum class DifferenceCheck {
   applicable,
-  other_base,    // made for another version than the current one
-  not_newer,     // would bring back an older version
-  wrong_digest,  // the resulting items are not those of its version
+  other_base,    // made for another base than the current version
+  not_newer,     // its version is not newer than the current one
+  wrong_digest,  // the resulting items do not have the digest of its version
 };
 
-// Not thread-safe.
+// Holds the encoded items of a process's current configuration version and, for each item, the version that
+// changed it last. Makes, checks and applies differences, in time proportional to the number of items that
+// change. Owns its items. Not thread-safe.
 class ConfigurationItemTable {
  public:
-  // Past versions that differences can be made for; processes with an older one get the full configuration.
+  // Number of past versions from which differences can be made. Processes with an older version get the full
+  // configuration.
   static constexpr std::size_t kMaxPastVersions = 1024;
 
   // The current version.
@@ -69,6 +71,7 @@
     std::uint64_t changed_at = 0;  // version that last upserted or removed the item
     std::uint64_t digest = 0;      // 0: removed
   };
+  // Tags of the two indexes: by kind and name, and by `changed_at`.
   struct ByKey {};
   struct ByChange {};
   using KeyOfEntry = boost::multi_index::composite_key<
@@ -85,8 +88,10 @@
   const Entry* find(const wire::ConfigurationItem& item) const;
   // The digest of all items once the difference is applied.
   std::uint64_t digest_after(const wire::ConfigurationDifference& difference) const;
+  // The upserts and removals that turn the current items into exactly `items`.
   std::vector<wire::ConfigurationItem> changes_to_items(std::vector<wire::ConfigurationItem> items) const;
   void put(const wire::ConfigurationItem& item, std::uint64_t version);
+  // Makes `id` the current version and forgets the oldest past version above the limit.
   void record_version(const ConfigurationId& id);
   void erase_old_tombstones();
   static void append_item(const Entry& entry, wire::ConfigurationDifference& difference);
--- a/src/cluster/delivery/configuration_replica.hpp
+++ b/src/cluster/delivery/configuration_replica.hpp
@@ -1,5 +1,4 @@
-// A process's replica of the configuration, in two forms: encoded items, to be served to other processes, and
-// values, to be used. Differences bring it from version to version; it never returns to an older version.
+// A process's replica of the configuration.
 #pragma once
 
 #include <string>
@@ -11,19 +10,22 @@
 
 namespace winchhall::cluster {
 
+// What became of a received configuration or difference.
 enum class ApplyOutcome {
   applied,
   stale,     // not newer than the replica's version
   rejected,  // made for another base version, damaged or invalid: the full configuration is needed
 };
 
-// Not thread-safe.
+// Owns the configuration in two forms: encoded items, which are served to other processes, and values, which
+// this process uses. Differences bring it from version to version; it never returns to an older version. Not
+// thread-safe.
 class ConfigurationReplica {
  public:
   // Applies a difference completely or not at all.
   ApplyOutcome apply(const wire::ConfigurationDifference& difference);
   // Applies a full configuration in JSON, as sent by processes that serve no differences. `source` names the
-  // message in errors.
+  // origin of the text in errors.
   ApplyOutcome apply_json(const std::string& json, const char* source);
 
   // 0 before the first version.
--- a/src/cluster/delivery/transfer_encoding.hpp
+++ b/src/cluster/delivery/transfer_encoding.hpp
@@ -1,5 +1,5 @@
-// The byte sequence as which a configuration difference is transferred: serialized, compressed, and
-// identified by a digest.
+// Encoding of a configuration difference for its transfer: serialized, compressed, and identified by a
+// digest.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,13 @@
 
 namespace winchhall::cluster {
 
+// Serializes and compresses a difference.
 std::string encode_transfer(const wire::ConfigurationDifference& difference);
-// None: the bytes are not a valid transfer.
+// Reverses encode_transfer. None if the bytes are not a valid transfer.
 std::optional<wire::ConfigurationDifference> decode_transfer(const std::string& bytes);
 
-// Identifies a transfer and detects parts that were mixed up; no protection against forgery.
+// Digest of an encoded transfer: identifies it and detects parts of different transfers that were combined.
+// It is no protection against forgery.
 std::uint64_t transfer_digest(const std::string& bytes);
 
 }  // namespace winchhall::cluster
--- a/tests/cluster/delivery/delivery_fixture.hpp
+++ b/tests/cluster/delivery/delivery_fixture.hpp
@@ -1,4 +1,4 @@
-// What tests of the delivery share: configurations of many routes, and processes that serve them.
+// Fixtures for tests of configuration delivery: configurations of many routes, and processes that serve them.
 #pragma once
 
 #include <map>
@@ -14,6 +14,8 @@
 
 namespace winchhall::cluster::testing {
 
+// A route of the host jobs.example to the service "first"; its path is /`prefix`/, or /`name`/ without a
+// prefix.
 inline Route route_named(const std::string& name, std::uint32_t timeout_ms, const std::string& prefix = {}) {
   Route route;
   route.name = name;
@@ -24,8 +26,8 @@
   return route;
 }
 
-// The configuration that the operator edits.
-struct OperatorsConfiguration {
+// The configuration as the operator edits it: its version and routes. It has one service, "first".
+struct OperatorConfiguration {
   std::uint64_t version = 0;
   std::map<std::string, Route> routes;
 
@@ -46,12 +48,12 @@
   }
 };
 
-// A process that has the configuration and serves it.
+// A process that holds the configuration and serves it.
 struct ConfigurationSource {
   ConfigurationItemTable table;
   ConfigurationTransferServer server{table};
 
-  void apply(const OperatorsConfiguration& configuration) {
+  void apply(const OperatorConfiguration& configuration) {
     table.apply(
         table.difference_to_items(configuration.version, items_of(configuration.make_configuration())));
   }
@@ -64,7 +66,7 @@
 };
 
 // True if the replica has exactly these routes and finds each of them by its path.
-inline bool equals(const ConfigurationReplica& replica, const OperatorsConfiguration& expected) {
+inline bool equals(const ConfigurationReplica& replica, const OperatorConfiguration& expected) {
   const Configuration* const configuration = replica.configuration();
   if (configuration == nullptr || configuration->version != expected.version) return false;
   if (configuration->routes.size() != expected.routes.size()) return false;
--- a/tests/cluster/delivery/fetch_test.cpp
+++ b/tests/cluster/delivery/fetch_test.cpp
@@ -12,11 +12,11 @@
 
 constexpr Millis kMaxWait{60000};
 
-// Sources behind a shared link, and one process that fetches from them.
+// Sources that share one link of limited bandwidth, and a process that fetches from them.
 struct FetchFixture {
   FakeRuntime runtime;
-  OperatorsConfiguration operators;
-  std::map<std::uint64_t, OperatorsConfiguration> history;
+  OperatorConfiguration operator_configuration;
+  std::map<std::uint64_t, OperatorConfiguration> history;
   std::map<Address, std::unique_ptr<ConfigurationSource>> sources;
   std::map<Address, bool> partitioned;
   std::uint64_t bytes_sent = 0;
@@ -45,25 +45,27 @@
     const auto wait = std::chrono::duration_cast<Millis>(link_free_at - runtime.now());
     replies_in_flight.push_back(runtime.after(wait, [reply, answer = std::move(answer)] { reply(answer); }));
   }
-  // The operator's configuration becomes the next version of these sources.
-  void publish(const std::vector<Address>& by) {
-    ++operators.version;
-    history[operators.version] = operators;
-    for (const Address& address : by) sources[address]->apply(operators);
+  // The operator's configuration becomes the next version of these peers.
+  void publish(const std::vector<Address>& peers) {
+    ++operator_configuration.version;
+    history[operator_configuration.version] = operator_configuration;
+    for (const Address& address : peers) sources[address]->apply(operator_configuration);
   }
-  void announce(const std::vector<Address>& by) {
-    for (const Address& address : by) {
+  void announce(const std::vector<Address>& peers) {
+    for (const Address& address : peers) {
       fetcher.on_version_announced(address, sources[address]->table.id().version);
     }
   }
+  // Checks that versions only increase and that the replica equals the version that it has applied.
   void record_applied() {
     REQUIRE((applied.empty() || applied.back() < replica.version()));
     REQUIRE(equals(replica, history.at(replica.version())));
     applied.push_back(replica.version());
   }
+  // Runs until the replica has the newest version, for kMaxWait at most, and returns the time that it took.
   Millis time_to_newest() {
     const TimePoint start = runtime.now();
-    while (replica.version() != operators.version && runtime.now() - start < kMaxWait) {
+    while (replica.version() != operator_configuration.version && runtime.now() - start < kMaxWait) {
       runtime.run_for(Millis(10));
     }
     return std::chrono::duration_cast<Millis>(runtime.now() - start);
@@ -88,7 +90,7 @@
   return route;
 }
 
-// A random change of the operator, or a random fault.
+// A random change of the configuration, or a random fault.
 void apply_random_event(FetchFixture& fixture, const std::vector<Address>& all) {
   FakeRuntime& runtime = fixture.runtime;
   const Address& peer = all[runtime.random() % all.size()];
@@ -97,11 +99,11 @@
       fixture.partitioned[peer] = !fixture.partitioned[peer];
       break;
     case 1:
-      fixture.operators.routes.erase("r-" + std::to_string(runtime.random() % 400));
+      fixture.operator_configuration.routes.erase("r-" + std::to_string(runtime.random() % 400));
       fixture.publish({peer});
       break;
     case 2:
-      fixture.operators.add_routes(runtime.random() % 400);
+      fixture.operator_configuration.add_routes(runtime.random() % 400);
       fixture.publish(all);
       break;
     case 3:
@@ -109,11 +111,12 @@
       break;
     case 4:  // a restart without state, with the newest version only
       fixture.sources[peer] = std::make_unique<ConfigurationSource>();
-      fixture.sources[peer]->apply(fixture.operators);
+      fixture.sources[peer]->apply(fixture.operator_configuration);
       break;
     default:
-      fixture.operators.put(route_named("r-" + std::to_string(runtime.random() % 400),
-                                        static_cast<std::uint32_t>(1 + runtime.random() % 9000)));
+      fixture.operator_configuration.put(
+          route_named("r-" + std::to_string(runtime.random() % 400),
+                      static_cast<std::uint32_t>(1 + runtime.random() % 9000)));
       fixture.publish({peer});
       break;
   }
@@ -124,7 +127,7 @@
 TEST_CASE_METHOD(FetchFixture, "3,000 similar routes are fetched over 1.5 Mbit/s within 2.5 s") {
   bytes_per_second = 187'500;
   add_source("one");
-  operators.add_routes(3000);
+  operator_configuration.add_routes(3000);
   publish({"one"});
   announce({"one"});
   CHECK(time_to_newest() <= Millis(2500));
@@ -135,11 +138,11 @@
   bytes_per_second = 187'500;
   add_source("one");
   std::mt19937 random(1);
-  for (std::size_t number = 0; number < kRoutes; ++number) operators.put(random_route(random));
+  for (std::size_t number = 0; number < kRoutes; ++number) operator_configuration.put(random_route(random));
   publish({"one"});
   announce({"one"});
   const Millis duration = time_to_newest();
-  CHECK(equals(replica, operators));
+  CHECK(equals(replica, operator_configuration));
   CHECK(duration <= Millis(2500));
   // The routes were in fact hard to compress, and little time was lost between the parts.
   CHECK(bytes_sent > kRoutes * 30);
@@ -150,12 +153,12 @@
   const auto bytes_of_a_change = [](std::size_t routes) {
     FetchFixture fixture;
     fixture.add_source("one");
-    fixture.operators.add_routes(routes);
+    fixture.operator_configuration.add_routes(routes);
     fixture.publish({"one"});
     fixture.announce({"one"});
     fixture.time_to_newest();
     fixture.bytes_sent = 0;
-    fixture.operators.put(route_named("r-7", 1));
+    fixture.operator_configuration.put(route_named("r-7", 1));
     fixture.publish({"one"});
     fixture.announce({"one"});
     fixture.time_to_newest();
@@ -169,12 +172,12 @@
 TEST_CASE_METHOD(FetchFixture, "with 3,000 routes and 6 changes per second, each is applied within 0.3 s") {
   bytes_per_second = 187'500;
   add_source("one");
-  operators.add_routes(3000);
+  operator_configuration.add_routes(3000);
   publish({"one"});
   announce({"one"});
   time_to_newest();
   for (std::uint32_t change = 0; change < 60; ++change) {
-    operators.put(route_named("r-" + std::to_string(change * 37), change + 1));
+    operator_configuration.put(route_named("r-" + std::to_string(change * 37), change + 1));
     publish({"one"});
     announce({"one"});
     CHECK(time_to_newest() <= Millis(300));
@@ -184,7 +187,7 @@
 
 TEST_CASE_METHOD(FetchFixture, "an interrupted transfer is resumed at the offset reached") {
   add_source("one");
-  operators.add_routes(20'000);
+  operator_configuration.add_routes(20'000);
   publish({"one"});
   announce({"one"});
   runtime.run_for(Millis(400));
@@ -197,7 +200,7 @@
   time_to_newest();
   CHECK(replica.version() == 1);
   ConfigurationSource complete_source;
-  complete_source.apply(operators);
+  complete_source.apply(operator_configuration);
   wire::ConfigurationFetch fetch_full;
   fetch_full.set_most_bytes(1);
   const std::uint64_t size = complete_source.fetch(fetch_full).size();
@@ -207,20 +210,20 @@
 TEST_CASE_METHOD(FetchFixture, "a peer that restarts during a transfer starts a new one at once") {
   bytes_per_second = 100'000;
   add_source("one");
-  operators.add_routes(20'000);
+  operator_configuration.add_routes(20'000);
   publish({"one"});
   announce({"one"});
   runtime.run_for(Millis(400));
   REQUIRE(replica.version() == 0);
   sources["one"] = std::make_unique<ConfigurationSource>();
-  operators.put(route_named("r-7", 7));
+  operator_configuration.put(route_named("r-7", 7));
   publish({"one"});
   announce({"one"});
   const Millis with_restart = time_to_newest();
   FetchFixture undisturbed;
   undisturbed.bytes_per_second = bytes_per_second;
   undisturbed.add_source("one");
-  undisturbed.operators = operators;
+  undisturbed.operator_configuration = operator_configuration;
   undisturbed.publish({"one"});
   undisturbed.announce({"one"});
   CHECK(with_restart <= undisturbed.time_to_newest() + Millis(300));
@@ -229,7 +232,7 @@
 TEST_CASE_METHOD(FetchFixture, "the transfer moves to another peer if one stops responding") {
   add_source("one");
   add_source("two");
-  operators.add_routes(3000);
+  operator_configuration.add_routes(3000);
   publish({"one", "two"});
   partitioned["one"] = true;
   fetcher.on_version_announced("one", 1);
@@ -241,11 +244,11 @@
 TEST_CASE_METHOD(FetchFixture, "a peer that missed versions serves the full configuration") {
   add_source("one");
   add_source("behind");
-  operators.add_routes(50);
+  operator_configuration.add_routes(50);
   publish({"one"});
   announce({"one"});
   time_to_newest();
-  operators.put(route_named("r-7", 7));
+  operator_configuration.put(route_named("r-7", 7));
   publish({"behind"});
   partitioned["one"] = true;
   announce({"behind"});
@@ -278,7 +281,7 @@
     for (unsigned skip = 0; skip < seed; ++skip) runtime.random();
     const std::vector<Address> all{"one", "two", "three"};
     for (const Address& address : all) fixture.add_source(address);
-    fixture.operators.add_routes(400);
+    fixture.operator_configuration.add_routes(400);
     fixture.publish(all);
     for (unsigned step = 0; step < 120; ++step) {
       apply_random_event(fixture, all);
