--- a/src/cluster/ingress/configuration_subscription.cpp
+++ b/src/cluster/ingress/configuration_subscription.cpp
@@ -10,9 +10,10 @@
 constexpr Millis kCallTimeout{1500};
 constexpr Millis kPollDelay{50};
 constexpr Millis kInvalidConfigurationDelay{1000};
-// Responses without an update that arrive faster than this are followed by a delay, so that an agent which
-// doesn't hold long polls is not polled in a tight loop.
+// A response without an update that arrives faster than this is followed by a delay, so that an agent which
+// does not hold long polls is not polled in a tight loop.
 constexpr Millis kFastResponse{20};
+// The ingress counts as disconnected if the agent has not responded for this long.
 constexpr Millis kAgentTimeout{3000};
 
 constexpr char kAgentSource[] = "agent";
--- a/src/cluster/ingress/configuration_subscription.hpp
+++ b/src/cluster/ingress/configuration_subscription.hpp
@@ -10,8 +10,8 @@
 
 namespace winchhall::cluster {
 
-// Keeps the newest configuration that the agent has announced. The version never decreases, whatever a
-// restarted agent announces.
+// Keeps the newest configuration that the agent has announced. The version never decreases, even if a
+// restarted agent announces an older one. Owns the replica of the configuration. Not thread-safe.
 class ConfigurationSubscription {
  public:
   using UpdateCallback = std::function<void(const Configuration&)>;
@@ -22,9 +22,10 @@
 
   // Starts polling.
   void start();
-  // Null before the first configuration. Valid until the next turn of the event loop.
+  // Null before the first configuration. Valid until the next iteration of the event loop.
   const Configuration* current() const { return replica_.configuration(); }
-  // Whether the agent has responded recently, and then was in contact with a quorum of the control group.
+  // Whether the agent has responded recently, and was in contact with a quorum of the control group at that
+  // time.
   bool is_connected() const;
 
  private:
@@ -33,7 +34,7 @@
   void on_response(const CallResult& result, TimePoint sent_at);
   // Returns the delay before the next poll.
   Millis process_update(const wire::ConfigurationUpdate& update, TimePoint sent_at);
-  // False: the configuration is not usable.
+  // Returns false if the configuration is invalid.
   bool apply(const wire::ConfigurationUpdate& update);
   void on_applied();
 
--- a/src/cluster/ingress/ingress.cpp
+++ b/src/cluster/ingress/ingress.cpp
@@ -13,9 +13,9 @@
 constexpr Millis kDrainCheckInterval{50};
 // Part of the grace period that is reserved for the end of the process.
 constexpr Millis kExitReserve{1000};
-// Time before that for writing the last responses.
+// Time before kExitReserve that is reserved for writing the last responses.
 constexpr Millis kLastResponsesReserve{300};
-// All probes come from one client.
+// Limit for the readiness server, whose probes all come from one client.
 constexpr std::size_t kMaxProbeConnections = 64;
 
 }  // namespace
--- a/src/cluster/ingress/ingress.hpp
+++ b/src/cluster/ingress/ingress.hpp
@@ -13,18 +13,20 @@
 
 namespace winchhall::cluster {
 
-// Runs on one event loop; not thread-safe.
+// Serves job requests and readiness probes of one process. Owns both HTTP servers, the subscription to the
+// configuration and the job gateway. Runs on one event loop; not thread-safe.
 class Ingress {
  public:
   // Uses these settings: front, ready, the internal ports (agent_listener_address), commands and the grace
   // period. `runtime` runs on `loop`; both must outlive the ingress.
   Ingress(Runtime& runtime, const NodeSettings& settings, boost::asio::io_context& loop);
 
-  // Starts listening. Throws boost::system::system_error if an address can't be listened on.
+  // Starts listening. Throws boost::system::system_error if it cannot listen on an address.
   void start();
 
   // Graceful shutdown. Readiness fails at once, requests are served until the platform has noticed, then the
-  // connections are drained. `done` is called once nothing is open, or shortly before the grace period ends.
+  // connections are drained. `done` is called once no connection and no call is open, or shortly before the
+  // grace period ends. Further calls have no effect.
   void shut_down(std::function<void()> done);
 
   // Ports that are listened on, after `start`.
@@ -41,6 +43,8 @@
  private:
   void on_probe(const HttpRequest& request, const HttpReplyCallback& reply) const;
   void start_drain();
+  // Finishes the shutdown once no connection and no call is open or the deadline is reached; else checks
+  // again later.
   void check_drained();
   void finish();
 
--- a/src/cluster/ingress/job_gateway.cpp
+++ b/src/cluster/ingress/job_gateway.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-// Part of the client's waiting time that is reserved for the way of the response.
+// Part of the time that the client waits which is reserved for the transmission of the response.
 constexpr Millis kResponseReserve{100};
 constexpr Millis kMinTimeout{200};
-// Part of an attempt's time that is withheld from the agent, so that its reply arrives before the attempt
+// Part of the remaining time that is not given to the agent, so that its reply arrives before the attempt
 // times out.
 constexpr Millis kAgentReserve{50};
 constexpr Millis kCountTimeout{300};
-// An attempt without a reply is repeated, because a restarted agent doesn't know of it. The job's ID makes
-// that safe.
+// Time after which an attempt without a reply is repeated, because a restarted agent does not know of it.
+// Repeating is safe because requests are idempotent by the job's ID.
 constexpr Millis kAttemptTimeout{1400};
 constexpr Millis kRetryDelay{50};
 constexpr Millis kRetryAfterWithoutConfiguration{1000};
@@ -53,7 +53,7 @@
   }
 }
 
-// The job in the request's body. Empty if it is invalid, which has then been reported with `reply`.
+// Parses the job in the request's body. If it is invalid, replies with an error and returns none.
 std::optional<wire::JobSpec> parse_job_or_reject(const HttpRequest& request, const HttpReplyCallback& reply) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::optional<wire::JobSpec>> {
@@ -115,15 +115,15 @@
   const auto found = calls_.find(call_number);
   if (found == calls_.end()) return;
   PendingCall& call = found->second;
-  const auto left = std::chrono::duration_cast<Millis>(call.deadline - runtime_.now());
-  if (left <= Millis::zero()) return finish(call_number, unknown_outcome_reply());
+  const auto time_left = std::chrono::duration_cast<Millis>(call.deadline - runtime_.now());
+  if (time_left <= Millis::zero()) return finish(call_number, unknown_outcome_reply());
   if (++call.attempts == 2) call.second_attempt_at = runtime_.now();
-  const Millis agent_time = std::max({left - kAgentReserve, left / 2, Millis(1)});
+  const Millis agent_time = std::max({time_left - kAgentReserve, time_left / 2, Millis(1)});
   wire::Envelope envelope;
   *envelope.mutable_job_request() = call.request;
   envelope.mutable_job_request()->set_deadline_ms(static_cast<std::uint32_t>(agent_time.count()));
   // If too little time would be left for another attempt, this one gets all of it.
-  const Millis timeout = left < kAttemptTimeout + kMinTimeout ? left : kAttemptTimeout;
+  const Millis timeout = time_left < kAttemptTimeout + kMinTimeout ? time_left : kAttemptTimeout;
   runtime_.call(agent_, std::move(envelope), timeout,
                 [this, call_number](const CallResult& result) { on_result(call_number, result); });
 }
@@ -150,7 +150,7 @@
   call.reply(make_job_response(verb, reply));
 }
 
-// An agent that was restarted after the first attempt doesn't know of it, and that attempt may have been
+// An agent that was restarted after the first attempt does not know of it, and that attempt may have been
 // accepted. An agent that has been processing the request since before the second attempt knows of all
 // attempts.
 bool JobGateway::is_outcome_unknown(const PendingCall& call, const wire::JobReply& reply) const {
--- a/src/cluster/ingress/job_gateway.hpp
+++ b/src/cluster/ingress/job_gateway.hpp
@@ -16,15 +16,17 @@
 
 // Resolves each request to a queue, lets the agent call the service's leader, and translates the outcome into
 // an HTTP response. Every request gets a response, at its deadline at the latest. Requests are idempotent by
-// the job's ID, so an attempt that the agent doesn't answer is repeated.
+// the job's ID, so an attempt that the agent does not answer is repeated. Owns the pending calls. Not
+// thread-safe.
 class JobGateway {
  public:
   // `agent`: the agent's RPC listener. The runtime must outlive the gateway.
   JobGateway(Runtime& runtime, Address agent);
 
-  // `configuration`: the current one; null: none yet.
+  // Handles a client's request. `reply` is called exactly once, possibly before this function returns.
+  // `configuration`: the current one; null if there is none yet.
   void handle(const Configuration* configuration, const HttpRequest& request, HttpReplyCallback reply);
-  // Responds to all pending requests at once, as with an unknown outcome.
+  // Responds to all pending requests at once, as if their outcomes were unknown.
   void fail_all_pending();
   std::size_t pending_calls() const { return calls_.size(); }
 
--- a/src/cluster/ingress/job_json.cpp
+++ b/src/cluster/ingress/job_json.cpp
@@ -24,7 +24,7 @@
   return leaf::new_error(InvalidInput{"job", std::move(field), std::move(value), std::move(allowed)});
 }
 
-// The value as an integer that is not negative, also if written as 12.0; empty for anything else.
+// The value as a non-negative integer, also if it is written as 12.0; none for any other value.
 std::optional<std::uint64_t> to_unsigned(const json::value& value) {
   if (const auto* integer = value.if_int64(); integer != nullptr && *integer >= 0) {
     return static_cast<std::uint64_t>(*integer);
@@ -36,8 +36,8 @@
   return std::nullopt;
 }
 
-// Typed access to the fields of one JSON object. `path`: of the object in the body, for errors. All functions
-// return InvalidInput for a field of the wrong type or range.
+// Typed access to the fields of one JSON object. `path` is the position of the object in the body, for error
+// reports. All functions return InvalidInput for a field of the wrong type or range.
 class ObjectReader {
  public:
   ObjectReader(const json::object& object, std::string path) : object_(object), path_(std::move(path)) {}
--- a/src/cluster/ingress/job_json.hpp
+++ b/src/cluster/ingress/job_json.hpp
@@ -8,7 +8,7 @@
 
 namespace winchhall::cluster {
 
-// Maximum length of `spec` and other texts of a job, in bytes.
+// Maximum length of `spec` and of the other strings of a job, in bytes.
 inline constexpr std::size_t kMaxSpecBytes = 4000;
 // Number of digits of a job's ID.
 inline constexpr std::size_t kJobIdDigits = 16;
--- a/src/cluster/ingress/queue_count_cache.hpp
+++ b/src/cluster/ingress/queue_count_cache.hpp
@@ -10,10 +10,12 @@
 
 namespace winchhall::cluster {
 
-// Lets a count be answered while the service's leader is unreachable. A client may be given a count that is
-// at most two seconds old; entries are valid for less, to leave time for the way to the client.
+// Answers counts while the service's leader is unreachable. A count may be at most two seconds old when it
+// reaches the client, so entries are valid for a shorter time, which leaves time for the transmission. Not
+// thread-safe.
 class QueueCountCache {
  public:
+  // Stores the number of pending jobs that a leader has reported for a queue.
   void record(const std::string& queue, std::uint32_t pending, TimePoint now);
   // Empty if no count is known or the last one is too old.
   std::optional<std::uint32_t> find(const std::string& queue, TimePoint now) const;
--- a/src/cluster/ingress/request_target.cpp
+++ b/src/cluster/ingress/request_target.cpp
@@ -49,11 +49,11 @@
   return method == http::verb::get || method == http::verb::post || method == http::verb::delete_;
 }
 
-// Error for a path under a queue that is not a job ID. A deeper path may belong to a queue that is not
-// configured (any more).
-TargetError error_of_path_rest(http::verb method, std::string_view rest) {
-  const bool deeper = rest.find('/') != std::string_view::npos;
-  return deeper || method == http::verb::get ? TargetError::no_such_queue : TargetError::malformed;
+// Error for a path whose part after the queue's prefix is not a job ID. A suffix with further slashes may
+// belong to a queue that is not, or no longer, configured.
+TargetError invalid_suffix_error(http::verb method, std::string_view suffix) {
+  const bool has_slash = suffix.find('/') != std::string_view::npos;
+  return has_slash || method == http::verb::get ? TargetError::no_such_queue : TargetError::malformed;
 }
 
 }  // namespace
@@ -70,14 +70,14 @@
     target.error = TargetError::wrong_method;
     return target;
   }
-  const std::string_view rest = path.substr(target.route->path_prefix.size());
-  if (!rest.empty() && !is_job_id(rest)) {
-    target.error = error_of_path_rest(request.method(), rest);
+  const std::string_view suffix = path.substr(target.route->path_prefix.size());
+  if (!suffix.empty() && !is_job_id(suffix)) {
+    target.error = invalid_suffix_error(request.method(), suffix);
     return target;
   }
-  target.verb = verb_of(request.method(), !rest.empty());
+  target.verb = verb_of(request.method(), !suffix.empty());
   if (target.verb == wire::JOB_VERB_NONE) target.error = TargetError::wrong_method;
-  target.id = std::string(rest);
+  target.id = std::string(suffix);
   return target;
 }
 
--- a/src/cluster/ingress/request_target.hpp
+++ b/src/cluster/ingress/request_target.hpp
@@ -10,6 +10,7 @@
 
 namespace winchhall::cluster {
 
+// Why a request could not be resolved.
 enum class TargetError {
   none,
   no_such_queue,  // no route matches
@@ -17,6 +18,7 @@
   wrong_method    // the method is not supported for this path
 };
 
+// The operation that a request asks for, and the queue and the job that it refers to.
 struct RequestTarget {
   TargetError error = TargetError::none;
   const Route* route = nullptr;  // points into the configuration that was searched
--- a/tests/cluster/ingress/configuration_subscription_test.cpp
+++ b/tests/cluster/ingress/configuration_subscription_test.cpp
@@ -1,4 +1,4 @@
-// The configuration of an ingress, as its agent delivers it.
+// An ingress gets its configuration from its agent by long polls.
 #include "cluster/ingress/configuration_subscription.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,6 +12,7 @@
 
 constexpr char kAgent[] = "127.0.0.1:7381";
 
+// A subscription to an agent that offers version 3.
 struct SubscriptionFixture {
   FakeRuntime runtime;
   std::vector<std::uint64_t> updates;
--- a/tests/cluster/ingress/job_gateway_test.cpp
+++ b/tests/cluster/ingress/job_gateway_test.cpp
@@ -1,4 +1,4 @@
-// Job requests of clients: forwarding to the agent, retries and HTTP responses.
+// Clients' job requests: forwarding to the agent, retries and HTTP responses.
 #include "cluster/ingress/job_gateway.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,6 +16,7 @@
 constexpr char kJobPath[] = "/a/5c0e7a21d94b36f8";
 constexpr char kJobBody[] = R"({"spec":"s","stages":[{"count":1}]})";
 
+// The response that a client has received.
 struct ClientResponse {
   unsigned status = 0;  // 0: no response yet
   std::string body;
@@ -23,6 +24,7 @@
   TimePoint at;
 };
 
+// A gateway with two queues: /a/ of the service "first" and /a/deep/ of the service "second".
 struct JobGatewayFixture {
   FakeRuntime runtime;
   JobGateway gateway{runtime, kAgent};
@@ -197,15 +199,15 @@
   agent_never_replies();
   const auto short_wait = submit("1000");
   const auto long_wait = submit("60000");
-  const auto unsaid = submit();
-  const auto tiny = submit("10");
+  const auto without_header = submit();
+  const auto tiny_wait = submit("10");
   runtime.run_for(Millis(10000));
   CHECK(short_wait->status == 504);
   CHECK(response_time(short_wait) == Millis(900));
   CHECK(long_wait->status == 504);
   CHECK(response_time(long_wait) == Millis(2900));
-  CHECK(response_time(unsaid) == Millis(2900));
-  CHECK(response_time(tiny) == Millis(200));
+  CHECK(response_time(without_header) == Millis(2900));
+  CHECK(response_time(tiny_wait) == Millis(200));
   CHECK(requests[0].deadline_ms() < 900);
 }
 
--- a/tests/cluster/ingress/shutdown_test.cpp
+++ b/tests/cluster/ingress/shutdown_test.cpp
@@ -16,6 +16,7 @@
 
 using Client = LoopbackClient;
 
+// An ingress whose sockets are real and whose timers and agent are simulated.
 struct IngressFixture {
   FakeRuntime runtime;
   asio::io_context loop;
@@ -25,7 +26,9 @@
   std::optional<TimePoint> done_at;
 
   IngressFixture() : IngressFixture(make_settings()) {}
-  explicit IngressFixture(NodeSettings used) : settings(std::move(used)) { ingress.start(); }
+  explicit IngressFixture(NodeSettings node_settings) : settings(std::move(node_settings)) {
+    ingress.start();
+  }
 
   static NodeSettings make_settings() {
     NodeSettings settings;
@@ -66,6 +69,7 @@
     while (loop.poll() > 0) {
     }
   }
+  // Serves the sockets until the condition holds, for five seconds of real time at most.
   template <typename Condition>
   bool serve_until(Condition condition) {
     const auto end = SteadyClock::now() + std::chrono::seconds(5);
