--- a/src/cluster/config/configuration.hpp
+++ b/src/cluster/config/configuration.hpp
@@ -27,6 +27,7 @@
   double stretch = 1;
 };
 
+// A service that runs the jobs of the routes that name it as their backend.
 struct Service {
   std::string name;  // unique
   std::string health_check_path;
@@ -42,6 +43,7 @@
   std::uint32_t idle_timeout_ms = 15000;
 };
 
+// One version of the complete configuration.
 struct Configuration {
   std::uint64_t version = 0;  // 1 to kMaxConfigurationVersion
   std::vector<Route> routes;
@@ -50,8 +52,8 @@
   std::string json;        // the text that was parsed; empty if the configuration was assembled from items
   RouteIndex route_index;  // positions in `routes`
 
-  // The route with the longest path prefix that matches; null if none does. `hostname` carries no port and
-  // its case is ignored.
+  // The route with the longest path prefix that matches; null if none does. `hostname` has no port; its
+  // case is ignored.
   const Route* find_route(std::string_view hostname, std::string_view path) const;
   // Null if there is no service of this name.
   const Service* find_service(std::string_view name) const;
--- a/src/cluster/config/configuration_document.hpp
+++ b/src/cluster/config/configuration_document.hpp
@@ -1,6 +1,4 @@
-// The operator's configuration as JSON text together with its validated values. The text keeps every field
-// that this version of the program does not know. Validating and applying a patch costs time proportional to
-// the patch.
+// The operator's configuration as a JSON document that can be patched.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +13,26 @@
 
 namespace winchhall::cluster {
 
+// Owns the JSON text of a configuration together with its validated values. The text keeps all fields that
+// this version of the program does not know. Validating and applying a patch takes time proportional to the
+// patch. Not thread-safe.
 class ConfigurationDocument {
  public:
   // Parses and validates a complete configuration. Errors: InvalidInput.
   static leaf::result<ConfigurationDocument> read(std::string json, std::string_view source);
 
   const Configuration& configuration() const { return editable_.configuration(); }
-  // The text as it was read, byte by byte, or compact JSON with the patches since.
+  // The text byte for byte as it was read; after a patch, compact JSON with all patches applied.
   std::string json() const;
 
   // Validates a patch against this document and returns its effect. Changes nothing.
-  // Errors: InvalidInput, where the patch can't be applied or its result is not a valid configuration.
+  // Errors: InvalidInput, if the patch cannot be applied or its result is not a valid configuration.
   leaf::result<ConfigurationEdit> check(const ConfigurationPatch& patch, std::string_view source) const;
   // Applies a patch. `edit` must be the result of `check` for it on this state of the document.
   void apply(const ConfigurationPatch& patch, ConfigurationEdit edit);
 
  private:
+  // An item of a list, as JSON text.
   struct Item {
     std::string name;  // empty: the item has none
     std::string text;
@@ -45,9 +47,11 @@
     void remove(const std::string& name);
   };
 
+  // Splits a parsed configuration into `values_` and `lists_`.
   void read_members(const Json::Value& root);
   // Every member named in `lists` must be a list in this document, or missing.
   leaf::result<void> check_lists(const FieldScope& scope, const Json::Value& lists) const;
+  // Routes must name existing services and must not conflict with other routes.
   leaf::result<void> check_routes(const FieldScope& scope, const ConfigurationEdit& edit) const;
   // A removed service must not be the backend of a route that the edit leaves unchanged.
   leaf::result<void> check_removed_services(const FieldScope& scope, const ConfigurationPatch& patch,
--- a/src/cluster/config/configuration_json.hpp
+++ b/src/cluster/config/configuration_json.hpp
@@ -1,4 +1,4 @@
-// Parsing and validation of configurations in JSON, and the reverse.
+// Parsing and validation of configurations in JSON, and their serialization.
 #pragma once
 
 #include <string>
--- a/src/cluster/config/configuration_patch.hpp
+++ b/src/cluster/config/configuration_patch.hpp
@@ -11,7 +11,8 @@
 
 namespace winchhall::cluster {
 
-// A patch of valid form. Whether it applies to a configuration is checked by ConfigurationDocument::check.
+// A patch that is well-formed. Whether it can be applied to a configuration is checked by
+// ConfigurationDocument::check.
 struct ConfigurationPatch {
   std::uint64_t version = 0;  // of the configuration after the patch
   Json::Value upsert;         // object from list names to lists of items; null: none
@@ -19,7 +20,8 @@
   Json::Value limits;         // null: unchanged
 };
 
-// Parses a patch and validates its form. `source` names the message in errors. Errors: InvalidInput.
+// Parses a patch and checks that it is well-formed. `source` names the message in errors. Errors:
+// InvalidInput.
 leaf::result<ConfigurationPatch> parse_patch(std::string_view json, std::string_view source);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/config/editable_configuration.hpp
+++ b/src/cluster/config/editable_configuration.hpp
@@ -1,4 +1,4 @@
-// A configuration that is edited in place, in time proportional to the edit.
+// Edits of a configuration in place.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,8 @@
 
 namespace winchhall::cluster {
 
-// Items to insert or replace, identified by their names, and names of items to remove. Each name occurs once
-// at most.
+// Items to insert or replace, identified by their names, and names of items to remove. Each name occurs at
+// most once.
 struct ConfigurationEdit {
   std::vector<Route> routes;
   std::vector<std::string> removed_routes;
@@ -26,6 +26,7 @@
   std::optional<Route> after;
 };
 
+// Owns a configuration and edits it in place, in time proportional to the edit. Not thread-safe.
 class EditableConfiguration {
  public:
   EditableConfiguration() = default;
@@ -37,11 +38,13 @@
   // Position in `edit.routes` of the first route that would have the same hostname and path prefix, or the
   // same name, as another route; none if the edit can be applied.
   std::optional<std::size_t> first_conflict(const ConfigurationEdit& edit) const;
-  // Applies an edit without conflicts and sets the version. Does not preserve the order of the routes.
+  // Applies an edit without conflicts, sets the version, and returns the changes of the routes. Does not
+  // preserve the order of the routes.
   std::vector<RouteChange> apply(ConfigurationEdit edit, std::uint64_t version);
 
  private:
   std::vector<RouteChange> route_changes(const ConfigurationEdit& edit) const;
+  // Removes the route's path from the index, so that another route can have it.
   void release_path(const std::string& name);
   void remove_route(const std::string& name);
   void put_route(Route route);
--- a/src/cluster/config/json_fields.cpp
+++ b/src/cluster/config/json_fields.cpp
@@ -14,6 +14,7 @@
 constexpr std::size_t kMaxReportedValueBytes = 80;
 constexpr unsigned kSignificantDigits = 17;  // enough to read any double back unchanged
 
+// The value as JSON text, cut at kMaxReportedValueBytes; empty for null.
 std::string abbreviated(const Json::Value& value) {
   if (value.isNull()) return {};
   std::string text = write_json(value);
--- a/src/cluster/config/json_fields.hpp
+++ b/src/cluster/config/json_fields.hpp
@@ -22,7 +22,7 @@
   std::string field(std::string_view name) const;
   // The scope of an object or a list that is a field of this object.
   FieldScope child(std::string_view name) const { return {source, field(name)}; }
-  // The scope of an item of this list.
+  // The scope of an item of this list; positions begin at 0.
   FieldScope item(unsigned position) const;
 };
 
--- a/src/cluster/config/route_index.hpp
+++ b/src/cluster/config/route_index.hpp
@@ -1,5 +1,4 @@
-// Longest-prefix matching of request paths. A look-up costs one hash access for the hostname and one for each
-// distinct length among its path prefixes.
+// Longest-prefix matching of request paths.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +11,8 @@
 
 namespace winchhall::cluster {
 
-// Hash and equality of hostnames, ignoring the case of ASCII letters. Transparent: look-ups copy no strings.
+// Hash and equality of hostnames, ignoring the case of ASCII letters. Transparent, so that lookups copy no
+// strings.
 struct HostnameHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view hostname) const;
@@ -22,10 +22,11 @@
   bool operator()(std::string_view left, std::string_view right) const;
 };
 
-// Maps hostnames and path prefixes to positions in a list of routes that the caller keeps.
+// Maps hostnames and path prefixes to positions in a list of routes that the caller owns. A lookup takes one
+// hash access for the hostname and one for each distinct length among its path prefixes.
 class RouteIndex {
  public:
-  // Returns false and changes nothing if another route has this hostname and prefix.
+  // Adds a route. Returns false and changes nothing if another route has this hostname and prefix.
   bool add(std::string_view hostname, std::string_view path_prefix, std::size_t position);
   // Does nothing if there is no such route.
   void remove(std::string_view hostname, std::string_view path_prefix);
@@ -46,6 +47,7 @@
     std::size_t length = 0;
     std::size_t count = 0;
   };
+  // The routes of one hostname.
   struct HostRoutes {
     std::vector<PrefixLength> lengths;  // longest first
     std::unordered_map<std::string, std::size_t, PrefixHash, std::equal_to<>> positions;
--- a/src/cluster/config/utf8.cpp
+++ b/src/cluster/config/utf8.cpp
@@ -10,10 +10,10 @@
 constexpr std::uint32_t kFirstSurrogate = 0xD800;
 constexpr std::uint32_t kLastSurrogate = 0xDFFF;
 
-// What the first byte of a sequence says.
+// Properties of a sequence that follow from its first byte.
 struct SequenceStart {
   std::size_t length = 0;                 // in bytes; 0: not a valid first byte
-  std::uint32_t bits = 0;                 // its part of the code point
+  std::uint32_t bits = 0;                 // of the code point, as far as the first byte holds them
   std::uint32_t smallest_code_point = 0;  // of this length; smaller ones have a shorter form
 };
 
--- a/src/cluster/config/utf8.hpp
+++ b/src/cluster/config/utf8.hpp
@@ -1,5 +1,5 @@
-// Validation of strings from outside before they enter Protocol Buffers messages, whose strings must be
-// UTF-8.
+// Validation of strings from external sources, before they are stored in Protocol Buffers messages, whose
+// strings must be UTF-8.
 #pragma once
 
 #include <string_view>
--- a/tests/cluster/config/configuration_document_test.cpp
+++ b/tests/cluster/config/configuration_document_test.cpp
@@ -1,5 +1,5 @@
-// Patches of a configuration document, compared with a reference that parses, edits and validates the
-// complete text each time.
+// Patches of a configuration document, compared with a reference implementation that parses, edits and
+// validates the complete text each time.
 #include <json/value.h>
 
 #include <catch2/catch.hpp>
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-TEST_CASE("random patches are accepted, rejected and applied as by the reference") {
+TEST_CASE("random patches are accepted, rejected and applied as by the reference implementation") {
   unsigned accepted = 0;
   unsigned rejected = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
--- a/tests/cluster/config/configuration_values_test.cpp
+++ b/tests/cluster/config/configuration_values_test.cpp
@@ -1,4 +1,4 @@
-// Parsing, validating and patching configurations; route look-ups.
+// Parsing, validating and patching configurations; route lookups.
 #include <json/value.h>
 
 #include <catch2/catch.hpp>
