--- a/src/cluster/membership/contact_list.hpp
+++ b/src/cluster/membership/contact_list.hpp
@@ -1,5 +1,4 @@
-// Peers to contact outside the partial view: the seeds, and the last peers that left the view because they
-// did not answer.
+// Peers outside the partial view that a process can contact.
 #pragma once
 
 #include <cstddef>
@@ -12,8 +11,9 @@
 
 namespace winchhall::cluster {
 
-// A process that was partitioned for long loses its whole view. The peers that it knew before may still be
-// alive, also where all seeds are gone; therefore they are remembered here.
+// Holds the seeds, and the peers that were removed from the view most recently because they did not answer. A
+// process that is partitioned for a long time loses its whole view. The peers that it knew before may still
+// be alive, even if all seeds are gone, so they are kept here.
 //
 // A plain value without I/O, owned by one PeerSampler.
 class ContactList {
@@ -23,12 +23,12 @@
 
   // Addresses of the internal listeners of the seeds. Earlier seeds become former peers.
   void set_seeds(std::vector<Address> seeds);
-  // Adds a peer of the view that did not answer. Above the capacity, the oldest former peer is dropped. Seeds
+  // Adds a peer of the view that did not answer. Above the capacity, the earliest one added is dropped. Seeds
   // are not added.
   void add_former(const Address& peer);
   // Removes a former peer that answered again, or that is considered dead.
   void remove_former(const Address& peer);
-  // A uniformly random seed or former peer that is not in the view; empty: there is none.
+  // Chooses a seed or former peer that is not in the view, uniformly at random; empty if there is none.
   Address choose(const PartialView& view, const RandomSource& random) const;
 
  private:
@@ -37,7 +37,7 @@
   Address self_;
   std::size_t capacity_;
   std::vector<Address> seeds_;
-  std::deque<Address> former_;
+  std::deque<Address> former_;  // earliest added first
 };
 
 }  // namespace winchhall::cluster
--- a/src/cluster/membership/partial_view.hpp
+++ b/src/cluster/membership/partial_view.hpp
@@ -1,4 +1,4 @@
-// The partial view of a peer sampling protocol.
+// Partial view of the cluster's processes in a peer sampling protocol.
 #pragma once
 
 #include <cstddef>
@@ -20,11 +20,11 @@
 // After Voulgaris, Gavidia and van Steen, "CYCLON: Inexpensive Membership Management for Unstructured P2P
 // Overlays" (2005). A round increments the age of all entries, removes the oldest one from the view and sends
 // its peer a fresh descriptor of this process and some entries chosen at random. Both sides put what they
-// receive into free slots first, then into those of the entries that they sent. Dead peers are never
-// refreshed: they become the oldest entries, are contacted, don't answer, and are gone.
+// receive into free slots first, then into those of the entries that they sent. Entries of dead peers
+// are never refreshed: they become the oldest ones, are chosen for a round, get no answer, and stay removed.
 //
 // Two additions for groups smaller than the view: a younger descriptor of a known peer replaces the older
-// one, and a peer that answered is inserted again where there is a free slot.
+// one, and a peer that answered is inserted again if there is a free slot.
 //
 // Invariants: at most `capacity` entries, at most one for each address, none for this process. A plain value
 // without I/O, owned by one PeerSampler.
@@ -33,9 +33,9 @@
   // `self` never enters the view.
   PartialView(Address self, std::size_t capacity);
 
-  // Called once a round.
+  // Adds one round to the age of all entries. Called once per round.
   void increment_ages();
-  // Removes the entry with the highest age and returns it; none: the view is empty.
+  // Removes the entry with the highest age and returns it; none if the view is empty.
   std::optional<PeerDescriptor> take_oldest();
   // Copies of at most `count` entries, chosen at random without repetition; never that of `receiver`.
   std::vector<PeerDescriptor> choose(std::size_t count, const Address& receiver,
@@ -53,8 +53,8 @@
 
  private:
   const PeerDescriptor* find(const Address& address) const;
-  // True if there is nothing to insert: the peer is this process, takes no requests, or has an entry already,
-  // of which the younger descriptor is kept.
+  // True if there is nothing to insert: the peer is this process, accepts no requests, or has an entry
+  // already. Of two descriptors of one peer, the younger is kept.
   bool refresh_if_known(const PeerDescriptor& peer);
 
   Address self_;
--- a/src/cluster/membership/peer_sampler.cpp
+++ b/src/cluster/membership/peer_sampler.cpp
@@ -11,15 +11,16 @@
 constexpr std::size_t kShuffledEntries = 3;  // sent along with the sender's own descriptor
 constexpr std::size_t kFormerPeerCapacity = 16;
 constexpr std::size_t kSampledControlNodeCapacity = 8;
-// Rounds are frequent while the view forms and after a single failure, and rare once the view is settled or
-// while all peers fail, to save bandwidth and processor time.
+// Mean times between rounds. Rounds are frequent while the view forms and after a single failure. They are
+// rare once the view is settled or while all peers fail, to save bandwidth and processor time.
 constexpr Millis kUnsettledInterval{1500};
 constexpr Millis kSettledInterval{5000};
 constexpr unsigned kMaxBackoffDoublings = 3;
+// Number of rounds after which a view counts as settled.
 constexpr unsigned kFormingRounds = 8;
-// Every so many rounds the partner is a contact outside the view, which merges overlays that a partition has
-// separated.
-constexpr unsigned kContactRounds = 8;
+// Once in this many rounds the partner is a contact outside the view, which merges overlays that were
+// separated by a partition.
+constexpr unsigned kRoundsPerContact = 8;
 constexpr Millis kShuffleTimeout{1000};
 
 }  // namespace
@@ -47,12 +48,12 @@
 }
 
 void PeerSampler::schedule_round() {
-  // Jitter: three to five quarters of the interval, so that processes started together don't stay
-  // synchronized.
-  const Millis least = interval() * 3 / 4;
+  // The delay is uniform between 3/4 and 5/4 of the interval, so that processes that were started together do
+  // not stay synchronized.
+  const Millis min_delay = interval() * 3 / 4;
   const auto spread = static_cast<std::uint64_t>(interval().count() / 2);
   const Millis jitter(static_cast<std::int64_t>(random_() % (spread + 1)));
-  timer_ = runtime_.after(least + jitter, [this] { round(); });
+  timer_ = runtime_.after(min_delay + jitter, [this] { round(); });
 }
 
 void PeerSampler::round() {
@@ -64,7 +65,7 @@
 }
 
 PeerSampler::Exchange PeerSampler::choose_partner() {
-  if (view_.empty() || rounds_ % kContactRounds == 0) {
+  if (view_.empty() || rounds_ % kRoundsPerContact == 0) {
     Address contact = contacts_.choose(view_, random_);
     if (!contact.empty()) return Exchange{std::move(contact), true, {}};
   }
@@ -93,7 +94,7 @@
   std::vector<PeerDescriptor> received = descriptors_of(answer);
   sampled_control_nodes_.increment_ages();
   sampled_control_nodes_.merge(received);
-  notify_control_nodes();
+  report_control_nodes();
   const bool partner_described = !received.empty() && received.front().address == exchange.partner;
   if (!partner_described) return view_.merge(received, exchange.sent);
   const PeerDescriptor partner = received.front();
@@ -102,8 +103,8 @@
   view_.insert_if_space(partner);
 }
 
-// While others answer, a contact that doesn't is considered dead; otherwise this process itself may be
-// partitioned, and the contact is kept.
+// A contact that does not answer is considered dead if other peers answer, that is, if the view is not empty.
+// Otherwise this process itself may be partitioned, and the contact is kept.
 void PeerSampler::on_failure(const Exchange& exchange) {
   ++failures_;
   if (!exchange.from_contacts) return contacts_.add_former(exchange.partner);
@@ -118,15 +119,15 @@
   reply(make_message(sent, true));
   view_.merge(received, sent);
   sampled_control_nodes_.merge(received);
-  notify_control_nodes();
+  report_control_nodes();
   return true;
 }
 
-void PeerSampler::notify_control_nodes() {
+void PeerSampler::report_control_nodes() {
   std::vector<Address> nodes = sampled_control_nodes_.addresses();
-  if (nodes == notified_control_nodes_) return;
-  notified_control_nodes_ = std::move(nodes);
-  if (on_control_nodes_) on_control_nodes_(notified_control_nodes_);
+  if (nodes == reported_control_nodes_) return;
+  reported_control_nodes_ = std::move(nodes);
+  if (on_control_nodes_) on_control_nodes_(reported_control_nodes_);
 }
 
 wire::Envelope PeerSampler::make_message(const std::vector<PeerDescriptor>& sent, bool answer) const {
--- a/src/cluster/membership/peer_sampler.hpp
+++ b/src/cluster/membership/peer_sampler.hpp
@@ -1,4 +1,4 @@
-// Peer sampling of a process over the network.
+// Peer sampling by exchanges with other processes over the network.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 // Shuffles the partial view of this process with those of others in rounds, and reports the control nodes
 // that it learns of. Protocol: see PartialView.
 //
-// A process whose own address is empty takes no requests: it shuffles as a caller only and is in nobody's
-// view.
+// A process whose own address is empty accepts no requests: it shuffles only as a caller and is in no other
+// process's view.
 //
 // Rounds are frequent (1.5 s) while the view forms and rare (5 s) afterwards; after consecutive failures the
 // interval doubles from 1.5 s up to 12 s. Owns the view, the contacts and the sampled control nodes.
@@ -29,26 +29,28 @@
   using ControlNodesCallback = std::function<void(const std::vector<Address>& nodes)>;
 
   // `self` is the descriptor that others get of this process. `on_control_nodes` may be empty. `runtime`
-  // outlives the sampler.
+  // must outlive the sampler.
   PeerSampler(Runtime& runtime, PeerDescriptor self, ControlNodesCallback on_control_nodes);
   ~PeerSampler();
 
   // Addresses of the internal listeners of the seeds; may change at any time.
   void set_seeds(std::vector<Address> seeds) { contacts_.set_seeds(std::move(seeds)); }
-  // From now on this process takes no requests: others get a descriptor without an address.
+  // Declares that this process accepts no requests from now on: others get a descriptor without an address.
   void set_caller_only() { self_.address.clear(); }
   // Begins the rounds.
   void start();
   // Ends the rounds; requests are still answered.
   void stop();
-  // Answers a PeerShuffle, within this call; false: a request of another kind.
+  // Answers a PeerShuffle before it returns. Returns false for a request of any other kind.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
 
+  // The current partial view.
   const PartialView& view() const { return view_; }
+  // Internal listeners of the sampled control nodes, sorted.
   std::vector<Address> control_nodes() const { return sampled_control_nodes_.addresses(); }
 
  private:
-  // A shuffle that this process began and that isn't answered yet.
+  // A shuffle that this process has started and that is not answered yet.
   struct Exchange {
     Address partner;
     bool from_contacts = false;  // the partner was not in the view
@@ -59,13 +61,15 @@
   Millis interval() const;
   void round();
   void schedule_round();
-  // Chooses the partner of the next shuffle and removes it from the view; empty partner: no peer is known.
+  // Chooses the partner of the next shuffle and removes it from the view. The partner is empty if no peer is
+  // known.
   Exchange choose_partner();
   void shuffle(Exchange exchange);
   void on_answer(const Exchange& exchange, const CallResult& result);
   void on_shuffled(const Exchange& exchange, const wire::PeerShuffle& answer);
   void on_failure(const Exchange& exchange);
-  void notify_control_nodes();
+  // Calls the callback if the sampled control nodes have changed.
+  void report_control_nodes();
   wire::Envelope make_message(const std::vector<PeerDescriptor>& sent, bool answer) const;
 
   Runtime& runtime_;
@@ -75,7 +79,7 @@
   PartialView view_;
   ContactList contacts_;
   SampledControlNodes sampled_control_nodes_;
-  std::vector<Address> notified_control_nodes_;  // that the callback got last
+  std::vector<Address> reported_control_nodes_;  // last passed to the callback
   unsigned rounds_ = 0;
   unsigned failures_ = 0;  // consecutive
   std::unique_ptr<Timer> timer_;
--- a/src/cluster/membership/sampled_control_nodes.cpp
+++ b/src/cluster/membership/sampled_control_nodes.cpp
@@ -29,10 +29,10 @@
   if (peer.role != PeerRole::control || peer.address == self_) return;
   nodes_.push_back(peer);
   if (nodes_.size() <= capacity_) return;
-  const auto older = [](const PeerDescriptor& left, const PeerDescriptor& right) {
+  const auto is_younger = [](const PeerDescriptor& left, const PeerDescriptor& right) {
     return left.age < right.age;
   };
-  nodes_.erase(std::max_element(nodes_.begin(), nodes_.end(), older));
+  nodes_.erase(std::max_element(nodes_.begin(), nodes_.end(), is_younger));
 }
 
 std::vector<Address> SampledControlNodes::addresses() const {
--- a/src/cluster/membership/sampled_control_nodes.hpp
+++ b/src/cluster/membership/sampled_control_nodes.hpp
@@ -9,11 +9,11 @@
 
 namespace winchhall::cluster {
 
-// A bounded list of control nodes whose descriptors came with shuffles, youngest descriptors preferred. An
-// entry that no shuffle refreshes is dropped after kMaxDescriptorAge answered rounds.
+// A bounded list of the control nodes whose descriptors were received in shuffles; the youngest descriptors
+// are kept. An entry that no shuffle refreshes is dropped after kMaxDescriptorAge answered shuffles.
 //
-// The list holds candidates for contact only: entries may be dead or may not be control nodes any more, and
-// no decision of consensus depends on it. A plain value without I/O, owned by one PeerSampler.
+// The entries are only candidates for contact: they may be dead or no longer control nodes, and no consensus
+// decision depends on them. A plain value without I/O, owned by one PeerSampler.
 class SampledControlNodes {
  public:
   // `self` is never listed. Above `capacity`, the entry with the oldest descriptor is dropped.
@@ -22,8 +22,8 @@
   // Increments the age of all entries and drops those above kMaxDescriptorAge. Called once for each shuffle
   // that was answered, so that a partitioned process keeps its candidates.
   void increment_ages();
-  // Adds or refreshes the control nodes among the descriptors. A descriptor of the same age or younger that
-  // has another role removes an entry.
+  // Adds or refreshes the control nodes among the descriptors. A descriptor with another role removes the
+  // entry of its address, unless the entry is younger.
   void merge(const std::vector<PeerDescriptor>& received);
   // Internal listeners of the entries, sorted.
   std::vector<Address> addresses() const;
--- a/tests/cluster/membership/partial_view_test.cpp
+++ b/tests/cluster/membership/partial_view_test.cpp
@@ -25,7 +25,7 @@
   return PeerDescriptor{address_of(index), role, "a", age};
 }
 
-RandomSource numbers(std::uint64_t seed) {
+RandomSource make_random_source(std::uint64_t seed) {
   return [generator = std::mt19937_64(seed)]() mutable { return generator(); };
 }
 
@@ -38,9 +38,10 @@
 // Processes that shuffle in rounds; messages are never lost, dead processes never answer.
 class Overlay {
  public:
-  Overlay(std::size_t processes, std::uint64_t seed) : random_(numbers(seed)), alive_(processes, true) {
+  Overlay(std::size_t processes, std::uint64_t seed)
+      : random_(make_random_source(seed)), alive_(processes, true) {
     for (std::size_t i = 0; i < processes; ++i) views_.emplace_back(address_of(i), kCapacity);
-    // As after a start from seeds: all know the same three.
+    // As after a start from seeds: all processes know the same three.
     for (std::size_t i = 0; i < processes; ++i) views_[i].merge({peer(0), peer(1), peer(2)}, {});
   }
 
@@ -162,7 +163,7 @@
 TEST_CASE("chosen entries are distinct and never the receiver") {
   PartialView view(address_of(0), kCapacity);
   for (std::size_t i = 1; i <= kCapacity; ++i) view.merge({peer(i)}, {});
-  const RandomSource random = numbers(7);
+  const RandomSource random = make_random_source(7);
   std::map<Address, unsigned> times;
   for (unsigned turn = 0; turn < 700; ++turn) {
     const auto chosen = view.choose(kShuffled, address_of(3), random);
@@ -226,7 +227,7 @@
 TEST_CASE("contacts are seeds and former peers outside the view, never the process itself") {
   ContactList contacts(address_of(0), 2);
   PartialView view(address_of(0), kCapacity);
-  const RandomSource random = numbers(1);
+  const RandomSource random = make_random_source(1);
   CHECK(contacts.choose(view, random).empty());
   contacts.set_seeds({address_of(0), address_of(1)});
   CHECK(contacts.choose(view, random) == address_of(1));
@@ -241,7 +242,7 @@
 TEST_CASE("the newest former peers are kept, earlier seeds included") {
   ContactList contacts(address_of(0), 2);
   const PartialView view(address_of(0), kCapacity);
-  const RandomSource random = numbers(1);
+  const RandomSource random = make_random_source(1);
   const auto reachable = [&] {
     std::set<Address> found;
     for (unsigned turn = 0; turn < 100; ++turn) found.insert(contacts.choose(view, random));
@@ -260,9 +261,9 @@
   sample.merge({peer(0, 0, PeerRole::control), peer(1, 3, PeerRole::control), peer(2, 0, PeerRole::agent),
                 peer(3, 9, PeerRole::control), peer(4, 1, PeerRole::control)});
   CHECK(sample.addresses() == std::vector<Address>{address_of(1), address_of(4)});
-  sample.merge({peer(1, 5, PeerRole::agent)});  // older: a younger descriptor says that it is one
+  sample.merge({peer(1, 5, PeerRole::agent)});  // older than the descriptor as a control node
   CHECK(sample.addresses().size() == 2);
-  sample.merge({peer(1, 1, PeerRole::agent)});  // another process has the address now
+  sample.merge({peer(1, 1, PeerRole::agent)});  // another process has this address now
   CHECK(sample.addresses() == std::vector<Address>{address_of(4)});
   for (std::uint32_t round = 0; round <= kMaxDescriptorAge; ++round) sample.increment_ages();
   CHECK(sample.addresses().empty());
--- a/tests/cluster/membership/peer_sampler_test.cpp
+++ b/tests/cluster/membership/peer_sampler_test.cpp
@@ -91,7 +91,7 @@
   SamplerOverlay overlay(16, 3);
   overlay.runtime.run_for(Millis(60'000));
   for (std::size_t i = 0; i < 3; ++i) overlay.kill(i);
-  // The new machines know of agents only, as from a settings file of their own.
+  // The seeds of the new machines are agents only, as in a settings file of their own.
   for (std::size_t i = 16; i < 19; ++i) {
     overlay.add(PeerDescriptor{address_of(i), PeerRole::control, "zone-a", 0});
     overlay.samplers[i]->set_seeds({address_of(7)});
@@ -120,17 +120,17 @@
 TEST_CASE("a process partitioned until its view is empty finds peers again without any seed") {
   SamplerOverlay overlay(12, 3);
   overlay.runtime.run_for(Millis(60'000));
-  const auto everyone = overlay.runtime.peers;
-  overlay.runtime.peers.clear();  // nobody reaches anybody
+  const auto all_peers = overlay.runtime.peers;
+  overlay.runtime.peers.clear();  // no process can reach another one
   overlay.runtime.run_for(Millis(600'000));
   for (std::size_t i = 0; i < 12; ++i) REQUIRE(overlay.samplers[i]->view().empty());
-  overlay.runtime.peers = everyone;
+  overlay.runtime.peers = all_peers;
   for (std::size_t i = 0; i < 3; ++i) overlay.kill(i);
   overlay.runtime.run_for(Millis(180'000));
   for (std::size_t i = 3; i < 12; ++i) CHECK(overlay.samplers[i]->view().peers().size() >= 4);
 }
 
-TEST_CASE("a caller-only process is in nobody's view and still learns of control nodes") {
+TEST_CASE("a caller-only process is in no view and still learns of control nodes") {
   SamplerOverlay overlay(10, 4);
   overlay.add(PeerDescriptor{"", PeerRole::worker_agent, "zone-a", 0});
   overlay.runtime.run_for(Millis(120'000));
--- a/tests/cluster/membership/sources_test.cpp
+++ b/tests/cluster/membership/sources_test.cpp
@@ -27,11 +27,11 @@
   }
 };
 
-// A worker-agent's leader finder and control nodes that name a leader.
+// The leader finder of a worker-agent, and control nodes that return a leader.
 struct LeaderFinderFixture {
   FakeRuntime runtime;
   std::optional<FoundLeader> found;
-  std::vector<Address> asked;
+  std::vector<Address> probed;
   std::unique_ptr<LeaderFinder> finder;
 
   LeaderFinderFixture() {
@@ -44,7 +44,7 @@
 
   void serve(const Address& address) {
     runtime.peers[address] = [this, address](const wire::Envelope&, const ReplyCallback& reply) {
-      asked.push_back(address);
+      probed.push_back(address);
       wire::Envelope answer;
       wire::ShardLeader& leader = *answer.mutable_configuration_update()->add_leaders();
       leader.set_shard("service/core");
@@ -140,8 +140,8 @@
     finder->search("core", 1);
     runtime.run_for(Millis(1'000));
   }
-  REQUIRE(asked.size() == 10);
-  CHECK(std::set<Address>(asked.begin(), asked.end()).count("10.0.0.7:7380") == 0);
+  REQUIRE(probed.size() == 10);
+  CHECK(std::set<Address>(probed.begin(), probed.end()).count("10.0.0.7:7380") == 0);
 }
 
 TEST_CASE_METHOD(LeaderFinderFixture, "seeds are probed on while sampled nodes are dead, and vice versa") {
