--- a/src/cluster/config/configuration.hpp
+++ b/src/cluster/config/configuration.hpp
@@ -17,17 +17,19 @@
 struct Route {
   std::string name;  // unique
   std::string hostname;
-  std::string path_prefix;  // begins with "/"; unique for its hostname
-  std::string route_type;
-  std::uint32_t timeout_ms = 0;
+  std::string path_prefix;       // begins with "/"; unique for its hostname
+  std::string route_type;        // part of the format, but not used by this version
+  std::uint32_t timeout_ms = 0;  // limit on the time that a client's request waits for its response
   std::uint32_t target_latency_ms = 0;
   std::uint32_t priority = 0;
-  std::string backend;  // name of the service
-  std::uint32_t max_retries = 0;
+  std::string backend;            // name of the service
+  std::uint32_t max_retries = 0;  // failed runs of a task after which its job fails; 0 counts as 1
+  // A job should end within `stretch` times the length of its critical path plus `target_latency_ms`.
   double stretch = 1;
 };
 
-// A service that runs the jobs of the routes that name it as their backend.
+// A service that runs the jobs of the routes that name it as their backend. This version stores and validates
+// the fields other than the name, but does not use them.
 struct Service {
   std::string name;  // unique
   std::string health_check_path;
