--- a/src/cluster/config/configuration.hpp
+++ b/src/cluster/config/configuration.hpp
@@ -17,16 +17,19 @@
 struct Route {
   std::string name;  // unique
   std::string hostname;
-  std::string path_prefix;  // begins with "/"; unique for its hostname
-  std::string route_type;
-  std::uint32_t timeout_ms = 0;
+  std::string path_prefix;       // begins with "/"; unique for its hostname
+  std::string route_type;        // part of the format, but not used by this version
+  std::uint32_t timeout_ms = 0;  // limit on the time that a client's request waits for its response
   std::uint32_t target_latency_ms = 0;
   std::uint32_t priority = 0;
-  std::string backend;  // name of the service
-  std::uint32_t max_retries = 0;
+  std::string backend;            // name of the service
+  std::uint32_t max_retries = 0;  // failed runs of a task after which its job fails; 0 counts as 1
+  // A job should end within `stretch` times the length of its critical path plus `target_latency_ms`.
   double stretch = 1;
 };
 
+// A service that runs the jobs of the routes that name it as their backend. This version stores and validates
+// the fields other than the name, but does not use them.
 struct Service {
   std::string name;  // unique
   std::string health_check_path;
@@ -42,6 +45,7 @@
   std::uint32_t idle_timeout_ms = 15000;
 };
 
+// One version of the complete configuration.
 struct Configuration {
   std::uint64_t version = 0;  // 1 to kMaxConfigurationVersion
   std::vector<Route> routes;
@@ -50,8 +54,8 @@
   std::string json;        // the text that was parsed; empty if the configuration was assembled from items
   RouteIndex route_index;  // positions in `routes`
 
-  // The route with the longest path prefix that matches; null if none does. `hostname` carries no port and
-  // its case is ignored.
+  // The route with the longest path prefix that matches; null if none does. `hostname` has no port; its
+  // case is ignored.
   const Route* find_route(std::string_view hostname, std::string_view path) const;
   // Null if there is no service of this name.
   const Service* find_service(std::string_view name) const;
