--- a/bench/ranges_bench.cpp
+++ b/bench/ranges_bench.cpp
@@ -15,13 +15,13 @@
 
 using namespace winchhall::ranges;
 
-struct Flat {  // what a plain structure keeps by range
+struct RangeData {  // what a plain structure keeps by range
   RangeId id;
   double weight;
   HoldersPtr holders;
 };
-using Tree = std::map<Key, Flat>;
-using Sorted = std::vector<std::pair<Key, Flat>>;
+using Tree = std::map<Key, RangeData>;
+using Sorted = std::vector<std::pair<Key, RangeData>>;
 
 std::vector<Range> ranges(std::size_t count) {
   std::vector<HoldersPtr> holders;
@@ -46,13 +46,13 @@
 
 Tree tree(std::size_t count) {
   Tree t;
-  for (Range& r : ranges(count)) t.emplace(r.span.from, Flat{r.id, r.weight, r.holders});
+  for (Range& r : ranges(count)) t.emplace(r.span.from, RangeData{r.id, r.weight, r.holders});
   return t;
 }
 
 Sorted sorted(std::size_t count) {
   Sorted s;
-  for (Range& r : ranges(count)) s.push_back({r.span.from, Flat{r.id, r.weight, r.holders}});
+  for (Range& r : ranges(count)) s.push_back({r.span.from, RangeData{r.id, r.weight, r.holders}});
   return s;
 }
 
--- a/testbed/checker.hpp
+++ b/testbed/checker.hpp
@@ -15,56 +15,58 @@
 struct ClassRule {
   std::string name{};
   double floor = 1, value = 1, partial_value = 0, late_value = 0.3;
-  Millis latency_target = 0, give_up = 0;
+  Millis latency_target = 0, hard_limit = 0;
 };
 
 class Checker {
  public:
-  Checker(const Truth& truth, const World& world, std::vector<ClassRule> classes, int attempts_most,
-          Millis slack);
+  Checker(const ReferenceLedger& reference, const SimulatedDeployment& deployment,
+          std::vector<ClassRule> classes, int max_attempts, Millis slack);
 
-  void asked(const Asked& asked, Millis now);
+  void record_query(const Query& query, Millis now);
   // Its final answer. `excused`: its aggregator was killed meanwhile, so that none may come.
-  void told(const std::string& id, const Reply& reply, Millis now, bool excused);
-  void arrived(const Node::Arrival& arrival);
-  void broke(const std::string& rule, const std::string& what);  // found elsewhere
-  void finish();                                                 // whatever has no answer by now has lost it
+  void record_reply(const std::string& id, const Reply& reply, Millis now, bool excused);
+  void record_arrival(const Node::Arrival& arrival);
+  void record_violation(const std::string& rule, const std::string& what);  // found elsewhere
+  void finish();  // whatever has no answer by now has lost it
 
-  struct Figures {
-    std::size_t asked = 0, whole = 0, partial = 0, refused = 0, failed = 0, broken = 0, excused = 0, late = 0;
+  struct Statistics {
+    std::size_t asked = 0, whole = 0, partial = 0, refused = 0, failed = 0, no_reply = 0, excused = 0,
+                late = 0;
     std::size_t rows_right = 0, rows_wrong = 0, rows_doubled = 0, rows_missing = 0, rows_foreign = 0;
     double value_requested = 0, value_earned = 0;
     Histogram latency{};
     double service() const { return value_requested > 0 ? value_earned / value_requested : 1; }
   };
-  const Figures& figures() const { return figures_; }
-  std::size_t parts_arrived() const { return parts_; }
+  const Statistics& statistics() const { return statistics_; }
+  std::size_t arrived_parts() const { return arrived_parts_; }
   std::size_t most_attempts() const { return most_attempts_; }
   // By rule: how often it was broken, and the first cases in words.
-  const std::map<std::string, std::size_t>& broken() const { return broken_; }
-  const std::vector<std::string>& cases() const { return cases_; }
+  const std::map<std::string, std::size_t>& violations() const { return violations_; }
+  const std::vector<std::string>& violation_examples() const { return violation_examples_; }
 
  private:
-  struct Open {
-    Asked asked{};
-    Millis at = 0;
+  struct OpenQuery {
+    Query query{};
+    Millis sent_at = 0;
     std::vector<ranges::Span> attempts{};  // spans that nodes were asked for
-    bool told = false;
-    Millis told_at = 0;
+    bool answered = false;
+    Millis answered_at = 0;
   };
-  void attempts_of(const std::string& id, const Open& open);
-  double share(const Open& open, const std::vector<Truth::Row>& rows, Millis now) const;
+  void check_attempts(const std::string& id, const OpenQuery& open);
+  double covered_share(const OpenQuery& open, const std::vector<ReferenceLedger::Row>& rows,
+                       Millis now) const;
 
-  const Truth& truth_;
-  const World& world_;
+  const ReferenceLedger& reference_;
+  const SimulatedDeployment& deployment_;
   std::map<std::string, ClassRule> classes_;
-  int attempts_most_;
+  int max_attempts_;
   Millis slack_;
-  std::map<std::string, Open> open_;
-  Figures figures_;
-  std::size_t parts_ = 0, most_attempts_ = 0;
-  std::map<std::string, std::size_t> broken_;
-  std::vector<std::string> cases_;
+  std::map<std::string, OpenQuery> open_;
+  Statistics statistics_;
+  std::size_t arrived_parts_ = 0, most_attempts_ = 0;
+  std::map<std::string, std::size_t> violations_;
+  std::vector<std::string> violation_examples_;
 };
 
 }  // namespace winchhall::testbed
--- a/testbed/clients.cpp
+++ b/testbed/clients.cpp
@@ -15,11 +15,11 @@
 namespace wire = arrow::flight::protocol;
 
 namespace {
-constexpr std::size_t kStreams = 40;  // calls at once on a Flight connection
+constexpr std::size_t kMaxStreamsPerConnection = 40;  // calls at once on a Flight connection
 sockaddr_in loopback(int port) { return *event_loop::parse_address("127.0.0.1:" + std::to_string(port)); }
 }  // namespace
 
-std::string http_request(const Asked& a) {
+std::string http_request(const Query& a) {
   json spans = json::array();
   for (const auto& s : a.spans) spans.push_back({{"from", s.from}, {"to", s.to}});
   std::string body = json{{"spans", spans}, {"expr", a.text}}.dump();
@@ -38,7 +38,7 @@
   if (const std::string* advice = m.header("retry-after")) r.retry_after = 1000 * std::stod(*advice);
   if (m.status != 200) {
     r.kind = m.status == 503 || m.status == 429 ? Reply::Kind::refused
-             : m.status / 100 == 4              ? Reply::Kind::unfit
+             : m.status / 100 == 4              ? Reply::Kind::invalid
                                                 : Reply::Kind::failed;
     return r;
   }
@@ -61,7 +61,7 @@
                                 public std::enable_shared_from_this<Connection> {
  public:
   explicit Connection(HttpClients& owner) : owner_(owner) {}
-  bool begin(int port) {
+  bool connect(int port) {
     int error = 0;
     stream_ = event_loop::Stream::connect(owner_.loop_, loopback(port), *this, error);
     return static_cast<bool>(stream_);
@@ -74,37 +74,37 @@
     stream_->read_now();
     return stream_->usable();
   }
-  void ask(const std::string& bytes, Told told) {
-    told_ = std::move(told);
+  void ask(const std::string& bytes, ReplyCallback on_reply) {
+    on_reply_ = std::move(on_reply);
     parser_.reset();
     stream_->write(bytes);
   }
   void received(std::string& in) override {
-    if (!told_) {
-      owner_.extra_ += !in.empty();  // an answer to nothing: a second one
+    if (!on_reply_) {
+      owner_.unexpected_replies_ += !in.empty();  // an answer to nothing: a second one
       return in.clear();
     }
     parser_.feed(in);
     if (!parser_.done() && !parser_.failed()) return;
     bool keep = !parser_.failed() && parser_.message().keep_alive();
     Reply r = parser_.failed() ? Reply{} : read_http_reply(parser_.message());
-    owner_.extra_ += !in.empty();
+    owner_.unexpected_replies_ += !in.empty();
     in.clear();
-    Told told = std::exchange(told_, nullptr);
+    ReplyCallback on_reply = std::exchange(on_reply_, nullptr);
     if (keep)
       owner_.idle_.push_back(shared_from_this());
     else
-      leave();
-    told(std::move(r));
+      close_and_release();
+    on_reply(std::move(r));
   }
   void ended() override {
-    Told told = std::exchange(told_, nullptr);
-    leave();
-    if (told) told({});
+    ReplyCallback on_reply = std::exchange(on_reply_, nullptr);
+    close_and_release();
+    if (on_reply) on_reply({});
   }
 
  private:
-  void leave() {
+  void close_and_release() {
     auto self = shared_from_this();
     std::erase(owner_.idle_, self);
     std::erase(owner_.all_, self);
@@ -114,14 +114,14 @@
   HttpClients& owner_;
   std::shared_ptr<event_loop::Stream> stream_;
   http::HttpParser parser_{http::HttpParser::Mode::streamed};
-  Told told_;
+  ReplyCallback on_reply_;
 };
 
 HttpClients::~HttpClients() {
   for (auto& c : all_) c->close();
 }
 
-void HttpClients::ask(const std::string& request, Told told) {
+void HttpClients::ask(const std::string& request, ReplyCallback on_reply) {
   std::shared_ptr<Connection> c;
   while (!c && !idle_.empty()) {
     c = idle_.back();
@@ -130,10 +130,10 @@
   }
   if (!c) {
     c = std::make_shared<Connection>(*this);
-    if (!c->begin(port_())) return told({});
+    if (!c->connect(port_())) return on_reply({});
     all_.push_back(c);
   }
-  c->ask(request, std::move(told));
+  c->ask(request, std::move(on_reply));
 }
 
 // ---- Flight
@@ -143,11 +143,11 @@
  public:
   explicit Connection(FlightClients& owner)
       : owner_(owner), http2_(owner.loop_, *this, flight::Http2Connection::Side::client) {}
-  bool begin(int port) { return http2_.connect(loopback(port)); }
+  bool connect(int port) { return http2_.connect(loopback(port)); }
   void close() { http2_.close(); }
-  bool room() const { return open_ && calls_.size() < kStreams; }
+  bool has_free_stream() const { return open_ && calls_.size() < kMaxStreamsPerConnection; }
 
-  void ask(const Asked& a, Told told) {
+  void ask(const Query& a, ReplyCallback on_reply) {
     QueryCommand command;
     command.set_query_class(a.query_class);
     command.set_tenant(a.tenant);
@@ -169,8 +169,8 @@
                                              {"x-request-id", a.id},
                                              {"grpc-timeout", flight::write_timeout(a.timeout)}},
                                             flight::frame_message(ticket.SerializeAsString()));
-    if (id < 0) return told({});
-    calls_[id].told = std::move(told);
+    if (id < 0) return on_reply({});
+    calls_[id].on_reply = std::move(on_reply);
     http2_.send_pending();
   }
 
@@ -184,27 +184,27 @@
     if (it != calls_.end())
       it->second.in.append(bytes);
     else
-      ++owner_.extra_;
+      ++owner_.unexpected_replies_;
   }
   void on_end_stream(std::int32_t id) override {
     auto it = calls_.find(id);
     if (it == calls_.end()) return;
     Call call = std::move(it->second);
     calls_.erase(it);
-    call.told(read(call));
+    call.on_reply(read(call));
   }
   void on_stream_closed(std::int32_t id, std::uint32_t) override {
     auto it = calls_.find(id);
     if (it == calls_.end()) return;
-    Told told = std::move(it->second.told);
+    ReplyCallback on_reply = std::move(it->second.on_reply);
     calls_.erase(it);
-    told({});
+    on_reply({});
   }
   void on_goaway() override { open_ = false; }
   void on_disconnected() override {
     open_ = false;
     auto self = shared_from_this();
-    for (auto& [id, call] : std::exchange(calls_, {})) call.told({});
+    for (auto& [id, call] : std::exchange(calls_, {})) call.on_reply({});
     http2_.close();
     if (std::erase(owner_.all_, self) > 0) owner_.loop_.destroy_later(std::move(self));
   }
@@ -213,7 +213,7 @@
   struct Call {
     flight::Headers headers;
     std::string in;
-    Told told;
+    ReplyCallback on_reply;
   };
   static Reply read(Call& call) {
     Reply r;
@@ -222,16 +222,16 @@
     if (const std::string* message = flight::find_header(call.headers, "grpc-message")) r.error = *message;
     r.kind = code == 0                                                    ? Reply::Kind::answered
              : code == static_cast<int>(flight::Status::unavailable)      ? Reply::Kind::refused
-             : code == static_cast<int>(flight::Status::invalid_argument) ? Reply::Kind::unfit
-             : code < 0                                                   ? Reply::Kind::broken
+             : code == static_cast<int>(flight::Status::invalid_argument) ? Reply::Kind::invalid
+             : code < 0                                                   ? Reply::Kind::no_reply
                                                                           : Reply::Kind::failed;
     r.retry_after = flight::read_retry_after(call.headers).value_or(0);
     const std::string* exact = flight::find_header(call.headers, "answer-exact");
     r.whole = exact && *exact == "true";
     std::vector<flight::ArrowRow> rows;
     bool bad = false;
-    constexpr std::size_t kMost = 8 * 1024 * 1024;
-    while (auto message = flight::take_message(call.in, kMost, bad)) {
+    constexpr std::size_t kMaxReplyMessageBytes = 8 * 1024 * 1024;
+    while (auto message = flight::take_message(call.in, kMaxReplyMessageBytes, bad)) {
       wire::FlightData part;
       if (!part.ParseFromString(*message) ||
           flight::read_arrow(part.data_header(), part.data_body(), rows, flight::Layout::spans) ==
@@ -255,16 +255,16 @@
   for (auto& c : all_) c->close();
 }
 
-void FlightClients::ask(const Asked& asked, Told told) {
+void FlightClients::ask(const Query& query, ReplyCallback on_reply) {
   std::shared_ptr<Connection> c;
   for (auto& each : all_)
-    if (!c && each->room()) c = each;
+    if (!c && each->has_free_stream()) c = each;
   if (!c) {
     c = std::make_shared<Connection>(*this);
-    if (!c->begin(port_())) return told({});
+    if (!c->connect(port_())) return on_reply({});
     all_.push_back(c);
   }
-  c->ask(asked, std::move(told));
+  c->ask(query, std::move(on_reply));
 }
 
 }  // namespace winchhall::testbed
--- a/testbed/clients.hpp
+++ b/testbed/clients.hpp
@@ -17,7 +17,7 @@
 
 using Millis = double;
 
-struct Asked {
+struct Query {
   std::string id{}, query_class{}, tenant{}, text{};
   std::vector<ranges::Span> spans{};
   double timeout = 0;  // ms
@@ -25,24 +25,30 @@
 };
 
 struct Reply {
-  enum class Kind { answered, refused, failed, unfit, broken } kind = Kind::broken;  // broken: none came
+  enum class Kind {
+    answered,
+    refused,
+    failed,
+    invalid,
+    no_reply
+  } kind = Kind::no_reply;  // broken: none came
   bool whole = false;
   double retry_after = 0;  // ms
-  std::vector<Truth::Row> rows{};
+  std::vector<ReferenceLedger::Row> rows{};
   std::string error{};
 };
-using Told = std::function<void(Reply)>;
+using ReplyCallback = std::function<void(Reply)>;
 
-std::string http_request(const Asked& asked);
+std::string http_request(const Query& query);
 
 class HttpClients {
  public:
   HttpClients(event_loop::Loop& loop, std::function<int()> port) : loop_(loop), port_(std::move(port)) {}
   ~HttpClients();
   // Called back once; what comes twice on a connection counts in extra().
-  void ask(const Asked& asked, Told told) { ask(http_request(asked), std::move(told)); }
-  void ask(const std::string& request, Told told);
-  std::size_t extra() const { return extra_; }
+  void ask(const Query& query, ReplyCallback on_reply) { ask(http_request(query), std::move(on_reply)); }
+  void ask(const std::string& request, ReplyCallback on_reply);
+  std::size_t unexpected_replies() const { return unexpected_replies_; }
   std::size_t connections() const { return all_.size(); }
 
  private:
@@ -50,22 +56,22 @@
   event_loop::Loop& loop_;
   std::function<int()> port_;
   std::vector<std::shared_ptr<Connection>> all_, idle_;
-  std::size_t extra_ = 0;
+  std::size_t unexpected_replies_ = 0;
 };
 
 class FlightClients {
  public:
   FlightClients(event_loop::Loop& loop, std::function<int()> port) : loop_(loop), port_(std::move(port)) {}
   ~FlightClients();
-  void ask(const Asked& asked, Told told);
-  std::size_t extra() const { return extra_; }
+  void ask(const Query& query, ReplyCallback on_reply);
+  std::size_t unexpected_replies() const { return unexpected_replies_; }
 
  private:
   class Connection;
   event_loop::Loop& loop_;
   std::function<int()> port_;
   std::vector<std::shared_ptr<Connection>> all_;
-  std::size_t extra_ = 0;
+  std::size_t unexpected_replies_ = 0;
 };
 
 Reply read_http_reply(const http::HttpMessage& message);
--- a/testbed/directory.hpp
+++ b/testbed/directory.hpp
@@ -14,41 +14,41 @@
 
 class Directory {
  public:
-  Directory(event_loop::Loop& loop, World& world);
+  Directory(event_loop::Loop& loop, SimulatedDeployment& deployment);
   ~Directory();
   std::string address() const { return http_.address(); }
 
-  void tell();                            // what has changed goes to the watches, each after the delay
-  void delay(Millis ms) { delay_ = ms; }  // of each word
-  void skip_next() { skip_ = true; }      // the next word is lost on the way
+  void publish_changes();  // what has changed goes to the watches, each after the delay
+  void set_update_delay(Millis ms) { update_delay_ = ms; }  // of each word
+  void drop_next_update() { drop_next_ = true; }            // the next word is lost on the way
   void break_watches();
-  void go_away() { http_.go_away(); }
-  void come_back() { http_.come_back(); }
+  void stop() { http_.stop(); }
+  void start() { http_.start(); }
   // From now on, for that long, the whole map that it gives is the one it had at `when`.
-  void tell_older(Millis when, Millis until);
+  void serve_older_map(Millis when, Millis until);
 
   struct Counts {
-    std::size_t asked = 0, whole = 0, words = 0, broken = 0, skipped = 0;
+    std::size_t requests = 0, full_maps = 0, updates = 0, broken_watches = 0, dropped_updates = 0;
   };
   const Counts& counts() const { return counts_; }
 
  private:
   struct Watch {
     std::weak_ptr<HttpStandIn::Connection> connection;
-    ranges::Revision told;
+    ranges::Revision sent_revision;
   };
-  void asked(HttpStandIn::Connection& connection, const http::HttpMessage& message);
-  void whole(HttpStandIn::Connection& connection, const ranges::RangeMap& map);
-  void beat();
+  void handle_request(HttpStandIn::Connection& connection, const http::HttpMessage& message);
+  void send_full_map(HttpStandIn::Connection& connection, const ranges::RangeMap& map);
+  void send_keepalives();
 
   event_loop::Loop& loop_;
-  World& world_;
+  SimulatedDeployment& deployment_;
   HttpStandIn http_;
   std::vector<Watch> watches_;
-  Millis delay_ = 0, older_ = 0, older_until_ = 0;
-  bool skip_ = false;
+  Millis update_delay_ = 0, older_map_time_ = 0, older_map_until_ = 0;
+  bool drop_next_ = false;
   Counts counts_;
-  event_loop::TimerId beat_{};
+  event_loop::TimerId keepalive_timer_{};
 };
 
 struct RosterEntry {
@@ -64,20 +64,20 @@
   explicit Roster(event_loop::Loop& loop, bool flight);
   ~Roster();
   std::string address() const { return http_.address(); }
-  void set(const RosterEntry& entry);           // told to all that watch
-  std::string whole() const;                    // as the configuration's `known` has it
-  Millis told_at(const std::string& id) const;  // when its last change was written
+  void set(const RosterEntry& entry);                  // told to all that watch
+  std::string full_list() const;                       // as the configuration's `known` has it
+  Millis last_change_at(const std::string& id) const;  // when its last change was written
 
  private:
   std::string row(const RosterEntry& entry) const;
-  void beat();
+  void send_keepalives();
   event_loop::Loop& loop_;
   bool flight_;
   HttpStandIn http_;
   std::map<std::string, RosterEntry> entries_;
-  std::map<std::string, Millis> told_at_;
+  std::map<std::string, Millis> changed_at_;
   long long revision_ = 1;
-  event_loop::TimerId beat_{};
+  event_loop::TimerId keepalive_timer_{};
 };
 
 }  // namespace winchhall::testbed
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -11,8 +11,8 @@
 using nlohmann::json;
 
 namespace {
-constexpr Millis kReadyIn = 30000;    // ms for an aggregator to start; only ends a run that hangs
-constexpr Millis kDrainGrace = 2000;  // ms by the rule
+constexpr Millis kReadyTimeout = 30000;  // ms for an aggregator to start; only ends a run that hangs
+constexpr Millis kDrainGrace = 2000;     // ms by the rule
 constexpr int kAttempts = 3;
 }  // namespace
 
@@ -25,19 +25,19 @@
 
 Fleet::Fleet(const FleetOptions& options)
     : options_(options),
-      truth_(options.seed, options.accounts),
-      world_(options.seed, options.world, loop_.now()),
-      directory_(loop_, world_),
+      reference_(options.seed, options.accounts),
+      deployment_(options.seed, options.deployment, loop_.now()),
+      directory_(loop_, deployment_),
       frames_roster_(loop_, false),
       flight_roster_(loop_, true),
-      checker_(truth_, world_, classes(), kAttempts, options.slack) {
+      checker_(reference_, deployment_, classes(), kAttempts, options.slack) {
   for (std::size_t i = 0; i < options.nodes; ++i) {
-    nodes_.push_back(std::make_unique<Node>(loop_, i, options.node, world_, truth_, options.seed,
+    nodes_.push_back(std::make_unique<Node>(loop_, i, options.node, deployment_, reference_, options.seed,
                                             [this](const Node::Arrival& a) {
-                                              checker_.arrived(a);
-                                              drained_send(a);
+                                              checker_.record_arrival(a);
+                                              check_drained_node(a);
                                             }));
-    roster_set(i, "ready");
+    set_roster_phase(i, "ready");
   }
   for (std::size_t i = 0; i < options.aggregators; ++i) {
     Aggregator a;
@@ -64,7 +64,7 @@
   for (const ClassRule& c : classes()) {
     services.push_back({{"name", c.name},
                         {"objective", c.latency_target},
-                        {"hard_limit", c.give_up},
+                        {"hard_limit", c.hard_limit},
                         {"gain", c.value},
                         {"late_share", c.late_value},
                         {"semantics", "free"}});
@@ -79,7 +79,7 @@
               {"seed", std::to_string(1000 + i)},
               {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
               {"known", options_.files_root.empty()
-                            ? json::parse(roster.whole())
+                            ? json::parse(roster.full_list())
                             : json{{"revision", 1}, {"complete", true}, {"members", json::array()}}},
               {"settings",
                {{"balancers", options_.aggregators},
@@ -127,11 +127,11 @@
          "</winchhall>\n";
 }
 
-void Fleet::begin() {
+void Fleet::start() {
   for (Aggregator& a : aggregators_) a.process->start();
-  Millis end = loop_.now() + kReadyIn;
+  Millis end = loop_.now() + kReadyTimeout;
   for (Aggregator& a : aggregators_) {
-    while (!a.process->said("phase ready")) {
+    while (!a.process->logged("phase ready")) {
       loop_.run_once(20);
       int status = 0;
       if (loop_.now() > end || a.process->ended(status))
@@ -142,18 +142,18 @@
   }
 }
 
-void Fleet::turn(Millis longest) {
+void Fleet::run_once(Millis longest) {
   loop_.run_once(longest);
   for (std::size_t i = 0; i < aggregators_.size(); ++i) {
     int status = 0;
     if (aggregators_[i].process->ended(status))
-      checker_.broke("no crash",
-                     "aggregator " + std::to_string(i) + " ended with status " + std::to_string(status));
+      checker_.record_violation(
+          "no crash", "aggregator " + std::to_string(i) + " ended with status " + std::to_string(status));
   }
 }
 
-Asked Fleet::draw(Random& random, std::uint64_t number) const {
-  Asked a;
+Query Fleet::random_query(Random& random, std::uint64_t number) const {
+  Query a;
   a.id = "q" + std::to_string(number);
   double which = random.unit();
   const ClassRule& c = classes()[which < 0.13 ? 0 : which < 0.75 ? 1 : 2];
@@ -163,7 +163,7 @@
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(random.bits()));
   a.text = text;
   a.key = random.below(3000);
-  a.timeout = c.give_up * random.between(0.6, 1);
+  a.timeout = c.hard_limit * random.between(0.6, 1);
   // A few spans, some wide and some of a handful of accounts, at any border.
   for (std::size_t n = 1 + random.below(3); n > 0; --n) {
     double share = c.name == "transfer-lookup" ? random.between(0.0005, 0.06) : random.between(0.03, 0.12);
@@ -177,20 +177,21 @@
   return a;
 }
 
-void Fleet::ask(std::size_t i, bool over_flight, const Asked& asked, std::function<void(const Reply&)> seen) {
+void Fleet::ask(std::size_t i, bool over_flight, const Query& query,
+                std::function<void(const Reply&)> observer) {
   Aggregator& a = aggregators_[i];
   Millis at = loop_.now();
-  checker_.asked(asked, at);
-  ++open_;
-  Told told = [this, i, at, id = asked.id, seen = std::move(seen)](Reply reply) {
-    --open_;
-    if (seen) seen(reply);
-    checker_.told(id, reply, loop_.now(), aggregators_[i].killed_at >= at);
+  checker_.record_query(query, at);
+  ++open_queries_;
+  ReplyCallback on_reply = [this, i, at, id = query.id, observer = std::move(observer)](Reply reply) {
+    --open_queries_;
+    if (observer) observer(reply);
+    checker_.record_reply(id, reply, loop_.now(), aggregators_[i].killed_at >= at);
   };
   if (over_flight)
-    a.flight->ask(asked, std::move(told));
+    a.flight->ask(query, std::move(on_reply));
   else
-    a.http->ask(asked, std::move(told));
+    a.http->ask(query, std::move(on_reply));
 }
 
 void Fleet::kill(std::size_t i) {
@@ -200,12 +201,12 @@
 
 void Fleet::restart(std::size_t i) {
   Aggregator& a = aggregators_[i];
-  a.process->configure(config(i, a.http_port));
-  a.process->operate(ops(i, a.flight_port));
+  a.process->write_config(config(i, a.http_port));
+  a.process->write_operator_file(ops(i, a.flight_port));
   a.process->start();
 }
 
-void Fleet::roster_set(std::size_t node, const std::string& phase) {
+void Fleet::set_roster_phase(std::size_t node, const std::string& phase) {
   RosterEntry e{
       nodes_[node]->name(),    nodes_[node]->frames_address(), nodes_[node]->flight_address(), 0, phase,
       nodes_[node]->up_since()};
@@ -214,44 +215,48 @@
 }
 
 void Fleet::drain(std::size_t node) {
-  drains_[node] = loop_.now();
-  roster_set(node, "draining");
+  drained_at_[node] = loop_.now();
+  set_roster_phase(node, "draining");
 }
 void Fleet::undrain(std::size_t node) {
-  drains_.erase(node);
-  roster_set(node, "ready");
+  drained_at_.erase(node);
+  set_roster_phase(node, "ready");
 }
-void Fleet::kill_node(std::size_t node) {
-  nodes_[node]->die();
-  roster_set(node, "gone");
+void Fleet::crash_node(std::size_t node) {
+  nodes_[node]->crash();
+  set_roster_phase(node, "gone");
 }
-void Fleet::return_node(std::size_t node) {
-  nodes_[node]->come_back();
-  roster_set(node, "ready");
+void Fleet::restart_node(std::size_t node) {
+  nodes_[node]->restart();
+  set_roster_phase(node, "ready");
 }
 
-void Fleet::drained_send(const Node::Arrival& a) {
-  auto it = drains_.find(a.node);
-  if (it != drains_.end() && loop_.now() - it->second > kDrainGrace + options_.slack)
-    checker_.broke("drains", a.part + " to " + World::node_name(a.node) + " " +
-                                 std::to_string(loop_.now() - it->second) + " ms after it was told to drain");
+void Fleet::check_drained_node(const Node::Arrival& a) {
+  auto it = drained_at_.find(a.node);
+  if (it != drained_at_.end() && loop_.now() - it->second > kDrainGrace + options_.slack)
+    checker_.record_violation("drains", a.part + " to " + SimulatedDeployment::node_name(a.node) + " " +
+                                            std::to_string(loop_.now() - it->second) +
+                                            " ms after it was told to drain");
 }
 
-std::size_t Fleet::extra_answers() const {
+std::size_t Fleet::unexpected_replies() const {
   std::size_t n = 0;
-  for (const Aggregator& a : aggregators_) n += a.http->extra() + a.flight->extra();
+  for (const Aggregator& a : aggregators_) n += a.http->unexpected_replies() + a.flight->unexpected_replies();
   return n;
 }
 
-void Fleet::look_over() {
+void Fleet::check_final_state() {
   checker_.finish();
-  if (extra_answers() > 0)
-    checker_.broke("one answer", std::to_string(extra_answers()) + " answers to nothing that was asked");
+  if (unexpected_replies() > 0)
+    checker_.record_violation("one answer",
+                              std::to_string(unexpected_replies()) + " answers to nothing that was asked");
   for (const auto& node : nodes_)
-    if (node->counts().fell) checker_.broke("cold nodes", node->name() + " fell over");
+    if (node->counts().failed_by_overload)
+      checker_.record_violation("cold nodes", node->name() + " fell over");
   for (const Aggregator& a : aggregators_)
     for (const char* words : {"query overdue", "answer covers less than the coordinator reported"})
-      if (a.process->count(words) > 0) checker_.broke("module's word", std::string("the log says: ") + words);
+      if (a.process->count(words) > 0)
+        checker_.record_violation("module's word", std::string("the log says: ") + words);
 }
 
 }  // namespace winchhall::testbed
--- a/testbed/fleet.hpp
+++ b/testbed/fleet.hpp
@@ -19,7 +19,7 @@
 struct FleetOptions {
   std::uint64_t seed = 1;
   std::size_t nodes = 20, aggregators = 3, accounts = 4000;
-  WorldOptions world{};
+  SimulatedDeploymentOptions deployment{};
   NodeOptions node{};
   std::string program{};
   std::string files_root{};  // nodes and ranges come from files there, and not from roster and directory
@@ -32,36 +32,36 @@
   ~Fleet();
 
   // Starts all aggregators and waits until they are ready. Throws std::runtime_error where one isn't in time.
-  void begin();
-  void turn(Millis longest = 20);
+  void start();
+  void run_once(Millis longest = 20);
 
   // One query, at an aggregator that runs; its answer goes to the checker.
-  void ask(std::size_t aggregator, bool over_flight, const Asked& asked,
-           std::function<void(const Reply&)> seen = nullptr);
+  void ask(std::size_t aggregator, bool over_flight, const Query& query,
+           std::function<void(const Reply&)> observer = nullptr);
   int http_port(std::size_t i) const { return aggregators_[i].http_port; }
   int flight_port(std::size_t i) const { return aggregators_[i].flight_port; }
-  Asked draw(Random& random, std::uint64_t number) const;
-  std::size_t open() const { return open_; }
+  Query random_query(Random& random, std::uint64_t number) const;
+  std::size_t open_queries() const { return open_queries_; }
 
   void kill(std::size_t aggregator);
   void restart(std::size_t aggregator);
   bool running(std::size_t aggregator) const { return aggregators_[aggregator].process->running(); }
   void drain(std::size_t node);
   void undrain(std::size_t node);
-  void kill_node(std::size_t node);
-  void return_node(std::size_t node);
+  void crash_node(std::size_t node);
+  void restart_node(std::size_t node);
 
   event_loop::Loop& loop() { return loop_; }
-  World& world() { return world_; }
+  SimulatedDeployment& deployment() { return deployment_; }
   Directory& directory() { return directory_; }
   Checker& checker() { return checker_; }
   Node& node(std::size_t i) { return *nodes_[i]; }
   std::size_t nodes() const { return nodes_.size(); }
   std::size_t aggregators() const { return aggregators_.size(); }
   Process& process(std::size_t i) { return *aggregators_[i].process; }
-  std::size_t extra_answers() const;
+  std::size_t unexpected_replies() const;
   // What must hold at the end of any run, beside what the checker has seen.
-  void look_over();
+  void check_final_state();
 
   static const std::vector<ClassRule>& classes();
 
@@ -77,20 +77,20 @@
   bool over_flight(std::size_t aggregator) const;
   std::string config(std::size_t aggregator, int port) const;
   std::string ops(std::size_t aggregator, int port) const;
-  void roster_set(std::size_t node, const std::string& phase);
-  void drained_send(const Node::Arrival& arrival);
+  void set_roster_phase(std::size_t node, const std::string& phase);
+  void check_drained_node(const Node::Arrival& arrival);
 
   FleetOptions options_;
   event_loop::Loop loop_;
-  Truth truth_;
-  World world_;
+  ReferenceLedger reference_;
+  SimulatedDeployment deployment_;
   Directory directory_;
   Roster frames_roster_, flight_roster_;
   Checker checker_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Aggregator> aggregators_;
-  std::map<std::size_t, Millis> drains_;  // since when the roster says so
-  std::size_t open_ = 0;
+  std::map<std::size_t, Millis> drained_at_;  // since when the roster says so
+  std::size_t open_queries_ = 0;
 };
 
 }  // namespace winchhall::testbed
--- a/testbed/histogram.hpp
+++ b/testbed/histogram.hpp
@@ -14,42 +14,43 @@
     auto us = static_cast<std::uint64_t>(std::clamp(ms * 1000, 0.0, 1e12));
     ++counts_[bucket(us)];
     ++count_;
-    sum_ += ms;
-    most_ = std::max(most_, ms);
+    sum_ms_ += ms;
+    max_ms_ = std::max(max_ms_, ms);
   }
   void add(const Histogram& other) {
     for (std::size_t i = 0; i < counts_.size(); ++i) counts_[i] += other.counts_[i];
     count_ += other.count_;
-    sum_ += other.sum_;
-    most_ = std::max(most_, other.most_);
+    sum_ms_ += other.sum_ms_;
+    max_ms_ = std::max(max_ms_, other.max_ms_);
   }
   std::uint64_t count() const { return count_; }
-  double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
-  double most() const { return most_; }
+  double mean() const { return count_ > 0 ? sum_ms_ / static_cast<double>(count_) : 0; }
+  double max() const { return max_ms_; }
   // In milliseconds: so many of all were not later than that.
   double quantile(double q) const {
     auto wanted = static_cast<std::uint64_t>(q * static_cast<double>(count_) + 0.5);
     std::uint64_t seen = 0;
     for (std::size_t i = 0; i < counts_.size(); ++i)
-      if ((seen += counts_[i]) >= wanted && seen > 0) return std::min(most_, upper(i) / 1000);
-    return most_;
+      if ((seen += counts_[i]) >= wanted && seen > 0) return std::min(max_ms_, upper_bound_us(i) / 1000);
+    return max_ms_;
   }
 
  private:
-  static constexpr unsigned kSub = 6;  // bits: 64 buckets to a doubling
+  static constexpr unsigned kSubBucketBits = 6;  // bits: 64 buckets to a doubling
   static std::size_t bucket(std::uint64_t us) {
-    if (us < (1U << kSub)) return us;
-    unsigned shift = static_cast<unsigned>(std::bit_width(us)) - 1 - kSub;
-    return (static_cast<std::size_t>(shift + 1) << kSub) + ((us >> shift) & ((1U << kSub) - 1));
+    if (us < (1U << kSubBucketBits)) return us;
+    unsigned shift = static_cast<unsigned>(std::bit_width(us)) - 1 - kSubBucketBits;
+    return (static_cast<std::size_t>(shift + 1) << kSubBucketBits) +
+           ((us >> shift) & ((1U << kSubBucketBits) - 1));
   }
-  static double upper(std::size_t i) {
-    if (i < (1U << kSub)) return static_cast<double>(i);
-    std::uint64_t shift = (i >> kSub) - 1, within = i & ((1U << kSub) - 1);
-    return static_cast<double>(((1ULL << kSub) + within + 1) << shift);
+  static double upper_bound_us(std::size_t i) {
+    if (i < (1U << kSubBucketBits)) return static_cast<double>(i);
+    std::uint64_t shift = (i >> kSubBucketBits) - 1, within = i & ((1U << kSubBucketBits) - 1);
+    return static_cast<double>(((1ULL << kSubBucketBits) + within + 1) << shift);
   }
   std::array<std::uint64_t, 64 * 42> counts_{};
   std::uint64_t count_ = 0;
-  double sum_ = 0, most_ = 0;
+  double sum_ms_ = 0, max_ms_ = 0;
 };
 
 }  // namespace winchhall::testbed
--- a/testbed/http_stand_in.cpp
+++ b/testbed/http_stand_in.cpp
@@ -40,12 +40,12 @@
 
 HttpStandIn::HttpStandIn(event_loop::Loop& loop, Handler handler)
     : loop_(loop), handler_(std::move(handler)) {
-  come_back();
+  start();
 }
 
-HttpStandIn::~HttpStandIn() { go_away(); }
+HttpStandIn::~HttpStandIn() { stop(); }
 
-void HttpStandIn::come_back() {
+void HttpStandIn::start() {
   if (listener_) return;
   auto at = *event_loop::parse_address("127.0.0.1:" + std::to_string(port_));
   listener_ = std::make_unique<event_loop::Listener>(loop_, at, [this](event_loop::UniqueFd fd) {
@@ -56,7 +56,7 @@
   port_ = listener_->port();
 }
 
-void HttpStandIn::go_away() {
+void HttpStandIn::stop() {
   listener_.reset();
   auto copy = connections_;
   for (const auto& c : copy) {
--- a/testbed/http_stand_in.hpp
+++ b/testbed/http_stand_in.hpp
@@ -40,8 +40,8 @@
   ~HttpStandIn();
   int port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  void go_away();  // closes all and listens no more
-  void come_back();
+  void stop();  // closes all and listens no more
+  void start();
   std::set<std::shared_ptr<Connection>> connections() const { return connections_; }
 
  private:
--- a/testbed/main.cpp
+++ b/testbed/main.cpp
@@ -17,7 +17,7 @@
   return program.substr(0, program.rfind('/') + 1) + name;
 }
 
-void common_options(CLI::App& app, winchhall::testbed::Common& c) {
+void common_options(CLI::App& app, winchhall::testbed::CommonOptions& c) {
   c.program = beside("winchhall");
   app.add_option("--seed", c.seed, "of all that is drawn")->capture_default_str();
   app.add_option("--seconds", c.seconds, "of each run")->check(CLI::Range(2.0, 600.0))->capture_default_str();
@@ -38,7 +38,7 @@
   CLI::App* experiment = app.add_subcommand("experiment", "run one");
   experiment->require_subcommand(1);
 
-  testbed::MovingRanges moving;
+  testbed::MovingRangesOptions moving;
   CLI::App* m = experiment->add_subcommand("moving-ranges", "ranges split, merge and move while queries run");
   common_options(*m, moving.common);
   m->add_option("--rate", moving.rate, "queries a second")
@@ -47,11 +47,11 @@
   m->add_option("--nodes", moving.nodes)->check(CLI::Range(4, 64))->capture_default_str();
   m->add_option("--aggregators", moving.aggregators)->check(CLI::Range(2, 9))->capture_default_str();
   m->add_option("--reshuffle-ms", moving.reshuffle_ms)->check(CLI::Range(50.0, 1e6))->capture_default_str();
-  m->add_option("--service-least", moving.service_least, "of the run without reshuffles")
+  m->add_option("--service-least", moving.min_service_ratio, "of the run without reshuffles")
       ->capture_default_str();
   m->add_flag("!--no-faults", moving.faults, "neither pauses nor deaths nor a directory in trouble");
 
-  testbed::WatchedFiles files;
+  testbed::WatchedFilesOptions files;
   CLI::App* w =
       experiment->add_subcommand("watched-files", "files rewritten without pause, a third of them spoilt");
   common_options(*w, files.common);
@@ -60,10 +60,10 @@
       ->capture_default_str();
   w->add_option("--nodes", files.nodes)->check(CLI::Range(4, 64))->capture_default_str();
   w->add_option("--aggregators", files.aggregators)->check(CLI::Range(1, 9))->capture_default_str();
-  w->add_option("--service-least", files.service_least, "of the run whose files stand still")
+  w->add_option("--service-least", files.min_service_ratio, "of the run whose files stand still")
       ->capture_default_str();
 
-  testbed::Operations ops;
+  testbed::OperationsOptions ops;
   CLI::App* o =
       experiment->add_subcommand("operations", "drained, retuned, replaced, killed and stopped under load");
   common_options(*o, ops.common);
@@ -71,7 +71,7 @@
   o->add_option("--leafs", ops.leafs)->check(CLI::Range(3, 64))->capture_default_str();
   o->add_flag("--stop-at-end", ops.stop_at_end, "the last step of the history stops the process");
 
-  testbed::PlatformCost cost;
+  testbed::PlatformCostOptions cost;
   CLI::App* c = experiment->add_subcommand("platform-cost", "start, memory and CPU of two programs in turns");
   common_options(*c, cost.common);
   c->add_option("--before", cost.before, "the program to compare with")->check(CLI::ExistingFile)->required();
@@ -79,9 +79,9 @@
   c->add_option("--queries", cost.queries, "in each round")
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
-  c->add_option("--most", cost.most, "CPU a query, x that of before")->capture_default_str();
+  c->add_option("--most", cost.max_cpu_ratio, "CPU a query, x that of before")->capture_default_str();
 
-  testbed::Common shown;
+  testbed::CommonOptions shown;
   shown.program = beside("winchhall");
   CLI::App* demo = app.add_subcommand("demo", "one aggregator, a few nodes, one query over each front");
   demo->add_option("--program", shown.program, "the aggregator to run")->check(CLI::ExistingFile);
--- a/testbed/moving_ranges.cpp
+++ b/testbed/moving_ranges.cpp
@@ -15,14 +15,14 @@
 
 using nlohmann::json;
 
-constexpr Millis kStep = 50;         // ms between looks at what the world has due
-constexpr Millis kLastWait = 12000;  // ms for the last answers: longer than any client waits
+constexpr Millis kStepInterval = 50;       // ms between looks at what the world has due
+constexpr Millis kFinalReplyWait = 12000;  // ms for the last answers: longer than any client waits
 
-struct Outcome {
-  Checker::Figures figures{};
-  std::map<std::string, std::size_t> broken{};
-  std::vector<std::string> cases{};
-  World::Counts world{};
+struct RunResult {
+  Checker::Statistics statistics{};
+  std::map<std::string, std::size_t> violations{};
+  std::vector<std::string> violation_examples{};
+  SimulatedDeployment::Counts deployment{};
   Directory::Counts directory{};
   Node::Counts nodes{};
   std::size_t parts = 0, most_attempts = 0, ranges = 0;
@@ -30,14 +30,14 @@
 };
 
 // Faults at set shares of the run, and some every few seconds; all drawn from the seed alone.
-class Faults {
+class FaultSchedule {
  public:
-  Faults(Fleet& fleet, std::uint64_t seed, Millis begin, Millis length)
+  FaultSchedule(Fleet& fleet, std::uint64_t seed, Millis begin, Millis length)
       : fleet_(fleet), random_(seed, 9), begin_(begin), length_(length) {}
 
-  void plan(bool heavy) {
-    for (std::size_t i = 0; i < fleet_.nodes(); ++i) fleet_.node(i).lag(random_.between(0, 400));
-    if (!heavy) return;
+  void plan(bool all_faults) {
+    for (std::size_t i = 0; i < fleet_.nodes(); ++i) fleet_.node(i).set_update_lag(random_.between(0, 400));
+    if (!all_faults) return;
     for (double t = 1500; t < length_; t += random_.between(1500, 3500)) {
       std::size_t node = random_.below(fleet_.nodes());
       double ms = random_.between(150, 500);
@@ -48,65 +48,65 @@
       std::size_t what = random_.below(4), node = random_.below(fleet_.nodes());
       at(t, [this, ms, what, node] {
         if (what == 0) fleet_.directory().break_watches();
-        if (what == 1) fleet_.directory().skip_next();
-        if (what == 2) fleet_.directory().delay(ms);
+        if (what == 1) fleet_.directory().drop_next_update();
+        if (what == 2) fleet_.directory().set_update_delay(ms);
         if (what == 3) fleet_.node(node).deny_for(ms);  // says "not mine", whatever it is asked
       });
     }
     std::size_t drained = random_.below(fleet_.nodes()), killed = (drained + 7) % fleet_.nodes();
     std::size_t aggregator = random_.below(fleet_.aggregators());
-    share(0.15, [this] { fleet_.directory().go_away(); });
-    share(0.28, [this] { fleet_.directory().come_back(); });
-    share(0.35, [this, drained] { fleet_.drain(drained); });
-    share(0.45, [this, drained] { fleet_.undrain(drained); });
-    share(0.50, [this] {
+    at_share(0.15, [this] { fleet_.directory().stop(); });
+    at_share(0.28, [this] { fleet_.directory().start(); });
+    at_share(0.35, [this, drained] { fleet_.drain(drained); });
+    at_share(0.45, [this, drained] { fleet_.undrain(drained); });
+    at_share(0.50, [this] {
       for (std::size_t i = 0; i < fleet_.aggregators(); ++i) fleet_.process(i).signal(SIGHUP);
     });
-    share(0.55, [this, killed] { fleet_.kill_node(killed); });
-    share(0.62, [this, killed] { fleet_.return_node(killed); });
-    share(0.65, [this] {
+    at_share(0.55, [this, killed] { fleet_.crash_node(killed); });
+    at_share(0.62, [this, killed] { fleet_.restart_node(killed); });
+    at_share(0.65, [this] {
       Millis now = fleet_.loop().now();
-      fleet_.directory().tell_older(now - 3000, now + 600);
+      fleet_.directory().serve_older_map(now - 3000, now + 600);
     });
-    share(0.70, [this, aggregator] { fleet_.kill(aggregator); });
-    share(0.73, [this, aggregator] { fleet_.restart(aggregator); });
-    share(0.82, [this] {
-      fleet_.world().new_incarnation(fleet_.loop().now());
-      fleet_.directory().tell();
+    at_share(0.70, [this, aggregator] { fleet_.kill(aggregator); });
+    at_share(0.73, [this, aggregator] { fleet_.restart(aggregator); });
+    at_share(0.82, [this] {
+      fleet_.deployment().new_incarnation(fleet_.loop().now());
+      fleet_.directory().publish_changes();
     });
   }
 
  private:
   void at(double t, std::function<void()> run) { fleet_.loop().run_at(begin_ + t, std::move(run)); }
-  void share(double of, std::function<void()> run) { at(of * length_, std::move(run)); }
+  void at_share(double of, std::function<void()> run) { at(of * length_, std::move(run)); }
   Fleet& fleet_;
   Random random_;
   Millis begin_, length_;
 };
 
-Outcome run(const MovingRanges& o, bool moves) {
+RunResult run(const MovingRangesOptions& o, bool moves) {
   FleetOptions options;
   options.seed = o.common.seed;
   options.nodes = o.nodes;
   options.aggregators = o.aggregators;
   options.program = o.common.program;
   options.slack = o.common.slack_ms;
-  options.world.nodes = o.nodes;
-  options.world.ranges = 3 * o.nodes;
+  options.deployment.nodes = o.nodes;
+  options.deployment.ranges = 3 * o.nodes;
   // Parts that take long enough to be out when ranges move under them, on nodes that have room for many.
   options.node.cores = 16;
-  options.node.work_least = 30;
-  options.node.work_most = 220;
-  options.world.copy_time = 500;
-  options.world.leave_time = 300;
-  options.world.handover_time = 250;
-  options.world.splits = options.world.merges = 6;
-  options.world.moves = 10;
+  options.node.min_work = 30;
+  options.node.max_work = 220;
+  options.deployment.copy_time = 500;
+  options.deployment.leave_time = 300;
+  options.deployment.handover_time = 250;
+  options.deployment.splits = options.deployment.merges = 6;
+  options.deployment.moves = 10;
   Fleet fleet(options);
-  fleet.begin();
+  fleet.start();
   event_loop::Loop& loop = fleet.loop();
   Millis begin = loop.now(), length = 1000 * o.common.seconds, end = begin + length;
-  Faults faults(fleet, o.common.seed, begin, length);
+  FaultSchedule faults(fleet, o.common.seed, begin, length);
   faults.plan(o.faults);
 
   Random load(o.common.seed, 5);
@@ -114,45 +114,46 @@
   Millis next_at = begin;
   std::function<void()> next = [&] {
     if (loop.now() >= end) return;
-    Asked asked = fleet.draw(load, ++number);
+    Query query = fleet.random_query(load, ++number);
     bool over_flight = load.chance(0.5);
     std::size_t at = load.below(fleet.aggregators());
     // Its client finds another one while this one is down.
-    while (!fleet.running(at) || !fleet.process(at).said("phase ready")) at = (at + 1) % fleet.aggregators();
-    fleet.ask(at, over_flight, asked);
+    while (!fleet.running(at) || !fleet.process(at).logged("phase ready"))
+      at = (at + 1) % fleet.aggregators();
+    fleet.ask(at, over_flight, query);
     // By a schedule of its own: a loop that is late doesn't thin the load.
     loop.run_at(next_at += load.exponential(1000 / o.rate), next);
   };
   next();
   Millis step_at = begin, reshuffle_at = begin + o.reshuffle_ms;
-  while (loop.now() < end || (fleet.open() > 0 && loop.now() < end + kLastWait)) {
-    fleet.turn();
+  while (loop.now() < end || (fleet.open_queries() > 0 && loop.now() < end + kFinalReplyWait)) {
+    fleet.run_once();
     Millis now = loop.now();
     if (now < step_at) continue;
-    step_at = now + kStep;
+    step_at = now + kStepInterval;
     if (moves && now >= reshuffle_at && now < end) {
       reshuffle_at += o.reshuffle_ms;
-      fleet.world().reshuffle(now);
+      fleet.deployment().reshuffle(now);
     }
-    fleet.world().due(now);
-    fleet.directory().tell();
+    fleet.deployment().run_due_steps(now);
+    fleet.directory().publish_changes();
   }
-  fleet.look_over();
-  Outcome out;
-  out.figures = fleet.checker().figures();
-  out.broken = fleet.checker().broken();
-  out.cases = fleet.checker().cases();
-  out.world = fleet.world().counts();
+  fleet.check_final_state();
+  RunResult out;
+  out.statistics = fleet.checker().statistics();
+  out.violations = fleet.checker().violations();
+  out.violation_examples = fleet.checker().violation_examples();
+  out.deployment = fleet.deployment().counts();
   out.directory = fleet.directory().counts();
-  out.parts = fleet.checker().parts_arrived();
+  out.parts = fleet.checker().arrived_parts();
   out.most_attempts = fleet.checker().most_attempts();
-  out.ranges = fleet.world().map().size();
+  out.ranges = fleet.deployment().map().size();
   for (std::size_t i = 0; i < fleet.nodes(); ++i) {
     const Node::Counts& c = fleet.node(i).counts();
     out.nodes.asked += c.asked;
     out.nodes.served += c.served;
     out.nodes.denied += c.denied;
-    out.nodes.full += c.full;
+    out.nodes.queue_full += c.queue_full;
     out.nodes.late += c.late;
     out.nodes.cancelled += c.cancelled;
     out.nodes.worst_cold = std::max(out.nodes.worst_cold, c.worst_cold);
@@ -167,8 +168,8 @@
   return out;
 }
 
-json as_json(const Outcome& o) {
-  const auto& f = o.figures;
+json as_json(const RunResult& o) {
+  const auto& f = o.statistics;
   return {{"asked", f.asked},
           {"whole", f.whole},
           {"partial", f.partial},
@@ -187,44 +188,45 @@
            {{"p50", f.latency.quantile(0.5)},
             {"p99", f.latency.quantile(0.99)},
             {"p999", f.latency.quantile(0.999)},
-            {"most", f.latency.most()}}},
+            {"most", f.latency.max()}}},
           {"parts", o.parts},
           {"most_attempts", o.most_attempts},
           {"denied", o.nodes.denied},
-          {"node_full", o.nodes.full},
+          {"node_full", o.nodes.queue_full},
           {"worst_cold", o.nodes.worst_cold},
           {"world",
-           {{"splits", o.world.splits},
-            {"merges", o.world.merges},
-            {"moves", o.world.moves},
-            {"weighs", o.world.weighs},
+           {{"splits", o.deployment.splits},
+            {"merges", o.deployment.merges},
+            {"moves", o.deployment.moves},
+            {"weighs", o.deployment.weight_changes},
             {"ranges", o.ranges}}},
           {"directory",
-           {{"asked", o.directory.asked},
-            {"whole", o.directory.whole},
-            {"words", o.directory.words},
-            {"skipped", o.directory.skipped}}},
+           {{"asked", o.directory.requests},
+            {"whole", o.directory.full_maps},
+            {"words", o.directory.updates},
+            {"skipped", o.directory.dropped_updates}}},
           {"aggregators", o.aggregators},
-          {"broken", o.broken},
-          {"cases", o.cases}};
+          {"broken", o.violations},
+          {"cases", o.violation_examples}};
 }
 
-void print(const char* name, const Outcome& o) {
-  const auto& f = o.figures;
+void print(const char* name, const RunResult& o) {
+  const auto& f = o.statistics;
   std::printf("%-14s %6zu %6zu %5zu %5zu %5zu %5zu  %.4f  %6.1f %7.1f %7.1f  %6zu %6zu %4zu  %zu\n", name,
               f.asked, f.whole, f.partial, f.refused, f.failed, f.late, f.service(), f.latency.quantile(0.5),
-              f.latency.quantile(0.99), f.latency.most(), o.parts, o.nodes.denied, o.most_attempts,
+              f.latency.quantile(0.99), f.latency.max(), o.parts, o.nodes.denied, o.most_attempts,
               f.rows_wrong + f.rows_doubled + f.rows_missing + f.rows_foreign);
-  for (const auto& [rule, count] : o.broken) std::printf("  broken: %s, %zu times\n", rule.c_str(), count);
-  for (const std::string& text : o.cases) std::printf("    %s\n", text.c_str());
+  for (const auto& [rule, count] : o.violations)
+    std::printf("  broken: %s, %zu times\n", rule.c_str(), count);
+  for (const std::string& text : o.violation_examples) std::printf("    %s\n", text.c_str());
 }
 
 }  // namespace
 
-int moving_ranges(const MovingRanges& o) {
-  Outcome still = run(o, false);
-  Outcome moved = run(o, true);
-  double ratio = still.figures.service() > 0 ? moved.figures.service() / still.figures.service() : 0;
+int moving_ranges(const MovingRangesOptions& o) {
+  RunResult still = run(o, false);
+  RunResult moved = run(o, true);
+  double ratio = still.statistics.service() > 0 ? moved.statistics.service() / still.statistics.service() : 0;
   std::printf("%-14s %6s %6s %5s %5s %5s %5s  %7s %6s %7s %7s  %6s %6s %4s  %s\n", "run", "asked", "whole",
               "part", "refus", "fail", "late", "service", "p50", "p99", "most", "parts", "denied", "att",
               "bad rows");
@@ -233,9 +235,10 @@
   std::printf(
       "reshuffles: %zu splits, %zu merges, %zu moves, %zu weights; service %.4f of that without (%.2f "
       "wanted)\n",
-      moved.world.splits, moved.world.merges, moved.world.moves, moved.world.weighs, ratio, o.service_least);
+      moved.deployment.splits, moved.deployment.merges, moved.deployment.moves,
+      moved.deployment.weight_changes, ratio, o.min_service_ratio);
   for (const std::string& line : moved.aggregators) std::printf("  %s\n", line.c_str());
-  bool sound = still.broken.empty() && moved.broken.empty() && ratio >= o.service_least;
+  bool passed = still.violations.empty() && moved.violations.empty() && ratio >= o.min_service_ratio;
   if (!o.common.json.empty())
     std::ofstream(o.common.json) << json{{"experiment", "moving-ranges"},
                                          {"seed", o.common.seed},
@@ -248,10 +251,10 @@
                                          {"still", as_json(still)},
                                          {"moving", as_json(moved)},
                                          {"service_ratio", ratio},
-                                         {"sound", sound}}
+                                         {"sound", passed}}
                                         .dump(2)
                                  << "\n";
-  return sound ? 0 : 1;
+  return passed ? 0 : 1;
 }
 
 }  // namespace winchhall::testbed
--- a/testbed/node.cpp
+++ b/testbed/node.cpp
@@ -25,15 +25,16 @@
   return n;
 }
 
-event_loop::Millis now_of(event_loop::Loop& loop) { return loop.now(); }
+event_loop::Millis now_ms(event_loop::Loop& loop) { return loop.now(); }
 }  // namespace
 
 // ---- Frames
 
-class Node::FrameSide : public event_loop::Stream::Owner, public std::enable_shared_from_this<FrameSide> {
+class Node::FrameConnection : public event_loop::Stream::Owner,
+                              public std::enable_shared_from_this<FrameConnection> {
  public:
-  explicit FrameSide(Node& node) : node_(node) {}
-  void begin(event_loop::UniqueFd fd) {
+  explicit FrameConnection(Node& node) : node_(node) {}
+  void adopt(event_loop::UniqueFd fd) {
     stream_ = event_loop::Stream::adopt(node_.loop_, std::move(fd), *this);
   }
   void close() { stream_->close(); }
@@ -44,7 +45,7 @@
       if (frame->type == 'K') cancel(frame->payload);
       if (frame->type == 'U' || frame->type == 'I')
         stream_->write(http::make_frame(frame->type, node_.load()));
-      if (frame->type == 'D') calls(frame->payload);
+      if (frame->type == 'D') receive_calls(frame->payload);
     }
     if (bad) ended();
   }
@@ -52,7 +53,7 @@
     for (auto& [id, job] : jobs_) job->cancelled = true;
     auto self = shared_from_this();
     stream_->close();
-    if (node_.frame_sides_.erase(self) > 0) node_.loop_.destroy_later(std::move(self));
+    if (node_.frame_connections_.erase(self) > 0) node_.loop_.destroy_later(std::move(self));
   }
 
  private:
@@ -62,7 +63,7 @@
     it->second->cancelled = true;
     jobs_.erase(it);
   }
-  void calls(std::string rest) {
+  void receive_calls(std::string rest) {
     while (!rest.empty()) {
       std::size_t line = rest.find('\n');
       char id[200], list[200];
@@ -72,26 +73,26 @@
           std::sscanf(rest.substr(0, line).c_str(), "%199s %llu %199s %lu", id, &range, list, &size) != 4)
         return ended();
       auto job = std::make_shared<Job>();
-      std::string words = list;
+      std::string attributes = list;
       job->part = {node_.number_,
                    id,
                    rest.substr(line + 1, size),
-                   {number_after(words, "from="), number_after(words, "to=")},
+                   {number_after(attributes, "from="), number_after(attributes, "to=")},
                    {}};
-      std::size_t dot = words.find('.', std::min(words.find("rev="), words.size()));
-      job->part.revision = {number_after(words, "rev="),
-                            dot == std::string::npos ? 0 : number_after(words.substr(dot), ".")};
-      job->until = now_of(node_.loop_) + static_cast<Millis>(number_after(words, "d="));
+      std::size_t dot = attributes.find('.', std::min(attributes.find("rev="), attributes.size()));
+      job->part.revision = {number_after(attributes, "rev="),
+                            dot == std::string::npos ? 0 : number_after(attributes.substr(dot), ".")};
+      job->deadline = now_ms(node_.loop_) + static_cast<Millis>(number_after(attributes, "d="));
       rest.erase(0, line + 1 + size);
       jobs_[id] = job;
-      job->reply = [weak = weak_from_this(), part = std::string(id)](int end, const std::string& value) {
+      job->reply = [weak = weak_from_this(), part = std::string(id)](int status, const std::string& value) {
         auto self = weak.lock();
         if (!self || !self->stream_->open()) return;
         self->jobs_.erase(part);
         self->stream_->write(http::make_frame(
-            'O', part + " " + std::to_string(end) + " 1 " + self->node_.load() + "\n" + value));
+            'O', part + " " + std::to_string(status) + " 1 " + self->node_.load() + "\n" + value));
       };
-      node_.take(job);
+      node_.accept_job(job);
     }
   }
 
@@ -102,12 +103,12 @@
 
 // ---- Flight
 
-class Node::FlightSide : public flight::Http2Connection::Handler,
-                         public std::enable_shared_from_this<FlightSide> {
+class Node::FlightConnection : public flight::Http2Connection::Handler,
+                               public std::enable_shared_from_this<FlightConnection> {
  public:
-  explicit FlightSide(Node& node)
+  explicit FlightConnection(Node& node)
       : node_(node), http2_(node.loop_, *this, flight::Http2Connection::Side::server) {}
-  void begin(event_loop::UniqueFd fd) { http2_.adopt(std::move(fd)); }
+  void adopt(event_loop::UniqueFd fd) { http2_.adopt(std::move(fd)); }
   void close() { http2_.close(); }
 
   void on_headers(std::int32_t id, const Headers& headers) override { calls_[id].headers = headers; }
@@ -128,13 +129,13 @@
                  {interval.from(), interval.to()},
                  {interval.incarnation(), interval.revision()}};
     const std::string* timeout = flight::find_header(call.headers, "grpc-timeout");
-    job->until = now_of(node_.loop_) + (timeout ? flight::read_timeout(*timeout).value_or(10000) : 10000);
+    job->deadline = now_ms(node_.loop_) + (timeout ? flight::read_timeout(*timeout).value_or(10000) : 10000);
     call.job = job;
     job->reply = [weak = weak_from_this(), id, span = job->part.span, revision = job->part.revision](
-                     int end, const std::string& value) {
-      if (auto self = weak.lock()) self->reply(id, span, revision, end, value);
+                     int status, const std::string& value) {
+      if (auto self = weak.lock()) self->reply(id, span, revision, status, value);
     };
-    node_.take(job);
+    node_.accept_job(job);
   }
   void on_stream_closed(std::int32_t id, std::uint32_t) override {
     auto it = calls_.find(id);
@@ -147,7 +148,7 @@
       if (call.job) call.job->cancelled = true;
     auto self = shared_from_this();
     http2_.close();
-    if (node_.flight_sides_.erase(self) > 0) node_.loop_.destroy_later(std::move(self));
+    if (node_.flight_connections_.erase(self) > 0) node_.loop_.destroy_later(std::move(self));
   }
 
  private:
@@ -162,19 +163,19 @@
     data.set_data_body(m.body);
     return flight::frame_message(data.SerializeAsString());
   }
-  void reply(std::int32_t id, const ranges::Span& span, const ranges::Revision& revision, int end,
+  void reply(std::int32_t id, const ranges::Span& span, const ranges::Revision& revision, int status,
              const std::string& value) {
     if (!calls_.count(id) || !http2_.open()) return;
     calls_[id].job = nullptr;  // answered: its end is no cancelling
     using flight::Status;
-    Headers trailers = flight::status_trailers(end == 200                  ? Status::ok
-                                               : end == 503                ? Status::unavailable
-                                               : end == http::kMisdirected ? Status::failed_precondition
-                                                                           : Status::internal,
+    Headers trailers = flight::status_trailers(status == 200                  ? Status::ok
+                                               : status == 503                ? Status::unavailable
+                                               : status == http::kMisdirected ? Status::failed_precondition
+                                                                              : Status::internal,
                                                "");
     trailers.emplace_back("node-load", node_.load());
     std::string body;
-    if (end == 200) {
+    if (status == 200) {
       flight::ArrowRow row;
       row.span = span;
       row.revision = ranges::text_of(revision);
@@ -182,7 +183,7 @@
       body = data_message(flight::schema_message(flight::Layout::spans)) +
              data_message(flight::batch_message({row}, flight::Layout::spans));
     }
-    if (end == http::kMisdirected) flight::add_denial(trailers, http::read_denial(value));
+    if (status == http::kMisdirected) flight::add_denial(trailers, http::read_denial(value));
     http2_.submit_response(id, {{":status", "200"}, {"content-type", "application/grpc"}}, body, trailers);
     http2_.send_pending();
   }
@@ -194,19 +195,20 @@
 
 // ---- The node itself
 
-Node::Node(event_loop::Loop& loop, std::size_t number, const NodeOptions& options, const World& world,
-           const Truth& truth, std::uint64_t seed, Heard heard)
+Node::Node(event_loop::Loop& loop, std::size_t number, const NodeOptions& options,
+           const SimulatedDeployment& deployment, const ReferenceLedger& reference, std::uint64_t seed,
+           PartObserver on_part)
     : loop_(loop),
       number_(number),
       options_(options),
-      world_(world),
-      truth_(truth),
+      deployment_(deployment),
+      reference_(reference),
       random_(seed, 100 + number),
-      heard_(std::move(heard)) {
+      on_part_(std::move(on_part)) {
   listen();
 }
 
-Node::~Node() { die(); }
+Node::~Node() { crash(); }
 
 std::string Node::frames_address() const { return "127.0.0.1:" + std::to_string(frames_port_); }
 std::string Node::flight_address() const { return "127.0.0.1:" + std::to_string(flight_port_); }
@@ -214,14 +216,14 @@
 void Node::listen() {
   auto at = [](int port) { return *event_loop::parse_address("127.0.0.1:" + std::to_string(port)); };
   frames_ = std::make_unique<event_loop::Listener>(loop_, at(frames_port_), [this](event_loop::UniqueFd fd) {
-    auto side = std::make_shared<FrameSide>(*this);
-    frame_sides_.insert(side);
-    side->begin(std::move(fd));
+    auto connection = std::make_shared<FrameConnection>(*this);
+    frame_connections_.insert(connection);
+    connection->adopt(std::move(fd));
   });
   flight_ = std::make_unique<event_loop::Listener>(loop_, at(flight_port_), [this](event_loop::UniqueFd fd) {
-    auto side = std::make_shared<FlightSide>(*this);
-    flight_sides_.insert(side);
-    side->begin(std::move(fd));
+    auto connection = std::make_shared<FlightConnection>(*this);
+    flight_connections_.insert(connection);
+    connection->adopt(std::move(fd));
   });
   frames_port_ = frames_->port();
   flight_port_ = flight_->port();
@@ -233,121 +235,121 @@
          (options_.warm_up_initial_share + (1 - options_.warm_up_initial_share) * warm);
 }
 
-void Node::take(JobPtr job) {
+void Node::accept_job(JobPtr job) {
   Millis now = loop_.now();
   if (!alive_) return;
   ++counts_.asked;
-  heard_(job->part);
-  job->work = random_.between(options_.work_least, options_.work_most);
+  on_part_(job->part);
+  job->work = random_.between(options_.min_work, options_.max_work);
   if (up_since_ > 0 && now - up_since_ < options_.warm_up_time) {
-    cold_work_.emplace_back(now, job->work);
-    while (cold_work_.front().first < now - options_.fall_time) cold_work_.pop_front();
+    recent_cold_work_.emplace_back(now, job->work);
+    while (recent_cold_work_.front().first < now - options_.fall_time) recent_cold_work_.pop_front();
     double sent = 0;
-    for (const auto& w : cold_work_) sent += w.second;
-    double multiple = sent / (capacity(now) * options_.fall_time);
-    counts_.worst_cold = std::max(counts_.worst_cold, multiple);
-    if (multiple > options_.fall_multiple) {
-      counts_.fell = true;
-      return die();
+    for (const auto& w : recent_cold_work_) sent += w.second;
+    double overload = sent / (capacity(now) * options_.fall_time);
+    counts_.worst_cold = std::max(counts_.worst_cold, overload);
+    if (overload > options_.fall_multiple) {
+      counts_.failed_by_overload = true;
+      return crash();
     }
   }
   if (now < deny_until_) {
     ++counts_.denied;
     return job->reply(http::kMisdirected, denial(*job));
   }
-  if (!world_.has_data(number_, job->part.span)) {
+  if (!deployment_.has_data(number_, job->part.span)) {
     ++counts_.denied;
     return job->reply(http::kMisdirected, denial(*job));
   }
-  if (queue_.size() >= options_.waiting) {
-    ++counts_.full;
+  if (queue_.size() >= options_.queue_limit) {
+    ++counts_.queue_full;
     return job->reply(503, "");
   }
   queue_.push_back(std::move(job));
-  pump();
+  start_queued_jobs();
 }
 
 std::string Node::denial(const Job& job) const {
-  const ranges::RangeMap& known = world_.map_at(loop_.now() - lag_);
-  ranges::Denial words{known.revision(), {}};
+  const ranges::RangeMap& known = deployment_.map_at(loop_.now() - update_lag_);
+  ranges::Denial denial{known.revision(), {}};
   if (known.revision() > job.part.revision)
     known.visit(job.part.span, [&](const ranges::RangeView& p) {
-      words.successors.push_back({p.span, p.id, {}, *p.holders, 0, {}});
+      denial.successors.push_back({p.span, p.id, {}, *p.holders, 0, {}});
       return true;
     });
-  return http::write_denial(words);
+  return http::write_denial(denial);
 }
 
-void Node::pump() {
+void Node::start_queued_jobs() {
   Millis now = loop_.now();
   if (!alive_ || now < paused_until_) return;
   while (running_ < options_.cores && !queue_.empty()) {
     JobPtr job = queue_.front();
     queue_.pop_front();
-    if (job->cancelled || job->until <= now) {
+    if (job->cancelled || job->deadline <= now) {
       ++(job->cancelled ? counts_.cancelled : counts_.late);
       continue;
     }
     ++running_;
     double slower = static_cast<double>(options_.cores) / capacity(now);
-    loop_.run_at(now + job->work * slower, [this, job, life = life_] {
-      if (life == life_) done(job);
+    loop_.run_at(now + job->work * slower, [this, job, generation = generation_] {
+      if (generation == generation_) finish_job(job);
     });
   }
 }
 
-void Node::done(JobPtr job) {
+void Node::finish_job(JobPtr job) {
   if (loop_.now() < paused_until_) {  // it stands still: so does what it has in hand
-    loop_.run_at(paused_until_, [this, job, life = life_] {
-      if (life == life_) done(job);
+    loop_.run_at(paused_until_, [this, job, generation = generation_] {
+      if (generation == generation_) finish_job(job);
     });
     return;
   }
   --running_;
   if (!job->cancelled) {
     // The data is looked at when the answer is made: a hand-over that ended meanwhile leaves nothing to read.
-    if (world_.has_data(number_, job->part.span)) {
+    if (deployment_.has_data(number_, job->part.span)) {
       ++counts_.served;
-      job->reply(200, truth_.rows(job->part.span, job->part.text));
+      job->reply(200, reference_.rows(job->part.span, job->part.text));
     } else {
       ++counts_.denied;
       job->reply(http::kMisdirected, denial(*job));
     }
   }
-  pump();
+  start_queued_jobs();
 }
 
 void Node::pause(Millis ms) {
   paused_until_ = std::max(paused_until_, loop_.now() + ms);
-  loop_.run_at(paused_until_, [this, life = life_] {
-    if (life == life_) pump();
+  loop_.run_at(paused_until_, [this, generation = generation_] {
+    if (generation == generation_) start_queued_jobs();
   });
 }
 
-void Node::die() {
+void Node::crash() {
   if (!alive_) return;
   alive_ = false;
-  ++life_;
+  ++generation_;
   running_ = 0;
   queue_.clear();
   frames_.reset();
   flight_.reset();
-  for (const auto& side : std::exchange(frame_sides_, {})) {
-    side->close();
-    loop_.destroy_later(side);
+  for (const auto& connection : std::exchange(frame_connections_, {})) {
+    connection->close();
+    loop_.destroy_later(connection);
   }
-  for (const auto& side : std::exchange(flight_sides_, {})) {
-    side->close();
-    loop_.destroy_later(side);
+  for (const auto& connection : std::exchange(flight_connections_, {})) {
+    connection->close();
+    loop_.destroy_later(connection);
   }
 }
 
-void Node::come_back() {
-  if (alive_ || counts_.fell) return;
+void Node::restart() {
+  if (alive_ || counts_.failed_by_overload) return;
   alive_ = true;
   up_since_ = loop_.now();
   paused_until_ = 0;
-  cold_work_.clear();
+  recent_cold_work_.clear();
   listen();
 }
 
--- a/testbed/node.hpp
+++ b/testbed/node.hpp
@@ -18,12 +18,12 @@
 namespace winchhall::testbed {
 
 struct NodeOptions {
-  std::size_t cores = 2, waiting = 200;
-  Millis work_least = 2, work_most = 8;  // of one part
-  double warm_up_initial_share = 0.23;   // of its capacity when it starts
-  Millis warm_up_time = 17000;           // until it is warm
-  double fall_multiple = 4;              // sent more than this x its capacity of the moment ...
-  Millis fall_time = 1000;               // ... within this time, while cold, it falls over
+  std::size_t cores = 2, queue_limit = 200;
+  Millis min_work = 2, max_work = 8;    // of one part
+  double warm_up_initial_share = 0.23;  // of its capacity when it starts
+  Millis warm_up_time = 17000;          // until it is warm
+  double fall_multiple = 4;             // sent more than this x its capacity of the moment ...
+  Millis fall_time = 1000;              // ... within this time, while cold, it falls over
 };
 
 class Node {
@@ -35,27 +35,28 @@
     ranges::Span span{};
     ranges::Revision revision{};
   };
-  using Heard = std::function<void(const Arrival&)>;
+  using PartObserver = std::function<void(const Arrival&)>;
 
-  Node(event_loop::Loop& loop, std::size_t number, const NodeOptions& options, const World& world,
-       const Truth& truth, std::uint64_t seed, Heard heard);
+  Node(event_loop::Loop& loop, std::size_t number, const NodeOptions& options,
+       const SimulatedDeployment& deployment, const ReferenceLedger& reference, std::uint64_t seed,
+       PartObserver on_part);
   ~Node();
 
-  std::string name() const { return World::node_name(number_); }
+  std::string name() const { return SimulatedDeployment::node_name(number_); }
   std::string frames_address() const;
   std::string flight_address() const;
 
-  void lag(Millis ms) { lag_ = ms; }  // it hears of changes that much later
+  void set_update_lag(Millis ms) { update_lag_ = ms; }  // it hears of changes that much later
   void deny_for(Millis ms) { deny_until_ = loop_.now() + ms; }
   void pause(Millis ms);
-  void die();
-  void come_back();  // cold
+  void crash();
+  void restart();  // cold
   bool alive() const { return alive_; }
   double up_since() const { return up_since_; }
 
   struct Counts {
-    std::size_t asked = 0, served = 0, denied = 0, full = 0, late = 0, cancelled = 0;
-    bool fell = false;
+    std::size_t asked = 0, served = 0, denied = 0, queue_full = 0, late = 0, cancelled = 0;
+    bool failed_by_overload = false;
     double worst_cold = 0;  // the most it was sent in fall_time while cold, x what it could do
   };
   const Counts& counts() const { return counts_; }
@@ -63,17 +64,17 @@
  private:
   struct Job {
     Arrival part{};
-    Millis until = 0, work = 0;
-    std::function<void(int end, const std::string& value)> reply{};
+    Millis deadline = 0, work = 0;
+    std::function<void(int status, const std::string& value)> reply{};
     bool cancelled = false;
   };
   using JobPtr = std::shared_ptr<Job>;
-  class FrameSide;
-  class FlightSide;
+  class FrameConnection;
+  class FlightConnection;
   void listen();
-  void take(JobPtr job);
-  void pump();
-  void done(JobPtr job);
+  void accept_job(JobPtr job);
+  void start_queued_jobs();
+  void finish_job(JobPtr job);
   void answer(Job& job);
   double capacity(Millis now) const;  // work ms per ms
   std::string load() const { return "busy_reqs=" + std::to_string(running_ + queue_.size()); }
@@ -82,20 +83,20 @@
   event_loop::Loop& loop_;
   std::size_t number_;
   NodeOptions options_;
-  const World& world_;
-  const Truth& truth_;
+  const SimulatedDeployment& deployment_;
+  const ReferenceLedger& reference_;
   Random random_;
-  Heard heard_;
+  PartObserver on_part_;
   std::unique_ptr<event_loop::Listener> frames_, flight_;
   int frames_port_ = 0, flight_port_ = 0;
-  std::set<std::shared_ptr<FrameSide>> frame_sides_;
-  std::set<std::shared_ptr<FlightSide>> flight_sides_;
+  std::set<std::shared_ptr<FrameConnection>> frame_connections_;
+  std::set<std::shared_ptr<FlightConnection>> flight_connections_;
   std::deque<JobPtr> queue_;
-  std::size_t running_ = 0, life_ = 0;
-  Millis lag_ = 0, paused_until_ = 0, deny_until_ = 0;
+  std::size_t running_ = 0, generation_ = 0;
+  Millis update_lag_ = 0, paused_until_ = 0, deny_until_ = 0;
   double up_since_ = 0;
   bool alive_ = true;
-  std::deque<std::pair<Millis, double>> cold_work_;
+  std::deque<std::pair<Millis, double>> recent_cold_work_;
   Counts counts_;
 };
 
--- a/testbed/operations_parts.hpp
+++ b/testbed/operations_parts.hpp
@@ -17,44 +17,44 @@
 using Millis = double;
 
 // One connection: a client's queries one after another, or one call at a door.
-class Line : public event_loop::Stream::Owner {
+class Connection : public event_loop::Stream::Owner {
  public:
-  Line(event_loop::Loop& loop, int port) {
+  Connection(event_loop::Loop& loop, int port) {
     int error = 0;
     stream = event_loop::Stream::connect(
         loop, *event_loop::parse_address("127.0.0.1:" + std::to_string(port)), *this, error);
-    over = !stream;
+    closed = !stream;
   }
-  ~Line() {
+  ~Connection() {
     if (stream) stream->close();
   }
   void received(std::string& in) override { text += std::exchange(in, {}); }
-  void ended() override { over = true; }
+  void ended() override { closed = true; }
   std::shared_ptr<event_loop::Stream> stream;
   std::string text;
-  bool over = false;
+  bool closed = false;
 };
 
 struct Client {
-  std::unique_ptr<Line> line;
+  std::unique_ptr<Connection> connection;
   http::HttpParser parser{http::HttpParser::Mode::response};
   std::string id;
   Millis asked_at = 0, next_at = 0, idle_since = 0;
-  bool waiting = false, resent = false, fresh = false;
+  bool waiting = false, resent = false, new_connection = false;
 };
 
-struct Found {
-  std::size_t asked = 0, whole = 0, refused = 0, failed = 0, excused = 0, at_door = 0;
+struct OperationsResult {
+  std::size_t asked = 0, whole = 0, refused = 0, failed = 0, excused = 0, sent_again = 0;
   std::size_t drains = 0, resumes = 0, reloads = 0, upgrades = 0, kills = 0, stops = 0;
-  double unready_ms = 0, door_worst = 0;
-  std::map<std::string, std::size_t> broken;
-  std::vector<std::string> cases;
-  void broke(const std::string& rule, const std::string& what) {
-    if (++broken[rule] <= 3) cases.push_back(rule + ": " + what);
+  double unready_ms = 0, worst_admin_reply_ms = 0;
+  std::map<std::string, std::size_t> violations;
+  std::vector<std::string> violation_examples;
+  void record_violation(const std::string& rule, const std::string& what) {
+    if (++violations[rule] <= 3) violation_examples.push_back(rule + ": " + what);
   }
 };
 
-inline nlohmann::json report(const Operations& options, const Found& f) {
+inline nlohmann::json report(const OperationsOptions& options, const OperationsResult& f) {
   return nlohmann::json{{"seed", options.common.seed},
                         {"seconds", options.common.seconds},
                         {"asked", f.asked},
@@ -62,7 +62,7 @@
                         {"refused", f.refused},
                         {"failed", f.failed},
                         {"excused", f.excused},
-                        {"sent again", f.at_door},
+                        {"sent again", f.sent_again},
                         {"drains", f.drains},
                         {"resumes", f.resumes},
                         {"reloads", f.reloads},
@@ -70,9 +70,9 @@
                         {"kills", f.kills},
                         {"stops", f.stops},
                         {"unready ms", f.unready_ms},
-                        {"door worst ms", f.door_worst},
-                        {"broken", f.broken},
-                        {"cases", f.cases}};
+                        {"door worst ms", f.worst_admin_reply_ms},
+                        {"broken", f.violations},
+                        {"cases", f.violation_examples}};
 }
 
 }  // namespace winchhall::testbed
--- a/testbed/platform_cost.cpp
+++ b/testbed/platform_cost.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 using nlohmann::json;
-constexpr int kAtOnce = 8;          // queries out at a time: a busy aggregator, no overload
-constexpr Millis kGiveUp = 120000;  // ms: only ends a run that hangs
+constexpr int kConcurrentQueries = 8;   // queries out at a time: a busy aggregator, no overload
+constexpr Millis kRunTimeout = 120000;  // ms: only ends a run that hangs
 
 std::string config(const std::vector<std::unique_ptr<PromptLeaf>>& leafs) {
   json members = json::array();
@@ -95,13 +95,13 @@
   std::vector<std::unique_ptr<PromptLeaf>> leafs;
   for (int i = 0; i < 12; ++i) leafs.push_back(std::make_unique<PromptLeaf>(loop));
   Process process(loop, program, config(leafs), "");
-  Millis begin = loop.now(), end = begin + kGiveUp;
+  Millis begin = loop.now(), end = begin + kRunTimeout;
   process.start();
-  while (!process.said("phase ready") && loop.now() < end) loop.run_once(1);
+  while (!process.logged("phase ready") && loop.now() < end) loop.run_once(1);
   cost.start_ms.push_back(loop.now() - begin);
   int port = process.number_after("listens on port ");
-  Usage rest = usage(process.pid());
-  cost.resident_kb.push_back(rest.resident_kb);
+  Usage at_rest = usage(process.pid());
+  cost.resident_kb.push_back(at_rest.resident_kb);
   HttpClients clients(loop, [port] { return port; });
   std::size_t asked = 0, answered = 0, failed = 0;
   std::function<void()> next = [&] {
@@ -118,11 +118,11 @@
       next();
     });
   };
-  for (int i = 0; i < kAtOnce; ++i) next();
+  for (int i = 0; i < kConcurrentQueries; ++i) next();
   while (answered + failed < queries && loop.now() < end) loop.run_once(20);
   if (answered != queries)
     throw std::runtime_error(program + ": " + std::to_string(failed) + " queries failed");
-  cost.cpu_us.push_back((usage(process.pid()).cpu_ms - rest.cpu_ms) * 1000 / static_cast<double>(queries));
+  cost.cpu_us.push_back((usage(process.pid()).cpu_ms - at_rest.cpu_ms) * 1000 / static_cast<double>(queries));
   process.signal(SIGTERM);  // in order, so that one that is profiled writes what it saw
   int status = 0;
   while (!process.ended(status) && loop.now() < end) loop.run_once(20);
@@ -130,19 +130,19 @@
 
 }  // namespace
 
-int platform_cost(const PlatformCost& o) {
-  Cost first, second;
+int platform_cost(const PlatformCostOptions& o) {
+  Cost before, current;
   for (std::size_t i = 0; i < o.rounds; ++i) {
-    measure(o.before, o.queries, first);
-    measure(o.common.program, o.queries, second);
+    measure(o.before, o.queries, before);
+    measure(o.common.program, o.queries, current);
   }
   auto row = [](const char* name, const Cost& c) {
     std::printf("%-8s start %6.1f ms  resident at rest %6.0f kB  CPU %6.1f us a query\n", name,
                 c.median(c.start_ms), c.median(c.resident_kb), c.median(c.cpu_us));
   };
-  row("before", first);
-  row("now", second);
-  double ratio = second.median(second.cpu_us) / first.median(first.cpu_us);
+  row("before", before);
+  row("now", current);
+  double ratio = current.median(current.cpu_us) / before.median(before.cpu_us);
   std::printf("CPU a query: %.3f of before (medians of %zu rounds of %zu queries of 8 parts)\n", ratio,
               o.rounds, o.queries);
   if (!o.common.json.empty())
@@ -150,17 +150,17 @@
                                          {"rounds", o.rounds},
                                          {"queries", o.queries},
                                          {"before",
-                                          {{"start_ms", first.start_ms},
-                                           {"resident_kb", first.resident_kb},
-                                           {"cpu_us", first.cpu_us}}},
+                                          {{"start_ms", before.start_ms},
+                                           {"resident_kb", before.resident_kb},
+                                           {"cpu_us", before.cpu_us}}},
                                          {"now",
-                                          {{"start_ms", second.start_ms},
-                                           {"resident_kb", second.resident_kb},
-                                           {"cpu_us", second.cpu_us}}},
+                                          {{"start_ms", current.start_ms},
+                                           {"resident_kb", current.resident_kb},
+                                           {"cpu_us", current.cpu_us}}},
                                          {"cpu_ratio", ratio}}
                                         .dump(2)
                                  << "\n";
-  return ratio <= o.most ? 0 : 1;
+  return ratio <= o.max_cpu_ratio ? 0 : 1;
 }
 
 }  // namespace winchhall::testbed
--- a/testbed/process.cpp
+++ b/testbed/process.cpp
@@ -11,19 +11,19 @@
 
 namespace winchhall::testbed {
 namespace {
-constexpr std::size_t kLogMost = 32 * 1024 * 1024;  // bytes kept of a log
+constexpr std::size_t kMaxLogBytes = 32 * 1024 * 1024;  // bytes kept of a log
 
 void write_file(const std::string& path, const std::string& text) { std::ofstream(path) << text; }
 }  // namespace
 
 Process::Process(event_loop::Loop& loop, std::string program, const std::string& config,
                  const std::string& ops)
-    : loop_(loop), program_(std::move(program)), has_ops_(!ops.empty()) {
+    : loop_(loop), program_(std::move(program)), has_operator_file_(!ops.empty()) {
   const char* dir = std::getenv("TMPDIR");
   folder_ = std::string(dir ? dir : "/tmp") + "/winchhall-testbed-XXXXXX";
   if (!mkdtemp(folder_.data())) throw std::runtime_error("no folder for a process");
-  configure(config);
-  if (has_ops_) operate(ops);
+  write_config(config);
+  if (has_operator_file_) write_operator_file(ops);
 }
 
 Process::~Process() {
@@ -33,8 +33,8 @@
   std::filesystem::remove_all(folder_, ignored);
 }
 
-void Process::configure(const std::string& config) { write_file(folder_ + "/config.json", config); }
-void Process::operate(const std::string& ops) { write_file(folder_ + "/operator.xml", ops); }
+void Process::write_config(const std::string& config) { write_file(folder_ + "/config.json", config); }
+void Process::write_operator_file(const std::string& ops) { write_file(folder_ + "/operator.xml", ops); }
 
 void Process::start() {
   int ends[2];
@@ -49,18 +49,18 @@
          {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "WINCHHALL_FLIGHT", "WINCHHALL_OPERATOR"})
       unsetenv(name);
     setenv("LB_CONFIG", config.c_str(), 1);
-    if (has_ops_) setenv("WINCHHALL_OPERATOR", ops.c_str(), 1);
+    if (has_operator_file_) setenv("WINCHHALL_OPERATOR", ops.c_str(), 1);
     execl(program_.c_str(), program_.c_str(), nullptr);
     _exit(127);
   }
   ::close(ends[1]);
   pipe_ = event_loop::UniqueFd(ends[0]);
   fcntl(pipe_.get(), F_SETFL, O_NONBLOCK);
-  begin_ = log_.size();
+  log_start_ = log_.size();
   loop_.add(pipe_.get(), POLLIN, [this](short) {
     char buffer[16384];
     ssize_t n = read(pipe_.get(), buffer, sizeof buffer);
-    if (n > 0 && log_.size() < kLogMost) log_.append(buffer, static_cast<std::size_t>(n));
+    if (n > 0 && log_.size() < kMaxLogBytes) log_.append(buffer, static_cast<std::size_t>(n));
     if (n == 0) loop_.remove(pipe_.get());
   });
 }
@@ -84,7 +84,7 @@
 }
 
 int Process::number_after(const std::string& words) const {
-  std::size_t at = log_.find(words, begin_);
+  std::size_t at = log_.find(words, log_start_);
   if (at == std::string::npos || log_.find('\n', at) == std::string::npos) return 0;
   return std::atoi(log_.c_str() + at + words.size());
 }
--- a/testbed/process.hpp
+++ b/testbed/process.hpp
@@ -28,17 +28,17 @@
   bool ended(int& status);  // it has by itself
   // The number behind these words in the log since its last start; 0 while they aren't there.
   int number_after(const std::string& words) const;
-  bool said(const std::string& words) const { return log_.find(words, begin_) != std::string::npos; }
+  bool logged(const std::string& words) const { return log_.find(words, log_start_) != std::string::npos; }
   std::size_t count(const std::string& words) const;
   const std::string& log() const { return log_; }
-  void configure(const std::string& config);
-  void operate(const std::string& ops);
+  void write_config(const std::string& config);
+  void write_operator_file(const std::string& ops);
 
  private:
   event_loop::Loop& loop_;
   std::string program_, folder_, log_;
-  std::size_t begin_ = 0;
-  bool has_ops_;
+  std::size_t log_start_ = 0;
+  bool has_operator_file_;
   pid_t pid_ = 0;
   event_loop::UniqueFd pipe_;
 };
--- a/testbed/prompt_leaf.hpp
+++ b/testbed/prompt_leaf.hpp
@@ -13,29 +13,29 @@
 
 class PromptLeaf {
  public:
-  using Heard = std::function<void(const std::string& part)>;
-  explicit PromptLeaf(event_loop::Loop& loop, Heard heard = nullptr)
+  using PartObserver = std::function<void(const std::string& part)>;
+  explicit PromptLeaf(event_loop::Loop& loop, PartObserver on_part = nullptr)
       : loop_(loop),
-        heard_(std::move(heard)),
+        on_part_(std::move(on_part)),
         listener_(loop, *event_loop::parse_address("127.0.0.1:0"), [this](event_loop::UniqueFd fd) {
-          sides_.push_back(std::make_shared<Side>(*this));
-          sides_.back()->stream = event_loop::Stream::adopt(loop_, std::move(fd), *sides_.back());
+          connections_.push_back(std::make_shared<Connection>(*this));
+          connections_.back()->stream = event_loop::Stream::adopt(loop_, std::move(fd), *connections_.back());
         }) {}
   ~PromptLeaf() {
-    for (auto& side : sides_) side->stream->close();
+    for (auto& connection : connections_) connection->stream->close();
   }
   int port() const { return listener_.port(); }
 
  private:
-  struct Side : event_loop::Stream::Owner {
-    explicit Side(PromptLeaf& of) : leaf(of) {}
+  struct Connection : event_loop::Stream::Owner {
+    explicit Connection(PromptLeaf& owner) : leaf(owner) {}
     void received(std::string& in) override {
       bool bad = false;
       std::string out;
       while (auto frame = http::take_frame(in, bad)) {
         if (frame->type != 'D') continue;
         std::string part = frame->payload.substr(0, frame->payload.find(' '));
-        if (leaf.heard_) leaf.heard_(part);
+        if (leaf.on_part_) leaf.on_part_(part);
         out += http::make_frame('O', part + " 200 1 busy_reqs=1\n5be2a07c19f04d63");
       }
       stream->write(out);
@@ -45,9 +45,9 @@
     std::shared_ptr<event_loop::Stream> stream;
   };
   event_loop::Loop& loop_;
-  Heard heard_;
+  PartObserver on_part_;
   event_loop::Listener listener_;
-  std::vector<std::shared_ptr<Side>> sides_;
+  std::vector<std::shared_ptr<Connection>> connections_;
 };
 
 }  // namespace winchhall::testbed
--- a/testbed/reference_model.cpp
+++ b/testbed/reference_model.cpp
@@ -11,17 +11,17 @@
 
 using ranges::Key;
 
-Truth::Truth(std::uint64_t seed, std::size_t accounts) : seed_(seed) {
+ReferenceLedger::ReferenceLedger(std::uint64_t seed, std::size_t accounts) : seed_(seed) {
   Random random(seed, 77);
   Key stride = ranges::kKeyEnd / accounts;
   for (std::size_t i = 0; i < accounts; ++i) keys_.push_back(i * stride + random.below(stride));
 }
 
-std::size_t Truth::first_from(Key key) const {
+std::size_t ReferenceLedger::first_from(Key key) const {
   return static_cast<std::size_t>(std::lower_bound(keys_.begin(), keys_.end(), key) - keys_.begin());
 }
 
-std::string Truth::value(std::size_t account) const {
+std::string ReferenceLedger::account_value(std::size_t account) const {
   // SplitMix64's finishing steps (Steele, Lea, Flood 2014) over key and seed.
   std::uint64_t x = keys_[account] + seed_ * 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -31,16 +31,17 @@
   return text;
 }
 
-std::string Truth::rows(const ranges::Span& span, const std::string& text) const {
+std::string ReferenceLedger::rows(const ranges::Span& span, const std::string& text) const {
   std::string all = text + "|";
   for (std::size_t i = first_from(span.from); i < keys_.size() && keys_[i] < span.to; ++i)
-    all += std::to_string(keys_[i]) + "=" + value(i) + ";";
+    all += std::to_string(keys_[i]) + "=" + account_value(i) + ";";
   return all;
 }
 
-Truth::Compared Truth::compare(const std::vector<ranges::Span>& asked, const std::string& text,
-                               const std::vector<Row>& rows) const {
-  Compared c;
+ReferenceLedger::Comparison ReferenceLedger::compare(const std::vector<ranges::Span>& asked,
+                                                     const std::string& text,
+                                                     const std::vector<Row>& rows) const {
+  Comparison c;
   std::set<std::size_t> seen;
   for (const Row& row : rows) {
     bool inside =
@@ -63,7 +64,7 @@
       std::size_t account = first_from(key);
       bool known = account < keys_.size() && keys_[account] == key && row.span.contains(key);
       for (; expected < account && expected < keys_.size() && known; ++expected) ++c.missing;
-      if (!known || rest.substr(equals + 1, end - equals - 1) != value(account))
+      if (!known || rest.substr(equals + 1, end - equals - 1) != account_value(account))
         ++c.wrong;
       else if (!seen.insert(account).second)
         ++c.doubled;
--- a/testbed/reference_model.hpp
+++ b/testbed/reference_model.hpp
@@ -9,9 +9,9 @@
 
 namespace winchhall::testbed {
 
-class Truth {
+class ReferenceLedger {
  public:
-  Truth(std::uint64_t seed, std::size_t accounts);
+  ReferenceLedger(std::uint64_t seed, std::size_t accounts);
 
   std::size_t accounts() const { return keys_.size(); }
   ranges::Key key(std::size_t account) const { return keys_[account]; }
@@ -21,9 +21,9 @@
   std::string rows(const ranges::Span& span, const std::string& text) const;
 
   // One answer's rows against the reference, account by account.
-  struct Compared {
+  struct Comparison {
     std::size_t right = 0, wrong = 0, doubled = 0, missing = 0, foreign = 0;
-    bool sound() const { return wrong + doubled + missing + foreign == 0; }
+    bool matches() const { return wrong + doubled + missing + foreign == 0; }
   };
   struct Row {
     ranges::Span span{};
@@ -31,11 +31,11 @@
   };
   // `missing`: accounts inside a row's span that the row has not. Accounts of no row are the caller's matter:
   // an answer may be less than whole.
-  Compared compare(const std::vector<ranges::Span>& asked, const std::string& text,
-                   const std::vector<Row>& rows) const;
+  Comparison compare(const std::vector<ranges::Span>& asked, const std::string& text,
+                     const std::vector<Row>& rows) const;
 
  private:
-  std::string value(std::size_t account) const;
+  std::string account_value(std::size_t account) const;
   std::uint64_t seed_;
   std::vector<ranges::Key> keys_;
 };
--- a/testbed/simulated_deployment.cpp
+++ b/testbed/simulated_deployment.cpp
@@ -8,15 +8,16 @@
 using namespace ranges;
 
 namespace {
-constexpr std::size_t kHistoryMost = 20000;  // revisions, which share nearly all
-constexpr std::size_t kKeepChanges = 400;    // a directory gives changes no older than that
+constexpr std::size_t kMaxHistory = 20000;    // revisions, which share nearly all
+constexpr std::size_t kMaxKeptChanges = 400;  // a directory gives changes no older than that
 constexpr std::size_t kHolders = 3;
 
-std::size_t number_of(const std::string& name) { return std::stoul(name.substr(5)); }
+std::size_t node_number(const std::string& name) { return std::stoul(name.substr(5)); }
 }  // namespace
 
-World::World(std::uint64_t seed, const WorldOptions& options, Millis now)
-    : options_(options), random_(seed, 3), data_(options.nodes) {
+SimulatedDeployment::SimulatedDeployment(std::uint64_t seed, const SimulatedDeploymentOptions& options,
+                                         Millis now)
+    : options_(options), random_(seed, 3), data_by_node_(options.nodes) {
   std::vector<Range> list;
   for (std::size_t i = 0; i < options.ranges; ++i) {
     Key width = kKeyEnd / options.ranges;
@@ -29,7 +30,7 @@
     for (std::size_t j = 0; j < kHolders; ++j) {
       std::size_t node = (i * options.nodes / options.ranges + j) % options.nodes;
       holders.push_back({node_name(node), Role::serving});
-      data_[node].add(r.span);
+      data_by_node_[node].add(r.span);
     }
     r.holders = std::make_shared<const Holders>(std::move(holders));
     list.push_back(std::move(r));
@@ -41,7 +42,7 @@
   history_.emplace_back(now, map_);
 }
 
-bool World::apply(const Change& change, Millis now) {
+bool SimulatedDeployment::apply(const Change& change, Millis now) {
   std::string why;
   auto next = ranges::apply(map_, change, why);
   if (!next) {
@@ -51,15 +52,15 @@
   map_ = std::move(*next);
   changes_.push_back(change);
   history_.emplace_back(now, map_);
-  if (history_.size() > kHistoryMost) history_.pop_front();
+  if (history_.size() > kMaxHistory) history_.pop_front();
   return true;
 }
 
-RangeView World::pick() { return map_.find(random_.below(kKeyEnd)); }
+RangeView SimulatedDeployment::random_range() { return map_.find(random_.below(kKeyEnd)); }
 
-void World::split(Millis now) {
-  RangeView p = pick();
-  if (map_.size() >= options_.ranges_most || p.span.size() < 1000) return;
+void SimulatedDeployment::split(Millis now) {
+  RangeView p = random_range();
+  if (map_.size() >= options_.max_ranges || p.span.size() < 1000) return;
   Key at = p.span.from + 1 + random_.below(p.span.size() - 1);
   double left = static_cast<double>(at - p.span.from) / static_cast<double>(p.span.size());
   RangeId next = map_.next_id();
@@ -67,9 +68,9 @@
       apply(Split{{p.id, p.span.from}, at, next, next + 1, p.weight * left, p.weight * (1 - left)}, now);
 }
 
-void World::merge(Millis now) {
-  RangeView p = pick();
-  if (map_.size() <= options_.ranges_least || p.span.to == kKeyEnd) return;
+void SimulatedDeployment::merge(Millis now) {
+  RangeView p = random_range();
+  if (map_.size() <= options_.min_ranges || p.span.to == kKeyEnd) return;
   RangeView q = map_.find(p.span.to);
   std::size_t shared = 0;
   for (const Holder& h : **p.holders) shared += h.role == Role::serving && serves(**q.holders, h.server);
@@ -83,11 +84,11 @@
   for (const auto& [span, holders] : before)
     for (const Holder& h : *holders)
       if (std::none_of(after->begin(), after->end(), [&](const Holder& x) { return x.server == h.server; }))
-        steps_.push_back({now + options_.handover_time, Step::Kind::drop, number_of(h.server), span, {}});
+        steps_.push_back({now + options_.handover_time, Step::Kind::drop, node_number(h.server), span, {}});
 }
 
-void World::move(Millis now) {
-  RangeView p = pick();
+void SimulatedDeployment::move(Millis now) {
+  RangeView p = random_range();
   std::size_t node = random_.below(options_.nodes);
   auto is = [&](const Holder& h) { return h.server == node_name(node); };
   const Holders holders = **p.holders;
@@ -95,24 +96,24 @@
   if (!apply(AddHolder{{p.id, p.span.from}, node_name(node)}, now)) return;
   ++counts_.moves;
   auto serving_now = serving_servers(holders);
-  std::string leaves =
+  std::string retiring =
       serving_now.size() >= kHolders ? serving_now[random_.below(serving_now.size())] : std::string();
-  steps_.push_back({now + options_.copy_time, Step::Kind::promote, node, p.span, leaves});
+  steps_.push_back({now + options_.copy_time, Step::Kind::promote, node, p.span, retiring});
 }
 
-void World::reshuffle(Millis now) {
+void SimulatedDeployment::reshuffle(Millis now) {
   for (std::size_t i = 0; i < options_.splits; ++i) split(now);
   for (std::size_t i = 0; i < options_.merges; ++i) merge(now);
   for (std::size_t i = 0; i < options_.moves; ++i) move(now);
-  for (std::size_t i = 0; i < options_.weighs; ++i) {
-    RangeView p = pick();
-    counts_.weighs += apply(SetWeight{{p.id, p.span.from}, p.weight * random_.between(0.5, 2)}, now);
+  for (std::size_t i = 0; i < options_.weight_changes; ++i) {
+    RangeView p = random_range();
+    counts_.weight_changes += apply(SetWeight{{p.id, p.span.from}, p.weight * random_.between(0.5, 2)}, now);
   }
   // Ranges that merges left with few holders get further ones.
-  std::vector<Range> thin;
+  std::vector<Range> underreplicated;
   for (const Range& r : map_.all())
-    if (r.holders->size() < 2) thin.push_back(r);
-  for (const Range& r : thin) {
+    if (r.holders->size() < 2) underreplicated.push_back(r);
+  for (const Range& r : underreplicated) {
     std::size_t node = random_.below(options_.nodes);
     if (r.holders->front().server == node_name(node)) continue;
     if (apply(AddHolder{{r.id, r.span.from}, node_name(node)}, now))
@@ -120,7 +121,7 @@
   }
 }
 
-void World::due(Millis now) {
+void SimulatedDeployment::run_due_steps(Millis now) {
   std::vector<Step> ready;
   std::erase_if(steps_, [&](const Step& s) {
     if (s.at > now) return false;
@@ -130,8 +131,8 @@
   for (const Step& s : ready) carry_out(s, now);
 }
 
-void World::carry_out(const Step& s, Millis now) {
-  if (s.kind == Step::Kind::drop) return forget_data(s.node, s.span);
+void SimulatedDeployment::carry_out(const Step& s, Millis now) {
+  if (s.kind == Step::Kind::drop) return drop_data(s.node, s.span);
   // The range may have been split or merged meanwhile: what lies inside its old span goes on.
   std::vector<Range> list;
   std::string name = node_name(s.node);
@@ -150,37 +151,37 @@
       continue;
     }
     if (it->role != Role::copying) continue;
-    data_[s.node].add(r.span);
+    data_by_node_[s.node].add(r.span);
     if (!apply(Promote{target, name}, now)) continue;
     if (!s.retire.empty() && apply(Retire{target, s.retire}, now))
-      steps_.push_back({now + options_.leave_time, Step::Kind::remove, number_of(s.retire), r.span, {}});
+      steps_.push_back({now + options_.leave_time, Step::Kind::remove, node_number(s.retire), r.span, {}});
   }
 }
 
-void World::forget_data(std::size_t node, const Span& span) {
+void SimulatedDeployment::drop_data(std::size_t node, const Span& span) {
   map_.visit(span, [&](const RangeView& p) {
     Span s{std::max(p.span.from, span.from), std::min(p.span.to, span.to)};
     bool keeps = std::any_of((**p.holders).begin(), (**p.holders).end(), [&](const Holder& h) {
       return h.server == node_name(node) && h.role != Role::copying;
     });
-    if (!keeps) data_[node].remove(s);
+    if (!keeps) data_by_node_[node].remove(s);
     return true;
   });
 }
 
-std::optional<std::vector<Change>> World::changes_after(std::uint64_t number) const {
+std::optional<std::vector<Change>> SimulatedDeployment::changes_after(std::uint64_t number) const {
   std::uint64_t last = map_.revision().number;
-  if (number > last || number < first_number_ || last - number > kKeepChanges) return std::nullopt;
+  if (number > last || number < first_number_ || last - number > kMaxKeptChanges) return std::nullopt;
   return std::vector<Change>(changes_.end() - static_cast<long>(last - number), changes_.end());
 }
 
-const RangeMap& World::map_at(Millis when) const {
+const RangeMap& SimulatedDeployment::map_at(Millis when) const {
   auto it = std::upper_bound(history_.begin(), history_.end(), when,
                              [](Millis t, const auto& entry) { return t < entry.first; });
   return it == history_.begin() ? it->second : std::prev(it)->second;
 }
 
-void World::new_incarnation(Millis now) {
+void SimulatedDeployment::new_incarnation(Millis now) {
   Revision r = map_.revision();
   map_ = map_.with_revision({r.incarnation + 1, 1}, map_.next_id());
   first_number_ = 1;
--- a/testbed/simulated_deployment.hpp
+++ b/testbed/simulated_deployment.hpp
@@ -14,35 +14,37 @@
 
 using Millis = double;
 
-struct WorldOptions {
+struct SimulatedDeploymentOptions {
   std::size_t nodes = 20, ranges = 60;
-  std::size_t ranges_least = 40, ranges_most = 110;
+  std::size_t min_ranges = 40, max_ranges = 110;
   Millis copy_time = 600;       // ms from a holder's begin to copy until it serves
   Millis leave_time = 600;      // ms from a holder's retirement until it is removed
   Millis handover_time = 1500;  // ms that a removed holder still has the data
-  std::size_t splits = 3, merges = 3, moves = 3, weighs = 2;  // in one reshuffle
+  std::size_t splits = 3, merges = 3, moves = 3, weight_changes = 2;  // in one reshuffle
 };
 
-class World {
+class SimulatedDeployment {
  public:
-  World(std::uint64_t seed, const WorldOptions& options, Millis now);
+  SimulatedDeployment(std::uint64_t seed, const SimulatedDeploymentOptions& options, Millis now);
 
   static std::string node_name(std::size_t node) { return "node-" + std::to_string(node); }
 
   const ranges::RangeMap& map() const { return map_; }
   // One reshuffle: what of it can be done now is done, the rest of its moves follows by due().
   void reshuffle(Millis now);
-  void due(Millis now);
+  void run_due_steps(Millis now);
   // Changes after this revision, oldest first; nothing where they are not kept any more.
   std::optional<std::vector<ranges::Change>> changes_after(std::uint64_t number) const;
   // The directory as it was at that time, for nodes that hear late.
   const ranges::RangeMap& map_at(Millis when) const;
   const std::deque<std::pair<Millis, ranges::RangeMap>>& history() const { return history_; }
 
-  bool has_data(std::size_t node, const ranges::Span& span) const { return data_[node].contains(span); }
+  bool has_data(std::size_t node, const ranges::Span& span) const {
+    return data_by_node_[node].contains(span);
+  }
 
   struct Counts {
-    std::size_t splits = 0, merges = 0, moves = 0, weighs = 0, refused = 0;
+    std::size_t splits = 0, merges = 0, moves = 0, weight_changes = 0, refused = 0;
   };
   const Counts& counts() const { return counts_; }
   // Begins to count anew, as a directory that has lost its memory.
@@ -57,19 +59,19 @@
     std::string retire{};  // promote: who leaves in exchange
   };
   bool apply(const ranges::Change& change, Millis now);
-  ranges::RangeView pick();
+  ranges::RangeView random_range();
   void split(Millis now);
   void merge(Millis now);
   void move(Millis now);
   void carry_out(const Step& step, Millis now);
-  void forget_data(std::size_t node, const ranges::Span& span);
+  void drop_data(std::size_t node, const ranges::Span& span);
 
-  WorldOptions options_;
+  SimulatedDeploymentOptions options_;
   Random random_;
   ranges::RangeMap map_;
   std::vector<ranges::Change> changes_;  // of this incarnation, from its begin
   std::deque<std::pair<Millis, ranges::RangeMap>> history_;
-  std::vector<ranges::SpanSet> data_;
+  std::vector<ranges::SpanSet> data_by_node_;
   std::vector<Step> steps_;
   Counts counts_;
   std::uint64_t first_number_ = 1;
