--- a/bench/ranges_bench.cpp
+++ b/bench/ranges_bench.cpp
@@ -1,6 +1,6 @@
-// The map of ranges beside the plain structures that could hold it: std::map and a sorted vector. A query
-// pins the revision it was planned under, so a plain structure pays for a change with a copy of itself
-// ("pinned"), or changes in place and can't be pinned ("in place").
+// Compares RangeMap with the standard containers that could hold the same ranges: std::map and a sorted
+// vector. A query pins the revision that it was planned under. A standard container must therefore be copied
+// for each change (split_pinned), or is changed in place and then can't be pinned (split_in_place).
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -15,7 +15,7 @@
 
 using namespace winchhall::ranges;
 
-struct RangeData {  // what a plain structure keeps by range
+struct RangeData {  // the value that the standard containers hold for each range
   RangeId id;
   double weight;
   HoldersPtr holders;
@@ -90,7 +90,7 @@
   }
 }
 
-// Each split is made on the map as it was: the revision before stays, as for a query that pins it.
+// Every split is applied to the original map, which stays intact, as it does for a query that pins it.
 void split_range_map(benchmark::State& state) {
   RangeMap map = build(size_of(state));
   auto list = keys();
