--- a/testbed/operations.cpp
+++ b/testbed/operations.cpp
@@ -1,6 +1,6 @@
-// Operators at work under load: seeded histories of sending away, calling back, new settings, replacing,
-// killing and stopping a process of one aggregator, with a checker of its own. The reference is what clients
-// and leafs saw.
+// Operations under load: a seeded history of drains, resumes, configuration reloads, upgrades, kills and
+// SIGSTOPs of one aggregator, while clients send queries. The checks compare what clients and leafs observed
+// with the rules.
 #include <signal.h>
 #include <stdlib.h>
 
@@ -21,20 +21,21 @@
 namespace {
 
 using nlohmann::json;
-constexpr Millis kQueryTimeout = 4000;            // ms of a client's patience
-constexpr Millis kAdminReplyTimeout = 1000;       // ms for the door to answer
-constexpr Millis kConnectionDrainTimeout = 4000;  // ms until no client is left
-constexpr Millis kDrainGrace = 2000;              // ms after a leaf's drain was told
-constexpr Millis kShutdownTimeout = 8700;  // ms from SIGTERM to SIGKILL: the longest deadline and 0.7 s
-constexpr Millis kStartTimeout = 6000;     // ms for a new process to say yes
-constexpr Millis kFinalStopLead = 100;     // ms that clients still ask after the stop of `stop_at_end`
+constexpr Millis kQueryTimeout = 4000;            // X-Timeout of each query
+constexpr Millis kAdminReplyTimeout = 1000;       // for a reply on the admin port
+constexpr Millis kConnectionDrainTimeout = 4000;  // from drain to the last idle client connection closed
+constexpr Millis kDrainGrace = 2000;              // the configured drain_grace of a leaf
+constexpr Millis kShutdownTimeout = 8700;         // from SIGTERM to SIGKILL: the longest deadline plus 0.7 s
+constexpr Millis kStartTimeout = 6000;            // for a new process to become ready
+constexpr Millis kFinalStopLead = 100;            // clients still send after the stop of `stop_at_end`
 
 class OperationsExperiment {
  public:
   explicit OperationsExperiment(const OperationsOptions& o)
       : options_(o), random_(o.common.seed), roster_(loop_, false) {
     folder_ = (std::filesystem::temp_directory_path() / "winchhall-operations-XXXXXX").string();
-    if (!mkdtemp(folder_.data())) throw std::runtime_error("no folder for the processes");
+    if (!mkdtemp(folder_.data()))
+      throw std::runtime_error("mkdtemp failed for the processes' folder: " + folder_);
     setenv("TMPDIR", folder_.c_str(), 1);
     for (std::size_t i = 0; i < o.leafs; ++i) {
       leafs_.push_back(
@@ -71,10 +72,10 @@
       check_progress(now);
       // A stopped process is continued after the end too: otherwise its open queries are never answered.
       if (now >= next_step_at && (!past_end || stopped_)) next_step_at = now + run_next_step(now);
-      if (now > end + 20000) break;  // what is open by now is lost
+      if (now > end + 20000) break;  // queries still open by now are reported as lost
     }
     for (Client& c : clients_)
-      if (c.waiting) result_.record_violation("lost", c.id + " never got its answer");
+      if (c.waiting) result_.record_violation("lost", c.id + " has no reply at the end of the run");
     return result_;
   }
 
@@ -141,18 +142,21 @@
       loop_.run_once(5);
       int status = 0;
       if (loop_.now() > end || current_->ended(status))
-        throw std::runtime_error("the aggregator does not start:\n" + current_->log());
+        throw std::runtime_error("aggregator not ready within 30 s, or ended while starting; its log:\n" +
+                                 current_->log());
     }
     port_ = current_->number_after("listens on port ");
   }
 
-  // ---- What clients and leafs see
+  // ---- Clients and leafs
   void part_arrived(std::size_t leaf, const std::string& part) {
     if (++attempts_by_part_[part] > 4)
-      result_.record_violation("attempts", part + " was sent more often than settings ever allowed");
+      result_.record_violation("attempts",
+                               part + " was sent more than 4 times, the most that any settings allowed");
     auto it = draining_leafs_.find(leaf);
     if (it != draining_leafs_.end() && loop_.now() - it->second > kDrainGrace + options_.common.slack_ms)
-      result_.record_violation("drains", part + " to a leaf that drains");
+      result_.record_violation(
+          "drains", part + " was sent to leaf-" + std::to_string(leaf) + " after its drain grace of 2 s");
   }
 
   void update_client(Client& c, bool past_end, Millis now) {
@@ -172,7 +176,8 @@
         ++result_.refused;
       else
         ++result_.failed;
-      if (!c.connection->text.empty()) result_.record_violation("double", c.id + " got more than its answer");
+      if (!c.connection->text.empty())
+        result_.record_violation("double", c.id + " got bytes after its reply");
       bool keep = c.parser.message().keep_alive();
       c.parser.reset();
       c.waiting = false;
@@ -182,15 +187,15 @@
     }
     if (c.connection->closed) return handle_connection_loss(c, now);
     if (now > c.asked_at + kQueryTimeout + 500 + options_.common.slack_ms) {
-      result_.record_violation("lost", c.id + " has no answer in its time");
+      result_.record_violation("lost", c.id + " has no reply 500 ms after its timeout of 4000 ms");
       c.waiting = false;
       c.connection.reset();
       c.parser.reset();
     }
   }
 
-  // Its connection ended without an answer. One that closed between requests crossed it: it is sent once
-  // more.
+  // Handles a connection that ended without a reply. The server may have closed an idle connection while the
+  // request was on its way, so the query is sent once more on a new connection; a second loss is a violation.
   void handle_connection_loss(Client& c, Millis now) {
     c.parser.reset();
     if (c.asked_at <= interrupted_at_ + 100 || now <= interrupted_at_ + 500) {
@@ -200,7 +205,7 @@
       ++result_.sent_again;
       return send(c, now);
     } else {
-      result_.record_violation("lost", c.id + " ended twice without an answer");
+      result_.record_violation("lost", c.id + " lost its connection twice without a reply");
     }
     c.waiting = false;
     c.connection.reset();
@@ -214,7 +219,7 @@
     std::string body = "{\"parts\":[{\"id\":" + std::to_string(first) +
                        ",\"w\":0.5},{\"id\":" + std::to_string((first + 1) % n) +
                        ",\"w\":0.5}],\"expr\":\"x\"}";
-    // A new class is named from 1.2 s after the order on, and one that goes is not named from the order on.
+    // Added classes are used from 1.2 s after the reload on, removed ones not after the reload.
     c.connection->stream->write("POST /class" +
                                 std::to_string(random_.below(static_cast<std::size_t>(classes_used_))) +
                                 "?k=1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + c.id + (c.resent ? "b" : "") +
@@ -224,10 +229,11 @@
     c.waiting = true;
   }
 
-  // ---- What operators do
+  // ---- Operator actions
   void send_admin_command(const char* command, bool expect_ack) {
     int admin_port = current_->number_after("operators' door on port ");
-    if (admin_port == 0) return result_.record_violation("door", std::string(command) + ": there is none");
+    if (admin_port == 0)
+      return result_.record_violation("door", std::string(command) + ": the log names no admin port");
     admin_commands_.push_back(
         {std::make_unique<Connection>(loop_, admin_port), command, loop_.now(), expect_ack});
     admin_commands_.back().connection->stream->write(std::string(command) + "\n");
@@ -243,28 +249,29 @@
         continue;
       }
       if (replied) result_.worst_admin_reply_ms = std::max(result_.worst_admin_reply_ms, now - it->at);
-      if (!replied) result_.record_violation("door", it->command + " has no answer in 1 s");
+      if (!replied) result_.record_violation("door", it->command + " has no reply within 1 s");
       if (replied && (it->connection->text.find("ACK") == 0) != it->expect_ack)
         result_.record_violation("door", it->command + ": " + it->connection->text);
       it = admin_commands_.erase(it);
     }
     int status = 0;
     if (current_->ended(status))
-      result_.record_violation("crash", "the process ended by itself, status " + std::to_string(status));
+      result_.record_violation("crash",
+                               "the process ended unexpectedly with status " + std::to_string(status));
     if (old_ && old_->ended(status)) {
       if (status != 0)
         result_.record_violation("crash", "the old process ended with status " + std::to_string(status));
       old_.reset();
     }
     if (old_ && sigterm_at_ > 0 && now > sigterm_at_ + kShutdownTimeout) {
-      result_.record_violation("leaving", "the old process is there still");
+      result_.record_violation("leaving", "the old process still runs 8.7 s after SIGTERM");
       old_.reset();
     }
     if (drained_at_ > 0 && now > drained_at_ + kConnectionDrainTimeout && !idle_checked_) {
       idle_checked_ = true;
       for (const Client& c : clients_)
         if (!c.waiting && c.connection && !c.connection->closed)
-          result_.record_violation("away", "a connection stands idle 4 s after drain");
+          result_.record_violation("away", "a connection is still open and idle 4 s after drain");
     }
     for (auto it = draining_leafs_.begin(); it != draining_leafs_.end();)
       if (now > it->second + 6000) {
@@ -275,13 +282,13 @@
       }
   }
 
-  // One step of the history; how long until the next.
+  // Runs one step of the history. Returns the time in ms until the next.
   Millis run_next_step(Millis now) {
     if (stopped_) {
       (old_ && random_.chance(0.5) ? old_ : current_)->signal(SIGCONT);
       current_->signal(SIGCONT);
       stopped_ = false;
-      interrupted_at_ = now;  // clients whose time ran out meanwhile are nobody's fault
+      interrupted_at_ = now;  // queries that timed out while the process was stopped are excused
       return 1500;
     }
     if (drained_at_ > 0) {
@@ -298,7 +305,8 @@
         ++result_.drains;
         drained_at_ = now;
         idle_checked_ = false;
-        // The front stops sending here; what stands open goes on for as long as it is open.
+        // The load balancer opens no new connections during a drain; open ones are used until they are
+        // closed.
         for (Client& c : clients_)
           if (!c.connection || c.connection->closed)
             c.next_at = std::max(c.next_at, now + kConnectionDrainTimeout + 1000);
@@ -338,7 +346,7 @@
     }
   }
 
-  // Stops the process with SIGSTOP. Returns the time in ms after which act() continues it.
+  // Stops the process with SIGSTOP. Returns the time in ms after which run_next_step() continues it.
   Millis stop() {
     ++result_.stops;
     current_->signal(SIGSTOP);
@@ -359,11 +367,12 @@
       for (Client& c : clients_) update_client(c, false, t);
       int status = 0;
       if (replacement->ended(status)) {
-        result_.record_violation("start", "the new process ended, status " + std::to_string(status));
+        result_.record_violation(
+            "start", "the new process ended while starting with status " + std::to_string(status));
         return 1000;
       }
       if (t > until) {
-        result_.record_violation("start", "the new process does not say yes in 6 s");
+        result_.record_violation("start", "the new process is not ready within 6 s");
         return 1000;
       }
       if (kill_early && t > kill_at) break;
--- a/testbed/operations_parts.hpp
+++ b/testbed/operations_parts.hpp
@@ -1,4 +1,4 @@
-// What the experiment on operators counts and by whom it asks.
+// Connections, clients and results of the operations experiment.
 #pragma once
 
 #include <map>
@@ -16,7 +16,8 @@
 
 using Millis = double;
 
-// One connection: a client's queries one after another, or one call at a door.
+// One TCP connection on loopback, for a client's successive queries or for one admin command. Collects
+// received bytes in `text`.
 class Connection : public event_loop::Stream::Owner {
  public:
   Connection(event_loop::Loop& loop, int port) {
@@ -35,6 +36,7 @@
   bool closed = false;
 };
 
+// A client that sends one query at a time. Times are in ms of the event loop's clock.
 struct Client {
   std::unique_ptr<Connection> connection;
   http::HttpParser parser{http::HttpParser::Mode::response};
@@ -43,6 +45,8 @@
   bool waiting = false, resent = false, new_connection = false;
 };
 
+// Counts of replies, operator actions and violations by rule, with descriptions of the first three of each
+// rule.
 struct OperationsResult {
   std::size_t asked = 0, whole = 0, refused = 0, failed = 0, excused = 0, sent_again = 0;
   std::size_t drains = 0, resumes = 0, reloads = 0, upgrades = 0, kills = 0, stops = 0;
