--- a/testbed/demo.cpp
+++ b/testbed/demo.cpp
@@ -36,11 +36,11 @@
     fleet.ask(0, over_flight, query, [&](const Reply& reply) {
       done = true;
       if (reply.kind != Reply::Kind::answered) {
-        std::printf("no answer: %s\n", reply.error.c_str());
+        std::printf("query failed: %s\n", reply.error.c_str());
         return;
       }
       ++answered;
-      std::printf("answered, %s, %zu rows:\n", reply.whole ? "whole" : "in part", reply.rows.size());
+      std::printf("answered, %s, %zu rows:\n", reply.whole ? "complete" : "partial", reply.rows.size());
       for (const auto& row : reply.rows)
         std::printf("  %s: %.60s...\n", ranges::text_of(row.span).c_str(), row.data.c_str());
     });
@@ -48,9 +48,9 @@
   }
   fleet.check_final_state();
   for (const std::string& text : fleet.checker().violation_examples())
-    std::printf("broken: %s\n", text.c_str());
-  std::printf("\n%s\n",
-              answered == 2 ? "both were answered, and every account is right" : "not all was answered");
+    std::printf("violated: %s\n", text.c_str());
+  std::printf("\n%s\n", answered == 2 ? "both queries were answered, and every account is right"
+                                      : "a query was not answered");
   return answered == 2 && fleet.checker().violations().empty() ? 0 : 1;
 }
 
--- a/testbed/experiments.hpp
+++ b/testbed/experiments.hpp
@@ -1,5 +1,5 @@
-// The experiments: each runs against real aggregators, prints a table, writes JSON, and is 1 where a rule
-// broke.
+// The experiments. Each runs real aggregator processes, prints a table, writes JSON if asked to, and returns
+// the exit code: 0, or 1 if a rule was violated.
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,23 @@
 
 namespace winchhall::testbed {
 
+// Options of all experiments.
 struct CommonOptions {
   std::uint64_t seed = 1;
   double seconds = 60;
-  std::string json{};     // a file for the figures
-  std::string program{};  // winchhall
-  std::string logs{};     // a folder for the aggregators' logs
-  double slack_ms = 250;  // that a busy machine may add to a limit in time
+  std::string json{};     // file for the results; none if empty
+  std::string program{};  // path of the winchhall executable
+  std::string logs{};     // folder for the aggregators' logs; none if empty
+  double slack_ms = 250;  // added to time limits for a loaded machine
 };
 
 struct MovingRangesOptions {
   CommonOptions common{};
-  double rate = 200;  // queries a second, all aggregators
+  double rate = 200;  // queries per second over all aggregators
   std::size_t nodes = 20, aggregators = 3;
   double reshuffle_ms = 2000;
-  bool faults = true;               // pauses, breaks of the directory, deaths, drains; in both runs alike
-  double min_service_ratio = 0.98;  // of the run without reshuffles
+  bool faults = true;               // pauses, directory failures, crashes and drains; the same in both runs
+  double min_service_ratio = 0.98;  // compared with the run without reshuffles
 };
 int moving_ranges(const MovingRangesOptions& options);
 
@@ -30,26 +31,27 @@
   CommonOptions common{};
   double rate = 200;
   std::size_t nodes = 16, aggregators = 3;
-  double min_service_ratio = 0.98;  // of the run whose files stand still
+  double min_service_ratio = 0.98;  // compared with the run whose files don't change
 };
 int watched_files(const WatchedFilesOptions& options);
 
 struct OperationsOptions {
   CommonOptions common{};
   std::size_t clients = 40, leafs = 8;
-  bool stop_at_end = false;  // the last step of the history stops the process
+  bool stop_at_end = false;  // the last step of the history sends SIGSTOP
 };
 int operations(const OperationsOptions& options);
 
 struct PlatformCostOptions {
   CommonOptions common{};
-  std::string before{};  // the program to compare with
+  std::string before{};  // path of the executable to compare with
   std::size_t rounds = 7, queries = 4000;
-  double max_cpu_ratio = 1.02;  // CPU a query, x that of before
+  double max_cpu_ratio = 1.02;  // CPU time per query, as a multiple of `before`
 };
 int platform_cost(const PlatformCostOptions& options);
 
-// One aggregator, a few nodes, one query over each front; prints what was asked and what came back.
+// Runs one aggregator with four nodes, sends one query over HTTP and one over Flight, and prints both
+// replies.
 int demo(const CommonOptions& common);
 
 }  // namespace winchhall::testbed
--- a/testbed/moving_ranges.cpp
+++ b/testbed/moving_ranges.cpp
@@ -1,5 +1,5 @@
-// Moving ranges under load: the same queries and the same faults twice, with ranges that stand still and with
-// reshuffles every few seconds.
+// Moving ranges under load: runs the same queries and faults twice, once with fixed ranges and once with
+// reshuffles every few seconds, and compares the service.
 #include <signal.h>
 
 #include <algorithm>
@@ -15,8 +15,8 @@
 
 using nlohmann::json;
 
-constexpr Millis kStepInterval = 50;       // ms between looks at what the world has due
-constexpr Millis kFinalReplyWait = 12000;  // ms for the last answers: longer than any client waits
+constexpr Millis kStepInterval = 50;       // between checks for due steps of the deployment
+constexpr Millis kFinalReplyWait = 12000;  // for the last replies: longer than any client waits
 
 struct RunResult {
   Checker::Statistics statistics{};
@@ -26,10 +26,11 @@
   Directory::Counts directory{};
   Node::Counts nodes{};
   std::size_t parts = 0, most_attempts = 0, ranges = 0;
-  std::vector<std::string> aggregators{};  // their last word on ranges
+  std::vector<std::string> aggregators{};  // the last log line of each about ranges
 };
 
-// Faults at set shares of the run, and some every few seconds; all drawn from the seed alone.
+// Schedules faults: some at fixed shares of the run, others every few seconds. All choices come from the
+// seed.
 class FaultSchedule {
  public:
   FaultSchedule(Fleet& fleet, std::uint64_t seed, Millis begin, Millis length)
@@ -50,7 +51,7 @@
         if (what == 0) fleet_.directory().break_watches();
         if (what == 1) fleet_.directory().drop_next_update();
         if (what == 2) fleet_.directory().set_update_delay(ms);
-        if (what == 3) fleet_.node(node).deny_for(ms);  // says "not mine", whatever it is asked
+        if (what == 3) fleet_.node(node).deny_for(ms);  // denies every part as misdirected
       });
     }
     std::size_t drained = random_.below(fleet_.nodes()), killed = (drained + 7) % fleet_.nodes();
@@ -93,7 +94,8 @@
   options.slack = o.common.slack_ms;
   options.deployment.nodes = o.nodes;
   options.deployment.ranges = 3 * o.nodes;
-  // Parts that take long enough to be out when ranges move under them, on nodes that have room for many.
+  // Parts take long enough to be in progress while their ranges move, and nodes have capacity for many of
+  // them.
   options.node.cores = 16;
   options.node.min_work = 30;
   options.node.max_work = 220;
@@ -117,11 +119,11 @@
     Query query = fleet.random_query(load, ++number);
     bool over_flight = load.chance(0.5);
     std::size_t at = load.below(fleet.aggregators());
-    // Its client finds another one while this one is down.
+    // A client chooses another aggregator while this one is down.
     while (!fleet.running(at) || !fleet.process(at).logged("phase ready"))
       at = (at + 1) % fleet.aggregators();
     fleet.ask(at, over_flight, query);
-    // By a schedule of its own: a loop that is late doesn't thin the load.
+    // Send times follow their own schedule, so a late event loop doesn't reduce the load.
     loop.run_at(next_at += load.exponential(1000 / o.rate), next);
   };
   next();
@@ -217,7 +219,7 @@
               f.latency.quantile(0.99), f.latency.max(), o.parts, o.nodes.denied, o.most_attempts,
               f.rows_wrong + f.rows_doubled + f.rows_missing + f.rows_foreign);
   for (const auto& [rule, count] : o.violations)
-    std::printf("  broken: %s, %zu times\n", rule.c_str(), count);
+    std::printf("  violated: %s, %zu times\n", rule.c_str(), count);
   for (const std::string& text : o.violation_examples) std::printf("    %s\n", text.c_str());
 }
 
@@ -233,8 +235,8 @@
   print("ranges still", still);
   print("ranges moving", moved);
   std::printf(
-      "reshuffles: %zu splits, %zu merges, %zu moves, %zu weights; service %.4f of that without (%.2f "
-      "wanted)\n",
+      "reshuffles: %zu splits, %zu merges, %zu moves, %zu weights; service %.4f of the run without (at "
+      "least %.2f required)\n",
       moved.deployment.splits, moved.deployment.merges, moved.deployment.moves,
       moved.deployment.weight_changes, ratio, o.min_service_ratio);
   for (const std::string& line : moved.aggregators) std::printf("  %s\n", line.c_str());
--- a/testbed/platform_cost.cpp
+++ b/testbed/platform_cost.cpp
@@ -1,5 +1,5 @@
-// What the program costs on the platform's path: start, memory at rest, CPU a query. Two programs are
-// measured in turns, so that what the machine does besides falls on both alike.
+// Start-up time, memory at rest and CPU time per query of two builds of the program. They are measured
+// alternately so that other load on the machine affects both equally.
 #include <signal.h>
 #include <unistd.h>
 
@@ -19,8 +19,8 @@
 namespace {
 
 using nlohmann::json;
-constexpr int kConcurrentQueries = 8;   // queries out at a time: a busy aggregator, no overload
-constexpr Millis kRunTimeout = 120000;  // ms: only ends a run that hangs
+constexpr int kConcurrentQueries = 8;   // keeps the aggregator busy without overload
+constexpr Millis kRunTimeout = 120000;  // only ends a run that hangs
 
 std::string config(const std::vector<std::unique_ptr<PromptLeaf>>& leafs) {
   json members = json::array();
@@ -33,7 +33,7 @@
                        {"up_since_ms", 0}});
   return json{{"name", "cost"},
               {"listen", "127.0.0.1:0"},
-              {"discovery", ""},  // nobody to ask: the list is what it is
+              {"discovery", ""},  // the list of leafs is fixed
               {"seed", "7"},
               {"limits", {{"sockets", 1024}}},
               {"known", {{"revision", 1}, {"complete", true}, {"members", members}}},
@@ -71,7 +71,7 @@
 
 Usage usage(pid_t pid) {
   Usage u;
-  std::ifstream sched("/proc/" + std::to_string(pid) + "/schedstat");  // nanoseconds on a processor
+  std::ifstream sched("/proc/" + std::to_string(pid) + "/schedstat");  // first field: ns of CPU time
   double ns = 0;
   sched >> ns;
   u.cpu_ms = ns / 1e6;
@@ -121,9 +121,10 @@
   for (int i = 0; i < kConcurrentQueries; ++i) next();
   while (answered + failed < queries && loop.now() < end) loop.run_once(20);
   if (answered != queries)
-    throw std::runtime_error(program + ": " + std::to_string(failed) + " queries failed");
+    throw std::runtime_error(program + ": " + std::to_string(failed) + " of " + std::to_string(queries) +
+                             " queries failed");
   cost.cpu_us.push_back((usage(process.pid()).cpu_ms - at_rest.cpu_ms) * 1000 / static_cast<double>(queries));
-  process.signal(SIGTERM);  // in order, so that one that is profiled writes what it saw
+  process.signal(SIGTERM);  // an orderly shutdown, so that a profiled program writes its profile
   int status = 0;
   while (!process.ended(status) && loop.now() < end) loop.run_once(20);
 }
@@ -137,13 +138,13 @@
     measure(o.common.program, o.queries, current);
   }
   auto row = [](const char* name, const Cost& c) {
-    std::printf("%-8s start %6.1f ms  resident at rest %6.0f kB  CPU %6.1f us a query\n", name,
+    std::printf("%-8s start %6.1f ms  resident at rest %6.0f kB  CPU %6.1f us per query\n", name,
                 c.median(c.start_ms), c.median(c.resident_kb), c.median(c.cpu_us));
   };
   row("before", before);
   row("now", current);
   double ratio = current.median(current.cpu_us) / before.median(before.cpu_us);
-  std::printf("CPU a query: %.3f of before (medians of %zu rounds of %zu queries of 8 parts)\n", ratio,
+  std::printf("CPU per query: %.3f of before (medians of %zu rounds of %zu queries of 8 parts)\n", ratio,
               o.rounds, o.queries);
   if (!o.common.json.empty())
     std::ofstream(o.common.json) << json{{"experiment", "platform-cost"},
--- a/testbed/watched_files.cpp
+++ b/testbed/watched_files.cpp
@@ -1,5 +1,5 @@
-// Watched files under load: the same queries twice, with files that stand still and with files that are
-// rewritten without pause, a third of them spoilt.
+// Watched files under load: runs the same queries twice, once with fixed files and once with files that are
+// rewritten continuously, a third of the sets invalid, and compares the service.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -19,11 +19,10 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-constexpr Millis kStepInterval = 20;       // ms between rewrites at the least
-constexpr Millis kFinalReplyWait = 12000;  // ms for the last answers
-constexpr Millis kQuietTime =
-    600;  // ms of quiet after each burst, in which the last sound set has to be taken
-constexpr Millis kBurstTime = 1400;  // ms
+constexpr Millis kStepInterval = 20;       // shortest time between rewrites
+constexpr Millis kFinalReplyWait = 12000;  // for the last replies
+constexpr Millis kQuietTime = 600;         // after each burst, for the aggregators to take the last valid set
+constexpr Millis kBurstTime = 1400;
 
 struct RunResult {
   Checker::Statistics statistics{};
@@ -32,7 +31,7 @@
   ConfigFileWriter::Counts rewrites{};
   SimulatedDeployment::Counts deployment{};
   std::size_t parts = 0, most_attempts = 0, taken = 0, refused_lines = 0, held = 0;
-  std::vector<double> take_ms{};  // from a change's first event to its use, as the aggregators log it
+  std::vector<double> take_ms{};  // from a change's first file event to its use, as logged by the aggregators
 };
 
 double quantile(std::vector<double> list, double q) {
@@ -43,7 +42,7 @@
 
 RunResult run(const WatchedFilesOptions& o, bool moves) {
   std::string root = fs::temp_directory_path() / "winchhall-testbed-files-XXXXXX";
-  if (!mkdtemp(root.data())) throw std::runtime_error("no folder for files");
+  if (!mkdtemp(root.data())) throw std::runtime_error("mkdtemp failed for the files' folder: " + root);
   FleetOptions options;
   options.seed = o.common.seed;
   options.nodes = options.deployment.nodes = o.nodes;
@@ -88,7 +87,7 @@
         fleet.deployment().reshuffle(now);
       }
       fleet.deployment().run_due_steps(now);
-      // Bursts as fast as the step allows, and a moment after each in which what is sound is to be found.
+      // Bursts rewrite the files at every step; the pause after each lets the aggregators take a valid set.
       bool quiet = std::fmod(now - begin, kBurstTime + kQuietTime) > kBurstTime;
       if (!quiet && plan.chance(1.0 / 3))
         writer.write_invalid(fleet.deployment());
@@ -130,7 +129,7 @@
       name, f.asked, f.whole, f.partial, f.refused, f.failed, f.service(), f.latency.quantile(0.5),
       f.latency.quantile(0.99), f.rows_wrong + f.rows_doubled + f.rows_missing + f.rows_foreign);
   for (const auto& [rule, count] : o.violations)
-    std::printf("  broken: %s, %zu times\n", rule.c_str(), count);
+    std::printf("  violated: %s, %zu times\n", rule.c_str(), count);
   for (const std::string& text : o.violation_examples) std::printf("    %s\n", text.c_str());
 }
 
@@ -165,8 +164,8 @@
   print("files still", still);
   print("files moving", moved);
   std::printf(
-      "rewrites: %zu sound, %zu spoilt; taken %zu, lines of refusal %zu, held %zu; from first write to use "
-      "median %.0f worst %.0f ms; service %.4f of that without (%.2f wanted)\n",
+      "rewrites: %zu valid, %zu invalid; taken %zu, refusals logged %zu, held %zu; from first write to use "
+      "median %.0f worst %.0f ms; service %.4f of the run without (at least %.2f required)\n",
       moved.rewrites.valid, moved.rewrites.invalid, moved.taken, moved.refused_lines, moved.held,
       quantile(moved.take_ms, 0.5), quantile(moved.take_ms, 1), ratio, o.min_service_ratio);
   bool passed =
