--- a/testbed/checker.hpp
+++ b/testbed/checker.hpp
@@ -1,5 +1,5 @@
-// What must hold, whatever happens: kept apart from the code under test, from the reference and from what the
-// stand-in nodes saw.
+// The invariants that must hold in every experiment, whatever its load and faults. They are kept apart from
+// the code under test, from the reference ledger and from the stand-in nodes' own counts.
 #pragma once
 
 #include <map>
@@ -12,23 +12,29 @@
 
 namespace winchhall::testbed {
 
+// A query class as the aggregators are configured with it. Shares and values are fractions or relative
+// weights.
 struct ClassRule {
   std::string name{};
   double floor = 1, value = 1, partial_value = 0, late_value = 0.3;
   Millis latency_target = 0, hard_limit = 0;
 };
 
+// Checks every reply against the reference ledger and the limits of its class, and keeps statistics of the
+// run. The reference and the deployment must outlive it. Times are in ms of the event loop's clock.
 class Checker {
  public:
   Checker(const ReferenceLedger& reference, const SimulatedDeployment& deployment,
           std::vector<ClassRule> classes, int max_attempts, Millis slack);
 
   void record_query(const Query& query, Millis now);
-  // Its final answer. `excused`: its aggregator was killed meanwhile, so that none may come.
+  // Records the final reply to a query. `excused`: its aggregator was killed meanwhile, so the reply may be
+  // missing or late.
   void record_reply(const std::string& id, const Reply& reply, Millis now, bool excused);
   void record_arrival(const Node::Arrival& arrival);
-  void record_violation(const std::string& rule, const std::string& what);  // found elsewhere
-  void finish();  // whatever has no answer by now has lost it
+  void record_violation(const std::string& rule,
+                        const std::string& what);  // also for violations found elsewhere
+  void finish();                                   // ends the run: every query without a reply is a violation
 
   struct Statistics {
     std::size_t asked = 0, whole = 0, partial = 0, refused = 0, failed = 0, no_reply = 0, excused = 0,
@@ -41,7 +47,7 @@
   const Statistics& statistics() const { return statistics_; }
   std::size_t arrived_parts() const { return arrived_parts_; }
   std::size_t most_attempts() const { return most_attempts_; }
-  // By rule: how often it was broken, and the first cases in words.
+  // The number of violations by rule, and descriptions of the first ones.
   const std::map<std::string, std::size_t>& violations() const { return violations_; }
   const std::vector<std::string>& violation_examples() const { return violation_examples_; }
 
@@ -49,7 +55,7 @@
   struct OpenQuery {
     Query query{};
     Millis sent_at = 0;
-    std::vector<ranges::Span> attempts{};  // spans that nodes were asked for
+    std::vector<ranges::Span> attempts{};  // spans requested from nodes
     bool answered = false;
     Millis answered_at = 0;
   };
--- a/testbed/clients.cpp
+++ b/testbed/clients.cpp
@@ -15,7 +15,7 @@
 namespace wire = arrow::flight::protocol;
 
 namespace {
-constexpr std::size_t kMaxStreamsPerConnection = 40;  // calls at once on a Flight connection
+constexpr std::size_t kMaxStreamsPerConnection = 40;  // concurrent calls
 sockaddr_in loopback(int port) { return *event_loop::parse_address("127.0.0.1:" + std::to_string(port)); }
 }  // namespace
 
@@ -44,7 +44,7 @@
   }
   if (!from.is_object() || !from.contains("rows")) {
     r.kind = Reply::Kind::failed;
-    r.error = "a body that is no answer";
+    r.error = "no answer: the body of a 200 response has no rows";
     return r;
   }
   r.kind = Reply::Kind::answered;
@@ -69,7 +69,7 @@
   void close() {
     if (stream_) stream_->close();
   }
-  // Whether the server has not ended the connection, as far as what has arrived by now tells.
+  // Reads what has arrived and returns false if the server has closed the connection.
   bool is_reusable() {
     stream_->read_now();
     return stream_->usable();
@@ -81,7 +81,7 @@
   }
   void received(std::string& in) override {
     if (!on_reply_) {
-      owner_.unexpected_replies_ += !in.empty();  // an answer to nothing: a second one
+      owner_.unexpected_replies_ += !in.empty();  // nothing is open on this connection: a second reply
       return in.clear();
     }
     parser_.feed(in);
@@ -126,7 +126,7 @@
   while (!c && !idle_.empty()) {
     c = idle_.back();
     idle_.pop_back();
-    if (!c->is_reusable()) c.reset();  // it leaves by itself when its end is reported
+    if (!c->is_reusable()) c.reset();  // it removes itself in ended()
   }
   if (!c) {
     c = std::make_shared<Connection>(*this);
@@ -237,7 +237,7 @@
           flight::read_arrow(part.data_header(), part.data_body(), rows, flight::Layout::spans) ==
               flight::ArrowKind::bad) {
         r.kind = Reply::Kind::failed;
-        r.error = "messages that are no answer";
+        r.error = "no answer: a message is not FlightData with Arrow rows";
         return r;
       }
     }
--- a/testbed/config_file_writer.cpp
+++ b/testbed/config_file_writer.cpp
@@ -97,7 +97,8 @@
   if (defect == "noise") text[text.size() / 2] = static_cast<char>(1 + random_.below(8));
   if (defect == "doctype") text = "<!DOCTYPE x [<!ENTITY e \"eeee\">]>" + text;
   if (defect == "no nodes") files["nodes.xml"] = "<nodes xmlns=\"urn:winchhall:files:1\"/>";
-  // In the place of what is there, file by file, as a careless tool would; or swapped in as a careful one.
+  // Half of the invalid sets are published at once, the others overwrite the current files one by one, as a
+  // tool without atomic replacement does.
   if (random_.chance(0.5)) return publish(files);
   std::error_code ignored;
   for (const auto& [name, bytes] : files)
--- a/testbed/config_file_writer.hpp
+++ b/testbed/config_file_writer.hpp
@@ -1,5 +1,6 @@
-// Writes sets of files as tools do and as they shouldn't: whole by a swapped link, file by file, half,
-// spoilt, impossible. It knows which sets were sound. Seeded; one rewrite a call.
+// Writes sets of configuration files for the aggregators to watch: valid sets, published by replacing a
+// symbolic link, and invalid ones (truncated, corrupt or contradictory), published that way or overwritten
+// file by file.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +15,19 @@
 
 namespace winchhall::testbed {
 
+// Each call writes one set; all choices come from the seed. Versions older than the last three are removed.
+// The caller creates and removes `root`.
 class ConfigFileWriter {
  public:
-  // `addresses`: of each node. The folder that aggregators watch is `root`/current, a link.
+  // `addresses`: one for each node. The folder that aggregators watch is the symbolic link `root`/current.
   ConfigFileWriter(std::filesystem::path root, std::uint64_t seed, std::vector<std::string> addresses);
 
   std::string folder() const { return root_ / "current"; }
 
-  // The layout as it is now, with these nodes left out; swapped in whole.
+  // Publishes the current layout of the deployment without the `dropped` nodes, all files at once.
   void write_valid(const SimulatedDeployment& deployment, const std::set<std::size_t>& dropped);
-  // Something that nobody may take, in the place of what is there or beside it. What stood there is put back
-  // by the next sound().
+  // Writes a set that every aggregator must refuse, over the current files or as a new version. The next
+  // write_valid() restores a valid set.
   void write_invalid(const SimulatedDeployment& deployment);
 
   struct Counts {
--- a/testbed/directory.cpp
+++ b/testbed/directory.cpp
@@ -8,8 +8,8 @@
 
 namespace winchhall::testbed {
 namespace {
-constexpr Millis kKeepaliveInterval = 2000;  // ms between empty lines, as the protocol has it
-constexpr std::size_t kRangesPerLine = 200;  // ranges in one line of a whole map
+constexpr Millis kKeepaliveInterval = 2000;  // between empty lines, as the range protocol requires
+constexpr std::size_t kRangesPerLine = 200;  // in a full map, which is sent as several lines
 
 std::optional<std::uint64_t> parameter(const std::string& target, const std::string& name) {
   std::size_t at = target.find(name + "=");
--- a/testbed/directory.hpp
+++ b/testbed/directory.hpp
@@ -1,5 +1,5 @@
-// Stand-ins for the two services that an aggregator asks: the directory of ranges and the roster of nodes.
-// Both can be late, break off, skip, go away and come back.
+// Stand-ins for the two services that an aggregator follows: the directory of ranges and the roster of nodes.
+// The directory can delay or lose updates, break connections, serve an old map, stop and start again.
 #pragma once
 
 #include <functional>
@@ -12,19 +12,20 @@
 
 namespace winchhall::testbed {
 
+// Serves the deployment's range map and streams its changes. Doesn't own the deployment.
 class Directory {
  public:
   Directory(event_loop::Loop& loop, SimulatedDeployment& deployment);
   ~Directory();
   std::string address() const { return http_.address(); }
 
-  void publish_changes();  // what has changed goes to the watches, each after the delay
-  void set_update_delay(Millis ms) { update_delay_ = ms; }  // of each word
-  void drop_next_update() { drop_next_ = true; }            // the next word is lost on the way
+  void publish_changes();  // sends new changes to every watch, after the update delay
+  void set_update_delay(Millis ms) { update_delay_ = ms; }  // of each later update
+  void drop_next_update() { drop_next_ = true; }            // no watch gets the next update
   void break_watches();
   void stop() { http_.stop(); }
   void start() { http_.start(); }
-  // From now on, for that long, the whole map that it gives is the one it had at `when`.
+  // Breaks all watches. Until `until`, every request is answered with the full map as it was at `when`.
   void serve_older_map(Millis when, Millis until);
 
   struct Counts {
@@ -51,22 +52,24 @@
   event_loop::TimerId keepalive_timer_{};
 };
 
+// One node of the roster. `up_since_ms` is 0 for a node that is warm from the beginning.
 struct RosterEntry {
   std::string id{};
-  std::string frames{}, flight{};  // addresses
+  std::string frames{}, flight{};  // addresses for the frame protocol and for Flight
   int cell = 0;
   std::string phase = "ready";
   double up_since_ms = 0;
 };
 
+// Serves the list of nodes and streams its changes; gives the Flight addresses if `flight` is set.
 class Roster {
  public:
   explicit Roster(event_loop::Loop& loop, bool flight);
   ~Roster();
   std::string address() const { return http_.address(); }
-  void set(const RosterEntry& entry);                  // told to all that watch
-  std::string full_list() const;                       // as the configuration's `known` has it
-  Millis last_change_at(const std::string& id) const;  // when its last change was written
+  void set(const RosterEntry& entry);                  // sends the change to all watches
+  std::string full_list() const;                       // JSON, as in the configuration's `known`
+  Millis last_change_at(const std::string& id) const;  // ms; 0 for an unknown node
 
  private:
   std::string row(const RosterEntry& entry) const;
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -11,8 +11,8 @@
 using nlohmann::json;
 
 namespace {
-constexpr Millis kReadyTimeout = 30000;  // ms for an aggregator to start; only ends a run that hangs
-constexpr Millis kDrainGrace = 2000;     // ms by the rule
+constexpr Millis kReadyTimeout = 30000;  // for an aggregator to start; only ends a run that hangs
+constexpr Millis kDrainGrace = 2000;     // the configured drain_grace
 constexpr int kAttempts = 3;
 }  // namespace
 
@@ -55,7 +55,8 @@
   for (Aggregator& a : aggregators_) a.process->kill();
 }
 
-// Each third calls nodes over Flight. Files name one address of a node, which is that for frames.
+// Every third aggregator calls the nodes over Flight. With files none does: they hold one address for each
+// node, that of the frame protocol.
 bool Fleet::over_flight(std::size_t i) const { return i % 3 == 2 && options_.files_root.empty(); }
 
 std::string Fleet::config(std::size_t i, int port) const {
@@ -135,7 +136,8 @@
       loop_.run_once(20);
       int status = 0;
       if (loop_.now() > end || a.process->ended(status))
-        throw std::runtime_error("an aggregator does not start:\n" + a.process->log());
+        throw std::runtime_error("aggregator not ready within 30 s, or ended while starting; its log:\n" +
+                                 a.process->log());
     }
     a.http_port = a.process->number_after("listens on port ");
     a.flight_port = a.process->number_after("Flight on port ");
@@ -164,7 +166,7 @@
   a.text = text;
   a.key = random.below(3000);
   a.timeout = c.hard_limit * random.between(0.6, 1);
-  // A few spans, some wide and some of a handful of accounts, at any border.
+  // One to three disjoint spans, narrow for lookups and wide for the other classes, at random borders.
   for (std::size_t n = 1 + random.below(3); n > 0; --n) {
     double share = c.name == "transfer-lookup" ? random.between(0.0005, 0.06) : random.between(0.03, 0.12);
     auto size = static_cast<ranges::Key>(share * static_cast<double>(ranges::kKeyEnd));
@@ -236,7 +238,7 @@
   if (it != drained_at_.end() && loop_.now() - it->second > kDrainGrace + options_.slack)
     checker_.record_violation("drains", a.part + " to " + SimulatedDeployment::node_name(a.node) + " " +
                                             std::to_string(loop_.now() - it->second) +
-                                            " ms after it was told to drain");
+                                            " ms after the drain was published");
 }
 
 std::size_t Fleet::unexpected_replies() const {
@@ -249,14 +251,14 @@
   checker_.finish();
   if (unexpected_replies() > 0)
     checker_.record_violation("one answer",
-                              std::to_string(unexpected_replies()) + " answers to nothing that was asked");
+                              std::to_string(unexpected_replies()) + " replies without an open query");
   for (const auto& node : nodes_)
     if (node->counts().failed_by_overload)
-      checker_.record_violation("cold nodes", node->name() + " fell over");
+      checker_.record_violation("cold nodes", node->name() + " failed by overload while cold");
   for (const Aggregator& a : aggregators_)
     for (const char* words : {"query overdue", "answer covers less than the coordinator reported"})
       if (a.process->count(words) > 0)
-        checker_.record_violation("module's word", std::string("the log says: ") + words);
+        checker_.record_violation("module's word", std::string("the log holds: ") + words);
 }
 
 }  // namespace winchhall::testbed
--- a/testbed/fleet.hpp
+++ b/testbed/fleet.hpp
@@ -1,5 +1,5 @@
-// A fleet on loopback: stand-in nodes, directory and rosters, real aggregators, clients and the checker, on
-// one loop. Experiments bring the load, the faults and the question.
+// A complete deployment on loopback: stand-in nodes, directory and rosters, real aggregator processes,
+// clients and the checker, all on one event loop. Experiments add the load and the faults.
 #pragma once
 
 #include <memory>
@@ -22,20 +22,22 @@
   SimulatedDeploymentOptions deployment{};
   NodeOptions node{};
   std::string program{};
-  std::string files_root{};  // nodes and ranges come from files there, and not from roster and directory
-  Millis slack = 250;        // ms that a busy machine may add to a limit in time
+  std::string files_root{};  // if set, nodes and ranges come from files there, not from roster and directory
+  Millis slack = 250;        // added to time limits for a loaded machine
 };
 
+// Owns everything that it runs; the destructor kills the aggregators.
 class Fleet {
  public:
   explicit Fleet(const FleetOptions& options);
   ~Fleet();
 
-  // Starts all aggregators and waits until they are ready. Throws std::runtime_error where one isn't in time.
+  // Starts all aggregators and waits until they are ready. Throws std::runtime_error if one isn't ready
+  // within 30 s.
   void start();
-  void run_once(Millis longest = 20);
+  void run_once(Millis longest = 20);  // one turn of the event loop; reports aggregators that crashed
 
-  // One query, at an aggregator that runs; its answer goes to the checker.
+  // Sends one query to a running aggregator. The reply goes to the checker, and to `observer` before it.
   void ask(std::size_t aggregator, bool over_flight, const Query& query,
            std::function<void(const Reply&)> observer = nullptr);
   int http_port(std::size_t i) const { return aggregators_[i].http_port; }
@@ -60,7 +62,8 @@
   std::size_t aggregators() const { return aggregators_.size(); }
   Process& process(std::size_t i) { return *aggregators_[i].process; }
   std::size_t unexpected_replies() const;
-  // What must hold at the end of any run, beside what the checker has seen.
+  // Finishes the checker and checks what must hold at the end of any run: no unexpected replies, no
+  // overloaded cold nodes, no errors about answers in the aggregators' logs.
   void check_final_state();
 
   static const std::vector<ClassRule>& classes();
@@ -89,7 +92,7 @@
   Checker checker_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Aggregator> aggregators_;
-  std::map<std::size_t, Millis> drained_at_;  // since when the roster says so
+  std::map<std::size_t, Millis> drained_at_;  // when the roster began to list the node as draining
   std::size_t open_queries_ = 0;
 };
 
--- a/testbed/histogram.hpp
+++ b/testbed/histogram.hpp
@@ -1,4 +1,5 @@
-// Latencies in a histogram of log-linear buckets: 64 to each doubling, so a quantile is off by 1.6% at most.
+// Latency histogram with log-linear buckets, 64 for each doubling, so a quantile is off by at most 1.6%.
+// Values are in ms, with a resolution of 1 us.
 #pragma once
 
 #include <algorithm>
@@ -26,7 +27,7 @@
   std::uint64_t count() const { return count_; }
   double mean() const { return count_ > 0 ? sum_ms_ / static_cast<double>(count_) : 0; }
   double max() const { return max_ms_; }
-  // In milliseconds: so many of all were not later than that.
+  // The latency in ms that a share `q` of all values doesn't exceed.
   double quantile(double q) const {
     auto wanted = static_cast<std::uint64_t>(q * static_cast<double>(count_) + 0.5);
     std::uint64_t seen = 0;
@@ -36,7 +37,7 @@
   }
 
  private:
-  static constexpr unsigned kSubBucketBits = 6;  // bits: 64 buckets to a doubling
+  static constexpr unsigned kSubBucketBits = 6;  // 64 buckets for each doubling
   static std::size_t bucket(std::uint64_t us) {
     if (us < (1U << kSubBucketBits)) return us;
     unsigned shift = static_cast<unsigned>(std::bit_width(us)) - 1 - kSubBucketBits;
--- a/testbed/http_stand_in.hpp
+++ b/testbed/http_stand_in.hpp
@@ -1,5 +1,5 @@
-// A small HTTP/1.1 server for stand-ins: one request at a time on a connection, answers whole or as a stream
-// of lines. On loopback only.
+// A small HTTP/1.1 server for stand-in services, on loopback only. It handles one request at a time on a
+// connection and answers with a complete body or with a stream of lines.
 #pragma once
 
 #include <functional>
@@ -12,15 +12,16 @@
 
 namespace winchhall::testbed {
 
+// Owns its listener and its connections. The port stays the same over stop() and start().
 class HttpStandIn {
  public:
   class Connection : public event_loop::Stream::Owner, public std::enable_shared_from_this<Connection> {
    public:
     explicit Connection(HttpStandIn& owner) : owner_(owner) {}
     void answer(int status, const std::string& body);
-    void begin_lines();                  // a chunked answer that stays open
-    void line(const std::string& text);  // one line of it
-    void cut();                          // ends the connection in the middle of it
+    void begin_lines();                  // begins a chunked response that stays open
+    void line(const std::string& text);  // writes one line of it as a chunk
+    void cut();                          // closes the connection without ending the response
     bool streaming() const { return streaming_; }
     bool open() const { return stream_ && stream_->open(); }
 
@@ -40,7 +41,7 @@
   ~HttpStandIn();
   int port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  void stop();  // closes all and listens no more
+  void stop();  // closes the listener and all connections
   void start();
   std::set<std::shared_ptr<Connection>> connections() const { return connections_; }
 
--- a/testbed/node.cpp
+++ b/testbed/node.cpp
@@ -166,7 +166,7 @@
   void reply(std::int32_t id, const ranges::Span& span, const ranges::Revision& revision, int status,
              const std::string& value) {
     if (!calls_.count(id) || !http2_.open()) return;
-    calls_[id].job = nullptr;  // answered: its end is no cancelling
+    calls_[id].job = nullptr;  // answered: closing the stream doesn't cancel it
     using flight::Status;
     Headers trailers = flight::status_trailers(status == 200                  ? Status::ok
                                                : status == 503                ? Status::unavailable
@@ -193,7 +193,7 @@
   std::map<std::int32_t, Call> calls_;
 };
 
-// ---- The node itself
+// ---- Node
 
 Node::Node(event_loop::Loop& loop, std::size_t number, const NodeOptions& options,
            const SimulatedDeployment& deployment, const ReferenceLedger& reference, std::uint64_t seed,
@@ -299,7 +299,7 @@
 }
 
 void Node::finish_job(JobPtr job) {
-  if (loop_.now() < paused_until_) {  // it stands still: so does what it has in hand
+  if (loop_.now() < paused_until_) {  // a paused node finishes its running jobs after the pause
     loop_.run_at(paused_until_, [this, job, generation = generation_] {
       if (generation == generation_) finish_job(job);
     });
@@ -307,7 +307,7 @@
   }
   --running_;
   if (!job->cancelled) {
-    // The data is looked at when the answer is made: a hand-over that ended meanwhile leaves nothing to read.
+    // The data is checked when the job ends, since a hand-over may have removed it after the job began.
     if (deployment_.has_data(number_, job->part.span)) {
       ++counts_.served;
       job->reply(200, reference_.rows(job->part.span, job->part.text));
--- a/testbed/node.hpp
+++ b/testbed/node.hpp
@@ -1,6 +1,6 @@
-// A stand-in ledger node, over frames and over Flight at once. It answers by what data it has, hears late of
-// changes, waits its turn in a queue, can stand still, die, come back cold and fall over when it is sent too
-// much while it is cold.
+// A stand-in ledger node that serves both the frame protocol and Arrow Flight. It answers from the data that
+// the simulated deployment gives it, queues parts, learns late of range changes, and can be paused, crashed
+// and restarted cold. A cold node that gets too much work fails.
 #pragma once
 
 #include <deque>
@@ -19,16 +19,18 @@
 
 struct NodeOptions {
   std::size_t cores = 2, queue_limit = 200;
-  Millis min_work = 2, max_work = 8;    // of one part
-  double warm_up_initial_share = 0.23;  // of its capacity when it starts
-  Millis warm_up_time = 17000;          // until it is warm
-  double fall_multiple = 4;             // sent more than this x its capacity of the moment ...
-  Millis fall_time = 1000;              // ... within this time, while cold, it falls over
+  Millis min_work = 2, max_work = 8;    // of one part, on a warm node
+  double warm_up_initial_share = 0.23;  // of the full capacity, after a restart
+  Millis warm_up_time = 17000;          // from the restart to full capacity
+  double fall_multiple = 4;  // a cold node fails if it gets more than this multiple of its current capacity
+  Millis fall_time = 1000;   // within this time
 };
 
+// Owns its listeners, connections and queued jobs. The deployment, the reference ledger and the loop must
+// outlive it.
 class Node {
  public:
-  // What arrived, for the checker: called for every part, whatever comes of it.
+  // A part request. The observer is called for each one, whether it is served or not.
   struct Arrival {
     std::size_t node = 0;
     std::string part{}, text{};
@@ -46,18 +48,19 @@
   std::string frames_address() const;
   std::string flight_address() const;
 
-  void set_update_lag(Millis ms) { update_lag_ = ms; }  // it hears of changes that much later
+  void set_update_lag(Millis ms) { update_lag_ = ms; }  // delay of range changes
   void deny_for(Millis ms) { deny_until_ = loop_.now() + ms; }
   void pause(Millis ms);
   void crash();
-  void restart();  // cold
+  void restart();  // on the same ports, cold; no effect after a failure by overload
   bool alive() const { return alive_; }
   double up_since() const { return up_since_; }
 
   struct Counts {
     std::size_t asked = 0, served = 0, denied = 0, queue_full = 0, late = 0, cancelled = 0;
     bool failed_by_overload = false;
-    double worst_cold = 0;  // the most it was sent in fall_time while cold, x what it could do
+    // The largest work received within fall_time while cold, as a multiple of the capacity.
+    double worst_cold = 0;
   };
   const Counts& counts() const { return counts_; }
 
@@ -76,7 +79,7 @@
   void start_queued_jobs();
   void finish_job(JobPtr job);
   void answer(Job& job);
-  double capacity(Millis now) const;  // work ms per ms
+  double capacity(Millis now) const;  // ms of work done per ms
   std::string load() const { return "busy_reqs=" + std::to_string(running_ + queue_.size()); }
   std::string denial(const Job& job) const;
 
--- a/testbed/process.cpp
+++ b/testbed/process.cpp
@@ -11,7 +11,7 @@
 
 namespace winchhall::testbed {
 namespace {
-constexpr std::size_t kMaxLogBytes = 32 * 1024 * 1024;  // bytes kept of a log
+constexpr std::size_t kMaxLogBytes = 32 * 1024 * 1024;  // later output is discarded
 
 void write_file(const std::string& path, const std::string& text) { std::ofstream(path) << text; }
 }  // namespace
@@ -21,7 +21,7 @@
     : loop_(loop), program_(std::move(program)), has_operator_file_(!ops.empty()) {
   const char* dir = std::getenv("TMPDIR");
   folder_ = std::string(dir ? dir : "/tmp") + "/winchhall-testbed-XXXXXX";
-  if (!mkdtemp(folder_.data())) throw std::runtime_error("no folder for a process");
+  if (!mkdtemp(folder_.data())) throw std::runtime_error("mkdtemp failed for a process's folder: " + folder_);
   write_config(config);
   if (has_operator_file_) write_operator_file(ops);
 }
@@ -38,7 +38,7 @@
 
 void Process::start() {
   int ends[2];
-  if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe for a process");
+  if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe2 failed for a process's log");
   if (pipe_) loop_.remove(pipe_.get());
   std::string config = folder_ + "/config.json", ops = folder_ + "/operator.xml";
   pid_ = fork();
--- a/testbed/process.hpp
+++ b/testbed/process.hpp
@@ -1,5 +1,5 @@
-// A real winchhall process, started as an operator would: its files in a folder of its own, its log read
-// through a pipe. Ended by its own process id.
+// Runs a real winchhall process as an operator would: configuration files in a temporary folder, the log read
+// through a pipe.
 #pragma once
 
 #include <sys/types.h>
@@ -12,9 +12,12 @@
 
 namespace winchhall::testbed {
 
+// Owns the process, its temporary folder and its log; the destructor kills the process. It signals only the
+// process id that it started.
 class Process {
  public:
-  // `program`: path of winchhall. `config` and `ops` are written to files; `ops` may be empty.
+  // `program`: path of the executable. `config` (JSON) and `ops` (the operator's XML) are written to files;
+  // without `ops` the process gets no operator file.
   Process(event_loop::Loop& loop, std::string program, const std::string& config, const std::string& ops);
   ~Process();
   Process(const Process&) = delete;
@@ -22,11 +25,11 @@
 
   void start();
   void signal(int number);
-  void kill();  // SIGKILL, and waits for its end
+  void kill();  // sends SIGKILL and waits for the process to end
   pid_t pid() const { return pid_; }
   bool running() const { return pid_ > 0; }
-  bool ended(int& status);  // it has by itself
-  // The number behind these words in the log since its last start; 0 while they aren't there.
+  bool ended(int& status);  // true once when the process has ended without kill()
+  // Returns the number after `words` in the log since the last start; 0 until the log has that line.
   int number_after(const std::string& words) const;
   bool logged(const std::string& words) const { return log_.find(words, log_start_) != std::string::npos; }
   std::size_t count(const std::string& words) const;
--- a/testbed/prompt_leaf.hpp
+++ b/testbed/prompt_leaf.hpp
@@ -1,4 +1,4 @@
-// A leaf on frames that answers every part at once, and tells whom it likes what was asked.
+// A leaf for the frame protocol that answers every part at once.
 #pragma once
 
 #include <functional>
@@ -11,6 +11,7 @@
 
 namespace winchhall::testbed {
 
+// Owns its listener and connections. The observer is called with the id of each part.
 class PromptLeaf {
  public:
   using PartObserver = std::function<void(const std::string& part)>;
--- a/testbed/random.hpp
+++ b/testbed/random.hpp
@@ -1,4 +1,4 @@
-// Random numbers of the lab: PCG, from one seed, so that a run can be made again.
+// Seeded random numbers (PCG), so that a run can be repeated. Different streams of one seed are independent.
 #pragma once
 
 #include <cmath>
--- a/testbed/reference_model.cpp
+++ b/testbed/reference_model.cpp
@@ -22,7 +22,7 @@
 }
 
 std::string ReferenceLedger::account_value(std::size_t account) const {
-  // SplitMix64's finishing steps (Steele, Lea, Flood 2014) over key and seed.
+  // The finalizer of SplitMix64 (Steele, Lea, Flood 2014) over key and seed.
   std::uint64_t x = keys_[account] + seed_ * 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
@@ -48,7 +48,7 @@
         std::any_of(asked.begin(), asked.end(), [&](const auto& a) { return a.contains(row.span); });
     std::string_view rest = row.data;
     if (!inside || rest.substr(0, text.size() + 1) != text + "|") {
-      ++c.foreign;  // not asked for, or made for another query
+      ++c.foreign;  // outside the query's spans, or made for another query
       continue;
     }
     rest.remove_prefix(text.size() + 1);
--- a/testbed/simulated_deployment.cpp
+++ b/testbed/simulated_deployment.cpp
@@ -8,8 +8,9 @@
 using namespace ranges;
 
 namespace {
-constexpr std::size_t kMaxHistory = 20000;    // revisions, which share nearly all
-constexpr std::size_t kMaxKeptChanges = 400;  // a directory gives changes no older than that
+constexpr std::size_t kMaxHistory = 20000;  // revisions; they share most of their memory
+// The directory sends a full map to a watch that is further behind.
+constexpr std::size_t kMaxKeptChanges = 400;
 constexpr std::size_t kHolders = 3;
 
 std::size_t node_number(const std::string& name) { return std::stoul(name.substr(5)); }
@@ -26,7 +27,7 @@
     r.span = {i * width, i + 1 == options.ranges ? kKeyEnd : (i + 1) * width};
     r.weight = 1;
     Holders holders;
-    // SiblingProcesses share holders, as ranges that were split from one another do.
+    // Neighbouring ranges share holders, as ranges that were split from one another do.
     for (std::size_t j = 0; j < kHolders; ++j) {
       std::size_t node = (i * options.nodes / options.ranges + j) % options.nodes;
       holders.push_back({node_name(node), Role::serving});
@@ -37,7 +38,7 @@
   }
   std::string why;
   auto map = RangeMap::build({1, 1}, std::move(list), why);
-  if (!map) throw std::runtime_error("the world's first map: " + why);
+  if (!map) throw std::runtime_error("simulated deployment: invalid initial range map: " + why);
   map_ = *map;
   history_.emplace_back(now, map_);
 }
@@ -79,7 +80,7 @@
   std::vector<std::pair<Span, HoldersPtr>> before{{p.span, *p.holders}, {q.span, *q.holders}};
   if (!apply(Merge{{p.id, p.span.from}, {q.id, q.span.from}, map_.next_id(), {}}, now)) return;
   ++counts_.merges;
-  // Who is no holder of the whole keeps its half for the time of a hand-over.
+  // A holder of only one half keeps its data for the hand-over time.
   HoldersPtr after = *map_.find(whole.from).holders;
   for (const auto& [span, holders] : before)
     for (const Holder& h : *holders)
@@ -109,7 +110,7 @@
     RangeView p = random_range();
     counts_.weight_changes += apply(SetWeight{{p.id, p.span.from}, p.weight * random_.between(0.5, 2)}, now);
   }
-  // Ranges that merges left with few holders get further ones.
+  // Merges may leave ranges with a single holder; these get another one.
   std::vector<Range> underreplicated;
   for (const Range& r : map_.all())
     if (r.holders->size() < 2) underreplicated.push_back(r);
@@ -133,7 +134,7 @@
 
 void SimulatedDeployment::carry_out(const Step& s, Millis now) {
   if (s.kind == Step::Kind::drop) return drop_data(s.node, s.span);
-  // The range may have been split or merged meanwhile: what lies inside its old span goes on.
+  // The range may have been split or merged meanwhile. The step applies to the ranges inside its old span.
   std::vector<Range> list;
   std::string name = node_name(s.node);
   map_.visit(s.span, [&](const RangeView& p) {
--- a/testbed/simulated_deployment.hpp
+++ b/testbed/simulated_deployment.hpp
@@ -1,5 +1,5 @@
-// The ledger's layout as it really is: the directory's map and its history, which node has the data of which
-// accounts, and a seeded schedule of reshuffles. No I/O; the time is told.
+// The true layout of the simulated ledger: the directory's range map with its history, which node has the
+// data of which accounts, and a seeded schedule of reshuffles. No I/O; the caller passes the time in ms.
 #pragma once
 
 #include <deque>
@@ -17,12 +17,13 @@
 struct SimulatedDeploymentOptions {
   std::size_t nodes = 20, ranges = 60;
   std::size_t min_ranges = 40, max_ranges = 110;
-  Millis copy_time = 600;       // ms from a holder's begin to copy until it serves
-  Millis leave_time = 600;      // ms from a holder's retirement until it is removed
-  Millis handover_time = 1500;  // ms that a removed holder still has the data
+  Millis copy_time = 600;       // from the start of a holder's copy until it serves
+  Millis leave_time = 600;      // from a holder's retirement until it is removed
+  Millis handover_time = 1500;  // a removed holder still has the data this long
   std::size_t splits = 3, merges = 3, moves = 3, weight_changes = 2;  // in one reshuffle
 };
 
+// Owns the map, its history and the pending steps of moves.
 class SimulatedDeployment {
  public:
   SimulatedDeployment(std::uint64_t seed, const SimulatedDeploymentOptions& options, Millis now);
@@ -30,12 +31,12 @@
   static std::string node_name(std::size_t node) { return "node-" + std::to_string(node); }
 
   const ranges::RangeMap& map() const { return map_; }
-  // One reshuffle: what of it can be done now is done, the rest of its moves follows by due().
+  // Starts one reshuffle. Splits, merges and weights change at once; moves are completed by run_due_steps().
   void reshuffle(Millis now);
   void run_due_steps(Millis now);
-  // Changes after this revision, oldest first; nothing where they are not kept any more.
+  // Changes after this revision number, oldest first; nullopt if they are no longer kept.
   std::optional<std::vector<ranges::Change>> changes_after(std::uint64_t number) const;
-  // The directory as it was at that time, for nodes that hear late.
+  // The map as it was at that time, for nodes and watches that learn late of changes.
   const ranges::RangeMap& map_at(Millis when) const;
   const std::deque<std::pair<Millis, ranges::RangeMap>>& history() const { return history_; }
 
@@ -47,7 +48,7 @@
     std::size_t splits = 0, merges = 0, moves = 0, weight_changes = 0, refused = 0;
   };
   const Counts& counts() const { return counts_; }
-  // Begins to count anew, as a directory that has lost its memory.
+  // Restarts the revision numbers in a new incarnation, as a directory that has lost its state does.
   void new_incarnation(Millis now);
 
  private:
@@ -56,7 +57,7 @@
     enum class Kind { promote, remove, drop } kind = Kind::promote;
     std::size_t node = 0;
     ranges::Span span{};
-    std::string retire{};  // promote: who leaves in exchange
+    std::string retire{};  // promote: the holder that retires in exchange; may be empty
   };
   bool apply(const ranges::Change& change, Millis now);
   ranges::RangeView random_range();
@@ -69,7 +70,7 @@
   SimulatedDeploymentOptions options_;
   Random random_;
   ranges::RangeMap map_;
-  std::vector<ranges::Change> changes_;  // of this incarnation, from its begin
+  std::vector<ranges::Change> changes_;  // all of this incarnation
   std::deque<std::pair<Millis, ranges::RangeMap>> history_;
   std::vector<ranges::SpanSet> data_by_node_;
   std::vector<Step> steps_;
