--- a/bench/ranges_bench.cpp
+++ b/bench/ranges_bench.cpp
@@ -1,6 +1,6 @@
-// The map of ranges beside the plain structures that could hold it: std::map and a sorted vector. A query
-// pins the revision it was planned under, so a plain structure pays for a change with a copy of itself
-// ("pinned"), or changes in place and can't be pinned ("in place").
+// Compares RangeMap with the standard containers that could hold the same ranges: std::map and a sorted
+// vector. A query pins the revision that it was planned under. A standard container must therefore be copied
+// for each change (split_pinned), or is changed in place and then can't be pinned (split_in_place).
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -15,13 +15,13 @@
 
 using namespace winchhall::ranges;
 
-struct Flat {  // what a plain structure keeps by range
+struct RangeData {  // the value that the standard containers hold for each range
   RangeId id;
   double weight;
   HoldersPtr holders;
 };
-using Tree = std::map<Key, Flat>;
-using Sorted = std::vector<std::pair<Key, Flat>>;
+using Tree = std::map<Key, RangeData>;
+using Sorted = std::vector<std::pair<Key, RangeData>>;
 
 std::vector<Range> ranges(std::size_t count) {
   std::vector<HoldersPtr> holders;
@@ -46,13 +46,13 @@
 
 Tree tree(std::size_t count) {
   Tree t;
-  for (Range& r : ranges(count)) t.emplace(r.span.from, Flat{r.id, r.weight, r.holders});
+  for (Range& r : ranges(count)) t.emplace(r.span.from, RangeData{r.id, r.weight, r.holders});
   return t;
 }
 
 Sorted sorted(std::size_t count) {
   Sorted s;
-  for (Range& r : ranges(count)) s.push_back({r.span.from, Flat{r.id, r.weight, r.holders}});
+  for (Range& r : ranges(count)) s.push_back({r.span.from, RangeData{r.id, r.weight, r.holders}});
   return s;
 }
 
@@ -90,7 +90,7 @@
   }
 }
 
-// Each split is made on the map as it was: the revision before stays, as for a query that pins it.
+// Every split is applied to the original map, which stays intact, as it does for a query that pins it.
 void split_range_map(benchmark::State& state) {
   RangeMap map = build(size_of(state));
   auto list = keys();
--- a/testbed/checker.hpp
+++ b/testbed/checker.hpp
@@ -1,5 +1,5 @@
-// What must hold, whatever happens: kept apart from the code under test, from the reference and from what the
-// stand-in nodes saw.
+// The invariants that must hold in every experiment, whatever its load and faults. They are kept apart from
+// the code under test, from the reference ledger and from the stand-in nodes' own counts.
 #pragma once
 
 #include <map>
@@ -12,59 +12,67 @@
 
 namespace winchhall::testbed {
 
+// A query class as the aggregators are configured with it. Shares and values are fractions or relative
+// weights.
 struct ClassRule {
   std::string name{};
   double floor = 1, value = 1, partial_value = 0, late_value = 0.3;
-  Millis latency_target = 0, give_up = 0;
+  Millis latency_target = 0, hard_limit = 0;
 };
 
+// Checks every reply against the reference ledger and the limits of its class, and keeps statistics of the
+// run. The reference and the deployment must outlive it. Times are in ms of the event loop's clock.
 class Checker {
  public:
-  Checker(const Truth& truth, const World& world, std::vector<ClassRule> classes, int attempts_most,
-          Millis slack);
+  Checker(const ReferenceLedger& reference, const SimulatedDeployment& deployment,
+          std::vector<ClassRule> classes, int max_attempts, Millis slack);
 
-  void asked(const Asked& asked, Millis now);
-  // Its final answer. `excused`: its aggregator was killed meanwhile, so that none may come.
-  void told(const std::string& id, const Reply& reply, Millis now, bool excused);
-  void arrived(const Node::Arrival& arrival);
-  void broke(const std::string& rule, const std::string& what);  // found elsewhere
-  void finish();                                                 // whatever has no answer by now has lost it
+  void record_query(const Query& query, Millis now);
+  // Records the final reply to a query. `excused`: its aggregator was killed meanwhile, so the reply may be
+  // missing or late.
+  void record_reply(const std::string& id, const Reply& reply, Millis now, bool excused);
+  void record_arrival(const Node::Arrival& arrival);
+  void record_violation(const std::string& rule,
+                        const std::string& what);  // also for violations found elsewhere
+  void finish();                                   // ends the run: every query without a reply is a violation
 
-  struct Figures {
-    std::size_t asked = 0, whole = 0, partial = 0, refused = 0, failed = 0, broken = 0, excused = 0, late = 0;
+  struct Statistics {
+    std::size_t asked = 0, whole = 0, partial = 0, refused = 0, failed = 0, no_reply = 0, excused = 0,
+                late = 0;
     std::size_t rows_right = 0, rows_wrong = 0, rows_doubled = 0, rows_missing = 0, rows_foreign = 0;
     double value_requested = 0, value_earned = 0;
     Histogram latency{};
     double service() const { return value_requested > 0 ? value_earned / value_requested : 1; }
   };
-  const Figures& figures() const { return figures_; }
-  std::size_t parts_arrived() const { return parts_; }
+  const Statistics& statistics() const { return statistics_; }
+  std::size_t arrived_parts() const { return arrived_parts_; }
   std::size_t most_attempts() const { return most_attempts_; }
-  // By rule: how often it was broken, and the first cases in words.
-  const std::map<std::string, std::size_t>& broken() const { return broken_; }
-  const std::vector<std::string>& cases() const { return cases_; }
+  // The number of violations by rule, and descriptions of the first ones.
+  const std::map<std::string, std::size_t>& violations() const { return violations_; }
+  const std::vector<std::string>& violation_examples() const { return violation_examples_; }
 
  private:
-  struct Open {
-    Asked asked{};
-    Millis at = 0;
-    std::vector<ranges::Span> attempts{};  // spans that nodes were asked for
-    bool told = false;
-    Millis told_at = 0;
+  struct OpenQuery {
+    Query query{};
+    Millis sent_at = 0;
+    std::vector<ranges::Span> attempts{};  // spans requested from nodes
+    bool answered = false;
+    Millis answered_at = 0;
   };
-  void attempts_of(const std::string& id, const Open& open);
-  double share(const Open& open, const std::vector<Truth::Row>& rows, Millis now) const;
+  void check_attempts(const std::string& id, const OpenQuery& open);
+  double covered_share(const OpenQuery& open, const std::vector<ReferenceLedger::Row>& rows,
+                       Millis now) const;
 
-  const Truth& truth_;
-  const World& world_;
+  const ReferenceLedger& reference_;
+  const SimulatedDeployment& deployment_;
   std::map<std::string, ClassRule> classes_;
-  int attempts_most_;
+  int max_attempts_;
   Millis slack_;
-  std::map<std::string, Open> open_;
-  Figures figures_;
-  std::size_t parts_ = 0, most_attempts_ = 0;
-  std::map<std::string, std::size_t> broken_;
-  std::vector<std::string> cases_;
+  std::map<std::string, OpenQuery> open_;
+  Statistics statistics_;
+  std::size_t arrived_parts_ = 0, most_attempts_ = 0;
+  std::map<std::string, std::size_t> violations_;
+  std::vector<std::string> violation_examples_;
 };
 
 }  // namespace winchhall::testbed
