--- a/tests/cluster/consensus/catch_up_test.cpp
+++ b/tests/cluster/consensus/catch_up_test.cpp
@@ -54,7 +54,7 @@
         changes.push_back({key, value});
       }
       bool durable = false;
-      cluster.extra(leader()).shard->write(std::move(changes), [&durable](ShardWriteOutcome outcome) {
+      cluster.application(leader()).shard->write(std::move(changes), [&durable](ShardWriteOutcome outcome) {
         durable = outcome == ShardWriteOutcome::durable;
       });
       REQUIRE(simulation().run_until([&durable] { return durable; }, Millis(5000)));
--- a/tests/cluster/consensus/established_test.cpp
+++ b/tests/cluster/consensus/established_test.cpp
@@ -26,7 +26,7 @@
 
 std::optional<std::size_t> leader_of(RecoveringCluster& cluster) {
   for (std::size_t index = 0; index < cluster.size(); ++index)
-    if (cluster.running(index) && cluster.extra(index).shard->leads()) return index;
+    if (cluster.running(index) && cluster.application(index).shard->leads()) return index;
   return std::nullopt;
 }
 
@@ -39,7 +39,7 @@
 std::size_t write_to_own_replica_only(RecoveringCluster& cluster) {
   const std::size_t writer = wait_for_leader(cluster);
   cluster.simulation().isolate(writer);
-  cluster.extra(writer).shard->write({ShardChange{"k", "v"}}, [](ShardWriteOutcome) {});
+  cluster.application(writer).shard->write({ShardChange{"k", "v"}}, [](ShardWriteOutcome) {});
   cluster.simulation().run_for(Millis(60));
   cluster.crash(writer);
   cluster.simulation().heal();
@@ -60,13 +60,13 @@
     for (const std::size_t index : down) cluster.crash(index);
     cluster.start(writer);
     const std::size_t second = wait_for_leader(cluster);
-    if (!cluster.extra(second).recovered.contains("k")) continue;
+    if (!cluster.application(second).recovered.contains("k")) continue;
     ++recovered_count;
     // It crashes at once, and the writer with it: only what has arrived elsewhere and is synced is left.
     for (std::size_t index = 0; index < 5; ++index) cluster.crash(index);
     for (std::size_t index = 0; index < 5; ++index)
       if (index != second && index != writer) cluster.start(index);
-    CHECK(cluster.extra(wait_for_leader(cluster)).recovered.contains("k"));
+    CHECK(cluster.application(wait_for_leader(cluster)).recovered.contains("k"));
   }
   CHECK(recovered_count > 10);
 }
--- a/tests/cluster/consensus/lease_candidate.hpp
+++ b/tests/cluster/consensus/lease_candidate.hpp
@@ -27,7 +27,7 @@
 
 inline std::optional<std::size_t> leader_of(CandidateCluster& cluster) {
   for (std::size_t index = 0; index < cluster.size(); ++index)
-    if (cluster.running(index) && cluster.extra(index).shard->leads()) return index;
+    if (cluster.running(index) && cluster.application(index).shard->leads()) return index;
   return std::nullopt;
 }
 
--- a/tests/cluster/consensus/partitioned_leader_test.cpp
+++ b/tests/cluster/consensus/partitioned_leader_test.cpp
@@ -30,7 +30,7 @@
       },
       Millis(4000)));
   const std::size_t second = *leader_of(cluster);
-  const std::uint64_t epoch = cluster.extra(second).shard->epoch();
+  const std::uint64_t epoch = cluster.application(second).shard->epoch();
   std::uint64_t highest = 0;
   simulation.on_event([&] { highest = std::max(highest, reported_epoch(cluster, first)); });
   simulation.run_for(Millis(5000));
@@ -39,7 +39,7 @@
   simulation.run_for(Millis(3000));
   simulation.on_event(nullptr);
   CHECK(leader_of(cluster) == second);
-  CHECK(cluster.extra(second).shard->epoch() == epoch);
+  CHECK(cluster.application(second).shard->epoch() == epoch);
 }
 
 TEST_CASE("a partitioned holder reports no later leader and deposes none when it returns") {
@@ -99,7 +99,7 @@
     simulation.on_event([&] {
       std::size_t leaders = 0;
       for (std::size_t index = 0; index < 3; ++index)
-        if (cluster.extra(index).shard->leads()) ++leaders;
+        if (cluster.application(index).shard->leads()) ++leaders;
       most = std::max(most, leaders);
     });
     simulation.run_for(Millis(3000));
--- a/tests/cluster/consensus/register_test.cpp
+++ b/tests/cluster/consensus/register_test.cpp
@@ -73,11 +73,11 @@
   REQUIRE(history.complete(history.longest()));
 }
 
-void run_history(std::uint64_t seed, std::size_t machines, SimulationOptions terms, FaultPlan fault_plan) {
+void run_history(std::uint64_t seed, std::size_t machines, SimulationOptions options, FaultPlan fault_plan) {
   CAPTURE(seed, machines);
-  ControlCluster<> cluster(seed, machines, terms);
+  ControlCluster<> cluster(seed, machines, options);
   AppendHistory history(cluster);
-  FaultInjector<NoExtra> faults(cluster, fault_plan);
+  FaultInjector<NoApplication> faults(cluster, fault_plan);
   Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
   const std::int64_t end_ms = simulation.now_ms() + 25000;
@@ -92,13 +92,13 @@
     }
     simulation.run_for(Millis(simulation.random_between(1, 150)));
     if (simulation.now_ms() < next_fault_ms) continue;
-    faults.one();
+    faults.inject_fault();
     next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
   }
-  faults.end();
+  faults.end_faults();
   simulation.run_for(kMaxFaultDuration);
-  simulation.terms().loss = 0;
-  simulation.terms().late = 0;
+  simulation.options().loss = 0;
+  simulation.options().late = 0;
   REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
   require_all_acknowledged_readable(cluster, history);
   REQUIRE(history.acknowledged() > 5);
@@ -207,20 +207,20 @@
 }
 
 TEST_CASE("registers are linearizable: lost, duplicated and late messages") {
-  SimulationOptions terms;
-  terms.loss = 0.05;
-  terms.duplication = 0.1;
-  terms.late = 0.05;
-  for (std::uint64_t seed = 1; seed <= 80; ++seed) run_history(seed, 5, terms, FaultPlan{});
+  SimulationOptions options;
+  options.loss = 0.05;
+  options.duplication = 0.1;
+  options.late = 0.05;
+  for (std::uint64_t seed = 1; seed <= 80; ++seed) run_history(seed, 5, options, FaultPlan{});
 }
 
 TEST_CASE("registers are linearizable: members lose their disks one after another") {
-  SimulationOptions terms;
-  terms.duplication = 0.05;
-  terms.late = 0.05;
+  SimulationOptions options;
+  options.duplication = 0.05;
+  options.late = 0.05;
   FaultPlan faults;
-  faults.wipes = true;
-  for (std::uint64_t seed = 1; seed <= 100; ++seed) run_history(seed, seed % 3 == 0 ? 4 : 5, terms, faults);
+  faults.disk_losses = true;
+  for (std::uint64_t seed = 1; seed <= 100; ++seed) run_history(seed, seed % 3 == 0 ? 4 : 5, options, faults);
 }
 
 }  // namespace
--- a/tests/cluster/consensus/shard_test.cpp
+++ b/tests/cluster/consensus/shard_test.cpp
@@ -151,7 +151,7 @@
 
 std::optional<std::size_t> leader_of(Cluster& cluster) {
   for (std::size_t index = 0; index < cluster.size(); ++index) {
-    if (cluster.running(index) && cluster.extra(index).leads()) return index;
+    if (cluster.running(index) && cluster.application(index).leads()) return index;
   }
   return std::nullopt;
 }
@@ -160,7 +160,7 @@
 void require_one_leader(Cluster& cluster) {
   std::size_t leaders = 0;
   for (std::size_t index = 0; index < cluster.size(); ++index) {
-    if (cluster.running(index) && cluster.extra(index).leads()) ++leaders;
+    if (cluster.running(index) && cluster.application(index).leads()) ++leaders;
   }
   if (leaders > 1) FAIL("two leaders at once");
 }
@@ -168,7 +168,7 @@
 struct RunPlan {
   std::uint64_t seed = 0;
   std::size_t machines = 5;
-  SimulationOptions terms;
+  SimulationOptions options;
   FaultPlan faults;
   std::int64_t duration_ms = 25000;
   bool disturb_new_leaders = false;  // new leaders soon crash or are partitioned
@@ -200,7 +200,7 @@
   CAPTURE(plan.seed, plan.machines);
   ShardHistory history;
   history_of_test = &history;
-  Cluster cluster(plan.seed, plan.machines, plan.terms);
+  Cluster cluster(plan.seed, plan.machines, plan.options);
   FaultInjector<ShardUser> faults(cluster, plan.faults);
   Simulation& simulation = cluster.simulation();
   simulation.on_event([&] { require_one_leader(cluster); });
@@ -215,17 +215,17 @@
     for (std::size_t index = 0; index < plan.machines; ++index) {
       if (!cluster.running(index) || cluster.node(index).frozen()) continue;
       for (std::int64_t write = 0; write < plan.writes_at_once; ++write)
-        cluster.extra(index).write_random_records();
+        cluster.application(index).write_random_records();
     }
     simulation.run_for(Millis(simulation.random_between(1, 60)));
     if (simulation.now_ms() < next_fault_ms) continue;
-    faults.one();
+    faults.inject_fault();
     next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
   }
   when_leading = nullptr;
-  faults.end();
-  simulation.terms().loss = 0;
-  simulation.terms().late = 0;
+  faults.end_faults();
+  simulation.options().loss = 0;
+  simulation.options().late = 0;
   simulation.run_for(kMaxFaultDuration);
   REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
   REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(5000)));
@@ -252,7 +252,7 @@
     REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2500)));
     const std::size_t second = *leader_of(cluster);
     REQUIRE(second != first);
-    cluster.extra(second).shard().step_down();
+    cluster.application(second).shard().step_down();
     REQUIRE_FALSE(leader_of(cluster).has_value());
     REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(1000)));
     REQUIRE(*leader_of(cluster) != second);
@@ -285,7 +285,8 @@
                                  Millis(5000)));
     const std::size_t leader = *leader_of(cluster);
     simulation.isolate(leader);
-    REQUIRE(simulation.run_until([&] { return !cluster.extra(leader).is_notified_leader(); }, Millis(1500)));
+    REQUIRE(simulation.run_until([&] { return !cluster.application(leader).is_notified_leader(); },
+                                 Millis(1500)));
     REQUIRE_FALSE(leader_of(cluster).has_value());
     REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(2000)));
   }
@@ -311,7 +312,7 @@
     simulation.run_for(Millis(simulation.random_between(0, 400)));
     REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(5000)));
     const std::size_t index = *leader_of(cluster);
-    ShardUser& leader = cluster.extra(index);
+    ShardUser& leader = cluster.application(index);
     SimNode& node = cluster.node(index);
     std::uint64_t lost_epoch = 0;
     const auto write = [&] {
@@ -348,11 +349,11 @@
   std::vector<int> ended;
   const std::int64_t begun_ms = simulation.now_ms();
   for (int write = 0; write < 200; ++write) {
-    cluster.extra(leader).write("key" + std::to_string(write % 7), std::to_string(write),
-                                [&ended, write](ShardWriteOutcome outcome) {
-                                  REQUIRE(outcome == ShardWriteOutcome::durable);
-                                  ended.push_back(write);
-                                });
+    cluster.application(leader).write("key" + std::to_string(write % 7), std::to_string(write),
+                                      [&ended, write](ShardWriteOutcome outcome) {
+                                        REQUIRE(outcome == ShardWriteOutcome::durable);
+                                        ended.push_back(write);
+                                      });
   }
   REQUIRE(simulation.run_until([&] { return ended.size() == 200; }, Millis(1000)));
   CHECK(std::is_sorted(ended.begin(), ended.end()));
@@ -371,7 +372,7 @@
   const std::size_t away = (leader + 1) % 5;
   cluster.crash(away);
   for (int write = 0; write < 50; ++write) {
-    cluster.extra(leader).write("key" + std::to_string(write), "value", [](ShardWriteOutcome) {});
+    cluster.application(leader).write("key" + std::to_string(write), "value", [](ShardWriteOutcome) {});
   }
   simulation.run_for(Millis(3000));
   cluster.start(away);
@@ -399,9 +400,9 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     RunPlan plan;
     plan.seed = seed;
-    plan.terms.loss = 0.05;
-    plan.terms.duplication = 0.1;
-    plan.terms.late = 0.05;
+    plan.options.loss = 0.05;
+    plan.options.duplication = 0.1;
+    plan.options.late = 0.05;
     run_plan(plan);
   }
 }
@@ -411,9 +412,9 @@
     RunPlan plan;
     plan.seed = seed;
     plan.machines = seed % 3 == 0 ? 4 : 5;
-    plan.terms.duplication = 0.05;
-    plan.terms.late = 0.05;
-    plan.faults.wipes = true;
+    plan.options.duplication = 0.05;
+    plan.options.late = 0.05;
+    plan.faults.disk_losses = true;
     run_plan(plan);
   }
 }
@@ -423,11 +424,11 @@
     RunPlan plan;
     plan.seed = seed;
     plan.machines = seed % 2 == 0 ? 5 : 3;
-    plan.terms.loss = seed % 3 == 0 ? 0.1 : 0;
-    plan.terms.duplication = 0.1;
-    plan.terms.late = 0.05;
-    plan.terms.late_max_us = 100000;
-    plan.faults.wipes = seed % 4 == 0;
+    plan.options.loss = seed % 3 == 0 ? 0.1 : 0;
+    plan.options.duplication = 0.1;
+    plan.options.late = 0.05;
+    plan.options.late_max_us = 100000;
+    plan.faults.disk_losses = seed % 4 == 0;
     plan.disturb_new_leaders = true;
     plan.keys = 4;
     plan.writes_at_once = 4;
--- a/tests/cluster/consensus/versions_test.cpp
+++ b/tests/cluster/consensus/versions_test.cpp
@@ -28,7 +28,7 @@
   simulation.on_event([&] {
     std::size_t leaders = 0;
     for (std::size_t index = 0; index < cluster.size(); ++index)
-      if (cluster.running(index) && cluster.extra(index).shard->leads()) ++leaders;
+      if (cluster.running(index) && cluster.application(index).shard->leads()) ++leaders;
     if (leaders > 1) FAIL("two leaders at once");
   });
   cluster.bootstrap();
@@ -37,8 +37,8 @@
   std::uint64_t epoch = 0;
   for (int change = 0; change < 4; ++change) {
     const std::size_t first = *leader_of(cluster);
-    CHECK(cluster.extra(first).shard->epoch() > epoch);
-    epoch = cluster.extra(first).shard->epoch();
+    CHECK(cluster.application(first).shard->epoch() > epoch);
+    epoch = cluster.application(first).shard->epoch();
     cluster.crash(first);
     REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(4000)));
     cluster.start(first);
--- a/tests/cluster/control/configuration_history.hpp
+++ b/tests/cluster/control/configuration_history.hpp
@@ -65,7 +65,7 @@
   void send(std::size_t index, const std::shared_ptr<OperatorRequest>& request, double response_loss,
             std::function<void(ConfigurationOutcomeKind)> on_response = {}) {
     if (!cluster_.running(index)) return;
-    ConfigurationService& service = cluster_.extra(index).service;
+    ConfigurationService& service = cluster_.application(index).service;
     const auto done = [this, request, response_loss, on_response = std::move(on_response),
                        known_version = newest_](const ConfigurationOutcome& outcome) {
       check(*request, outcome, known_version);
@@ -78,7 +78,7 @@
 
   void read(std::size_t index, std::function<void(const ConfigurationRead&)> on_response = {}) {
     if (!cluster_.running(index)) return;
-    cluster_.extra(index).service.get(
+    cluster_.application(index).service.get(
         [this, on_response = std::move(on_response), known_version = newest_](const ConfigurationRead& read) {
           check(read, known_version);
           if (on_response) on_response(read);
--- a/tests/cluster/control/configuration_history_test.cpp
+++ b/tests/cluster/control/configuration_history_test.cpp
@@ -60,7 +60,7 @@
   std::vector<SimulatedOperator> operators(scenario.operators,
                                            SimulatedOperator(cluster, history, scenario.response_loss));
   FaultPlan fault_plan;
-  fault_plan.wipes = scenario.wipes;
+  fault_plan.disk_losses = scenario.wipes;
   FaultInjector<ConfigurationNode> faults(cluster, fault_plan);
   LongFaultInjector<ConfigurationNode> long_faults(cluster);
   Simulation& simulation = cluster.simulation();
@@ -72,15 +72,16 @@
     simulation.run_for(Millis(simulation.random_between(20, 300)));
     if (simulation.now_ms() < next_fault_ms) continue;
     if (scenario.long_faults) {
-      next_fault_ms = simulation.now_ms() + long_faults.one().count() + simulation.random_between(0, 3000);
+      next_fault_ms =
+          simulation.now_ms() + long_faults.inject_fault().count() + simulation.random_between(0, 3000);
     } else {
-      faults.one();
+      faults.inject_fault();
       next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
     }
   }
-  faults.end();
-  simulation.terms().loss = 0;
-  simulation.terms().late = 0;
+  faults.end_faults();
+  simulation.options().loss = 0;
+  simulation.options().late = 0;
   simulation.run_for(scenario.long_faults ? Millis(30000) : kMaxFaultDuration);
   REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, kStabilizationTimeout));
   require_all_nodes_serve_reads(cluster, history);
@@ -156,7 +157,7 @@
       simulation.run_for(Millis(100));
     }
     CHECK(read == 2);
-    const ConfigurationService& service = cluster.extra(isolated).service;
+    const ConfigurationService& service = cluster.application(isolated).service;
     const auto serves_again = [&] {
       return cluster.group(isolated).has_quorum_contact() && service.newest() &&
              service.newest()->version == 2;
--- a/tests/cluster/control/job_history_test.cpp
+++ b/tests/cluster/control/job_history_test.cpp
@@ -118,7 +118,7 @@
     // A frozen node receives the request when it resumes, either before or after the timer that ends its
     // lease.
     calls_.push_back(cluster_.node(index).after(Millis(0), [this, index, request, id, check] {
-      cluster_.extra(index).leader.handle(request, [id, check](const wire::Envelope& answer) {
+      cluster_.application(index).leader.handle(request, [id, check](const wire::Envelope& answer) {
         CAPTURE(id, answer.job_reply().outcome(), answer.job_reply().state(), answer.job_reply().pending());
         check(answer.job_reply());
       });
@@ -140,7 +140,7 @@
 void require_at_most_one_leader(LeaderCluster& cluster) {
   std::size_t leaders = 0;
   for (std::size_t index = 0; index < cluster.size(); ++index) {
-    if (cluster.running(index) && !cluster.node(index).frozen() && cluster.extra(index).leader.leads())
+    if (cluster.running(index) && !cluster.node(index).frozen() && cluster.application(index).leader.leads())
       ++leaders;
   }
   if (leaders > 1) FAIL("two nodes lead one service");
@@ -148,7 +148,7 @@
 
 std::optional<std::size_t> leader_of(LeaderCluster& cluster) {
   for (std::size_t index = 0; index < cluster.size(); ++index)
-    if (cluster.running(index) && cluster.extra(index).leader.leads()) return index;
+    if (cluster.running(index) && cluster.application(index).leader.leads()) return index;
   return std::nullopt;
 }
 
@@ -185,14 +185,15 @@
     simulation.run_for(Millis(simulation.random_between(20, 200)));
     if (simulation.now_ms() < next_fault_ms) continue;
     if (with_long_faults) {
-      next_fault_ms = simulation.now_ms() + long_faults.one().count() + simulation.random_between(0, 3000);
+      next_fault_ms =
+          simulation.now_ms() + long_faults.inject_fault().count() + simulation.random_between(0, 3000);
     } else {
-      faults.one();
+      faults.inject_fault();
       next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
     }
   }
-  faults.end();
-  simulation.terms().loss = 0;
+  faults.end_faults();
+  simulation.options().loss = 0;
   simulation.run_for(with_long_faults ? Millis(30000) : kMaxFaultDuration);
   REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(15000)));
   const std::size_t responses = history.responses();
--- a/tests/cluster/support/consensus_fixture.hpp
+++ b/tests/cluster/support/consensus_fixture.hpp
@@ -28,27 +28,28 @@
   return settings;
 }
 
-// The program of one machine. `Extra` is what runs on top of the group: built after it, destroyed before it.
-template <typename Extra>
+// The program of one machine. `Application` is what runs on top of the group: built after it, destroyed
+// before it.
+template <typename Application>
 struct ControlProgram {
   ControlProgram(SimNode& node, const NodeSettings& settings)
-      : group(node, node.store(), settings), extra(node, group) {
+      : group(node, node.store(), settings), application(node, group) {
     group.start();
   }
   ControlGroup group;
-  Extra extra;
+  Application application;
 };
 
 // Nothing on top of the group.
-struct NoExtra {
-  NoExtra(SimNode&, ControlGroup&) {}
+struct NoApplication {
+  NoApplication(SimNode&, ControlGroup&) {}
 };
 
-template <typename Extra = NoExtra>
+template <typename Application = NoApplication>
 class ControlCluster {
  public:
-  ControlCluster(std::uint64_t seed, std::size_t machines, SimulationOptions terms = {})
-      : simulation_(seed, terms), programs_(64) {
+  ControlCluster(std::uint64_t seed, std::size_t machines, SimulationOptions options = {})
+      : simulation_(seed, options), programs_(64) {
     for (std::size_t index = 0; index < machines; ++index) add_machine();
   }
   ~ControlCluster() { crash_all(); }
@@ -58,7 +59,7 @@
   SimNode& node(std::size_t index) { return simulation_.node(index); }
   bool running(std::size_t index) { return simulation_.node(index).running(); }
   ControlGroup& group(std::size_t index) { return programs_.at(index)->group; }
-  Extra& extra(std::size_t index) { return programs_.at(index)->extra; }
+  Application& application(std::size_t index) { return programs_.at(index)->application; }
 
   // This machine's pings and their answers don't announce that it knows learners, as those of earlier
   // versions. It admits nobody, as it would have to do so by their rules.
@@ -70,7 +71,7 @@
   std::size_t add_machine() {
     const std::size_t index = simulation_.size();
     simulation_.add_node(machine_ip(index) + ":7000", [this, index](SimNode& node) {
-      auto program = std::make_shared<ControlProgram<Extra>>(node, settings_now(index));
+      auto program = std::make_shared<ControlProgram<Application>>(node, settings_now(index));
       programs_[index] = program.get();
       ControlGroup& group = program->group;
       return SimNode::Program{
@@ -165,7 +166,7 @@
   }
 
   Simulation simulation_;
-  std::vector<ControlProgram<Extra>*> programs_;
+  std::vector<ControlProgram<Application>*> programs_;
   bool first_start_ = false;
   bool fresh_seeds_ = false;
   std::set<Address> without_learners_;
@@ -176,52 +177,53 @@
   bool crashes = true;
   bool power_loss = true;
   bool freezes = true;
-  bool cuts = true;
-  bool disks = true;
-  bool wipes = false;  // one at a time: the next only once the machine before votes again
+  bool partitions = true;
+  bool disk_faults = true;
+  bool disk_losses = false;  // one at a time: the next only once the machine before votes again
 };
 
 // Every fault is over this long after it began.
 constexpr Millis kMaxFaultDuration{4000};
 
 // Injects random faults into a cluster, and ends them.
-template <typename Extra>
+template <typename Application>
 class FaultInjector {
  public:
-  FaultInjector(ControlCluster<Extra>& cluster, FaultPlan terms) : cluster_(cluster), terms_(terms) {}
+  FaultInjector(ControlCluster<Application>& cluster, FaultPlan plan) : cluster_(cluster), plan_(plan) {}
 
-  void one() {
+  void inject_fault() {
     Simulation& simulation = cluster_.simulation();
     const auto index = static_cast<std::size_t>(
         simulation.random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
     switch (simulation.random_between(0, 9)) {
       case 0:
       case 1:
-        if (terms_.crashes) return crash(index);
+        if (plan_.crashes) return crash(index);
         break;
       case 2:
-        if (terms_.power_loss && simulation.chance(0.3)) return lose_power();
+        if (plan_.power_loss && simulation.chance(0.3)) return lose_power();
         break;
       case 3:
       case 4:
-        if (terms_.freezes) simulation.node(index).freeze_for(Millis(simulation.random_between(50, 4000)));
+        if (plan_.freezes) simulation.node(index).freeze_for(Millis(simulation.random_between(50, 4000)));
         break;
       case 5:
       case 6:
-        if (terms_.cuts) return cut(index);
+        if (plan_.partitions) return cut(index);
         break;
       case 7:
-        if (terms_.disks) simulation.node(index).hang_disk_for(Millis(simulation.random_between(50, 3000)));
+        if (plan_.disk_faults)
+          simulation.node(index).hang_disk_for(Millis(simulation.random_between(50, 3000)));
         break;
       case 8:
-        if (terms_.disks) return refuse_writes(index);
+        if (plan_.disk_faults) return refuse_writes(index);
         break;
       default:
-        if (terms_.wipes) wipe(index);
+        if (plan_.disk_losses) wipe(index);
     }
   }
 
-  void end() {
+  void end_faults() {
     cluster_.simulation().heal();
     for (std::size_t index = 0; index < cluster_.size(); ++index) cluster_.node(index).refuse_writes(false);
     cluster_.start_all();
@@ -277,8 +279,8 @@
     wiped_ = index;
   }
 
-  ControlCluster<Extra>& cluster_;
-  const FaultPlan terms_;
+  ControlCluster<Application>& cluster_;
+  const FaultPlan plan_;
   std::optional<std::size_t> wiped_;
 };
 
--- a/tests/cluster/support/long_fault_injector.hpp
+++ b/tests/cluster/support/long_fault_injector.hpp
@@ -6,13 +6,13 @@
 
 namespace winchhall::cluster::sim {
 
-template <typename Extra>
+template <typename Application>
 class LongFaultInjector {
  public:
-  explicit LongFaultInjector(ControlCluster<Extra>& cluster) : cluster_(cluster) {}
+  explicit LongFaultInjector(ControlCluster<Application>& cluster) : cluster_(cluster) {}
 
   // Begins one random fault and returns its duration.
-  Millis one() {
+  Millis inject_fault() {
     Simulation& simulation = cluster_.simulation();
     const std::size_t index = pick();
     const Millis span(simulation.random_between(5000, 30000));
@@ -71,7 +71,7 @@
     }
   }
 
-  ControlCluster<Extra>& cluster_;
+  ControlCluster<Application>& cluster_;
 };
 
 }  // namespace winchhall::cluster::sim
--- a/tests/cluster/support/sim_runtime.hpp
+++ b/tests/cluster/support/sim_runtime.hpp
@@ -157,7 +157,7 @@
   // Simulated time since the start, independent of the nodes' clocks.
   std::int64_t now_us() const { return now_us_; }
   std::int64_t now_ms() const { return now_us_ / 1000; }
-  SimulationOptions& terms() { return options_; }
+  SimulationOptions& options() { return options_; }
 
   // Partitions, or reconnects, one direction between two machines.
   void cut(std::size_t from, std::size_t to, bool on = true) {
@@ -292,7 +292,7 @@
       boot_(std::move(boot)),
       store_(*this) {
   const double spread = static_cast<double>(simulation.random_between(-1000, 1000)) / 1000;
-  clock_rate_ = 1 + spread * simulation.terms().clock_drift;
+  clock_rate_ = 1 + spread * simulation.options().clock_drift;
   clock_offset_us_ = simulation.random_between(1, 1000) * 1000000;
 }
 
--- a/tests/cluster/support/sim_store_impl.hpp
+++ b/tests/cluster/support/sim_store_impl.hpp
@@ -10,8 +10,8 @@
   const bool hangs = simulation.now_us() < hangs_until_us_;
   const bool shares_sync = hangs || (busy_until_us_ > simulation.now_us() && simulation.chance(0.5));
   busy_until_us_ = start_us + (shares_sync ? 1
-                                           : simulation.random_between(simulation.terms().sync_min_us,
-                                                                       simulation.terms().sync_max_us));
+                                           : simulation.random_between(simulation.options().sync_min_us,
+                                                                       simulation.options().sync_max_us));
   unsynced_.push_back(std::move(batch));
   node_.simulation_.at(
       busy_until_us_, [this, incarnation = node_.incarnation_, done = std::move(done)]() mutable {
