--- a/src/cluster/consensus/acceptor.cpp
+++ b/src/cluster/consensus/acceptor.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kPageBytes = 128 << 10;  // a page ends once its entries reach this size
+constexpr std::size_t kPageBytes = 128 << 10;  // a page is full once its entries reach this size
 
 // Prefixes of the keys in state pages; their order is the order in which entries are sent.
 const std::string kShardPrefix = "1/";
@@ -19,26 +19,26 @@
 const std::string kStoredRecordPrefix = "record/";
 const std::string kStoredRegisterPrefix = register_store_key("");
 
-// A record's name is "SHARD\0KEY".
+// Identifies a record in the keys of the store and of state pages, encoded as "SHARD\0KEY".
 struct RecordName {
   std::string shard;
   std::string key;
 };
 
-std::string joined(const std::string& shard, const std::string& key) {
+std::string make_record_name(const std::string& shard, const std::string& key) {
   std::string name = shard;
   name.push_back('\0');
   return name + key;
 }
 
-RecordName split(std::string_view name) {
+RecordName parse_record_name(std::string_view name) {
   const std::size_t end = name.find('\0');
   if (end == std::string_view::npos) return {};
   return {std::string(name.substr(0, end)), std::string(name.substr(end + 1))};
 }
 
 template <typename Message>
-Message parsed(std::string_view bytes) {
+Message parse_message(std::string_view bytes) {
   Message message;
   message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
   return message;
@@ -68,8 +68,8 @@
 };
 
 void add_records(const std::string& shard, const ShardRecords& records, PageWriter& writer) {
-  const std::string prefix = kRecordPrefix + joined(shard, "");
-  // Skips the records that were sent already without visiting them.
+  const std::string prefix = kRecordPrefix + make_record_name(shard, "");
+  // Resumes after the last record sent without iterating over the earlier ones.
   const bool resumes_here = writer.after_key().starts_with(prefix);
   auto entry = resumes_here ? records.upper_bound(writer.after_key().substr(prefix.size())) : records.begin();
   for (; entry != records.end() && !writer.full(); ++entry) writer.add(prefix + entry->first, entry->second);
@@ -83,13 +83,14 @@
 
 void Acceptor::load(std::string_view key, std::string_view value) {
   if (key.starts_with(kStoredShardPrefix)) {
-    shards_.load_state(std::string(key.substr(kStoredShardPrefix.size())), parsed<wire::ShardState>(value));
+    shards_.load_state(std::string(key.substr(kStoredShardPrefix.size())),
+                       parse_message<wire::ShardState>(value));
   } else if (key.starts_with(kStoredRecordPrefix)) {
-    const RecordName name = split(key.substr(kStoredRecordPrefix.size()));
-    shards_.load_record(name.shard, parsed<wire::ShardRecord>(value));
+    const RecordName name = parse_record_name(key.substr(kStoredRecordPrefix.size()));
+    shards_.load_record(name.shard, parse_message<wire::ShardRecord>(value));
   } else if (key.starts_with(kStoredRegisterPrefix)) {
     registers_.load(std::string(key.substr(kStoredRegisterPrefix.size())),
-                    parsed<wire::RegisterState>(value));
+                    parse_message<wire::RegisterState>(value));
   }
 }
 
@@ -127,13 +128,14 @@
 void Acceptor::add_state_entry(const wire::StateEntry& entry, TransferredState& copy) {
   const std::string_view key = entry.key();
   if (key.starts_with(kShardPrefix)) {
-    copy.shards[std::string(key.substr(kShardPrefix.size()))].state = parsed<wire::ShardState>(entry.value());
+    copy.shards[std::string(key.substr(kShardPrefix.size()))].state =
+        parse_message<wire::ShardState>(entry.value());
   } else if (key.starts_with(kRecordPrefix)) {
-    const RecordName name = split(key.substr(kRecordPrefix.size()));
-    copy.shards[name.shard].records[name.key] = parsed<wire::ShardRecord>(entry.value());
+    const RecordName name = parse_record_name(key.substr(kRecordPrefix.size()));
+    copy.shards[name.shard].records[name.key] = parse_message<wire::ShardRecord>(entry.value());
   } else if (key.starts_with(kRegisterPrefix)) {
     copy.registers[std::string(key.substr(kRegisterPrefix.size()))] =
-        parsed<wire::RegisterState>(entry.value());
+        parse_message<wire::RegisterState>(entry.value());
   }
 }
 
--- a/src/cluster/consensus/ballot.hpp
+++ b/src/cluster/consensus/ballot.hpp
@@ -22,7 +22,7 @@
   return compare_ballots(left, right) < 0;
 }
 
-// True for the ballot of a proposal; counter 0 stands for none.
+// True for the ballot of a proposal. Counter 0 means that there is no ballot.
 inline bool is_set(const wire::Ballot& ballot) { return ballot.counter() > 0; }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/commit_queue.cpp
+++ b/src/cluster/consensus/commit_queue.cpp
@@ -5,7 +5,7 @@
 namespace winchhall::cluster {
 
 namespace {
-constexpr Millis kRecoveryBackoff{100};
+constexpr Millis kRecoveryBackoff{100};  // pause before the batches in doubt are written again
 
 std::size_t size_of(const StoreBatch& batch) {
   std::size_t bytes = 0;
--- a/src/cluster/consensus/control_group.cpp
+++ b/src/cluster/consensus/control_group.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr Millis kPeriodicWorkInterval{250};
+constexpr Millis kPeriodicWorkInterval{250};  // also the interval between pings
 
 // A member that has been unreachable for this long may be replaced. Its successor has to hold all state
 // within the time to catch up after its own start, which is about a second after the loss.
 Millis member_replacement_delay(const NodeSettings& settings) { return settings.bounds.catch_up / 2; }
 
-// Without a successor there is no hurry, and a member that is only partitioned must not lose its place: until
-// it had copied the state anew, the group could not bear the loss of a disk.
+// Without a successor the removal is not urgent, and a member that is only partitioned should not be removed:
+// until it had copied the state again, the group could not tolerate the loss of a disk.
 Millis excess_member_removal_delay(const NodeSettings& settings) { return settings.bounds.catch_up * 8; }
 
 }  // namespace
@@ -83,7 +83,7 @@
   return callbacks;
 }
 
-// ---------------------------------------------------------------- start, periodic work, end
+// ---------------------------------------------------------------- start, periodic work, stop
 
 void ControlGroup::start() {
   load();
@@ -136,7 +136,7 @@
 }
 
 void ControlGroup::notify_shards_of_membership() {
-  // A copy: a shard's callbacks may close shards.
+  // Iterates over a copy because a shard's callbacks may close shards.
   for (LeasedShard* shard : std::set(shards_)) {
     if (shards_.contains(shard)) shard->on_membership_changed();
   }
@@ -163,7 +163,7 @@
     case wire::Envelope::kLeaseRequest:
     case wire::Envelope::kShardRead:
     case wire::Envelope::kShardWrite:
-      // Left unanswered while the disk lags far behind: what can't be written would fill the memory.
+      // Not answered while the disk lags far behind: pending writes would exhaust the memory.
       if (active_ && !commit_queue_.overloaded()) acceptor_.handle(request, reply);
       return true;
     default:
@@ -243,7 +243,7 @@
 }
 
 std::uint64_t ControlGroup::next_unique_id() {
-  return draw_unique_id(runtime_, settings_.internal_address());
+  return generate_unique_id(runtime_, settings_.internal_address());
 }
 
 void ControlGroup::on_member_epoch_observed(std::uint64_t epoch, const wire::Member& member) {
--- a/src/cluster/consensus/control_group.hpp
+++ b/src/cluster/consensus/control_group.hpp
@@ -1,4 +1,4 @@
-// The control group as one node takes part in it: member or candidate, acceptor, proposer, lease holder.
+// One node's participation in the control group: as member or candidate, acceptor, proposer, lease holder.
 #pragma once
 
 #include <cstdint>
@@ -28,35 +28,36 @@
 
 namespace winchhall::cluster {
 
-// Facade of the module: owns its parts, connects them, dispatches requests to them and runs their periodic
-// work. The parts and the algorithms they follow:
+// Facade of the module: owns its components, connects them, dispatches requests to them and runs their
+// periodic work. The components and their algorithms:
 //   - registers: compare-and-swap by two quorum phases (register_client.hpp);
 //   - shards: records replicated by the holder of a quorum lease (leased_shard.hpp, shard_acceptor.hpp);
 //   - members: one change of the member record at a time (member_record.hpp);
-//   - newcomers: copy of the state before they vote (state_transfer.hpp).
-// Invariant: promises and acknowledgements are answered only once they are durable here, and requests and
-// answers carry the epoch of this node's newest durable member record. All calls on the event loop.
+//   - newcomers: transfer of the state before they vote (state_transfer.hpp).
+// Invariant: promises and acknowledgements are sent only once they are durable here, and requests and answers
+// carry the epoch of this node's newest durable member record. All calls must be made on the event loop.
 class ControlGroup : private GroupContext {
  public:
   // `runtime` and `store` must outlive this object. Nothing is sent or read before `start`.
   ControlGroup(Runtime& runtime, DurableStore& store, const NodeSettings& settings);
   ~ControlGroup() override;
 
-  // Loads the store and takes part from now on.
+  // Loads the store and starts to participate in the group.
   void start();
-  // Before a planned shutdown: leaves the group if it can do without this member. `done` is called once, from
-  // within this function or later, after at most `limit`.
+  // Before a planned shutdown: leaves the group if it tolerates as many losses without this member. `done` is
+  // called once, from within this function or later, after at most `limit`.
   void leave(Millis limit, std::function<void()> done);
-  // Takes part no more. Shards that this node still leads have to be stepped down before.
+  // Leaves requests unanswered from now on and stops the periodic work. The caller has to step down first
+  // from the shards that this node leads.
   void stop();
-  // Handles requests of other control nodes; false: not of a kind handled here. Before `start` and after
-  // `stop` requests stay unanswered.
+  // Handles requests of other control nodes. Returns false for requests of a kind not handled here. Before
+  // `start` and after `stop` requests are not answered.
   bool handle(const wire::Envelope& request, const ReplyCallback& reply);
 
   RegisterClient& registers() { return registers_.client(); }
-  // This node's part in a shard. To be destroyed before the group.
+  // Opens this node's participation in a shard, which must be destroyed before the group.
   std::unique_ptr<ReplicatedShard> open_shard(std::string name, ShardCallbacks callbacks);
-  // Internal listeners of the seeds, after a change of the settings.
+  // Replaces the internal listeners of the seeds after a change of the settings.
   void set_seeds(std::vector<Address> seeds) { record_exchange_.set_seeds(std::move(seeds)); }
   // Internal listeners of control nodes that peer sampling found: asked for the member record while there is
   // no quorum contact.
@@ -66,14 +67,14 @@
   // Calls `on_newer` for the value known now, if any, and for every newer one that differs.
   void watch_register(const std::string& key, RegisterWatcher::Listener on_newer);
 
-  // A register's newest value that is known here to be chosen; none: no chosen value is known.
+  // The newest value of a register that this node knows to be chosen, if any.
   std::optional<std::string> locally_known_value(const std::string& key) const;
-  // Drops the state kept here of registers that are never needed again.
+  // Deletes this node's state of registers that are never needed again.
   void drop_registers(const std::function<bool(const std::string& key)>& unneeded);
   // True if every member has announced that it reads configuration records with snapshots.
   bool members_read_snapshots() const;
 
-  // Names of the shards of which this node keeps a replica.
+  // Names of the shards of which this node has a replica.
   std::vector<std::string> stored_shards() const;
 
   // Newest durable member record; epoch 0: none yet.
--- a/src/cluster/consensus/excess_member_remover.cpp
+++ b/src/cluster/consensus/excess_member_remover.cpp
@@ -10,7 +10,7 @@
 namespace winchhall::cluster {
 
 namespace {
-constexpr Millis kLeaveRetry{50};
+constexpr Millis kLeaveRetryInterval{50};
 }
 
 ExcessMemberRemover::ExcessMemberRemover(GroupContext& group, RegisterClient& registers,
@@ -23,27 +23,27 @@
       on_record_(std::move(on_record)) {}
 
 void ExcessMemberRemover::remove_unreachable_member() {
-  if (busy_ || !group_.voting() || !group_.has_quorum_contact() || !is_proposer()) return;
+  if (change_in_progress_ || !group_.voting() || !group_.has_quorum_contact() || !is_proposer()) return;
   const wire::MemberRecord& record = group_.record();
   if (const wire::Member* learner = find_unreachable_learner(record, peers_, unreachable_after_))
-    return change(without_learner(record, learner->id()));
+    return propose_record(without_learner(record, learner->id()));
   const wire::Member* unreachable = find_unreachable_member(record, peers_, unreachable_after_);
   if (unreachable && has_excess_member(record, unreachable->id()))
-    change(shrunk_without_member(record, unreachable->id()));
+    propose_record(shrunk_without_member(record, unreachable->id()));
 }
 
-// One of the reachable voters, so that they don't compete for the change.
+// True at exactly one of the reachable voters, so that they don't compete for the change.
 bool ExcessMemberRemover::is_proposer() const {
   const std::vector<std::uint64_t> voters = group_.reachable_voters();
   const auto first = std::min_element(voters.begin(), voters.end());
   return first != voters.end() && *first == group_.self_id();
 }
 
-void ExcessMemberRemover::change(const wire::MemberRecord& next) {
-  busy_ = true;
+void ExcessMemberRemover::propose_record(const wire::MemberRecord& next) {
+  change_in_progress_ = true;
   change_member_record(registers_, group_.record(), next,
                        [this](const std::optional<wire::MemberRecord>& chosen) {
-                         busy_ = false;
+                         change_in_progress_ = false;
                          if (chosen) on_record_(*chosen);
                        });
 }
@@ -65,10 +65,10 @@
   const wire::MemberRecord& record = group_.record();
   const bool may_leave_soon = has_excess_member(record, leaving_id_) || record.unconfirmed() != 0;
   if (!member || !may_leave_soon || group_.runtime().now() >= leave_by_) return finish_leaving();
-  if (!busy_ && has_excess_member(record, leaving_id_) && group_.voting() && group_.has_quorum_contact() &&
-      all_others_vote())
-    change(shrunk_without_member(record, leaving_id_));
-  retry_timer_ = group_.runtime().after(kLeaveRetry, [this] { try_to_leave(); });
+  if (!change_in_progress_ && has_excess_member(record, leaving_id_) && group_.voting() &&
+      group_.has_quorum_contact() && all_others_vote())
+    propose_record(shrunk_without_member(record, leaving_id_));
+  retry_timer_ = group_.runtime().after(kLeaveRetryInterval, [this] { try_to_leave(); });
 }
 
 void ExcessMemberRemover::finish_leaving() {
--- a/src/cluster/consensus/excess_member_remover.hpp
+++ b/src/cluster/consensus/excess_member_remover.hpp
@@ -11,22 +11,23 @@
 
 namespace winchhall::cluster {
 
-// Removes this node before its planned shutdown, and a member or learner that is unreachable for long
-// although no machine has come in its place.
+// Removes this node before its planned shutdown, and a member or learner that has been unreachable for a long
+// time without being replaced.
 //
 // A planned replacement adds the new machine first. Between the shutdown of the old one and its removal the
-// group would have a member that is down for good, and would tolerate one loss less than before.
+// group would have a permanently failed member and would tolerate one loss less than before.
 class ExcessMemberRemover {
  public:
-  // `unreachable_after`: a member that is unreachable for longer is taken to be down for good. `on_record` is
-  // called with the record that is chosen after a change was tried. All references must outlive this object.
+  // `unreachable_after`: a member that is unreachable for longer is assumed to have failed permanently.
+  // `on_record` is called with the record that is chosen after a change was tried. All references must
+  // outlive this object.
   ExcessMemberRemover(GroupContext& group, RegisterClient& registers, const PeerTable& peers,
                       Millis unreachable_after, std::function<void(const wire::MemberRecord&)> on_record);
 
   // Removes an unreachable learner or excess member, if there is one. To be called periodically.
   void remove_unreachable_member();
   // Before this node's shutdown: removes it from the group if it is an excess member and all other members
-  // are reachable and vote, so that what it holds is on enough of them. `done` is called once, from within
+  // are reachable and vote, so that enough of them hold its state. `done` is called once, from within
   // this function or later, after at most `limit`.
   void leave(Millis limit, std::function<void()> done);
 
@@ -34,7 +35,7 @@
   bool is_proposer() const;
   bool all_others_vote() const;
   void try_to_leave();
-  void change(const wire::MemberRecord& next);
+  void propose_record(const wire::MemberRecord& next);
   void finish_leaving();
 
   GroupContext& group_;
@@ -42,7 +43,7 @@
   const PeerTable& peers_;
   const Millis unreachable_after_;
   const std::function<void(const wire::MemberRecord&)> on_record_;
-  bool busy_ = false;  // a change of the member record is in progress
+  bool change_in_progress_ = false;  // of the member record
   std::uint64_t leaving_id_ = 0;
   TimePoint leave_by_{};
   std::function<void()> on_left_;
--- a/src/cluster/consensus/group_context.hpp
+++ b/src/cluster/consensus/group_context.hpp
@@ -1,4 +1,4 @@
-// The control group as its proposers and lease holders use it.
+// Interface of the control group for its proposers and lease holders.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace winchhall::cluster {
 
-// Implemented by ControlGroup, and by tests. All calls on the event loop.
+// Implemented by ControlGroup and by test doubles. All calls must be made on the event loop.
 class GroupContext {
  public:
   virtual ~GroupContext() = default;
@@ -21,7 +21,7 @@
   virtual const wire::MemberRecord& record() const = 0;
   // This node's member id.
   virtual std::uint64_t self_id() const = 0;
-  // An id that neither another process nor another incarnation of this one draws; never 0.
+  // A new id, never 0, that neither another process nor another incarnation of this one generates.
   virtual std::uint64_t next_unique_id() = 0;
   // True if this node is a member of the newest record and holds all state.
   virtual bool voting() const = 0;
@@ -31,16 +31,17 @@
   virtual std::vector<std::uint64_t> reachable_voters() const = 0;
 
   // Calls a member; this node itself is called without the network and without a time-out. `done` is called
-  // at most once, never from within this function: not if the group ends before, nor if this node leaves its
-  // own request unanswered.
+  // at most once, never from within this function. It is not called if the group is destroyed before, nor if
+  // this node does not answer its own request.
   virtual void call(const wire::Member& member, wire::Envelope request, Millis timeout,
                     std::function<void(CallResult)> done) = 0;
   // Runs an action soon, never from within this function.
   virtual void defer(std::function<void()> action) = 0;
-  // A member answered under this epoch. If it differs from this node's, the older side is brought up to date.
+  // A member answered with this member epoch. If it differs from this node's, the side with the older record
+  // gets the newer one.
   virtual void on_member_epoch_observed(std::uint64_t epoch, const wire::Member& member) = 0;
 
-  // The newest lease on a shard that is known here to be in force; none: no such lease.
+  // The newest lease on a shard that this node knows to be in force, if any.
   virtual std::optional<wire::ShardLeader> lease_in_force(const std::string& shard) const = 0;
   // Number of shards whose leases this node holds.
   virtual std::size_t own_lease_count() const = 0;
--- a/src/cluster/consensus/leader_record_table.hpp
+++ b/src/cluster/consensus/leader_record_table.hpp
@@ -1,4 +1,4 @@
-// The lease holder's copy of a shard's records, with a number for each change made under the lease.
+// The lease holder's copy of a shard's records. Every change made under the lease has a number.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,8 @@
   std::uint64_t change = 0;
 };
 
-// Changes are numbered 1, 2, ... under one epoch. The number is the record's sequence, so that (epoch,
-// sequence) orders all versions of a record, whoever made them.
+// Owns the records. Changes are numbered 1, 2, ... under one epoch. The number is the record's sequence, so
+// that (epoch, sequence) orders all versions of a record across lease holders.
 class LeaderRecordTable {
  public:
   LeaderRecordTable() = default;
@@ -34,7 +34,7 @@
     return found == records_.end() ? nullptr : &found->second;
   }
 
-  // Makes a new version of a record; null: removed.
+  // Makes a new version of a record. A null value marks the record as removed.
   void put(const std::string& key, const std::string* value) {
     VersionedRecord& versioned = records_[key];
     versioned.change = ++last_change_;
--- a/src/cluster/consensus/lease_directory.hpp
+++ b/src/cluster/consensus/lease_directory.hpp
@@ -19,11 +19,11 @@
   LeaseDirectory(const ShardAcceptor& acceptor, const PeerTable& peers)
       : acceptor_(acceptor), peers_(peers) {}
 
-  // The newest lease on the shard that is known to be in force; none: no such lease. A lease that is not yet
+  // The newest lease on the shard that is known to be in force, if any. A lease that is not yet
   // known to be granted by a majority is included and marked `unconfirmed`.
   std::optional<wire::ShardLeader> lease_in_force(const std::string& shard) const;
-  // The holders to which callers may be directed: one entry a shard, only leases known to be granted by a
-  // majority and whose holder's address is known. Ordered by shard.
+  // The holders to which callers may be redirected, ordered by shard: one entry for each shard whose lease is
+  // known to be granted by a majority and whose holder's address is known.
   std::vector<wire::ShardLeader> confirmed_leaders() const;
   // Number of leases in force at this node's acceptor that the given member holds.
   std::size_t lease_count_of(std::uint64_t member) const;
--- a/src/cluster/consensus/lease_renewer.cpp
+++ b/src/cluster/consensus/lease_renewer.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis kLeaseCallTimeout{500};
-constexpr Millis kAcquireTimeout{500};  // without a majority by then, the epoch is given up
+constexpr Millis kAcquireTimeout{500};  // without a majority by then the attempt fails
 
 }  // namespace
 
@@ -66,7 +66,7 @@
               });
 }
 
-// What a learner answers is counted nowhere: it only shows that it can be sent writes.
+// A learner's answer never counts for a majority. It only shows that writes can be sent to the learner.
 void LeaseRenewer::renew_at_learners(const wire::MemberRecord& record) {
   for (const wire::Member& learner : record.learners()) {
     group_.call(learner, make_request(false), kLeaseCallTimeout,
--- a/src/cluster/consensus/lease_renewer.hpp
+++ b/src/cluster/consensus/lease_renewer.hpp
@@ -11,6 +11,7 @@
 
 namespace winchhall::cluster {
 
+// Notifications of a LeaseRenewer to its owner.
 struct LeaseCallbacks {
   // A member or learner granted or renewed the lease. `voting`: its answer counts for a majority.
   std::function<void(std::uint64_t member, bool voting)> on_granted;
@@ -23,12 +24,12 @@
 
 // The holder's side of a quorum lease (see lease_timing.hpp). A round sends one request to every member; once
 // a majority of voting members at the round's member epoch has granted it, the lease is usable until
-// `kLeaseUsable` after the round was sent. As an acceptor keeps its grant for longer than that after the
-// request arrived, no other holder can get a majority before this one's lease is over.
+// `kLeaseUsable` after the round was sent. An acceptor keeps its grant for longer than that after the request
+// arrived, so no other node can get a majority before this holder's lease has expired.
 //
-// This node's own acceptor is asked last, once the others' grants make a majority with it: otherwise a
-// candidate in a minority partition would raise its own promise again and again, and depose the others'
-// holder with it when the partition heals.
+// This node's own acceptor is asked last, once its grant would complete a majority: otherwise a candidate in
+// a minority partition would raise its own promised epoch repeatedly, and its higher epoch would depose the
+// current holder when the partition heals.
 class LeaseRenewer : public std::enable_shared_from_this<LeaseRenewer> {
  public:
   // `group` must outlive this object. `epoch`: higher than any that this node has promised or seen.
@@ -39,10 +40,11 @@
   // Releases the lease at every member and ends without calling `on_lost`.
   void release();
 
-  // True while the lease is certainly held, by the clock of this moment.
+  // True if the lease is certainly held at the current time.
   bool is_held() const { return acquired_ && !ended_ && group_.runtime().now() < expires_at_; }
   std::uint64_t epoch() const { return epoch_; }
-  // Tells this acquisition of the epoch from any other, also one by an earlier incarnation of this process.
+  // Distinguishes this acquisition of the epoch from any other one, including those by earlier incarnations
+  // of this process.
   std::uint64_t session() const { return session_; }
   // Highest epoch of the shard seen in any answer.
   std::uint64_t highest_epoch() const { return highest_epoch_; }
@@ -76,7 +78,7 @@
   LeaseCallbacks callbacks_;
   bool acquired_ = false;
   bool ended_ = false;
-  TimePoint expires_at_{};  // before the lease is acquired: when the attempt is given up
+  TimePoint expires_at_{};  // before the lease is acquired: deadline of the attempt
   std::uint64_t highest_epoch_;
   std::unique_ptr<Timer> renew_timer_;
   std::unique_ptr<Timer> expiry_timer_;
--- a/src/cluster/consensus/leased_shard.cpp
+++ b/src/cluster/consensus/leased_shard.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr Millis kCheckInterval{50};
-constexpr Millis kRankDelay{80};
+constexpr Millis kLeaseCheckInterval{50};
+// Parts of the election delay.
+constexpr Millis kRankDelay{80};         // for each candidate that ranks before this one
 constexpr Millis kOtherLeaseDelay{160};  // for each other shard that the candidate leads
 constexpr Millis::rep kMaxJitterMs = 50;
 
@@ -37,13 +38,13 @@
   if (leadership_ || stepped_down_) return;
   if (!group_.voting() || !group_.has_quorum_contact() || !lease_is_free()) {
     request_at_.reset();
-    return schedule_check(kCheckInterval);
+    return schedule_check(kLeaseCheckInterval);
   }
   const TimePoint now = group_.runtime().now();
   if (!request_at_) request_at_ = now + election_delay();
   if (now >= *request_at_) return request_lease();
   const Millis left = std::chrono::duration_cast<Millis>(*request_at_ - now) + Millis(1);
-  schedule_check(std::min(left, kCheckInterval));
+  schedule_check(std::min(left, kLeaseCheckInterval));
 }
 
 bool LeasedShard::lease_is_free() const {
@@ -52,15 +53,15 @@
 }
 
 Millis LeasedShard::election_delay() const {
-  // A former holder after a restart: the other candidates wait for the end of its lease.
+  // This node held the lease before a restart: the other candidates wait until it expires.
   if (group_.lease_in_force(name_)) return Millis(0);
-  const auto order = [this](std::uint64_t member) {
+  const auto rank_hash = [this](std::uint64_t member) {
     return stable_hash(name_ + "/" + std::to_string(member));
   };
-  const std::uint64_t own_order = order(group_.self_id());
+  const std::uint64_t own_rank_hash = rank_hash(group_.self_id());
   const std::vector<std::uint64_t> voters = group_.reachable_voters();
-  const Millis::rep rank = std::count_if(voters.begin(), voters.end(),
-                                         [&](std::uint64_t member) { return order(member) < own_order; });
+  const Millis::rep rank = std::count_if(
+      voters.begin(), voters.end(), [&](std::uint64_t member) { return rank_hash(member) < own_rank_hash; });
   const auto other_leases = static_cast<Millis::rep>(group_.own_lease_count());
   const auto jitter = static_cast<Millis::rep>(group_.runtime().random() % kMaxJitterMs);
   return kRankDelay * rank + kOtherLeaseDelay * other_leases + Millis(jitter);
@@ -80,14 +81,14 @@
 
 void LeasedShard::write(std::vector<ShardChange> changes, std::function<void(ShardWriteOutcome)> done) {
   if (leads()) return leadership_->write(changes, std::move(done));
-  // The lease may have run out only since the caller looked, and may be renewed yet. But the caller's later
-  // writes build on this one, so none may follow under this epoch.
+  // The lease may have expired only after the caller checked it, and may still be renewed. But the caller's
+  // later writes depend on this one, so none of them may succeed under this epoch.
   if (leadership_) leadership_->abandon();
   group_.defer([done = std::move(done)] { done(ShardWriteOutcome::lost); });
 }
 
 void LeasedShard::on_membership_changed() {
-  // Keeps the leadership while its callbacks may end it or destroy this object.
+  // Keeps the leadership alive, as its callbacks may end it or destroy this object.
   const std::shared_ptr<ShardLeadership> leadership = leadership_;
   if (leadership) leadership->on_membership_changed();
 }
--- a/src/cluster/consensus/leased_shard.hpp
+++ b/src/cluster/consensus/leased_shard.hpp
@@ -1,4 +1,4 @@
-// One node's part in one shard: stands for the lease while nobody holds it, and leads while it holds it.
+// One node's participation in one shard: requests the lease while it is free, and leads while it holds it.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
 
 // Election: each voting node with quorum contact that knows of no lease in force waits for a delay and then
 // requests the lease under an epoch above all that it has promised or seen. The delay ranks the candidates
-// differently for each shard and puts nodes that lead other shards last, so that as a rule one candidate at a
-// time asks and the leases spread over the nodes. Safety doesn't depend on it: whoever gets a majority leads
-// (see shard_leadership.hpp).
+// differently for each shard and puts nodes that lead other shards last, so that usually only one candidate
+// requests the lease at a time and the leases are distributed over the nodes. Safety doesn't depend on the
+// delay: only a candidate whose request a majority grants leads (see shard_leadership.hpp).
 class LeasedShard : public ReplicatedShard {
  public:
   // `group` must outlive this object.
@@ -30,7 +30,7 @@
   void write(std::vector<ShardChange> changes, std::function<void(ShardWriteOutcome)> done) override;
   void step_down() override;
 
-  // The group's member record, or this node's place in it, has changed.
+  // To be called after the member record, or this node's status in it, has changed.
   void on_membership_changed();
 
  private:
--- a/src/cluster/consensus/local_membership.cpp
+++ b/src/cluster/consensus/local_membership.cpp
@@ -15,8 +15,8 @@
 const std::string kIdentityStoreKey = "identity";
 const std::string kRecordStoreKey = "members";
 
-// True if the record promotes this node from a learner, and its disk holds the copy that the promotion rests
-// on.
+// True if the record promotes this node from a learner and its disk holds the copy of the state that the
+// promotion requires.
 bool is_promoted_with_copy(const wire::MemberRecord& record, const wire::NodeIdentity& identity) {
   const wire::Member* self = find_member(record, identity.id());
   return self != nullptr && self->copied_epoch() != 0 && identity.copied_epoch() >= self->copied_epoch();
@@ -57,7 +57,7 @@
     identity.set_synchronized(true);  // An empty group has no state to copy.
     record = founding_record(settings_);
   } else {
-    identity.set_id(draw_unique_id(runtime_, settings_.internal_address()));
+    identity.set_id(generate_unique_id(runtime_, settings_.internal_address()));
   }
   StoreBatch batch{{kIdentityStoreKey, identity.SerializeAsString()}};
   if (record.epoch() > 0) batch.push_back({kRecordStoreKey, record.SerializeAsString()});
@@ -76,7 +76,7 @@
   const bool left_out = is_member() && find_member(record, identity.id()) == nullptr;
   if (left_out || was_removed(record, identity.id())) {
     identity.Clear();
-    identity.set_id(draw_unique_id(runtime_, settings_.internal_address()));
+    identity.set_id(generate_unique_id(runtime_, settings_.internal_address()));
     batch.push_back({kIdentityStoreKey, identity.SerializeAsString()});
   } else if (is_promoted_with_copy(record, identity)) {
     identity.set_synchronized(true);
@@ -89,8 +89,7 @@
 
 void LocalMembership::use_record(const wire::MemberRecord& record, const wire::NodeIdentity& identity) {
   record_ = record;
-  // A state transfer may have become durable since the write began: what it changed is kept unless the id is
-  // new.
+  // A state transfer may have become durable since the write began: keeps its changes unless the id is new.
   if (identity.id() != identity_.id()) identity_ = identity;
   if (identity.synchronized()) identity_.set_synchronized(true);
   update_status();
@@ -111,7 +110,7 @@
   StoreBatch batch = std::move(transferred_state);
   batch.push_back({kIdentityStoreKey, identity.SerializeAsString()});
   commit_queue_.commit(std::move(batch), [this, identity] {
-    if (identity_.id() != identity.id()) return;  // removed meanwhile
+    if (identity_.id() != identity.id()) return;  // this node was removed in the meantime
     identity_.set_synchronized(identity_.synchronized() || identity.synchronized());
     identity_.set_copied_epoch(identity.copied_epoch());
     update_status();
--- a/src/cluster/consensus/member_joiner.cpp
+++ b/src/cluster/consensus/member_joiner.cpp
@@ -12,13 +12,13 @@
 
 constexpr Millis kVerifyTimeout{500};
 constexpr std::size_t kMaxCandidatesTracked = 64;
-// Machines that copy the state at the same time; each costs its sources a full transfer.
+// Machines that may copy the state at the same time; each one takes a full transfer from its sources.
 constexpr int kMaxLearners = 4;
 // A member without contact for this long may be about to be replaced.
 constexpr Millis kRecentContact{700};
-// For this time after its start a node lets the group grow at once, as the founders come up one by one. Later
-// a candidate has to wait before the group grows, since a member may just have failed whose place it can
-// take.
+// For this time after its start a node lets the group grow immediately, as the founders start one by one.
+// Later a candidate has to wait for kGrowthDelay before the group grows, since a member that it can replace
+// may just have failed.
 constexpr Millis kFoundingPeriod{5000};
 constexpr Millis kGrowthDelay{1000};
 
@@ -32,7 +32,7 @@
   return static_cast<std::size_t>(record.members_size());
 }
 
-// True if the group has its largest size, and keeps a majority of reachable voters without the member.
+// True if the group has its largest size and still has a majority of reachable voters without the member.
 bool can_remove(const wire::MemberRecord& record, std::uint64_t id, const GroupContext& group) {
   const bool large_enough = size_of(record) >= record.largest();
   return large_enough && may_remove_member(record, id) &&
@@ -70,7 +70,7 @@
   return with_promoted(record, id);
 }
 
-// The member at the candidate's address under another id: the candidate is its machine after it lost its
+// The member with the candidate's address but another id: the candidate is the same machine after it lost its
 // disk.
 const wire::Member* find_predecessor(const wire::MemberRecord& record, const wire::Member& candidate) {
   for (const wire::Member& member : record.members()) {
@@ -126,7 +126,7 @@
   answer.set_member(find_member(group_.record(), request.candidate().id()) != nullptr);
   *answer.mutable_record() = group_.record();
   reply(std::move(envelope));
-  if (!busy_ && may_join(request.candidate())) verify_candidate(request.candidate());
+  if (!admission_in_progress_ && may_join(request.candidate())) verify_candidate(request.candidate());
 }
 
 bool MemberJoiner::may_join(const wire::Member& candidate) const {
@@ -147,13 +147,13 @@
 }
 
 void MemberJoiner::verify_candidate(const wire::Member& candidate) {
-  busy_ = true;
+  admission_in_progress_ = true;
   wire::Envelope request;
   wire::MemberPing& ping = *request.mutable_member_ping();
   ping.set_from(group_.self_id());
   ping.set_member_epoch(group_.record().epoch());
   group_.call(candidate, std::move(request), kVerifyTimeout, [this, candidate](const CallResult& result) {
-    busy_ = false;
+    admission_in_progress_ = false;
     const bool is_running = result.answer && result.answer->has_member_ping() &&
                             result.answer->member_ping().from() == candidate.id();
     if (!is_running || !may_join(candidate)) return;
@@ -167,12 +167,12 @@
   const std::optional<wire::MemberRecord> next = next_member_record(
       base, candidate, group_, peers_, growth_for(candidate.member.id()), unreachable_after_);
   if (!next) return;
-  busy_ = true;
+  admission_in_progress_ = true;
   const bool frees_place = next->members_size() < base.members_size();
   change_member_record(
       registers_, base, *next,
       [this, candidate = candidate.member, frees_place](const std::optional<wire::MemberRecord>& chosen) {
-        busy_ = false;
+        admission_in_progress_ = false;
         if (!chosen) return;
         if (frees_place) pending_candidate_ = candidate;
         on_record_(*chosen);
@@ -182,7 +182,7 @@
 void MemberJoiner::on_record_adopted() {
   if (!pending_candidate_) return;
   const wire::Member candidate = *std::exchange(pending_candidate_, std::nullopt);
-  if (!busy_ && may_join(candidate)) verify_candidate(candidate);
+  if (!admission_in_progress_ && may_join(candidate)) verify_candidate(candidate);
 }
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/member_pinger.hpp
+++ b/src/cluster/consensus/member_pinger.hpp
@@ -10,9 +10,9 @@
 
 namespace winchhall::cluster {
 
-// Called for what a ping or the answer to one brings. Both are called on the event loop.
+// Notifications of news in a ping or in the answer to one. Both are called on the event loop.
 struct PingCallbacks {
-  // The sender, reached at this address, knows a newer member record than this node.
+  // The sender, which is reachable at this address, knows a newer member record than this node.
   std::function<void(const Address& sender)> on_newer_member_record;
   // The ballot of the newest configuration that the sender knows to be chosen; counter 0: none.
   std::function<void(const wire::Ballot& ballot)> on_configuration_ballot;
@@ -23,15 +23,15 @@
 // ballot of the configuration that it knows. All references must outlive this object.
 class MemberPinger {
  public:
-  // `address`: this node's internal listener. `copied_epoch`: member epoch under which this node copied the
-  // state last.
+  // `address`: this node's internal listener. `copied_epoch` returns the member epoch under which this node
+  // last copied the state.
   MemberPinger(GroupContext& group, const Acceptor& acceptor, PeerTable& peers, Address address,
                std::function<std::uint64_t()> copied_epoch, PingCallbacks callbacks);
 
   // Pings every other member and learner of the newest member record once.
   void ping_members();
-  // Answers another node's ping. A sender without recent contact is pinged at once, so that a restarted
-  // member counts without waiting for the next interval.
+  // Answers another node's ping. A sender without recent contact is pinged immediately, so that a
+  // restarted member counts as reachable before the next interval.
   void handle(const wire::MemberPing& ping, const ReplyCallback& reply);
 
  private:
--- a/src/cluster/consensus/member_record.cpp
+++ b/src/cluster/consensus/member_record.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-// Members outside a quorum: they may lack what was acknowledged under this record.
+// Number of members outside a smallest quorum. They may lack what was acknowledged under this record.
 std::size_t outside_quorum(const wire::MemberRecord& record) {
   return static_cast<std::size_t>(record.members_size()) - majority(record);
 }
 
-// The bound that the record's successor carries (see the argument in the header).
+// The stale bound of the record's successor (see the argument in the header).
 std::size_t next_stale_bound(const wire::MemberRecord& record) {
   return std::max<std::size_t>(record.stale_bound(), outside_quorum(record));
 }
 
-// The bound on the confirmed members alone. A version of the program that knows no learners hands on an old
-// value.
+// The stale bound for the confirmed members alone. A version of the program without learners copies an old
+// value of this field into the next record.
 std::size_t confirmed_stale_bound(const wire::MemberRecord& record) {
   const bool valid = record.unconfirmed() != 0 && record.confirmed_bound_epoch() == record.epoch();
   return valid ? record.confirmed_stale_bound() : record.stale_bound();
@@ -29,7 +29,7 @@
   record.set_confirmed_bound_epoch(record.epoch());
 }
 
-// The bound that the successor without this member carries.
+// The stale bound of the successor without this member.
 std::size_t bound_without(const wire::MemberRecord& record, std::uint64_t id) {
   const bool unconfirmed = id != 0 && record.unconfirmed() == id;
   return unconfirmed ? std::max(confirmed_stale_bound(record), outside_quorum(record))
@@ -150,7 +150,7 @@
   wire::MemberRecord next = without_learner(record, id);
   add_member(next, member);
   const std::size_t bound = std::max<std::size_t>(record.stale_bound(), outside_quorum(record) + 1);
-  // An even group: the grown one's own bound is no smaller, so nothing is gained by confirming.
+  // In a group of even size the bound of the grown group is no smaller, so a confirmation would gain nothing.
   const bool confirmed_at_once = bound <= std::max<std::size_t>(next.stale_bound(), outside_quorum(next));
   if (!confirmed_at_once) {
     next.set_unconfirmed(id);
@@ -179,7 +179,7 @@
 }
 
 bool has_excess_member(const wire::MemberRecord& record, std::uint64_t id) {
-  constexpr int kMinSize = 4;  // a group of two keeps both replicas
+  constexpr int kMinSize = 4;  // a group of two keeps both members, for a second replica
   const auto members = static_cast<std::uint32_t>(record.members_size());
   return record.members_size() >= kMinSize && members % 2 == 0 && members >= record.largest() &&
          may_remove_member(record, id);
--- a/src/cluster/consensus/member_record_exchange.cpp
+++ b/src/cluster/consensus/member_record_exchange.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis kRecordCallTimeout{500};
-constexpr Millis kPushInterval{50};  // at most one push to a member in this time
+constexpr Millis kMinPushInterval{50};  // between two pushes to the same member
 
 }  // namespace
 
@@ -34,7 +34,7 @@
 void MemberRecordExchange::fetch(const Address& address) {
   if (fetch_in_flight_) return;
   wire::Envelope request;
-  request.mutable_join_request();  // no candidate: only the record is wanted
+  request.mutable_join_request();  // without a candidate: only requests the record
   request_record(address, std::move(request), fetch_in_flight_);
 }
 
@@ -49,7 +49,7 @@
 void MemberRecordExchange::push(const wire::Member& member) {
   const TimePoint now = group_.runtime().now();
   TimePoint& pushed_at = pushed_at_[member.id()];
-  if (member.id() == group_.self_id() || now - pushed_at < kPushInterval) return;
+  if (member.id() == group_.self_id() || now - pushed_at < kMinPushInterval) return;
   pushed_at = now;
   wire::Envelope message;
   wire::RegisterChosen& chosen = *message.mutable_register_chosen();
@@ -58,8 +58,8 @@
   rpc_.call(member.address(), std::move(message), kRecordCallTimeout, [](const CallResult&) {});
 }
 
-// Also a member does whose former identity, before it lost its disk, is still in the record: the group then
-// removes that one.
+// A member also does while the record still contains its former identity from before it lost its disk, so
+// that the group removes that one.
 bool MemberRecordExchange::wants_to_join() const {
   if (!settings_.counts_for_quorum) return false;
   const wire::Member self = membership_.self();
@@ -75,7 +75,8 @@
   std::vector<Address> targets;
   for (const wire::Member& member : membership_.record().members()) targets.push_back(member.address());
   targets.insert(targets.end(), seeds_.begin(), seeds_.end());
-  if (!group_.has_quorum_contact()) targets.insert(targets.end(), sampled_.begin(), sampled_.end());
+  if (!group_.has_quorum_contact())
+    targets.insert(targets.end(), sampled_control_.begin(), sampled_control_.end());
   std::sort(targets.begin(), targets.end());
   targets.erase(std::unique(targets.begin(), targets.end()), targets.end());
   std::erase(targets, settings_.internal_address());
--- a/src/cluster/consensus/member_record_exchange.hpp
+++ b/src/cluster/consensus/member_record_exchange.hpp
@@ -1,4 +1,4 @@
-// Spreads the newest member record between control nodes, and asks for this node's admission to the group.
+// Distributes the newest member record between control nodes and requests this node's admission to the group.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 namespace winchhall::cluster {
 
-// A node that sees another one at an older epoch sends it the record, one at a newer epoch is asked for it. A
-// node that isn't a member, or that has no contact with a majority, asks members, seeds and sampled control
-// nodes in turn. All references must outlive this object.
+// This node sends its record to nodes at an older epoch and requests the record from nodes at a newer one.
+// While it isn't a member, or has no contact with a majority, it sends requests to members, seeds and sampled
+// control nodes in turn. All references must outlive this object.
 class MemberRecordExchange {
  public:
   // `on_record` is called with every record received, also with known and older ones.
@@ -23,19 +23,19 @@
                        const NodeSettings& settings,
                        std::function<void(const wire::MemberRecord& record)> on_record);
 
-  // Internal listeners of the seeds; those of the settings at first.
+  // Replaces the internal listeners of the seeds, which are initially those of the settings.
   void set_seeds(std::vector<Address> seeds) { seeds_ = std::move(seeds); }
   // Internal listeners of control nodes found by peer sampling: asked while there is no quorum contact.
-  void set_sampled_control(std::vector<Address> nodes) { sampled_ = std::move(nodes); }
+  void set_sampled_control(std::vector<Address> nodes) { sampled_control_ = std::move(nodes); }
 
   // A member answered under another epoch than this node's: brings the older side up to date.
   void on_member_epoch_observed(std::uint64_t epoch, const wire::Member& member);
-  // Asks one node for its record. One request at a time; further ones are dropped.
+  // Requests the record of one node. Ignored while an earlier request is in flight.
   void fetch(const Address& address);
-  // Asks the next node for admission if this node should be a member and isn't, and for the record while
-  // there is no quorum contact. To be called periodically.
+  // Sends the next node a request for admission if this node should be a member and isn't, or a request for
+  // the record while there is no quorum contact. To be called periodically.
   void request_to_join();
-  // This node is about to end: no more requests for admission.
+  // Sends no further requests for admission, as this node is about to shut down.
   void stop_joining() { leaving_ = true; }
 
  private:
@@ -50,7 +50,7 @@
   const NodeSettings& settings_;
   const std::function<void(const wire::MemberRecord& record)> on_record_;
   std::vector<Address> seeds_;
-  std::vector<Address> sampled_;
+  std::vector<Address> sampled_control_;
   bool fetch_in_flight_ = false;
   bool join_in_flight_ = false;
   bool leaving_ = false;
--- a/src/cluster/consensus/member_rpc_client.cpp
+++ b/src/cluster/consensus/member_rpc_client.cpp
@@ -5,11 +5,11 @@
 namespace winchhall::cluster {
 
 MemberRpcClient::MemberRpcClient(Runtime& runtime, RequestHandler local)
-    : runtime_(runtime), local_(std::move(local)) {}
+    : runtime_(runtime), handle_local_(std::move(local)) {}
 
 void MemberRpcClient::call_local(const wire::Envelope& request, std::function<void(CallResult)> done) {
   auto caller = std::make_shared<std::function<void(CallResult)>>(std::move(done));
-  local_(request, [this, alive = std::weak_ptr(alive_), caller](wire::Envelope answer) {
+  handle_local_(request, [this, alive = std::weak_ptr(alive_), caller](wire::Envelope answer) {
     if (alive.expired() || !*caller) return;
     defer([done = std::exchange(*caller, nullptr), answer = std::move(answer)]() mutable {
       done(CallResult{std::move(answer), CallError::timed_out});
--- a/src/cluster/consensus/member_rpc_client.hpp
+++ b/src/cluster/consensus/member_rpc_client.hpp
@@ -1,4 +1,4 @@
-// Calls to members of the group whose answers are dropped once the group is gone.
+// Calls to members of the group whose answers are dropped once the group is destroyed.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,14 @@
 
 namespace winchhall::cluster {
 
-// After this object is destroyed no callback given to it is called any more, so that callbacks may refer to
-// anything that lives as long. No callback is called from within the function it was given to.
+// No callback is called after this object is destroyed, so callbacks may refer to objects that live as long
+// as this one. No callback is called from within the function to which it was passed.
 class MemberRpcClient {
  public:
   // `local` handles the requests of this node to itself. `runtime` must outlive this object.
   MemberRpcClient(Runtime& runtime, RequestHandler local);
 
-  // Calls this node itself without the network.
+  // Sends a request to this node itself, without using the network.
   void call_local(const wire::Envelope& request, std::function<void(CallResult)> done);
   void call(const Address& address, wire::Envelope request, Millis timeout,
             std::function<void(CallResult)> done);
@@ -27,7 +27,7 @@
   void run_deferred();
 
   Runtime& runtime_;
-  const RequestHandler local_;
+  const RequestHandler handle_local_;
   std::vector<std::function<void()>> deferred_;
   std::unique_ptr<Timer> deferred_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/cluster/consensus/membership_status.hpp
+++ b/src/cluster/consensus/membership_status.hpp
@@ -1,4 +1,4 @@
-// What an acceptor has to know of its own place in the control group.
+// What a node's acceptor needs to know about the node's membership in the control group.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 struct MembershipStatus {
   std::uint64_t id = 0;            // this node's member id; 0: none yet
   std::uint64_t member_epoch = 0;  // of the newest durable member record; 0: none
-  // This node belongs to that record and holds the state on which it votes. Answers of an acceptor that
-  // doesn't vote count for no majority.
+  // This node is a member of that record and holds the state that voting requires. The answers of an acceptor
+  // that doesn't vote never count for a majority.
   bool voting = false;
 };
 
--- a/src/cluster/consensus/peer_table.cpp
+++ b/src/cluster/consensus/peer_table.cpp
@@ -7,8 +7,8 @@
 namespace winchhall::cluster {
 
 namespace {
-// Unanswered pings in a row. Time alone isn't enough: a node that was suspended itself finds several of its
-// pings unanswered at once.
+// Consecutive unanswered pings. Elapsed time alone isn't sufficient: to a node that was itself suspended,
+// several of its pings appear unanswered at once.
 constexpr unsigned kUnreachableAfterFailures = 6;
 }  // namespace
 
@@ -98,7 +98,7 @@
   return peer ? peer->last_contact_at : TimePoint{};
 }
 
-std::optional<wire::ShardLeader> PeerTable::describe(const ReportedLease& lease) const {
+std::optional<wire::ShardLeader> PeerTable::unexpired_leader(const ReportedLease& lease) const {
   const TimePoint now = runtime_.now();
   if (now >= lease.expiry) return std::nullopt;
   wire::ShardLeader leader = lease.leader;
@@ -109,13 +109,14 @@
 
 std::optional<wire::ShardLeader> PeerTable::leader(const std::string& shard) const {
   const auto found = leases_.find(shard);
-  return found == leases_.end() ? std::nullopt : describe(found->second);
+  return found == leases_.end() ? std::nullopt : unexpired_leader(found->second);
 }
 
 std::vector<wire::ShardLeader> PeerTable::leaders() const {
   std::vector<wire::ShardLeader> leaders;
   for (const auto& [shard, lease] : leases_) {
-    if (std::optional<wire::ShardLeader> leader = describe(lease)) leaders.push_back(std::move(*leader));
+    if (std::optional<wire::ShardLeader> leader = unexpired_leader(lease))
+      leaders.push_back(std::move(*leader));
   }
   return leaders;
 }
--- a/src/cluster/consensus/peer_table.hpp
+++ b/src/cluster/consensus/peer_table.hpp
@@ -1,4 +1,4 @@
-// What this node knows of the other members from pings: reachability, votes, leases.
+// What this node knows about the other members from pings: reachability, voting status, leases.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,12 @@
 
 namespace winchhall::cluster {
 
-// A member that answered a ping sent at most this long ago is in contact.
+// A member is in contact if it answered a ping that was sent at most this long ago.
 constexpr Millis kContactTimeout{1000};
 
-// One entry for each member of the newest record, and the newest lease that any of them reported for each
-// shard. Times are those of the sending of a ping, by this node's steady clock, so that a late answer never
-// makes a member look more recently reachable than it was.
+// Owns one entry for each member and learner of the newest record, and the newest lease that any of them
+// reported for each shard. Contact times are the times at which pings were sent, by this node's steady clock,
+// so that a late answer never makes a member appear reachable more recently than it was.
 class PeerTable {
  public:
   // `runtime` must outlive this object.
@@ -24,11 +24,11 @@
 
   // Keeps entries for exactly the members and learners of this record.
   void track_members(const wire::MemberRecord& record);
-  // A member answered a ping that was sent at `sent_at`; `voting`: as it says.
+  // A member answered a ping that was sent at `sent_at`. `voting`: whether the answer says that it votes.
   void on_ping_answered(std::uint64_t member, TimePoint sent_at, bool voting);
-  // A ping to the member failed or stayed unanswered.
+  // A ping to the member failed or was not answered in time.
   void on_ping_failed(std::uint64_t member);
-  // Takes over the confirmed leases that a ping reports, if newer or longer than those known.
+  // Adopts the confirmed leases that a ping reports, if they are newer or last longer than those known.
   void record_reported_leases(const wire::MemberPing& ping);
   // The member announced that it reads configuration records with snapshots.
   void set_reads_snapshots(std::uint64_t member);
@@ -37,7 +37,7 @@
 
   // True if the member answered a ping that was sent within this time.
   bool contacted_within(std::uint64_t member, Millis duration) const;
-  // True if the member voted by its newest answer.
+  // True if the member's newest answer says that it votes.
   bool votes(std::uint64_t member) const;
   bool reads_snapshots(std::uint64_t member) const;
   bool knows_learners(std::uint64_t member) const;
@@ -46,7 +46,7 @@
   // When the newest answered ping was sent; before the first answer, when the member was first tracked.
   TimePoint last_contact_at(std::uint64_t member) const;
 
-  // The newest lease on a shard that other members reported and that has not expired; none: no such lease.
+  // The newest unexpired lease on a shard that other members reported, if any.
   std::optional<wire::ShardLeader> leader(const std::string& shard) const;
   std::vector<wire::ShardLeader> leaders() const;
 
@@ -67,18 +67,18 @@
   void track(std::uint64_t member);
   const Peer* find(std::uint64_t member) const;
   Peer* find(std::uint64_t member);
-  // The lease with its remaining time as of now; none: expired.
-  std::optional<wire::ShardLeader> describe(const ReportedLease& lease) const;
+  // The leader that the lease names, with the lease's remaining time as of now; none if it has expired.
+  std::optional<wire::ShardLeader> unexpired_leader(const ReportedLease& lease) const;
 
   Runtime& runtime_;
   std::map<std::uint64_t, Peer> peers_;          // by member id
   std::map<std::string, ReportedLease> leases_;  // by shard
 };
 
-// Of the members that are unreachable for this time, the one that has been so for the longest; null: none.
+// The member that has been unreachable for the longest time, if that is longer than `duration`; null: none.
 const wire::Member* find_unreachable_member(const wire::MemberRecord& record, const PeerTable& peers,
                                             Millis duration);
-// The same of the learners.
+// Like `find_unreachable_member`, for learners.
 const wire::Member* find_unreachable_learner(const wire::MemberRecord& record, const PeerTable& peers,
                                              Millis duration);
 
--- a/src/cluster/consensus/quorum_register_client.hpp
+++ b/src/cluster/consensus/quorum_register_client.hpp
@@ -1,4 +1,4 @@
-// The proposer of one node: changes registers by ballots, with retries.
+// The proposer of one node: changes registers by Paxos ballots, with retries.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,14 @@
 
 namespace winchhall::cluster {
 
-// Changes of one register that are made here are carried out one after another, changes of different
-// registers at the same time. An attempt that ends without a chosen value is repeated under a higher ballot
-// after a random time (exponential backoff, so that competing proposers get out of each other's way), until
-// the change's time is over.
+// Executes changes of one register one after another and changes of different registers concurrently. An
+// attempt that ends without a chosen value is repeated under a higher ballot until the change times out. The
+// pauses between attempts are random with exponential backoff, so that competing proposers do not keep
+// preempting each other.
 class QuorumRegisterClient : public RegisterClient {
  public:
-  // Called with every value that an attempt of this node found or made chosen; `newly_chosen`: the attempt
-  // made it so.
+  // Called with every chosen value that an attempt of this node found or established. `newly_chosen`: the
+  // attempt established it.
   using ChosenListener =
       std::function<void(const std::string& key, const RegisterValue& value, bool newly_chosen)>;
 
@@ -31,9 +31,9 @@
 
   void update(const std::string& key, RegisterChange change, Millis timeout,
               std::function<void(std::optional<RegisterValue>)> done) override;
-  // Drops the state of registers that are never needed again, unless a change of them is in progress.
+  // Deletes the state of registers that are never needed again, unless a change of them is in progress.
   void drop(const std::function<bool(const std::string& key)>& unneeded);
-  // A value was learned to be chosen: acceptors need not send it once more.
+  // Records that a value is known to be chosen, so that acceptors need not send it again.
   void on_value_chosen(const std::string& key, const RegisterValue& value);
 
  private:
@@ -48,7 +48,7 @@
     std::deque<std::shared_ptr<Update>> updates;  // the first one is in progress
     std::shared_ptr<RegisterAttempt> attempt;     // of the first update; null: none, or waiting for a retry
     std::unique_ptr<Timer> retry;
-    unsigned failures = 0;  // attempts in a row
+    unsigned failures = 0;  // consecutive failed attempts
   };
 
   void start_attempt(const std::string& key);
--- a/src/cluster/consensus/register_acceptor.hpp
+++ b/src/cluster/consensus/register_acceptor.hpp
@@ -1,4 +1,4 @@
-// The acceptor of the Paxos registers, and what it has learned of chosen values.
+// The acceptor of the Paxos registers, and the chosen values that it has learned.
 #pragma once
 
 #include <functional>
@@ -13,40 +13,40 @@
 namespace winchhall::cluster {
 
 // Invariants, for each register:
-//   - The promised ballot never falls, and nothing below it is accepted.
+//   - The promised ballot never decreases, and nothing below it is accepted.
 //   - A promise or an acceptance is answered only once it is durable.
-//   - Only requests of this node's member epoch are carried out, so that a quorum consists of acceptors that
-//     know the same member record (see member_record.hpp). Others get an answer with this node's epoch.
+//   - Only requests of this node's member epoch are executed, so that all acceptors of a quorum know the same
+//     member record (see member_record.hpp). Other requests are answered with this node's epoch.
 class RegisterAcceptor {
  public:
-  // Called with every newer value that is learned to be chosen.
+  // Called with every newer chosen value that this acceptor learns.
   using ChosenListener = std::function<void(const std::string& key, const RegisterValue& value)>;
 
-  // The references must outlive this object; `status` is read at every request.
+  // The references must outlive this object. `status` is read at every request.
   RegisterAcceptor(CommitQueue& commit_queue, const MembershipStatus& status, ChosenListener on_chosen);
 
-  // Loads a stored state at the start.
+  // Loads a stored state at startup.
   void load(const std::string& key, const wire::RegisterState& state);
 
   // Phase 1: promises to accept nothing below the ballot, and reports the newest accepted value.
   void prepare(const wire::RegisterPrepare& request, const ReplyCallback& reply);
   // Phase 2: accepts the value unless a higher ballot was promised.
   void accept(const wire::RegisterAccept& request, const ReplyCallback& reply);
-  // A value is known to be chosen. Stores it, also as accepted unless a higher ballot was promised.
+  // Stores a value that is known to be chosen. Also accepts it unless a higher ballot was promised.
   void learn(const std::string& key, const RegisterValue& value);
 
-  // Drops registers that are never needed again.
+  // Deletes registers that are never needed again.
   void drop(const std::function<bool(const std::string& key)>& unneeded);
 
-  // The newest value known to be chosen; none: no chosen value is known.
+  // The newest value known to be chosen, if any.
   std::optional<RegisterValue> chosen(const std::string& key) const;
-  // Ballot of a value that was accepted here and is not known to be chosen; counter 0: there is none.
+  // Ballot of a value that was accepted here but is not known to be chosen; counter 0: there is none.
   wire::Ballot unresolved_ballot(const std::string& key) const;
 
   // All registers by key, for a state transfer to a newcomer.
   const std::map<std::string, wire::RegisterState>& states() const { return states_; }
-  // Joins another acceptor's state into this one, for a newcomer: the higher promise and the value accepted
-  // under the higher ballot. The changes are appended to `batch`.
+  // Merges another acceptor's state into this one, for a newcomer: takes the higher promise and the value
+  // accepted under the higher ballot. The changes are appended to `batch`.
   void merge(const std::string& key, const wire::RegisterState& other, StoreBatch& batch);
 
  private:
--- a/src/cluster/consensus/register_attempt.cpp
+++ b/src/cluster/consensus/register_attempt.cpp
@@ -62,7 +62,8 @@
   if (done_ && phase == phase_) fail_if_majority_impossible();
 }
 
-bool RegisterAttempt::counts(std::uint64_t acceptor, bool voting, std::uint64_t member_epoch) const {
+bool RegisterAttempt::counts_for_majority(std::uint64_t acceptor, bool voting,
+                                          std::uint64_t member_epoch) const {
   return voting && member_epoch == record_.epoch() && find_member(record_, acceptor) != nullptr;
 }
 
@@ -72,7 +73,7 @@
 }
 
 void RegisterAttempt::on_promise(const wire::RegisterPromise& promise) {
-  if (!counts(promise.acceptor(), promise.voting(), promise.member_epoch())) {
+  if (!counts_for_majority(promise.acceptor(), promise.voting(), promise.member_epoch())) {
     rejected_ = true;
     return;
   }
@@ -88,7 +89,7 @@
 }
 
 void RegisterAttempt::on_accepted(const wire::RegisterAccepted& accepted) {
-  if (!counts(accepted.acceptor(), accepted.voting(), accepted.member_epoch())) {
+  if (!counts_for_majority(accepted.acceptor(), accepted.voting(), accepted.member_epoch())) {
     rejected_ = true;
     return;
   }
--- a/src/cluster/consensus/register_attempt.hpp
+++ b/src/cluster/consensus/register_attempt.hpp
@@ -12,10 +12,11 @@
 
 namespace winchhall::cluster {
 
+// How one ballot ended.
 enum class AttemptOutcome {
   chosen,       // `value` is chosen by a majority
   rejected,     // an acceptor promised a higher ballot, or knows another member record
-  no_majority,  // no majority answered; nothing is known about rejections
+  no_majority,  // no majority answered, and no answer was a rejection
 };
 
 struct AttemptResult {
@@ -28,23 +29,23 @@
 // was the newest when the attempt was created.
 //
 // Invariants:
-//   - The value proposed derives from the accepted value with the highest ballot among a majority's promises,
-//     so that a value that is or may be chosen is never overwritten unseen.
+//   - The value proposed is derived from the accepted value with the highest ballot among a majority's
+//     promises, so that a value that is or may be chosen is never overwritten without having been read.
 //   - Only answers count that come from voting members of this record at its epoch, each member once.
 //   - A value is reported as chosen without an accept phase only if the whole majority had accepted it under
-//     one ballot (or nothing at all). Otherwise a part of the majority may not hold it, and a read has to
-//     have it accepted again under the own ballot.
+//     one ballot (or nothing at all). Otherwise some of the majority may not hold it, and a read has to get
+//     it accepted again under the attempt's own ballot.
 //
 // Keeps itself alive until it has ended; `done` is called exactly once, unless the attempt is cancelled.
 class RegisterAttempt : public std::enable_shared_from_this<RegisterAttempt> {
  public:
-  // `known`: a value known to be chosen; acceptors that hold just that don't send it. `group` must outlive
-  // the attempt or drop its calls' answers.
+  // `known`: a value known to be chosen. Acceptors that hold exactly this value don't send it. `group` must
+  // outlive the attempt or drop its calls' answers.
   RegisterAttempt(GroupContext& group, std::string key, wire::Ballot ballot, RegisterValue known,
                   RegisterChange change, std::function<void(AttemptResult)> done);
 
   void start();
-  // Ends the attempt without calling `done`; what it has sent may still take effect.
+  // Ends the attempt without calling `done`. Messages already sent may still take effect.
   void cancel() { done_ = nullptr; }
   // Highest ballot counter seen in any rejection; 0: none.
   std::uint64_t highest_counter() const { return highest_counter_; }
@@ -58,7 +59,7 @@
   void on_promise(const wire::RegisterPromise& promise);
   void on_accepted(const wire::RegisterAccepted& accepted);
   // True if the answer comes from a voting member of the attempt's record at its epoch.
-  bool counts(std::uint64_t acceptor, bool voting, std::uint64_t member_epoch) const;
+  bool counts_for_majority(std::uint64_t acceptor, bool voting, std::uint64_t member_epoch) const;
   void on_rejection(const wire::Ballot& highest);
   void fail_if_majority_impossible();
   void on_majority_promised();
--- a/src/cluster/consensus/register_service.cpp
+++ b/src/cluster/consensus/register_service.cpp
@@ -60,8 +60,8 @@
   }
 }
 
-// The members and learners, and those whom a new member record adds: a newcomer can copy the state, and vote,
-// only once it knows the record.
+// The members and learners, including those that a new member record adds: a newcomer can copy the state and
+// vote only once it knows the record.
 std::set<Address> RegisterService::commit_recipients(const std::string& key,
                                                      const RegisterValue& value) const {
   std::set<Address> recipients;
@@ -73,7 +73,7 @@
 
 void RegisterService::handle(const wire::RegisterChosen& chosen, const ReplyCallback& reply) {
   acceptor_.learn(chosen.key(), RegisterValue{chosen.ballot(), chosen.value()});
-  // A member record that another member pushes has no ballot, so the acceptor doesn't learn it.
+  // A member record that another member pushes has no ballot, so the acceptor ignores it.
   wire::MemberRecord record;
   if (chosen.key() == kMembersRegisterKey && record.ParseFromString(chosen.value())) {
     on_member_record_(record);
--- a/src/cluster/consensus/register_service.hpp
+++ b/src/cluster/consensus/register_service.hpp
@@ -1,4 +1,4 @@
-// The registers as one node uses them: changes, notifications of chosen values, watches.
+// One node's access to the registers: changes, notifications of chosen values, watches.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace winchhall::cluster {
 
-// Connects this node's proposer (`client`), its acceptor as a learner of chosen values, and its watches. A
-// value that an attempt of this node made chosen is sent to all members, so that they learn it without
-// reading from a majority; the notification may be lost (see register_watcher.hpp). All references must
-// outlive this object.
+// Owns this node's proposer (`client`) and its watches, and connects them with its acceptor, which learns the
+// chosen values. A value newly chosen by an attempt of this node is sent to all members and learners, so that
+// they learn it without reading from a majority. The notification may be lost (see register_watcher.hpp). All
+// references must outlive this object.
 class RegisterService {
  public:
-  // Called with every member record that is known to be chosen, also with known and older ones.
+  // Called with every member record that is known to be chosen, including known and older ones.
   using MemberRecordCallback = std::function<void(const wire::MemberRecord& record)>;
 
   // `proposer`: see QuorumRegisterClient. `address`: this node's internal listener.
@@ -30,11 +30,11 @@
   RegisterClient& client() { return client_; }
   RegisterWatcher& watcher() { return watcher_; }
 
-  // Drops the state kept here of registers that are never needed again.
+  // Deletes this node's state of registers that are never needed again.
   void drop(const std::function<bool(const std::string& key)>& unneeded);
-  // This node's acceptor has learned a newer chosen value.
+  // To be called when this node's acceptor has learned a newer chosen value.
   void on_value_learned(const std::string& key, const RegisterValue& value);
-  // Another member notifies this node of a chosen value.
+  // Handles another member's notification of a chosen value.
   void handle(const wire::RegisterChosen& chosen, const ReplyCallback& reply);
 
  private:
--- a/src/cluster/consensus/register_watcher.cpp
+++ b/src/cluster/consensus/register_watcher.cpp
@@ -21,7 +21,7 @@
 }
 
 void RegisterWatcher::notify_all() {
-  // A copy: a listener may add a watch.
+  // Iterates over a copy because a listener may add a watch.
   for (const std::shared_ptr<Watch>& watch : std::vector(watches_)) {
     if (const std::optional<RegisterValue> value = acceptor_.chosen(watch->key)) notify(*watch, *value);
   }
@@ -60,7 +60,7 @@
   if (is_lower(known_ballot, newest_reported_configuration_)) to_read_.insert(kConfigurationRegisterKey);
 }
 
-// The proposer of such a value may have acknowledged it and crashed before it notified anybody.
+// The proposer of such a value may have acknowledged it and crashed before it notified other members.
 void RegisterWatcher::add_unresolved_registers() {
   for (const std::shared_ptr<Watch>& watch : watches_) {
     const wire::Ballot unresolved = acceptor_.unresolved_ballot(watch->key);
@@ -71,11 +71,11 @@
 }
 
 void RegisterWatcher::read_from_majority(const std::string& key) {
-  if (!being_read_.insert(key).second) return;
+  if (!reads_in_progress_.insert(key).second) return;
   const auto leave_unchanged = [](const std::string&) { return std::nullopt; };
   client_.update(key, leave_unchanged, kRefreshReadTimeout,
                  [this, key](const std::optional<RegisterValue>& value) {
-                   being_read_.erase(key);
+                   reads_in_progress_.erase(key);
                    if (!value) to_read_.insert(key);
                  });
 }
--- a/src/cluster/consensus/replica_progress.cpp
+++ b/src/cluster/consensus/replica_progress.cpp
@@ -7,9 +7,10 @@
 namespace {
 
 constexpr unsigned kMaxBatchesInFlight = 4;
-constexpr std::size_t kBatchBytes = 128 << 10;
-// A stalled replica may keep in memory all that it is sent, so it is sent one record at a time.
-constexpr std::size_t kStalledBatchBytes = 1;
+constexpr std::size_t kMaxBatchBytes = 128 << 10;
+// A stalled replica may have to keep all that it receives in memory, so it is sent one record at a time. (A
+// batch is full once its size reaches the limit.)
+constexpr std::size_t kMaxStalledBatchBytes = 1;
 
 }  // namespace
 
@@ -38,10 +39,10 @@
 }
 
 std::optional<ReplicationBatch> ReplicaProgress::next_batch(const LeaderRecordTable& records) {
-  // One at a time until the replica is established, so that the last message can complete it.
+  // One batch at a time until the replica is established, so that the last one can establish it.
   const bool completing = content_known_ && !established_;
   const unsigned limit = completing || !responsive || stalled_ ? 1 : kMaxBatchesInFlight;
-  const std::size_t max_bytes = stalled_ ? kStalledBatchBytes : kBatchBytes;
+  const std::size_t max_bytes = stalled_ ? kMaxStalledBatchBytes : kMaxBatchBytes;
   if (batches_in_flight_ >= limit) return std::nullopt;
   ReplicationBatch batch;
   std::size_t bytes = 0;
@@ -74,7 +75,7 @@
       missing_.erase(missing);
       continue;
     }
-    // A newer version was made meanwhile: the replica misses only that one.
+    // A newer version was made in the meantime: the replica misses only that one.
     if (missing->second.since <= entry.change) {
       missing_by_change_.erase({missing->second.since, entry.key});
       missing->second.since = entry.change + 1;
--- a/src/cluster/consensus/replica_reader.hpp
+++ b/src/cluster/consensus/replica_reader.hpp
@@ -11,8 +11,8 @@
 
 namespace winchhall::cluster {
 
-// Reads under an epoch that the member has promised to this node: no earlier holder's write is carried out
-// there from the first page on. Keeps itself alive until it has ended.
+// Reads under an epoch that the member has promised to this node: from the first page on the member rejects
+// writes of earlier holders. Keeps itself alive until it has ended.
 class ReplicaReader : public std::enable_shared_from_this<ReplicaReader> {
  public:
   // Called once with the replica, or with none if the member didn't answer, has promised another epoch, or
--- a/src/cluster/consensus/shard_acceptor.cpp
+++ b/src/cluster/consensus/shard_acceptor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kShardPageBytes = 128 << 10;
-constexpr std::size_t kRecordOverheadBytes = 32;
+constexpr std::size_t kRecordOverheadBytes = 32;  // estimate for the fields beside key and value
 
 wire::Envelope to_envelope(wire::LeaseReply answer) {
   wire::Envelope envelope;
@@ -100,7 +100,7 @@
   }
   answer.set_voting(status_.voting);
   if (may_grant(shard, request)) return grant(request, std::move(answer), reply);
-  if (const std::optional<wire::ShardLeader> leader = describe(request.shard(), shard)) {
+  if (const std::optional<wire::ShardLeader> leader = unexpired_leader(request.shard(), shard)) {
     answer.set_holder(leader->holder());
     answer.set_holder_address(leader->address());
     answer.set_remaining_ms(leader->remaining_ms());
@@ -194,7 +194,7 @@
   answer.set_epoch(request.epoch());
   StoreBatch batch;
   // Only the session to which a majority promised this epoch writes under it, so its write replaces any other
-  // promise that was made here.
+  // promise of this acceptor.
   const wire::ShardState writer = promise_to(request);
   Lease& lease = shards_[name].lease;
   if (lease.epoch == request.epoch() && lease.session == request.session()) lease.confirmed = true;
@@ -223,7 +223,7 @@
   ShardReplica& replica = shards_[name].replica;
   replica.state.set_base(std::max(replica.state.base(), epoch));
   batch.push_back(stored_state(name, replica.state));
-  // Tombstones of earlier epochs are no longer needed: no older version counts beside the new base.
+  // Tombstones of earlier epochs are no longer needed: a merge with the new base ignores older versions.
   std::erase_if(replica.records, [&](const auto& entry) {
     const wire::ShardRecord& record = entry.second;
     if (!record.deleted() || record.epoch() >= epoch) return false;
@@ -232,7 +232,8 @@
   });
 }
 
-std::optional<wire::ShardLeader> ShardAcceptor::describe(const std::string& name, const Shard& shard) const {
+std::optional<wire::ShardLeader> ShardAcceptor::unexpired_leader(const std::string& name,
+                                                                 const Shard& shard) const {
   if (!is_in_force(shard)) return std::nullopt;
   wire::ShardLeader leader;
   leader.set_shard(name);
@@ -247,13 +248,13 @@
 
 std::optional<wire::ShardLeader> ShardAcceptor::lease_in_force(const std::string& shard) const {
   const auto found = shards_.find(shard);
-  return found == shards_.end() ? std::nullopt : describe(shard, found->second);
+  return found == shards_.end() ? std::nullopt : unexpired_leader(shard, found->second);
 }
 
 std::vector<wire::ShardLeader> ShardAcceptor::leases_in_force() const {
   std::vector<wire::ShardLeader> leaders;
   for (const auto& [name, shard] : shards_) {
-    if (std::optional<wire::ShardLeader> leader = describe(name, shard))
+    if (std::optional<wire::ShardLeader> leader = unexpired_leader(name, shard))
       leaders.push_back(std::move(*leader));
   }
   return leaders;
--- a/src/cluster/consensus/shard_acceptor.hpp
+++ b/src/cluster/consensus/shard_acceptor.hpp
@@ -14,34 +14,34 @@
 namespace winchhall::cluster {
 
 // Invariants, for each shard:
-//   - The promised epoch never falls. It is promised to one holder, and to one session of that holder: a
-//     holder that comes back after a crash may have forgotten which epochs it requested, and must not lead
-//     twice under one of them.
+//   - The promised epoch never decreases. It is promised to one holder, and to one session of that holder: a
+//     holder that restarts after a crash may not know which epochs it requested before, and must not lead
+//     twice under the same one.
 //   - While a lease is in force, no other member is granted one.
 //   - Writes under a lower epoch than the promised one are rejected (the epoch is the fencing token).
-//   - Answers that grant or acknowledge are sent once what they say is durable. Leases themselves are kept in
-//     memory only; see `assume_leases`.
+//   - Grants and acknowledgements are sent only once they are backed by durable state. Leases themselves are
+//     kept in memory only; see `assume_leases`.
 class ShardAcceptor {
  public:
-  // The references must outlive this object; `status` is read at every request.
+  // The references must outlive this object. `status` is read at every request.
   ShardAcceptor(Runtime& runtime, CommitQueue& commit_queue, const MembershipStatus& status);
 
-  // Load stored states at the start.
+  // Load stored entries at startup.
   void load_state(const std::string& shard, const wire::ShardState& state);
   void load_record(const std::string& shard, const wire::ShardRecord& record);
   // Treats every promise as a lease granted now. To be called when this node starts, as it may have granted
-  // leases before that it no longer knows of, and when it begins to vote.
+  // leases before the restart that it no longer knows, and when it begins to vote.
   void assume_leases();
 
   // Grants, renews or releases a lease.
   void lease(const wire::LeaseRequest& request, const ReplyCallback& reply);
   // Answers with one page of the replica, if the epoch is the promised one.
   void read(const wire::ShardRead& request, const ReplyCallback& reply);
-  // Applies the records of a lease holder.
+  // Applies the records written by a lease holder.
   void write(const wire::ShardWrite& request, const ReplyCallback& reply);
 
-  // The lease in force that this acceptor has granted; none: no such lease. `unconfirmed` is set until the
-  // holder is known to have the grants of a majority.
+  // The lease in force that this acceptor has granted, if any. `unconfirmed` is set until the holder is known
+  // to have the grants of a majority.
   std::optional<wire::ShardLeader> lease_in_force(const std::string& shard) const;
   std::vector<wire::ShardLeader> leases_in_force() const;
   // Highest epoch promised for a shard; 0: none.
@@ -63,19 +63,19 @@
   };
   struct Shard {
     ShardReplica replica;
-    std::uint64_t durable_epoch = 0;  // highest promise that is durable
+    std::uint64_t durable_epoch = 0;  // highest promised epoch that is durable
     Lease lease;
   };
 
   bool is_in_force(const Shard& shard) const;
-  std::optional<wire::ShardLeader> describe(const std::string& name, const Shard& shard) const;
+  std::optional<wire::ShardLeader> unexpired_leader(const std::string& name, const Shard& shard) const;
   void release(Shard& shard, const wire::LeaseRequest& request);
   bool may_grant(const Shard& shard, const wire::LeaseRequest& request) const;
   // Promises an epoch to the holder and session that `to` names.
   void promise(const std::string& name, const wire::ShardState& to, StoreBatch& batch);
   void grant(const wire::LeaseRequest& request, wire::LeaseReply answer, const ReplyCallback& reply);
   void apply(const wire::ShardWrite& request, StoreBatch& batch);
-  // The replica equals the holder's state as of this epoch: raises the base.
+  // Raises the base to this epoch, as the replica is now equal to its holder's state.
   void establish(const std::string& name, std::uint64_t epoch, StoreBatch& batch);
 
   Runtime& runtime_;
--- a/src/cluster/consensus/shard_leadership.cpp
+++ b/src/cluster/consensus/shard_leadership.cpp
@@ -51,7 +51,7 @@
 
 void ShardLeadership::end_as_lost() {
   if (ended_) return;
-  const std::shared_ptr<ShardLeadership> self = shared_from_this();  // the owner drops this object
+  const std::shared_ptr<ShardLeadership> self = shared_from_this();  // the owner releases this object
   callbacks_.on_lost();
 }
 
@@ -154,7 +154,7 @@
   writes_.push_back({records_.last_change(), std::move(done)});
   replicate_to_all();
   if (!changes.empty()) return;
-  // No answer will come for a write without changes.
+  // A write without changes sends no message of its own, so no answer may arrive that completes it.
   group_.defer([weak = weak_from_this()] {
     const std::shared_ptr<ShardLeadership> self = weak.lock();
     if (self && !self->ended_) self->check_progress();
@@ -223,7 +223,7 @@
   if (!ended_) replicate_to(member.id());
 }
 
-// A member rejects writes while its member epoch differs, which is over soon.
+// A member rejects writes while its member epoch differs from this node's, which usually ends soon.
 void ShardLeadership::retry_rejected_members() {
   if (retry_timer_) return;
   retry_timer_ = group_.runtime().after(kRejectionRetryBackoff, [this] {
--- a/src/cluster/consensus/shard_leadership.hpp
+++ b/src/cluster/consensus/shard_leadership.hpp
@@ -18,8 +18,10 @@
 
 namespace winchhall::cluster {
 
+// Notifications of a ShardLeadership to its owner.
 struct LeadershipCallbacks {
-  // This node leads from now on, with the newest version of every record that was ever acknowledged.
+  // This node leads from now on. `entries` holds the newest version of every record that was ever
+  // acknowledged.
   std::function<void(std::vector<ShardEntry> entries)> on_lead;
   // The lease is lost or was not acquired, or a member with a higher epoch answered. Called at most once; the
   // receiver has to call `release` and `fail_writes`.
@@ -32,17 +34,16 @@
 //                     shard_acceptor.hpp). Every acknowledged write was durable on a majority, so the merged
 //                     records hold it.
 //   establishing      makes the replicas of a majority equal to the merged records, so that the next holder
-//                     finds all that this one acts upon, even if this one writes nothing.
+//                     recovers everything that this one relies on, even if this one writes nothing.
 //   leading           writes: each change is numbered, sent to all members and learners, and acknowledged
-//   once
-//                     a majority of voting members holds it and all changes before it.
-// A change of the member record before `establishing` ends the epoch, as the majority may be another one by
-// then; afterwards majorities are counted among the members of the newest record.
+//                     when a majority of voting members holds it and all changes before it.
+// A change of the member record before `establishing` ends the epoch, as it may change which sets of members
+// are majorities. Afterwards majorities are counted among the members of the newest record.
 //
-// Writes carry epoch and session, which serve as fencing tokens: an acceptor that promised a higher epoch, or
-// another session of this one, refuses them.
+// Writes carry the epoch, which serves as fencing token: an acceptor rejects them if it promised a higher
+// one. They also carry the session to which a majority promised the epoch (see ShardAcceptor::write).
 //
-// Owned by LeasedShard; answers that arrive after its end find it gone or ended and are dropped.
+// Owned by LeasedShard. Answers that arrive after its end are dropped.
 class ShardLeadership : public std::enable_shared_from_this<ShardLeadership> {
  public:
   // `group` must outlive this object.
@@ -55,10 +56,11 @@
   // After `release`: reports all unfinished writes as lost.
   void fail_writes();
 
-  // Never leads again; ends as lost soon, not within this function. For a leader that failed to write.
+  // Stops leading immediately and for good after a failed write. Calls `on_lost` soon, not from within this
+  // function.
   void abandon();
 
-  // True while this node certainly holds the lease, leads and votes, by the clock of this moment.
+  // True if this node certainly holds the lease at the current time, leads and votes.
   bool leads() const;
   // True once `on_lead` was called.
   bool has_led() const { return phase_ == Phase::leading; }
@@ -68,7 +70,7 @@
 
   // See ReplicatedShard::write. To be called only while `leads()`.
   void write(const std::vector<ShardChange>& changes, std::function<void(ShardWriteOutcome)> done);
-  // The group's member record, or this node's place in it, has changed.
+  // To be called after the member record, or this node's status in it, has changed.
   void on_membership_changed();
 
  private:
--- a/src/cluster/consensus/shard_replica.cpp
+++ b/src/cluster/consensus/shard_replica.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Joins the promises of two acceptors. If they promised one epoch to two holders, neither of them may count
-// on the joined promise: it is for the next epoch, and to nobody.
+// Merges the promises of two acceptors. If they promised the same epoch to two holders, neither holder may
+// rely on the merged promise: it is for the next epoch, and to no holder.
 void merge_promise(wire::ShardState& merged, const wire::ShardState& other) {
   if (other.epoch() > merged.epoch()) return copy_promise(other, merged);
   if (other.epoch() < merged.epoch() || same_promise(merged, other)) return;
@@ -17,7 +17,7 @@
   copy_promise(next, merged);
 }
 
-// Adds a record unless the same or a newer version of it is there.
+// Adds a record unless the same or a newer version of it is present.
 void add_if_newer(ShardRecords& records, const wire::ShardRecord& record) {
   const auto [entry, added] = records.try_emplace(record.key(), record);
   if (!added && is_older(entry->second, record)) entry->second = record;
--- a/src/cluster/consensus/shard_replica.hpp
+++ b/src/cluster/consensus/shard_replica.hpp
@@ -31,8 +31,8 @@
 
 // The state from which a new lease holder continues, merged from the replicas of a majority: all records of
 // the replicas with the highest base, and from the others only records that were written under that base or
-// later. So what an earlier holder wrote without a majority, and its successor did not see, never comes back,
-// while every acknowledged write is in one of the replicas, and kept.
+// later. So a write that an earlier holder did not get to a majority, and that its successor did not see,
+// never reappears, while every acknowledged write is in one of the replicas and is kept.
 ShardReplica merge_replicas(const std::vector<const ShardReplica*>& replicas);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/stable_hash.cpp
+++ b/src/cluster/consensus/stable_hash.cpp
@@ -11,8 +11,8 @@
     hash ^= static_cast<unsigned char>(character);
     hash *= kPrime;
   }
-  // FNV-1a alone spreads short texts badly over the upper bits; one step of MurmurHash3's finalizer mixes
-  // them.
+  // FNV-1a alone distributes short texts poorly over the upper bits, so one step of MurmurHash3's finalizer
+  // is applied.
   hash ^= hash >> 33;
   hash *= 0xff51afd7ed558ccdULL;
   hash ^= hash >> 33;
--- a/src/cluster/consensus/stable_hash.hpp
+++ b/src/cluster/consensus/stable_hash.hpp
@@ -6,7 +6,7 @@
 
 namespace winchhall::cluster {
 
-// 64 bits, never 0. Stored ids of founders derive from it, so it must not change.
+// Returns 64 bits, never 0. Stored ids of founders are derived from it, so it must not change.
 std::uint64_t stable_hash(const std::string& text);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/consensus/state_transfer.cpp
+++ b/src/cluster/consensus/state_transfer.cpp
@@ -19,7 +19,7 @@
 
 void StateTransfer::start() {
   for (const wire::Member& member : record_.members()) {
-    if (member.id() != group_.self_id()) ++reading_;
+    if (member.id() != group_.self_id()) ++sources_reading_;
   }
   for (const wire::Member& member : record_.members()) {
     if (member.id() == group_.self_id()) continue;
@@ -27,7 +27,7 @@
     source->member = member;
     request_page(source, std::string());
   }
-  if (sources_needed_ > reading_) {
+  if (sources_needed_ > sources_reading_) {
     group_.defer([self = shared_from_this()] { self->finish(); });
   }
 }
@@ -59,14 +59,14 @@
     last_key = entry.key();
   }
   if (!page.last() && !last_key.empty()) return request_page(source, last_key);
-  --reading_;
+  --sources_reading_;
   copies_.push_back(std::move(source->copy));
   if (copies_.size() >= sources_needed_) finish();
 }
 
 void StateTransfer::on_source_failed() {
-  --reading_;
-  if (reading_ + copies_.size() >= sources_needed_) return;
+  --sources_reading_;
+  if (sources_reading_ + copies_.size() >= sources_needed_) return;
   copies_.clear();
   finish();
 }
--- a/src/cluster/consensus/state_transfer.hpp
+++ b/src/cluster/consensus/state_transfer.hpp
@@ -13,12 +13,12 @@
 namespace winchhall::cluster {
 
 // One attempt to read the state of `state_transfer_sources_needed` voting members (see member_record.hpp),
-// page by page and from all members at the same time. A copy counts if the source knew this node's member
-// record when it sent the first page: from then on it refuses what older proposers send. Keeps itself alive
-// until it has ended.
+// page by page and from all members concurrently. A copy counts if the source knew this node's member record
+// when it sent the first page: from then on it rejects requests of older proposers. Keeps itself alive until
+// it has ended.
 class StateTransfer : public std::enable_shared_from_this<StateTransfer> {
  public:
-  // Called once, unless cancelled; empty: not enough members answered under this node's member epoch.
+  // Called once, unless cancelled. Empty: not enough members answered under this node's member epoch.
   using Done = std::function<void(std::vector<TransferredState> copies)>;
 
   // `group` must outlive the transfer or drop its calls' answers.
@@ -47,7 +47,7 @@
   Done done_;  // null: ended
   const wire::MemberRecord record_;
   const std::size_t sources_needed_;
-  std::size_t reading_ = 0;  // sources that are being read
+  std::size_t sources_reading_ = 0;  // sources whose pages are still being read
   std::vector<TransferredState> copies_;
 };
 
--- a/src/cluster/consensus/state_transfer_manager.cpp
+++ b/src/cluster/consensus/state_transfer_manager.cpp
@@ -23,7 +23,8 @@
   transfer_.reset();
 }
 
-// Right after a newcomer's admission the others have as a rule not adopted the new record yet.
+// Retries quickly at first: right after a newcomer's admission the other members have usually not adopted the
+// new record yet.
 void StateTransferManager::retry_later() {
   constexpr Millis::rep kInitialBackoffMs = 20;
   constexpr unsigned kMaxDoublings = 4;
@@ -34,7 +35,7 @@
 
 void StateTransferManager::on_finished(const std::vector<TransferredState>& copies,
                                        std::uint64_t member_epoch) {
-  // Copies made under an older record don't count; the next call of start_if_needed() begins anew.
+  // Copies made under an older record don't count. The next call of start_if_needed() starts a new transfer.
   if (copies.empty() || !membership_.is_newest_epoch(member_epoch)) return;
   membership_.commit_synchronized(acceptor_.merge(copies), member_epoch);
 }
--- a/src/cluster/consensus/state_transfer_manager.hpp
+++ b/src/cluster/consensus/state_transfer_manager.hpp
@@ -12,17 +12,17 @@
 
 namespace winchhall::cluster {
 
-// Both directions: copies the other members' state to this node's acceptor if it is a newcomer, and serves
-// pages of this node's state to newcomers. All references must outlive this object.
+// Handles both directions: copies the other members' state to this node's acceptor if this node is a
+// newcomer, and serves pages of this node's state to newcomers. All references must outlive this object.
 class StateTransferManager {
  public:
   StateTransferManager(GroupContext& group, Acceptor& acceptor, LocalMembership& membership)
       : group_(group), acceptor_(acceptor), membership_(membership) {}
   ~StateTransferManager() { stop(); }
 
-  // Begins a transfer if this node needs one and none is in progress. To be called periodically.
+  // Starts a transfer if this node needs one and none is in progress. To be called periodically.
   void start_if_needed();
-  // A newer member record is in use: the pause between retries is short again.
+  // To be called when a newer member record is in use: resets the backoff of retries.
   void on_record_adopted() { failed_transfers_ = 0; }
   // Ends a transfer in progress.
   void stop();
--- a/src/cluster/consensus/transferred_state.hpp
+++ b/src/cluster/consensus/transferred_state.hpp
@@ -1,4 +1,4 @@
-// The state of another acceptor as a state transfer copies it.
+// Data type for the state of another acceptor that a state transfer copies.
 #pragma once
 
 #include <map>
@@ -8,6 +8,7 @@
 
 namespace winchhall::cluster {
 
+// A copy of one acceptor's whole state: its shard replicas and its registers.
 struct TransferredState {
   std::map<std::string, ShardReplica> shards;            // by name of the shard
   std::map<std::string, wire::RegisterState> registers;  // by key
--- a/src/cluster/consensus/unique_id.hpp
+++ b/src/cluster/consensus/unique_id.hpp
@@ -7,8 +7,8 @@
 
 namespace winchhall::cluster {
 
-// A 64-bit id, never 0, that with overwhelming probability neither another process nor another incarnation of
-// this one draws. `address`: this process' internal listener.
-std::uint64_t draw_unique_id(Runtime& runtime, const Address& address);
+// Generates a 64-bit id, never 0, that with overwhelming probability neither another process nor another
+// incarnation of this one generates. `address`: the internal listener of this process.
+std::uint64_t generate_unique_id(Runtime& runtime, const Address& address);
 
 }  // namespace winchhall::cluster
