--- a/src/cluster/store/database.cpp
+++ b/src/cluster/store/database.cpp
@@ -14,7 +14,7 @@
 const std::string kReplacementKey = kReservedPrefix + "replaces_damaged";
 const std::string kFormat = "1";
 
-// Discards LevelDB's own log, which would take disk space.
+// Discards LevelDB's own log messages, which would take disk space.
 class NullLogger : public leveldb::Logger {
  public:
   void Logv(const char*, std::va_list) override {}
--- a/src/cluster/store/database.hpp
+++ b/src/cluster/store/database.hpp
@@ -14,8 +14,8 @@
 
 namespace winchhall::cluster {
 
-// Limits on disk and memory use, and time-outs. tests/cluster/store/size_test.cpp measures what the
-// sizes lead to.
+// Limits on disk and memory use, and time-outs. tests/cluster/store/size_test.cpp measures the disk usage
+// that results from the sizes.
 struct StoreTuning {
   std::size_t write_buffer_bytes = 1 << 20;
   std::size_t file_bytes = 1 << 20;
@@ -30,9 +30,9 @@
   std::string value;
 };
 
-enum class OpenMode { create_if_missing, existing };
+enum class OpenMode { create_if_missing, existing };  // `existing` fails if there is no database
 
-// Not thread-safe: used by one thread at a time.
+// Owns an open LevelDB database. Not thread-safe: used by one thread at a time.
 class Database {
  public:
   // Opens the database in an existing directory. `disk` must outlive the database.
--- a/src/cluster/store/database_files.hpp
+++ b/src/cluster/store/database_files.hpp
@@ -1,4 +1,4 @@
-// The files that make up a LevelDB database, told apart by their names.
+// The files that make up a LevelDB database, distinguished by their names.
 #pragma once
 
 #include <leveldb/env.h>
@@ -16,7 +16,7 @@
 bool has_log_format(const std::string& name);
 // Write-ahead logs and tables: the files with the entries.
 bool is_data_file(const std::string& name);
-// Every file that is needed to open the database; not its lock.
+// Files that are needed to open the database, excluding the lock file.
 bool is_database_file(const std::string& name);
 
 }  // namespace winchhall::cluster
--- a/src/cluster/store/database_replacement.cpp
+++ b/src/cluster/store/database_replacement.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Exists from before the first file is moved until the new database is durable: otherwise, after an
-// interruption, a database with some of its files moved away could be opened as if it were complete.
+// File that exists from before the first file is moved until the new database is durable. Without it, after
+// an interruption, a database with some of its files moved away could be opened as if it were complete.
 const std::string kMarkerName = "REPLACING";
 const std::string kDamagedDirectoryName = "damaged";
 
@@ -65,11 +65,13 @@
 
 leaf::result<std::unique_ptr<Database>> replace_damaged_database(const std::string& path, Disk& disk,
                                                                  const StoreTuning& tuning) {
-  if (!create_marker(path, disk)) return replacement_error(path, "mark can't be set");
-  if (!move_to_damaged_directory(path, disk)) return replacement_error(path, "files can't be moved");
+  if (!create_marker(path, disk)) return replacement_error(path, "marker file REPLACING can't be created");
+  if (!move_to_damaged_directory(path, disk))
+    return replacement_error(path, "files can't be moved to the sub-directory damaged");
   BOOST_LEAF_AUTO(database, Database::open(path, disk, tuning, OpenMode::create_if_missing));
-  if (!database->record_replacement()) return replacement_error(path, "new database can't be marked");
-  if (!remove_marker(path, disk)) return replacement_error(path, "mark can't be removed");
+  if (!database->record_replacement())
+    return replacement_error(path, "new database can't be marked as a replacement");
+  if (!remove_marker(path, disk)) return replacement_error(path, "marker file REPLACING can't be removed");
   return database;
 }
 
--- a/src/cluster/store/database_replacement.hpp
+++ b/src/cluster/store/database_replacement.hpp
@@ -1,5 +1,5 @@
-// Replaces a damaged database by an empty one. The acceptor state in it, that is promises and accepted
-// values, is lost, so the node must come back as a new member and must not vote under its former identity.
+// Replaces a damaged database by an empty one. Its acceptor state, that is promises and accepted values, is
+// lost, so the node must rejoin as a new member and must not vote under its former identity.
 #pragma once
 
 #include <memory>
--- a/src/cluster/store/disk.cpp
+++ b/src/cluster/store/disk.cpp
@@ -15,8 +15,8 @@
   return leveldb::Status::IOError(path, std::strerror(error_number));
 }
 
-// Reads with pread(2). LevelDB's own implementation maps files, whose pages would count as resident memory of
-// the process.
+// Reads with pread(2). LevelDB's own implementation maps files into memory, and the mapped pages would count
+// as resident memory of the process.
 class PreadFile : public leveldb::RandomAccessFile {
  public:
   PreadFile(std::string path, int descriptor) : path_(std::move(path)), descriptor_(descriptor) {}
--- a/src/cluster/store/leveldb_store.cpp
+++ b/src/cluster/store/leveldb_store.cpp
@@ -43,7 +43,7 @@
                                                                PostToLoop post_to_loop, Disk& disk,
                                                                const StoreTuning& tuning) {
   if (!disk.create_directories(path)) {
-    return leaf::new_error(StoreFailure{path, "create", "folder can't be made"});
+    return leaf::new_error(StoreFailure{path, "create", "directory can't be created"});
   }
   BOOST_LEAF_AUTO(opened, open_or_replace(path, disk, tuning));
   disk.sync_directory(path);
--- a/src/cluster/store/log_scan.hpp
+++ b/src/cluster/store/log_scan.hpp
@@ -2,7 +2,7 @@
 //
 // Every record is synced before the next is written, so a power loss can tear the last record only. Invalid
 // data after the last complete record is such a torn tail and may be dropped. Invalid data before a complete
-// record is damage to data that had been synced.
+// record means that data which had been synced is damaged.
 #pragma once
 
 #include <cstddef>
--- a/src/cluster/store/state_entry.hpp
+++ b/src/cluster/store/state_entry.hpp
@@ -8,7 +8,7 @@
 
 namespace winchhall::cluster {
 
-// The key layout of consensus/. tests/cluster/store/tools_test.cpp checks that the two agree.
+// Must match the keys that cluster/consensus writes. tests/cluster/store/tools_test.cpp checks this.
 inline const std::string kIdentityKey = "identity";
 inline const std::string kMembersKey = "members";
 inline const std::string kRegisterPrefix = "register/";
--- a/src/cluster/store/state_summary.hpp
+++ b/src/cluster/store/state_summary.hpp
@@ -9,6 +9,7 @@
 
 namespace winchhall::cluster {
 
+// Counts and main contents of a set of entries.
 struct StateSummary {
   std::size_t entries = 0;
   std::size_t bytes = 0;  // of keys and values
--- a/src/cluster/store/store.hpp
+++ b/src/cluster/store/store.hpp
@@ -20,12 +20,12 @@
 // Writes that become durable atomically, applied in order.
 using StoreBatch = std::vector<StoreWrite>;
 
-// Result of a commit. After `failed` it is unknown whether the batch is durable: the caller must not rely on
-// either.
+// Result of a commit. After `failed` it is unknown whether the batch is durable: the caller must rely on
+// neither outcome.
 enum class CommitOutcome { durable, failed };
 
-// Commits take effect in the order of the calls; pending commits may share one disk sync (group commit). Used
-// from the event loop's thread only.
+// Commits take effect in the order of the calls. Pending commits may share one disk sync (group commit). Used
+// only on the event loop's thread.
 class DurableStore {
  public:
   virtual ~DurableStore() = default;
--- a/src/cluster/store/store_writer.cpp
+++ b/src/cluster/store/store_writer.cpp
@@ -57,7 +57,7 @@
     }
     post_outcome(std::move(group), written ? CommitOutcome::durable : CommitOutcome::failed);
   }
-  // Closed before the thread is reported as finished: the owner may destroy the disk after that.
+  // Closes the database before the thread is reported as finished: the owner may destroy the disk after that.
   database.reset();
   const std::lock_guard lock(mutex_);
   thread_finished_ = true;
@@ -83,7 +83,7 @@
 }
 
 std::unique_ptr<Database> StoreWriter::try_reopen() {
-  // A damaged database is not replaced at this point: the node's state in memory was read from it.
+  // A damaged database is not replaced at this point, because the node's state in memory was read from it.
   return leaf::try_handle_all([this] { return Database::open(path_, disk_, tuning_, OpenMode::existing); },
                               [] { return std::unique_ptr<Database>(); });
 }
--- a/src/cluster/store/store_writer.hpp
+++ b/src/cluster/store/store_writer.hpp
@@ -17,8 +17,9 @@
 // Runs an action on the event loop. Called from the writer thread; must not block.
 using PostToLoop = std::function<void(std::function<void()>)>;
 
-// Shared with its thread, which outlives the owner if the disk hangs during shutdown. `start`, `commit` and
-// `stop` are called from the event loop's thread.
+// Owns the writer thread, the open database and the queue of pending commits. Shared with its thread, which
+// outlives the owner if the disk hangs during shutdown. `start`, `commit` and `stop` are called on the event
+// loop's thread.
 class StoreWriter : public std::enable_shared_from_this<StoreWriter> {
  public:
   // `disk` must outlive the writer thread.
@@ -41,7 +42,8 @@
   void run(std::unique_ptr<Database> database);
   // Waits for commits and takes them all; empty: the writer is stopping.
   std::vector<PendingCommit> take_pending();
-  // Replaces a database that failed and hence accepts no more writes. Null: the writer is stopping.
+  // Reopens the database after a failed write, since it accepts no further writes. Null: the writer is
+  // stopping.
   std::unique_ptr<Database> reopen_until_stopped();
   std::unique_ptr<Database> try_reopen();
   void post_outcome(std::vector<PendingCommit> group, CommitOutcome outcome);
--- a/src/cluster/store/synced_env.cpp
+++ b/src/cluster/store/synced_env.cpp
@@ -45,12 +45,12 @@
   const leveldb::Status renamed = leveldb::EnvWrapper::RenameFile(from, to);
   if (!renamed.ok()) return renamed;
   if (disk_.sync_directory(directory_of(to))) return renamed;
-  return leveldb::Status::IOError(to, "folder can't be synced");
+  return leveldb::Status::IOError(to, "directory can't be synced after renaming this file");
 }
 
 leveldb::Status SyncedEnv::RemoveFile(const std::string& path) {
   if (is_manifest_file(file_name(path)) && is_current_manifest(path)) {
-    return leveldb::Status::IOError(path, "kept, CURRENT names it");
+    return leveldb::Status::IOError(path, "not removed, because CURRENT names this file");
   }
   return leveldb::EnvWrapper::RemoveFile(path);
 }
@@ -59,8 +59,9 @@
   std::string current;
   const std::string current_path = directory_of(path) + "/CURRENT";
   const leveldb::Status read = leveldb::ReadFileToString(target(), current_path, &current);
-  if (!read.ok())
-    return !read.IsNotFound();  // Unreadable: an obsolete MANIFEST does no harm, a lost one does.
+  // If CURRENT is unreadable, assumes that it names this file: keeping an obsolete MANIFEST is harmless,
+  // losing the current one is not.
+  if (!read.ok()) return !read.IsNotFound();
   return current == file_name(path) + "\n";
 }
 
--- a/src/cluster/store/synced_env.hpp
+++ b/src/cluster/store/synced_env.hpp
@@ -1,4 +1,4 @@
-// LevelDB's file operations, made safe against power loss (docs/store-safety.md).
+// LevelDB's file operations, made safe against power loss (see docs/store-safety.md).
 #pragma once
 
 #include <leveldb/env.h>
@@ -9,6 +9,7 @@
 
 namespace winchhall::cluster {
 
+// Adds directory syncs, protection of the current MANIFEST and tolerance of torn log tails to a Disk's files.
 class SyncedEnv : public leveldb::EnvWrapper {
  public:
   // `disk` must outlive the environment.
