--- a/tests/cluster/consensus/acceptor_test.cpp
+++ b/tests/cluster/consensus/acceptor_test.cpp
@@ -1,4 +1,5 @@
-// One acceptor: what it rejects, what it answers only once durable, what it still knows after a restart.
+// Acceptor: which requests it rejects, that it answers only once its state is durable, and which state
+// survives a restart.
 #include "cluster/consensus/acceptor.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,7 +20,7 @@
   return ballot;
 }
 
-// One acceptor on a simulated disk.
+// An acceptor on a simulated node with a simulated disk.
 class AcceptorFixture {
  public:
   AcceptorFixture()
@@ -32,7 +33,7 @@
     open();
   }
 
-  // The process ends and starts again with what is durable.
+  // Crashes the process and starts it again with its durable state.
   void restart() {
     node_.crash();
     node_.start();
@@ -157,7 +158,7 @@
   CHECK(fixture.lease(1, 1).granted());
 }
 
-TEST_CASE("a lease in force keeps others out, also after a restart of the acceptor that granted it") {
+TEST_CASE("a lease in force excludes other holders, also after a restart of the acceptor that granted it") {
   AcceptorFixture fixture;
   REQUIRE(fixture.lease(1, 1).granted());
   CHECK_FALSE(fixture.lease(2, 2).granted());
--- a/tests/cluster/consensus/established_test.cpp
+++ b/tests/cluster/consensus/established_test.cpp
@@ -1,5 +1,5 @@
-// What a new holder recovers and acts upon is recovered by the next holder, too, even if the first one leads
-// for a moment only.
+// Records that a new lease holder recovers are also recovered by the next holder, even if the first one
+// crashes right after it began to lead.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/consensus/lease_candidate.hpp"
@@ -7,7 +7,7 @@
 namespace winchhall::cluster::sim {
 namespace {
 
-// Takes part in one shard and keeps the keys of the entries that it recovered when it began to lead.
+// Participates in one shard and stores the keys of the entries that it recovered when it began to lead.
 struct RecoveringNode {
   RecoveringNode(SimNode&, ControlGroup& group) : shard(group.open_shard(kShard, callbacks())) {}
   ShardCallbacks callbacks() {
@@ -35,7 +35,7 @@
   return *leader_of(cluster);
 }
 
-// Writes a record that only the leader's own replica gets, and crashes the leader.
+// Writes a record that reaches only the leader's own replica, and crashes the leader.
 std::size_t write_to_own_replica_only(RecoveringCluster& cluster) {
   const std::size_t writer = wait_for_leader(cluster);
   cluster.simulation().isolate(writer);
@@ -55,14 +55,15 @@
     cluster.bootstrap();
     REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(8000)));
     const std::size_t writer = write_to_own_replica_only(cluster);
-    // Two of the others are down: the next holder needs the writer's replica.
+    // Two other members are down, so the next holder needs the writer's replica for a majority.
     const std::size_t down[] = {(writer + 3) % 5, (writer + 4) % 5};
     for (const std::size_t index : down) cluster.crash(index);
     cluster.start(writer);
     const std::size_t second = wait_for_leader(cluster);
     if (!cluster.application(second).recovered.contains("k")) continue;
     ++recovered_count;
-    // It crashes at once, and the writer with it: only what has arrived elsewhere and is synced is left.
+    // All members crash at once. The second holder and the writer stay down, so only records that reached the
+    // disks of the others remain.
     for (std::size_t index = 0; index < 5; ++index) cluster.crash(index);
     for (std::size_t index = 0; index < 5; ++index)
       if (index != second && index != writer) cluster.start(index);
--- a/tests/cluster/consensus/exploration_test.cpp
+++ b/tests/cluster/consensus/exploration_test.cpp
@@ -1,5 +1,5 @@
-// Explicit-state exploration of all orders of events up to a bound: registers, a change of members, a
-// newcomer's state transfer, a crash and a lost disk, with the real acceptor, proposer and transfer.
+// Explicit-state exploration of all orders of events up to a bound: registers, a change of the member record,
+// a newcomer's state transfer, a crash and a lost disk, with the real acceptor, proposer and state transfer.
 // `[.long]` explores larger bounds.
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -20,24 +20,24 @@
     std::vector<std::size_t> path;
     visit(path);
     std::printf("exploration, %s: %zu states, depth %zu, %zu runs acknowledged something%s\n", name,
-                seen_.size(), deepest_, acknowledged_, cut_off_ ? " (limit reached: partial)" : "");
+                seen_.size(), deepest_, acknowledged_, limit_reached_ ? " (limit reached: partial)" : "");
     CHECK(acknowledged_ > 0);
   }
 
  private:
-  std::unique_ptr<ModelRun> play(const std::vector<std::size_t>& path) const {
+  std::unique_ptr<ModelRun> replay(const std::vector<std::size_t>& path) const {
     auto run = std::make_unique<ModelRun>(bounds_);
     for (const std::size_t choice : path) run->choose(choice);
     return run;
   }
   void visit(std::vector<std::size_t>& path) {
-    std::unique_ptr<ModelRun> run = play(path);
+    std::unique_ptr<ModelRun> run = replay(path);
     if (!run->is_safe()) {
       CAPTURE(path);
       FAIL("a quorum lacks what was acknowledged");
     }
     if (bounds_.max_states != 0 && seen_.size() >= bounds_.max_states) {
-      cut_off_ = true;
+      limit_reached_ = true;
       return;
     }
     if (!seen_.insert(run->describe()).second) return;
@@ -56,7 +56,7 @@
   std::unordered_set<std::string> seen_;
   std::size_t deepest_ = 0;
   std::size_t acknowledged_ = 0;
-  bool cut_off_ = false;
+  bool limit_reached_ = false;
 };
 
 ExplorationBounds bounds(unsigned losses, unsigned duplicates, unsigned crashes, unsigned attempts,
@@ -91,7 +91,7 @@
         [this](const AttemptResult& ended) { result = ended; });
     attempt->start();
   }
-  // Delivers what is on its way until nothing is.
+  // Delivers messages until none is in flight.
   void deliver_all() {
     while (!cluster.messages().empty()) cluster.deliver(0);
   }
@@ -111,7 +111,7 @@
   CHECK(fixture.cluster.messages().empty());
   fixture.sync_all();
   CHECK(fixture.cluster.messages().size() == 3);
-  fixture.deliver_all();  // so do accepted values
+  fixture.deliver_all();  // accepted values wait for the disks, too
   CHECK_FALSE(fixture.result);
   CHECK(fixture.cluster.messages().empty());
   fixture.sync_all();
--- a/tests/cluster/consensus/learner_test.cpp
+++ b/tests/cluster/consensus/learner_test.cpp
@@ -1,5 +1,5 @@
-// A machine that joins the group copies the state as a learner before it counts: at no moment of its join
-// does the group bear less than before.
+// A machine that joins the group copies the state as a learner before it counts for a quorum, so that the
+// group tolerates as many failures as before at every point of the join.
 #include <catch2/catch.hpp>
 
 #include "cluster/consensus/member_record.hpp"
@@ -10,18 +10,18 @@
 
 using Cluster = ControlCluster<>;
 
-// Documented bound: a machine that is back, or new, counts as failed for this long after its start.
+// Documented bound: a new or restarted machine counts as failed for this long after its start.
 constexpr Millis kCatchUp{4000};
 constexpr Millis kStableAfterFaults{9000};
-// A learner that is unreachable for this long has been dropped.
-constexpr Millis kLearnerDropped{36000};
+// A learner that is unreachable for this long has been removed from the record.
+constexpr Millis kLearnerRemoved{36000};
 constexpr int kMaxEvents = 4000;
 
-void found(Cluster& cluster) {
+void found_group(Cluster& cluster) {
   cluster.bootstrap();
   cluster.use_fresh_seeds();
   REQUIRE(wait_until_stable(cluster, Millis(6000)));
-  cluster.simulation().run_for(Millis(6000));  // past the time in which the group grows at once
+  cluster.simulation().run_for(Millis(6000));  // until the group no longer grows immediately
   REQUIRE(append(cluster, 0, "x"));
 }
 
@@ -44,12 +44,12 @@
   return chosen;
 }
 
-void lose_for_good(Cluster& cluster, std::size_t index) {
+void lose_permanently(Cluster& cluster, std::size_t index) {
   cluster.crash(index);
   cluster.node(index).lose_disk();
 }
 
-// The joins that are over at the first event that finds this true.
+// True once the join is complete: the newcomer votes and is confirmed.
 bool has_joined(Cluster& cluster, std::size_t newcomer) {
   return cluster.running(newcomer) && cluster.group(newcomer).votes() &&
          cluster.group(newcomer).members().unconfirmed() == 0;
@@ -57,12 +57,12 @@
 
 struct Join {
   std::size_t machines;
-  std::size_t replaced;  // machines that are lost for good one second before their successors start
+  std::size_t replaced;  // number of machines that fail permanently one second before their successors start
 };
 
-// Begins the join; returns the newest newcomer.
-std::size_t begin(Cluster& cluster, const Join& join) {
-  for (std::size_t index = 0; index < join.replaced; ++index) lose_for_good(cluster, index);
+// Begins the join and returns the last machine that joins.
+std::size_t begin_join(Cluster& cluster, const Join& join) {
+  for (std::size_t index = 0; index < join.replaced; ++index) lose_permanently(cluster, index);
   cluster.simulation().run_for(Millis(1000));
   std::size_t newcomer = cluster.add_machine();
   cluster.start(newcomer);
@@ -73,17 +73,17 @@
   return newcomer;
 }
 
-// Runs the join up to each of its events in turn, and `fault` there.
+// For every `event_step`-th event of the join: runs a new cluster up to that event and calls `fault`.
 template <typename Fault>
-void at_each_event(const Join& join, int event_step, const Fault& fault) {
+void run_to_each_event(const Join& join, int event_step, const Fault& fault) {
   bool joined = false;
   std::size_t learning = 0;
   std::size_t unconfirmed = 0;
   for (int events = 0; !joined && events < kMaxEvents; events += event_step) {
     CAPTURE(join.machines, join.replaced, events);
     Cluster cluster(1 + static_cast<std::uint64_t>(events), join.machines);
-    found(cluster);
-    const std::size_t newcomer = begin(cluster, join);
+    found_group(cluster);
+    const std::size_t newcomer = begin_join(cluster, join);
     for (int event = 0; event < events; ++event) cluster.simulation().step();
     joined = has_joined(cluster, newcomer);
     const wire::MemberRecord& record = cluster.group(join.machines - 1).members();
@@ -96,13 +96,13 @@
   if (join.machines % 2 == 1 && join.replaced == 0) CHECK(unconfirmed > 0);
 }
 
-TEST_CASE("a member's disk is lost for good at any event of a join: the others go on") {
+TEST_CASE("a member fails permanently at any event of a join: the others continue") {
   const Join joins[] = {{3, 0}, {5, 0}, {5, 1}, {7, 2}};
   for (const Join& join : joins) {
-    at_each_event(join, 2, [&join](Cluster& cluster, std::size_t newcomer) {
+    run_to_each_event(join, 2, [&join](Cluster& cluster, std::size_t newcomer) {
       const std::size_t lost = join.replaced;
       const std::size_t other = lost + 1;
-      lose_for_good(cluster, lost);
+      lose_permanently(cluster, lost);
       REQUIRE(append_once(cluster, other, "y"));
       cluster.simulation().run_for(kCatchUp);
       REQUIRE(cluster.group(newcomer).votes());
@@ -111,9 +111,9 @@
   }
 }
 
-TEST_CASE("all others lose power as a member's disk is lost at any event of a join") {
+TEST_CASE("a member loses its disk while all others lose power at any event of a join") {
   for (const Join& join : {Join{3, 0}, Join{5, 1}}) {
-    at_each_event(join, 5, [&join](Cluster& cluster, std::size_t newcomer) {
+    run_to_each_event(join, 5, [&join](Cluster& cluster, std::size_t newcomer) {
       cluster.crash_all();
       cluster.node(join.replaced).lose_disk();
       for (std::size_t index = join.replaced + 1; index < cluster.size(); ++index) cluster.start(index);
@@ -126,19 +126,19 @@
 }
 
 TEST_CASE("a machine that joins crashes at any event and comes back with its disk") {
-  at_each_event({3, 0}, 3, [](Cluster& cluster, std::size_t newcomer) {
+  run_to_each_event({3, 0}, 3, [](Cluster& cluster, std::size_t newcomer) {
     cluster.crash(newcomer);
     REQUIRE(append_once(cluster, 0, "y"));
     cluster.start(newcomer);
     REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
     CHECK(read(cluster, newcomer) == "xy");
-    lose_for_good(cluster, 1);
+    lose_permanently(cluster, 1);
     REQUIRE(append_once(cluster, 0, "z"));
   });
 }
 
 TEST_CASE("a machine that joins loses its disk at any event and joins anew") {
-  at_each_event({3, 0}, 3, [](Cluster& cluster, std::size_t newcomer) {
+  run_to_each_event({3, 0}, 3, [](Cluster& cluster, std::size_t newcomer) {
     cluster.wipe(newcomer);
     REQUIRE(append_once(cluster, 0, "y"));
     REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
@@ -148,14 +148,14 @@
   });
 }
 
-TEST_CASE("a machine that joins is lost for good at any event: the group goes on, and drops a learner") {
-  at_each_event({3, 0}, 9, [](Cluster& cluster, std::size_t newcomer) {
-    lose_for_good(cluster, newcomer);
+TEST_CASE("a machine that joins fails permanently at any event: the group continues and removes a learner") {
+  run_to_each_event({3, 0}, 9, [](Cluster& cluster, std::size_t newcomer) {
+    lose_permanently(cluster, newcomer);
     REQUIRE(append_once(cluster, 0, "y"));
-    cluster.simulation().run_for(kLearnerDropped);
+    cluster.simulation().run_for(kLearnerRemoved);
     CHECK(cluster.group(0).members().learners_size() == 0);
     CHECK(cluster.group(0).members().members_size() == 3);
-    lose_for_good(cluster, 1);
+    lose_permanently(cluster, 1);
     REQUIRE(append_once(cluster, 0, "z"));
   });
 }
@@ -164,7 +164,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 3);
-    found(cluster);
+    found_group(cluster);
     const std::size_t newcomer = cluster.add_machine();
     cluster.start(newcomer);
     const auto is_learner = [&] { return cluster.group(0).members().learners_size() == 1; };
@@ -177,12 +177,12 @@
   }
 }
 
-TEST_CASE("beside a member of a version that knows no learners a machine joins as before") {
+TEST_CASE("a machine joins without becoming a learner if a member's version knows no learners") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 3);
     cluster.mark_without_learners(seed % 3);
-    found(cluster);
+    found_group(cluster);
     const std::size_t newcomer = cluster.add_machine();
     cluster.start(newcomer);
     const auto is_learner = [&] { return cluster.group(0).members().learners_size() > 0; };
@@ -192,11 +192,11 @@
   }
 }
 
-TEST_CASE("a machine of a version that knows no learners joins as before") {
+TEST_CASE("a machine whose version knows no learners joins without becoming one") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 3);
-    found(cluster);
+    found_group(cluster);
     const std::size_t newcomer = cluster.add_machine();
     cluster.mark_without_learners(newcomer);
     cluster.start(newcomer);
--- a/tests/cluster/consensus/lease_candidate.hpp
+++ b/tests/cluster/consensus/lease_candidate.hpp
@@ -1,4 +1,4 @@
-// Nodes that are candidates for the lease of one shard and do nothing else with it.
+// Nodes that are candidates for the lease of one shard and write nothing to it.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 inline const std::string kShard = "service/one";
 
-// Takes part in one shard on one node.
+// Participates in one shard on one node.
 struct Candidate {
   Candidate(SimNode&, ControlGroup& group) : shard(group.open_shard(kShard, callbacks())) {}
   static ShardCallbacks callbacks() {
--- a/tests/cluster/consensus/members_test.cpp
+++ b/tests/cluster/consensus/members_test.cpp
@@ -105,7 +105,7 @@
   }
 }
 
-TEST_CASE("a permanently failed machine is replaced by one from elsewhere") {
+TEST_CASE("a permanently failed machine is replaced by another one") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
@@ -113,15 +113,15 @@
     REQUIRE(wait_until_stable(cluster, Millis(5000)));
     REQUIRE(append(cluster, 0, "x"));
     cluster.simulation().run_for(Millis(6000));
-    const std::size_t gone = seed % 5;
-    cluster.crash(gone);
+    const std::size_t failed = seed % 5;
+    cluster.crash(failed);
     const std::size_t successor = cluster.add_machine();
     cluster.start(successor);
     REQUIRE(wait_until_stable(cluster, Millis(15000)));
     CHECK(cluster.group(successor).members().members_size() == 5);
     CHECK(read(cluster, successor) == "x");
-    // Another one may be lost now.
-    cluster.crash((gone + 1) % 5);
+    // The group tolerates the loss of another member now.
+    cluster.crash((failed + 1) % 5);
     REQUIRE(append(cluster, successor, "y"));
   }
 }
@@ -165,9 +165,8 @@
   }
 }
 
-// Models a chain of member records and quorums as sets and checks the claim in member_record.hpp: whatever
-// was acknowledged by a quorum under one record is held by some member of every quorum under each later
-// record.
+// Models a chain of member records and quorums as sets and checks the claim in member_record.hpp: everything
+// that a quorum acknowledged under one record is held by some member of every quorum under each later record.
 class RecordChainModel {
  public:
   // `with_earlier_version`: some changes are made by a version of the program that knows no learners.
@@ -182,7 +181,7 @@
   }
 
   void acknowledge() {
-    const std::optional<std::set<std::uint64_t>> quorum = pick(majority(record_), voting_);
+    const std::optional<std::set<std::uint64_t>> quorum = random_subset(majority(record_), voting_);
     if (quorum) acknowledged_holders_.push_back(*quorum);
   }
   void change() {
@@ -219,8 +218,8 @@
   std::size_t promotions() const { return promotions_; }
   std::size_t confirmations() const { return confirmations_; }
 
-  // Every majority of voting members holds every thing, i.e. fewer than a majority don't.
-  bool safe() const {
+  // True if every majority contains a holder of each acknowledged value: fewer than a majority lack it.
+  bool is_safe() const {
     return std::all_of(acknowledged_holders_.begin(), acknowledged_holders_.end(),
                        [&](const std::set<std::uint64_t>& holders) {
                          std::size_t stale = 0;
@@ -236,18 +235,18 @@
 
   static void add_id(wire::MemberRecord& record, std::uint64_t id) { record.add_members()->set_id(id); }
 
-  wire::Member draw_joining_member() {
+  wire::Member make_newcomer() {
     wire::Member newcomer;
     newcomer.set_id(next_id_++);
     newcomer.set_address("10.0.0." + std::to_string(newcomer.id()) + ":7000");
     return newcomer;
   }
   void add_member() {
-    if (record_.members_size() < kMaxMembers) record_ = with_member(record_, draw_joining_member());
+    if (record_.members_size() < kMaxMembers) record_ = with_member(record_, make_newcomer());
   }
   void add_learner() {
     if (record_.members_size() + record_.learners_size() < kMaxMembers)
-      record_ = with_learner(record_, draw_joining_member());
+      record_ = with_learner(record_, make_newcomer());
   }
   void promote() {
     for (const wire::Member& learner : record_.learners()) {
@@ -272,7 +271,7 @@
     record_ = without_member(record_, id);
     voting_.erase(id);
   }
-  // As revision cd78c59 computes a successor: it hands on the fields that it does not know.
+  // Computes a successor as revision cd78c59 does, which copies the fields that it does not know.
   void change_by_earlier_version() {
     const auto members = static_cast<std::size_t>(record_.members_size());
     const std::size_t bound = std::max<std::size_t>(record_.stale_bound(), members - majority(record_));
@@ -282,7 +281,7 @@
     record_.set_epoch(record_.epoch() + 1);
     record_.set_stale_bound(static_cast<std::uint32_t>(bound));
     if (!removes) {
-      *record_.add_members() = draw_joining_member();
+      *record_.add_members() = make_newcomer();
       return;
     }
     const int index = static_cast<int>(generator_() % members);
@@ -290,12 +289,12 @@
     record_.mutable_members()->DeleteSubrange(index, 1);
   }
 
-  // False: too few voting members to copy from.
+  // Returns false if there are too few voting members to copy from.
   bool copy_state_to(std::uint64_t id) {
     std::set<std::uint64_t> others = voting_;
     others.erase(id);
     const std::optional<std::set<std::uint64_t>> sources =
-        pick(state_transfer_sources_needed(record_, id), others);
+        random_subset(state_transfer_sources_needed(record_, id), others);
     if (!sources) return false;
     for (std::set<std::uint64_t>& holders : acknowledged_holders_) {
       const bool copied = std::any_of(sources->begin(), sources->end(),
@@ -306,7 +305,8 @@
     return true;
   }
 
-  std::optional<std::set<std::uint64_t>> pick(std::size_t count, const std::set<std::uint64_t>& from) {
+  std::optional<std::set<std::uint64_t>> random_subset(std::size_t count,
+                                                       const std::set<std::uint64_t>& from) {
     std::vector<std::uint64_t> candidates;
     for (const wire::Member& member : record_.members()) {
       if (from.contains(member.id())) candidates.push_back(member.id());
@@ -338,7 +338,8 @@
       if (generator() % 2 == 0) model.acknowledge();
       if (generator() % 2 == 0) model.change();
       if (generator() % 2 == 0) model.transfer_state();
-      if (!model.safe()) FAIL("a quorum lacks what was acknowledged, chain " << chain << ", step " << step);
+      if (!model.is_safe())
+        FAIL("a quorum lacks what was acknowledged, chain " << chain << ", step " << step);
     }
     promotions += model.promotions();
     confirmations += model.confirmations();
@@ -351,7 +352,7 @@
   check_record_chains(false);
 }
 
-TEST_CASE("they do so while some changes are made by a version that knows no learners") {
+TEST_CASE("quorums hold what was acknowledged although some changes are made by a version without learners") {
   check_record_chains(true);
 }
 
--- a/tests/cluster/consensus/model_cluster.hpp
+++ b/tests/cluster/consensus/model_cluster.hpp
@@ -1,6 +1,6 @@
 // A model of acceptors and proposers for explicit-state exploration: the real classes on a runtime and disks
-// whose every step is chosen from outside (which message arrives, is lost or duplicated, which disk syncs,
-// which node crashes). A run is a list of choices and can be repeated, so that all runs up to a bound can be
+// whose steps the exploration chooses (which message arrives, is lost or duplicated, which disk syncs, which
+// node crashes). A run is a list of choices and can be repeated, so that all runs up to a bound can be
 // explored.
 #pragma once
 
@@ -21,7 +21,7 @@
 
 namespace winchhall::cluster::exploration {
 
-// Time stands still; timers never fire. Calls of the runtime's own are not made.
+// A runtime whose time does not advance. Timers never fire, and calls are ignored.
 class FrozenRuntime : public Runtime {
  public:
   TimePoint now() const override { return TimePoint(std::chrono::seconds(1)); }
@@ -33,7 +33,7 @@
   std::uint64_t random() override { return 4; }
 };
 
-// A disk that syncs when the exploration says so.
+// A disk that syncs only on request.
 class ManualSyncStore : public DurableStore {
  public:
   void commit(StoreBatch batch, std::function<void(CommitOutcome)> done) override {
@@ -80,7 +80,7 @@
   std::deque<Waiting> waiting_;
 };
 
-// One machine: its disk, its membership status, and the real acceptor on top.
+// One machine: its disk, its membership status, and a real acceptor that uses them.
 struct AcceptorNode {
   AcceptorNode(Runtime& used_runtime, std::uint64_t id, bool voting) : runtime(used_runtime) {
     membership_status.id = id;
@@ -94,7 +94,7 @@
                                           [](const std::string&, const RegisterValue&) {});
     store.load([this](std::string_view key, std::string_view value) { acceptor->load(key, value); });
   }
-  // What was not synced is gone.
+  // Loses all unsynced batches and restarts the acceptor.
   void crash() {
     store.lose_unsynced();
     boot();
@@ -112,11 +112,11 @@
   MembershipStatus membership_status;
   std::unique_ptr<CommitQueue> commit_queue;
   std::unique_ptr<Acceptor> acceptor;
-  bool lost = false;  // gone with its disk
+  bool lost = false;  // failed permanently, with its disk
 };
 
-// A request or its answer in flight. It is delivered to whatever incarnation of the acceptor runs then, since
-// a message may be late.
+// A request or its answer in flight. It is delivered to the incarnation of the acceptor that runs at that
+// time, since messages may be delayed.
 struct Message {
   std::size_t caller = 0;  // context that called
   std::size_t node = 0;    // acceptor called
@@ -128,7 +128,7 @@
 
 class ModelCluster;
 
-// The group as one proposer, or a newcomer that copies state, sees it.
+// The group context of one proposer, or of a newcomer that copies state.
 class ModelGroupContext : public GroupContext {
  public:
   ModelGroupContext(ModelCluster& cluster, std::size_t index, std::uint64_t self)
@@ -199,8 +199,8 @@
       Message back = message;
       back.answer = true;
       back.body = std::move(body);
-      const bool wanted = *back.done && back.broadcast == broadcasts_[back.caller];
-      if (wanted) messages_.push_back(std::move(back));
+      const bool expected = *back.done && back.broadcast == broadcasts_[back.caller];
+      if (expected) messages_.push_back(std::move(back));
     };
     if (node.acceptor->handle(message.body, reply)) return;
     if (!message.body.has_state_pull()) return;
@@ -211,7 +211,7 @@
     page.mutable_state_page()->mutable_record()->set_epoch(node.membership_status.member_epoch);
     reply(std::move(page));
   }
-  // The caller gets no answer in time.
+  // Loses a message: the caller's call fails as if it had timed out.
   void lose(std::size_t index) {
     const Message message = messages_[index];
     messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(index));
@@ -220,7 +220,8 @@
   }
   void duplicate(std::size_t index) { messages_.push_back(messages_[index]); }
 
-  // A proposer's state follows from its last broadcast and the answers received since, in any order.
+  // Records a broadcast. A proposer's state is determined by its last broadcast and by the answers received
+  // since then, regardless of their order.
   void on_broadcast(std::size_t caller, const std::string& text) {
     if (last_broadcast_[caller] == text) return;
     last_broadcast_[caller] = text;
--- a/tests/cluster/consensus/model_run.hpp
+++ b/tests/cluster/consensus/model_run.hpp
@@ -8,13 +8,13 @@
 inline const std::string kList = "list";
 inline const std::string kMembers = "members";
 
-// Bounds on what may happen beside the delivery of each message once.
+// Bounds on the events of a run other than the delivery of each message once.
 struct ExplorationBounds {
   unsigned losses = 0;
   unsigned duplicates = 0;
   unsigned crashes = 0;
   unsigned attempts = 1;       // of each proposer
-  bool newcomer = false;       // a fourth machine joins while the proposers go on
+  bool newcomer = false;       // a fourth machine joins while the proposers continue
   bool lost_disk = false;      // a founder fails permanently once the newcomer votes
   std::size_t max_states = 0;  // 0: no limit
 };
@@ -44,7 +44,7 @@
     for (std::size_t index = 0; index < proposers_.size(); ++index) propose(index);
   }
 
-  // Number of choices now; 0: the run is over.
+  // Number of choices in the current state; 0: the run has ended.
   std::size_t choices() { return enabled_choices().size(); }
   void choose(std::size_t number) {
     const Choice choice = enabled_choices()[number];
@@ -70,7 +70,7 @@
       case Kind::adopt:
         adopt_at(choice.index);
         break;
-      case Kind::follow:
+      case Kind::adopt_at_proposer:
         cluster_.context(choice.index).adopt(grown_);
         break;
       case Kind::copy:
@@ -97,8 +97,8 @@
     return text;
   }
 
-  // The safety property: acknowledged values form one chain, and every quorum that can form now holds the
-  // newest.
+  // The safety property: acknowledged values form one chain of prefixes, and every quorum that is possible
+  // now holds the newest one.
   bool is_safe() const {
     for (const std::string& value : acknowledged_) {
       const bool chained = newest_.starts_with(value);
@@ -110,7 +110,7 @@
   std::size_t acknowledged() const { return acknowledged_.size(); }
 
  private:
-  enum class Kind { deliver, lose, duplicate, sync, crash, adopt, follow, copy, lose_disk };
+  enum class Kind { deliver, lose, duplicate, sync, crash, adopt, adopt_at_proposer, copy, lose_disk };
   struct Choice {
     Kind kind;
     std::size_t index;
@@ -140,7 +140,7 @@
     if (!grown_chosen_) return choices;
     for (std::size_t index = 0; index < proposers_.size(); ++index) {
       if (!proposers_[index].busy && cluster_.context(index).record().epoch() < 2)
-        choices.push_back({Kind::follow, index});
+        choices.push_back({Kind::adopt_at_proposer, index});
     }
     const AcceptorNode& newcomer = cluster_.node(3);
     if (newcomer.membership_status.member_epoch == 2 && copies_ < kMaxCopies && !copy_started_)
@@ -205,7 +205,7 @@
     cluster_.context(copying_).adopt(grown_);
     copy_ = std::make_shared<StateTransfer>(
         cluster_.context(copying_), [this](const std::vector<TransferredState>& copies) {
-          copy_started_ = !copies.empty();  // else begun again
+          copy_started_ = !copies.empty();  // without copies the transfer may be started again
           if (copies.empty()) return;
           AcceptorNode& newcomer = cluster_.node(3);
           newcomer.commit_queue->commit(newcomer.acceptor->merge(copies),
@@ -214,7 +214,8 @@
     copy_->start();
   }
 
-  // Every majority of a record's members that vote at its epoch, or may come to, holds what was acknowledged.
+  // True if every majority of the record's members that vote at its epoch, now or later, holds what was
+  // acknowledged.
   bool quorums_hold(const wire::MemberRecord& record) const {
     std::vector<const AcceptorNode*> voters;
     for (std::size_t index = 0; index < cluster_.nodes(); ++index) {
--- a/tests/cluster/consensus/partitioned_leader_test.cpp
+++ b/tests/cluster/consensus/partitioned_leader_test.cpp
@@ -1,5 +1,5 @@
-// A lease holder that is partitioned from the other members: it reports no later epoch, and its return
-// deposes nobody.
+// A lease holder that is partitioned from the other members reports no later epoch, and does not depose its
+// successor when the partition heals.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/consensus/lease_candidate.hpp"
@@ -49,7 +49,7 @@
   }
 }
 
-// Requests a lease from one acceptor in the name of another member; true: granted.
+// Requests a lease from one acceptor on behalf of another member. Returns true if it was granted.
 bool request_lease_from(ControlCluster<>& cluster, std::size_t acceptor, std::size_t holder, bool asking) {
   wire::Envelope envelope;
   wire::LeaseRequest& request = *envelope.mutable_lease_request();
@@ -67,7 +67,7 @@
   return granted;
 }
 
-TEST_CASE("a lease is reported to nobody before a majority granted it") {
+TEST_CASE("a lease is not reported before a majority granted it") {
   ControlCluster<> cluster(3, 5);
   cluster.bootstrap();
   REQUIRE(cluster.simulation().run_until([&] { return cluster.is_stable(); }, Millis(6000)));
@@ -80,7 +80,7 @@
   CHECK(cluster.group(0).leaders()[0].address() == cluster.node(1).address());
 }
 
-TEST_CASE("restarted acceptors grant nothing until a lease that they may have granted is over") {
+TEST_CASE("restarted acceptors grant no lease until any lease granted before the restart has expired") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     CandidateCluster cluster(seed, 3);
--- a/tests/cluster/consensus/register_attempt_test.cpp
+++ b/tests/cluster/consensus/register_attempt_test.cpp
@@ -18,7 +18,7 @@
   return ballot;
 }
 
-// A group whose members answer as the test says.
+// A group whose members answer as specified by the test.
 class ScriptedGroup : public GroupContext {
  public:
   explicit ScriptedGroup(Runtime& runtime) : runtime_(runtime) {
--- a/tests/cluster/consensus/register_calls.hpp
+++ b/tests/cluster/consensus/register_calls.hpp
@@ -12,7 +12,7 @@
   return cluster.simulation().run_until([&] { return cluster.is_stable(); }, limit);
 }
 
-// Appends to the test's register through one node; false: no answer in time.
+// Appends to the test's register through one node. Returns false if there was no answer in time.
 inline bool append(ControlCluster<>& cluster, std::size_t index, const std::string& marker) {
   bool ended = false;
   bool chosen = false;
--- a/tests/cluster/consensus/register_test.cpp
+++ b/tests/cluster/consensus/register_test.cpp
@@ -1,4 +1,4 @@
-// Registers on a simulated control group: every history under faults must be linearizable.
+// Registers on a simulated control group: every history, also under faults, must be linearizable.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -8,9 +8,9 @@
 
 const std::string kKey = "list";
 
-// Appends unique marks to one register from many nodes and checks what the updates return: the values form
-// one chain of prefixes, each holds its mark once, and whatever ended before an update began is a prefix of
-// its value.
+// Appends unique markers to one register from many nodes and checks the values that the updates return: they
+// form one chain of prefixes, each contains its own marker exactly once, and every value returned before an
+// update began is a prefix of the value that this update returns.
 class AppendHistory {
  public:
   explicit AppendHistory(ControlCluster<>& cluster) : cluster_(cluster) {}
@@ -28,7 +28,7 @@
 
   std::size_t ended() const { return ended_; }
   std::size_t acknowledged() const { return acknowledged_.size(); }
-  // True if a value holds every acknowledged mark.
+  // True if a value contains every acknowledged marker.
   bool complete(const std::string& value) const {
     return std::all_of(acknowledged_.begin(), acknowledged_.end(),
                        [&](const std::string& marker) { return value.find(marker) != std::string::npos; });
--- a/tests/cluster/consensus/replica_progress_test.cpp
+++ b/tests/cluster/consensus/replica_progress_test.cpp
@@ -1,4 +1,4 @@
-// What a lease holder knows of a replica: acknowledged changes, batches in flight, establishment.
+// ReplicaProgress: acknowledged changes, batches in flight, establishment.
 #include "cluster/consensus/replica_progress.hpp"
 
 #include <catch2/catch.hpp>
@@ -38,7 +38,7 @@
   const ReplicationBatch second = progress.next_batch(records).value();
   progress.on_failed(second);
   CHECK(progress.acknowledged_up_to(3) == 1);
-  // One record first, to find out whether the replica answers again.
+  // After a failure one record is sent first, to detect whether the replica answers again.
   const ReplicationBatch third = progress.next_batch(records).value();
   REQUIRE(third.entries.size() == 1);
   CHECK_FALSE(progress.next_batch(records));
--- a/tests/cluster/consensus/second_loss_test.cpp
+++ b/tests/cluster/consensus/second_loss_test.cpp
@@ -1,5 +1,5 @@
-// A second failure right after a repair or a replacement: no such pair leaves the group without a majority or
-// loses what was acknowledged.
+// A second failure right after a repair or a replacement never leaves the group without a majority and never
+// loses an acknowledged value.
 #include <catch2/catch.hpp>
 #include <cstdio>
 
@@ -11,20 +11,21 @@
 
 using Cluster = ControlCluster<>;
 
-// Documented bound: a machine that is back, or new, counts as failed for this long after its start.
+// Documented bound: a new or restarted machine counts as failed for this long after its start.
 constexpr Millis kCatchUp{4000};
-constexpr Millis kSettled{9000};
+constexpr Millis kStableAfterFaults{9000};
 // An excess member that is unreachable for this long has been removed.
 constexpr Millis kExcessMemberRemoved{34000};
 
-void found(Cluster& cluster) {
+void found_group(Cluster& cluster) {
   cluster.bootstrap();
   cluster.use_fresh_seeds();
   REQUIRE(wait_until_stable(cluster, Millis(6000)));
-  cluster.simulation().run_for(Millis(6000));  // past the time in which the group grows at once
+  cluster.simulation().run_for(Millis(6000));  // until the group no longer grows immediately
 }
 
-// Some machines lose their disks while all others lose power; all but the given ones come back.
+// The `wiped` machines lose their disks while all others lose power. All machines but the `gone` ones
+// restart.
 void lose_disks_and_power(Cluster& cluster, const std::set<std::size_t>& wiped,
                           const std::set<std::size_t>& gone) {
   Simulation& simulation = cluster.simulation();
@@ -43,7 +44,7 @@
       CAPTURE(seed, machines);
       const std::size_t tolerated = machines == 7 ? 2 : 1;
       Cluster cluster(seed, machines);
-      found(cluster);
+      found_group(cluster);
       REQUIRE(append(cluster, 0, "x"));
       std::set<std::size_t> gone;
       for (std::size_t loss = 0; loss < tolerated; ++loss) gone.insert((seed + loss) % machines);
@@ -55,18 +56,18 @@
       for (std::size_t index = 0; index < machines && wiped.size() < tolerated; ++index)
         if (!gone.contains(index)) wiped.insert(index);
       lose_disks_and_power(cluster, wiped, gone);
-      REQUIRE(wait_until_stable(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
       CHECK(read(cluster, machines) == "x");
     }
   }
 }
 
-TEST_CASE("a machine that is replaced by plan leaves the group before its shutdown") {
+TEST_CASE("a machine leaves the group before its shutdown in a planned replacement") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     for (const std::size_t machines : {3, 5, 7}) {
       CAPTURE(seed, machines);
       Cluster cluster(seed, machines);
-      found(cluster);
+      found_group(cluster);
       REQUIRE(append(cluster, 0, "x"));
       const std::size_t successor = cluster.add_machine();
       cluster.start(successor);
@@ -79,7 +80,7 @@
       CHECK(static_cast<std::size_t>(cluster.group(successor).members().members_size()) == machines);
       const std::size_t wiped = (old + 1) % machines;
       lose_disks_and_power(cluster, {wiped}, {old});
-      REQUIRE(wait_until_stable(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
       CHECK(read(cluster, successor) == "x");
     }
   }
@@ -89,7 +90,7 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 3);
-    found(cluster);
+    found_group(cluster);
     REQUIRE(append(cluster, 0, "x"));
     const std::size_t successor = cluster.add_machine();
     cluster.start(successor);
@@ -98,7 +99,7 @@
     cluster.crash(old);
     cluster.simulation().run_for(kExcessMemberRemoved);
     lose_disks_and_power(cluster, {(old + 1) % 3}, {old});
-    REQUIRE(wait_until_stable(cluster, kSettled));
+    REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
     CHECK(read(cluster, successor) == "x");
   }
 }
@@ -108,7 +109,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 5);
-    found(cluster);
+    found_group(cluster);
     const std::size_t index = seed % 5;
     const std::uint64_t id = cluster.group(index).member_id();
     const std::uint64_t epoch = cluster.group(index).members().epoch();
@@ -118,7 +119,7 @@
     cluster.crash(index);
     cluster.simulation().run_for(Millis(3000));
     cluster.start(index);
-    REQUIRE(wait_until_stable(cluster, kSettled));
+    REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
     CHECK(cluster.group(index).member_id() == id);
     CHECK(cluster.group(index).members().epoch() == epoch);
   }
@@ -128,7 +129,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Cluster cluster(seed, 4);
-    found(cluster);
+    found_group(cluster);
     REQUIRE(cluster.group(0).members().members_size() == 4);
     const std::size_t unreachable = seed % 4;
     const std::size_t leaving = (seed + 1) % 4;
@@ -147,7 +148,7 @@
     CAPTURE(seed);
     Cluster cluster(seed, seed % 2 == 0 ? 3 : 5);
     Simulation& simulation = cluster.simulation();
-    found(cluster);
+    found_group(cluster);
     REQUIRE(append(cluster, 0, "x"));
     const std::size_t newcomer = cluster.add_machine();
     cluster.start(newcomer);
@@ -164,11 +165,11 @@
   CHECK(longest_ms <= 100);
 }
 
-// What befalls a group around one event of the simulation.
+// A repair of the group, or a planned change, during which a test injects faults.
 struct Repair {
   const char* name;
   std::size_t machines;
-  // Begins the repair; what it changes ends within `kCatchUp`.
+  // Begins the repair, which completes within `kCatchUp`.
   void (*begin)(Cluster& cluster, std::uint64_t seed);
 };
 
@@ -193,7 +194,7 @@
                                {"replaced", 3, replace_one}, {"replaced", 5, replace_one},
                                {"added", 3, add_one},        {"leaves", 3, leave_one}};
 
-// The machines that are not to come back: those that were replaced.
+// The machines that must not restart because they were replaced.
 std::set<std::size_t> gone_after(const Repair& repair, std::uint64_t seed) {
   if (repair.begin == replace_one) return {seed % repair.machines};
   return {};
@@ -207,26 +208,26 @@
       const std::uint64_t seed = 1 + static_cast<std::uint64_t>(events);
       CAPTURE(repair.name, repair.machines, events);
       Cluster cluster(seed, repair.machines);
-      found(cluster);
+      found_group(cluster);
       REQUIRE(append(cluster, 0, "x"));
       const std::int64_t end_us = cluster.simulation().now_us() + kCatchUp.count() * 1000;
       repair.begin(cluster, seed);
       for (int event = 0; event < events; ++event) cluster.simulation().step();
       more = cluster.simulation().now_us() < end_us;
       lose_disks_and_power(cluster, {}, gone_after(repair, seed));
-      REQUIRE(wait_until_stable(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
       CHECK(read(cluster, cluster.size() - 1) == "x");
     }
   }
 }
 
-TEST_CASE("losses of any kind follow one another at the shortest documented distance") {
+TEST_CASE("losses of any kind follow one another at the shortest documented interval") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     for (const std::size_t machines : {3, 5}) {
       CAPTURE(seed, machines);
       Cluster cluster(seed, machines);
       Simulation& simulation = cluster.simulation();
-      found(cluster);
+      found_group(cluster);
       std::string expected;
       std::set<std::size_t> gone;
       for (int round = 0; round < 5; ++round) {
@@ -263,7 +264,7 @@
         REQUIRE(append(cluster, present[1], "."));
         expected += ".";
       }
-      REQUIRE(wait_until_stable(cluster, kSettled));
+      REQUIRE(wait_until_stable(cluster, kStableAfterFaults));
       CHECK(read(cluster, cluster.size() - 1) == expected);
     }
   }
--- a/tests/cluster/consensus/shard_test.cpp
+++ b/tests/cluster/consensus/shard_test.cpp
@@ -1,5 +1,5 @@
-// Shards on a simulated control group: never two leaders, and each leader continues from its predecessor's
-// records.
+// Shards on a simulated control group: there are never two leaders, and each leader continues from its
+// predecessor's records.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -7,7 +7,7 @@
 namespace winchhall::cluster::sim {
 namespace {
 
-// Everything that was recovered, written and acknowledged for one shard, over all nodes and incarnations.
+// The recovered, written and acknowledged versions of one shard's records, over all nodes and incarnations.
 //
 // Each leader has a history for each key: what it recovered, then what it wrote. Its successor must recover,
 // for every key, the predecessor's last acknowledged version or a later one of the predecessor's, and nothing
@@ -79,13 +79,13 @@
   std::size_t acknowledgements_ = 0;
 };
 
-ShardHistory* history_of_test = nullptr;
+ShardHistory* current_history = nullptr;
 
 // Called whenever a node begins to lead.
-std::function<void(SimNode&)> when_leading;
-std::int64_t keys_of_test = 30;
+std::function<void(SimNode&)> on_new_leader;
+std::int64_t last_key_number = 30;
 
-// Takes part in one shard on one node.
+// Participates in one shard on one node.
 class ShardUser {
  public:
   ShardUser(SimNode& node, ControlGroup& group) : node_(node) {
@@ -93,8 +93,8 @@
     callbacks.on_lead = [this](std::uint64_t epoch, const std::vector<ShardEntry>& entries) {
       REQUIRE_FALSE(is_notified_leader_);
       is_notified_leader_ = true;
-      history_of_test->lead(epoch, entries);
-      if (when_leading) when_leading(node_);
+      current_history->lead(epoch, entries);
+      if (on_new_leader) on_new_leader(node_);
     };
     callbacks.on_lost = [this] {
       REQUIRE(is_notified_leader_);
@@ -107,12 +107,12 @@
   bool leads() const { return shard_->leads(); }
   bool is_notified_leader() const { return is_notified_leader_; }
 
-  // Writes one record; this node has to lead.
+  // Writes one record. This node must lead.
   void write(const std::string& key, const std::string& value, std::function<void(ShardWriteOutcome)> done) {
     const std::uint64_t epoch = shard_->epoch();
-    const std::size_t version = history_of_test->written(epoch, key, value);
+    const std::size_t version = current_history->written(epoch, key, value);
     shard_->write({{key, value}}, [epoch, key, version, done = std::move(done)](ShardWriteOutcome outcome) {
-      if (outcome == ShardWriteOutcome::durable) history_of_test->acknowledged(epoch, key, version);
+      if (outcome == ShardWriteOutcome::durable) current_history->acknowledged(epoch, key, version);
       done(outcome);
     });
   }
@@ -125,18 +125,18 @@
     std::vector<ShardChange> changes;
     std::vector<std::pair<std::string, std::size_t>> versions;
     for (std::int64_t count = simulation.random_between(1, 3); count > 0; --count) {
-      const std::string key = "key" + std::to_string(simulation.random_between(0, keys_of_test));
+      const std::string key = "key" + std::to_string(simulation.random_between(0, last_key_number));
       if (std::any_of(versions.begin(), versions.end(),
                       [&](const auto& entry) { return entry.first == key; }))
         continue;
       const bool removes = simulation.chance(0.25);
       const std::string value = removes ? "" : std::to_string(epoch) + ":" + std::to_string(++writes_);
       changes.push_back({key, removes ? std::nullopt : std::optional(value)});
-      versions.emplace_back(key, history_of_test->written(epoch, key, value));
+      versions.emplace_back(key, current_history->written(epoch, key, value));
     }
     shard_->write(std::move(changes), [epoch, versions](ShardWriteOutcome outcome) {
       if (outcome != ShardWriteOutcome::durable) return;
-      for (const auto& [key, version] : versions) history_of_test->acknowledged(epoch, key, version);
+      for (const auto& [key, version] : versions) current_history->acknowledged(epoch, key, version);
     });
   }
 
@@ -156,7 +156,7 @@
   return std::nullopt;
 }
 
-// Nobody acts while frozen, but a node that resumes must not believe that it leads.
+// Counts frozen nodes, too: they don't act, but must not believe that they lead when they resume.
 void require_one_leader(Cluster& cluster) {
   std::size_t leaders = 0;
   for (std::size_t index = 0; index < cluster.size(); ++index) {
@@ -181,33 +181,33 @@
   Simulation& simulation = cluster.simulation();
   const std::size_t index = node.index();
   if (simulation.chance(0.3)) return;
-  const Millis soon(simulation.random_between(0, simulation.chance(0.5) ? 30 : 400));
-  const Millis back(simulation.random_between(20, 1500));
+  const Millis until_fault(simulation.random_between(0, simulation.chance(0.5) ? 30 : 400));
+  const Millis fault_duration(simulation.random_between(20, 1500));
   if (simulation.chance(0.5)) {
-    simulation.in(soon, [&cluster, index] { cluster.crash(index); });
-    simulation.in(soon + back, [&cluster, index] { cluster.start(index); });
+    simulation.in(until_fault, [&cluster, index] { cluster.crash(index); });
+    simulation.in(until_fault + fault_duration, [&cluster, index] { cluster.start(index); });
     return;
   }
-  simulation.in(soon, [&simulation, index] {
+  simulation.in(until_fault, [&simulation, index] {
     for (std::size_t other = 0; other < simulation.size(); ++other) {
       if (other != index && simulation.chance(0.7)) simulation.cut_both(index, other);
     }
   });
-  simulation.in(soon + back, [&simulation] { simulation.heal(); });
+  simulation.in(until_fault + fault_duration, [&simulation] { simulation.heal(); });
 }
 
 void run_plan(const RunPlan& plan) {
   CAPTURE(plan.seed, plan.machines);
   ShardHistory history;
-  history_of_test = &history;
+  current_history = &history;
   Cluster cluster(plan.seed, plan.machines, plan.options);
   FaultInjector<ShardUser> faults(cluster, plan.faults);
   Simulation& simulation = cluster.simulation();
   simulation.on_event([&] { require_one_leader(cluster); });
-  keys_of_test = plan.keys;
-  when_leading = nullptr;
+  last_key_number = plan.keys;
+  on_new_leader = nullptr;
   if (plan.disturb_new_leaders)
-    when_leading = [&cluster](SimNode& node) { disturb_new_leader(cluster, node); };
+    on_new_leader = [&cluster](SimNode& node) { disturb_new_leader(cluster, node); };
   cluster.bootstrap();
   std::int64_t next_fault_ms = 2500;
   const std::int64_t end_ms = simulation.now_ms() + plan.duration_ms;
@@ -222,14 +222,14 @@
     faults.inject_fault();
     next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
   }
-  when_leading = nullptr;
+  on_new_leader = nullptr;
   faults.end_faults();
   simulation.options().loss = 0;
   simulation.options().late = 0;
   simulation.run_for(kMaxFaultDuration);
   REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
   REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(5000)));
-  // One more leader recovers what is left.
+  // One more leader recovers the remaining records.
   cluster.crash(*leader_of(cluster));
   REQUIRE(simulation.run_until([&] { return leader_of(cluster).has_value(); }, Millis(6000)));
   REQUIRE(history.acknowledgements() > 20);
@@ -240,7 +240,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     ShardHistory history;
-    history_of_test = &history;
+    current_history = &history;
     Cluster cluster(seed, 5);
     Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
@@ -261,7 +261,7 @@
 
 TEST_CASE("a lease is kept for hours without faults") {
   ShardHistory history;
-  history_of_test = &history;
+  current_history = &history;
   Cluster cluster(5, 5);
   Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
@@ -277,7 +277,7 @@
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
     ShardHistory history;
-    history_of_test = &history;
+    current_history = &history;
     Cluster cluster(seed, 5);
     Simulation& simulation = cluster.simulation();
     cluster.bootstrap();
@@ -292,16 +292,16 @@
   }
 }
 
-// A leader that was frozen until its lease had run out writes first and handles a renewal that came in
-// meanwhile next. If it went on to lead, its later writes would be taken for durable together with the lost
-// one.
-TEST_CASE("a leader whose write was lost leads no more under that epoch, though its lease is renewed") {
+// A leader that was frozen until its lease had expired first writes and then handles a renewal that arrived
+// in the meantime. If it continued to lead, its later writes would be considered durable together with the
+// lost one.
+TEST_CASE("a leader whose write was lost stops leading under that epoch although its lease is renewed") {
   std::size_t lost_writes = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
     ShardHistory history;
-    history_of_test = &history;
-    SimulationOptions slow_links;  // so that a renewal is often under way when the leader freezes
+    current_history = &history;
+    SimulationOptions slow_links;  // so that a renewal is often in flight when the leader freezes
     slow_links.delay_min_us = 20000;
     slow_links.delay_max_us = 40000;
     Cluster cluster(seed, 5, slow_links);
@@ -338,7 +338,7 @@
 
 TEST_CASE("writes are durable soon and in order, also while one member is down") {
   ShardHistory history;
-  history_of_test = &history;
+  current_history = &history;
   Cluster cluster(6, 5);
   Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
@@ -360,9 +360,9 @@
   CHECK(simulation.now_ms() - begun_ms < 200);
 }
 
-TEST_CASE("a member that comes back gets the writes that it missed") {
+TEST_CASE("a restarted member gets the writes that it missed") {
   ShardHistory history;
-  history_of_test = &history;
+  current_history = &history;
   Cluster cluster(7, 5);
   Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
@@ -378,7 +378,7 @@
   cluster.start(away);
   simulation.run_for(Millis(2000));
   REQUIRE(leader_of(cluster) == leader);
-  // With two more down, the one that was away is needed for a majority.
+  // With two more members down, the restarted one is needed for a majority.
   const std::size_t gone = (leader + 2) % 5;
   cluster.crash(gone);
   cluster.crash(leader);
@@ -419,7 +419,7 @@
   }
 }
 
-TEST_CASE("leaders that last for moments only: what they recovered and wrote is never contradicted") {
+TEST_CASE("what short-lived leaders recovered and wrote is never contradicted") {
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     RunPlan plan;
     plan.seed = seed;
--- a/tests/cluster/consensus/store_test.cpp
+++ b/tests/cluster/consensus/store_test.cpp
@@ -15,33 +15,33 @@
 namespace winchhall::cluster {
 namespace {
 
-// A folder that is gone after the test.
-class TemporaryFolder {
+// A directory that the destructor removes.
+class TemporaryDirectory {
  public:
-  TemporaryFolder() {
+  TemporaryDirectory() {
     std::string pattern = (std::filesystem::temp_directory_path() / "store-test-XXXXXX").string();
     path_ = ::mkdtemp(pattern.data());
   }
-  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path_); }
   std::string path(const std::string& name) const { return path_ + "/" + name; }
 
  private:
   std::string path_;
 };
 
-// An event loop of the test's own thread.
-class Loop {
+// An event loop on the test's thread.
+class TestLoop {
  public:
   PostToLoop poster() {
     return [this](std::function<void()> action) {
       const std::lock_guard lock(mutex_);
       actions_.push(std::move(action));
-      wake_.notify_one();
+      action_queued_.notify_one();
     };
   }
   void run_one() {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [this] { return !actions_.empty(); });
+    action_queued_.wait(lock, [this] { return !actions_.empty(); });
     const std::function<void()> action = std::move(actions_.front());
     actions_.pop();
     lock.unlock();
@@ -50,11 +50,11 @@
 
  private:
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable action_queued_;
   std::queue<std::function<void()>> actions_;
 };
 
-std::unique_ptr<LevelDbStore> opened(const std::string& path, Loop& loop) {
+std::unique_ptr<LevelDbStore> open_store(const std::string& path, TestLoop& loop) {
   auto store = open_leveldb_store(path, loop.poster());
   REQUIRE(store);
   return std::move(store.value());
@@ -67,12 +67,12 @@
   return found;
 }
 
-TEST_CASE("committed entries are there after the store is opened again") {
-  const TemporaryFolder folder;
-  Loop loop;
-  const std::string path = folder.path("deep/data");
+TEST_CASE("committed entries are present after the store is opened again") {
+  const TemporaryDirectory directory;
+  TestLoop loop;
+  const std::string path = directory.path("deep/data");
   {
-    const auto store = opened(path, loop);
+    const auto store = open_store(path, loop);
     CHECK(content(*store).empty());
     int durable = 0;
     const auto count = [&](CommitOutcome outcome) { durable += outcome == CommitOutcome::durable ? 1 : 0; };
@@ -81,15 +81,15 @@
     store->commit({}, count);
     while (durable < 3) loop.run_one();
   }
-  const auto store = opened(path, loop);
+  const auto store = open_store(path, loop);
   const std::map<std::string, std::string> expected{{"a", "1"}, {"c", std::string("3\0x", 3)}};
   CHECK(content(*store) == expected);
 }
 
 TEST_CASE("commits end in the order in which they were issued") {
-  const TemporaryFolder folder;
-  Loop loop;
-  const auto store = opened(folder.path("data"), loop);
+  const TemporaryDirectory directory;
+  TestLoop loop;
+  const auto store = open_store(directory.path("data"), loop);
   std::vector<int> ended;
   for (int number = 0; number < 500; ++number) {
     store->commit({{"key" + std::to_string(number), "value"}},
@@ -100,11 +100,11 @@
 }
 
 TEST_CASE("a store of an unknown format is not opened") {
-  const TemporaryFolder folder;
-  Loop loop;
-  const std::string path = folder.path("data");
+  const TemporaryDirectory directory;
+  TestLoop loop;
+  const std::string path = directory.path("data");
   {
-    const auto store = opened(path, loop);
+    const auto store = open_store(path, loop);
     bool ended = false;
     store->commit({{"meta/format", "9"}}, [&](CommitOutcome) { ended = true; });
     while (!ended) loop.run_one();
@@ -119,14 +119,14 @@
   CHECK(found == "9");
 }
 
-TEST_CASE("a folder that can't be created is a StoreFailure") {
-  const TemporaryFolder folder;
-  Loop loop;
-  std::ofstream(folder.path("file")) << "in the way";
+TEST_CASE("a directory that can't be created is a StoreFailure") {
+  const TemporaryDirectory directory;
+  TestLoop loop;
+  std::ofstream(directory.path("file")) << "in the way";
   bool failed = false;
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_CHECK(open_leveldb_store(folder.path("file/data"), loop.poster()));
+        BOOST_LEAF_CHECK(open_leveldb_store(directory.path("file/data"), loop.poster()));
         return {};
       },
       [&](const StoreFailure&) { failed = true; }, [] {});
@@ -134,8 +134,9 @@
 }
 
 TEST_CASE(
-    "a commit queue rewrites what a failing disk left in doubt, in order, before anything that waits "
-    "continues") {
+    "after a disk failure a commit queue rewrites the batches in doubt, in order, before it calls any "
+    "waiting "
+    "callback") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
     sim::Simulation simulation(seed);
--- a/tests/cluster/consensus/versions_test.cpp
+++ b/tests/cluster/consensus/versions_test.cpp
@@ -1,5 +1,5 @@
-// Control nodes of adjacent versions in one group: an older one omits the newer fields of messages, a later
-// one adds fields that are unknown here.
+// Control nodes of adjacent versions in one group: an older version omits the newer fields of messages, a
+// later version adds fields that the present version does not know.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/consensus/lease_candidate.hpp"
@@ -9,7 +9,7 @@
 
 enum class Version { older, present, later };
 
-void write_as(Version version, wire::Envelope& message) {
+void rewrite_as_version(Version version, wire::Envelope& message) {
   constexpr char kUnknownField[] = "\xf8\xff\x03\x01";  // number 8191, a varint
   if (version == Version::later) REQUIRE(message.MergeFromString(kUnknownField));
   if (version != Version::older) return;
@@ -24,7 +24,7 @@
   CandidateCluster cluster(seed, versions.size());
   Simulation& simulation = cluster.simulation();
   simulation.rewrite_messages(
-      [&](std::size_t from, wire::Envelope& message) { write_as(versions.at(from), message); });
+      [&](std::size_t from, wire::Envelope& message) { rewrite_as_version(versions.at(from), message); });
   simulation.on_event([&] {
     std::size_t leaders = 0;
     for (std::size_t index = 0; index < cluster.size(); ++index)
@@ -48,7 +48,7 @@
   simulation.on_event(nullptr);
 }
 
-TEST_CASE("a group of older and present nodes elects its leaders, whoever crashes") {
+TEST_CASE("a group of older and present versions elects a new leader after each crash of a leader") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     run_rolling_restart(
         seed, {Version::older, Version::present, Version::older, Version::present, Version::present});
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_CASE("a group of present and later nodes elects its leaders, whoever crashes") {
+TEST_CASE("a group of present and later versions elects a new leader after each crash of a leader") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed)
     run_rolling_restart(seed,
                         {Version::later, Version::present, Version::later, Version::present, Version::later});
--- a/tests/cluster/store/power_loss_test.cpp
+++ b/tests/cluster/store/power_loss_test.cpp
@@ -17,7 +17,7 @@
   return tuning;
 }
 
-// The content after each batch, in order: the only states that may be found later.
+// The content of the store after each batch, in order. A reopened store must have one of these contents.
 class History {
  public:
   explicit History(Content start) : states_{std::move(start)} {}
--- a/tests/cluster/store/refusal_test.cpp
+++ b/tests/cluster/store/refusal_test.cpp
@@ -28,7 +28,7 @@
   return {{"key" + std::to_string(number % 50), std::to_string(number) + std::string(bytes, 'x')}};
 }
 
-// Retries until the batch is durable, as the journal does.
+// Retries until the batch is durable, as CommitQueue does.
 void commit_with_retries(LevelDbStore& store, TestLoop& loop, const StoreBatch& batch) {
   while (commit(store, loop, batch) != CommitOutcome::durable) {
   }
@@ -62,7 +62,7 @@
   CHECK(reopened_content(disk) == expected);
 }
 
-// What a failed operation left incomplete is part of the state that a later power loss meets.
+// The incomplete result of a failed operation is part of the state in which a later power loss occurs.
 TEST_CASE("I/O errors at any two operations lose no durable batch, also with a later power loss") {
   constexpr std::size_t kBatches = 150;
   std::mt19937_64 random(3);
@@ -116,7 +116,7 @@
     disk.set_capacity(16 << 20);
     commit_with_retries(*store, loop, {{"after", "room"}});
     expected["after"] = "room";
-    // Its outcome was unknown after the failure: retried, as the journal does.
+    // The outcome of the failed commit was unknown, so it is retried, as CommitQueue does.
     commit_with_retries(*store, loop, {{"key" + std::to_string(number), std::string(1000, 'y')}});
     expected["key" + std::to_string(number)] = std::string(1000, 'y');
   }
--- a/tests/cluster/store/store_fixture.hpp
+++ b/tests/cluster/store/store_fixture.hpp
@@ -1,4 +1,4 @@
-// What tests of the store share: an event loop on the test's thread, and helpers to commit and to read.
+// Shared by the tests of the store: an event loop on the test's thread, and helpers to commit and to read.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
 
 namespace winchhall::cluster::sim {
 
-// Makes a store wait for its writer thread however busy the machine is: a detached thread could outlive the
+// Makes a store wait for its writer thread even on a busy machine: a detached thread could outlive the
 // simulated disk.
 inline StoreTuning tuning_with_long_shutdown_timeout() {
   StoreTuning tuning;
@@ -24,7 +24,7 @@
   return tuning;
 }
 
-// Queues posted actions until the test runs them.
+// An event loop that queues posted actions until the test runs them.
 class TestLoop {
  public:
   PostToLoop poster() {
--- a/tests/cluster/store/tools_test.cpp
+++ b/tests/cluster/store/tools_test.cpp
@@ -170,7 +170,7 @@
   CHECK(failure_of([&] { return make_restored_state({}, 1, "", ""); }) == Failure::input);
 }
 
-// A store with given entries at the start.
+// A store that initially contains the given entries and commits to another store.
 class PreloadedStore : public DurableStore {
  public:
   PreloadedStore(DurableStore& disk, const std::vector<StoreEntry>& entries)
--- a/tests/cluster/support/configuration_fixture.hpp
+++ b/tests/cluster/support/configuration_fixture.hpp
@@ -32,7 +32,7 @@
   return configuration_json(version, route_json("r-1", "one"));
 }
 
-// The field that the InvalidInput names; empty if there is no error.
+// The field that the InvalidInput names; empty if there is no error, "?" for any other error.
 inline std::string refused_field(const std::function<leaf::result<Configuration>()>& read) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
@@ -56,8 +56,8 @@
   return parse_configuration(document.json(), "test");
 }
 
-// Registers shared by the services of several control nodes. Updates stay pending until the test runs them.
-// Every change is computed twice, as after a lost race.
+// Registers shared by the services of several control nodes. Updates stay pending until the test executes
+// them. Every change is computed twice, as it is after a conflict with another proposer.
 class SharedRegisters : public RegisterClient {
  public:
   enum class Delivery { delivered, response_lost, request_lost };
@@ -67,22 +67,22 @@
     pending_.push_back({key, std::move(change), std::move(done)});
   }
 
-  // Carries out the oldest pending update.
-  void run_oldest(Delivery fate = Delivery::delivered) {
+  // Executes the oldest pending update. `delivery`: whether the request and the response get through.
+  void run_oldest(Delivery delivery = Delivery::delivered) {
     const PendingUpdate update = std::move(pending_.front());
     pending_.erase(pending_.begin());
-    if (fate != Delivery::request_lost) apply(values_[update.key], update.change);
-    if (fate == Delivery::delivered) return update.done(values_[update.key]);
+    if (delivery != Delivery::request_lost) apply(values_[update.key], update.change);
+    if (delivery == Delivery::delivered) return update.done(values_[update.key]);
     update.done(std::nullopt);
   }
-  // Carries out and delivers what waits, and what comes of it.
+  // Executes and delivers all pending updates, including those that their callbacks start.
   void run_all() {
     while (!pending_.empty()) run_oldest();
   }
 
   std::size_t pending() const { return pending_.size(); }
   const std::string& oldest_key() const { return pending_.front().key; }
-  // Of the configuration.
+  // The value of the register that holds the configuration.
   const RegisterValue& value() { return values_[kConfigurationRegister]; }
 
  private:
@@ -93,7 +93,7 @@
   };
 
   static void apply(RegisterValue& value, const RegisterChange& change) {
-    change(value.value);  // a lost race: the change is computed again
+    change(value.value);  // as for an attempt that lost to another proposer
     std::optional<std::string> next = change(value.value);
     if (!next) return;
     value.value = std::move(*next);
--- a/tests/cluster/support/consensus_fixture.hpp
+++ b/tests/cluster/support/consensus_fixture.hpp
@@ -1,4 +1,4 @@
-// A simulated control group: machines that run a ControlGroup each, and an injector of random faults.
+// A simulated control group: machines that each run a ControlGroup, and an injector of random faults.
 #pragma once
 
 #include <memory>
@@ -28,7 +28,7 @@
   return settings;
 }
 
-// The program of one machine. `Application` is what runs on top of the group: built after it, destroyed
+// The program of one machine. `Application` uses the group: it is constructed after the group and destroyed
 // before it.
 template <typename Application>
 struct ControlProgram {
@@ -40,11 +40,12 @@
   Application application;
 };
 
-// Nothing on top of the group.
+// For machines on which only the group runs.
 struct NoApplication {
   NoApplication(SimNode&, ControlGroup&) {}
 };
 
+// Owns the simulation and the programs of its machines.
 template <typename Application = NoApplication>
 class ControlCluster {
  public:
@@ -61,11 +62,11 @@
   ControlGroup& group(std::size_t index) { return programs_.at(index)->group; }
   Application& application(std::size_t index) { return programs_.at(index)->application; }
 
-  // This machine's pings and their answers don't announce that it knows learners, as those of earlier
-  // versions. It admits nobody, as it would have to do so by their rules.
+  // Simulates a machine of an earlier version: its pings and answers to pings don't announce that it knows
+  // learners. It admits no machines, because it would have to do so by the rules of that version.
   void mark_without_learners(std::size_t index) { without_learners_.insert(machine_ip(index) + ":7000"); }
 
-  // From now on machines start with seeds that are up, as the operators keep the list current.
+  // From now on machines start with seeds that are running, as if the operators kept the list up to date.
   void use_fresh_seeds() { fresh_seeds_ = true; }
 
   std::size_t add_machine() {
@@ -77,7 +78,7 @@
       return SimNode::Program{
           program, [this, index, &group](const wire::Envelope& request, const ReplyCallback& reply) {
             if (without_learners_.empty()) return group.handle(request, reply);
-            return handle_as_by_versions(index, request, reply);
+            return handle_with_versions(index, request, reply);
           }};
     });
     return index;
@@ -105,7 +106,7 @@
   void start_all() {
     for (std::size_t index = 0; index < size(); ++index) start(index);
   }
-  // The machine comes back at once with an empty disk.
+  // Restarts the machine immediately with an empty disk.
   void wipe(std::size_t index) {
     crash(index);
     simulation_.node(index).lose_disk();
@@ -119,7 +120,7 @@
     }
     return false;
   }
-  // True once every running machine votes and all know the same record, whose members are just these
+  // True if every running machine votes and all of them know the same record, whose members are exactly these
   // machines.
   bool is_stable() {
     std::size_t machines = 0;
@@ -140,7 +141,7 @@
   }
 
  private:
-  bool handle_as_by_versions(std::size_t index, wire::Envelope request, const ReplyCallback& reply) {
+  bool handle_with_versions(std::size_t index, wire::Envelope request, const ReplyCallback& reply) {
     if (request.has_member_ping() && without_learners_.contains(request.member_ping().address()))
       request.mutable_member_ping()->clear_knows_learners();
     if (!without_learners_.contains(machine_ip(index) + ":7000"))
@@ -179,18 +180,19 @@
   bool freezes = true;
   bool partitions = true;
   bool disk_faults = true;
-  bool disk_losses = false;  // one at a time: the next only once the machine before votes again
+  bool disk_losses = false;  // one at a time: the next one only after the previous machine votes again
 };
 
-// Every fault is over this long after it began.
+// Every fault ends within this time after its start.
 constexpr Millis kMaxFaultDuration{4000};
 
-// Injects random faults into a cluster, and ends them.
+// Injects random faults into a cluster and ends them.
 template <typename Application>
 class FaultInjector {
  public:
   FaultInjector(ControlCluster<Application>& cluster, FaultPlan plan) : cluster_(cluster), plan_(plan) {}
 
+  // Starts one random fault, or none if its kind is not in the plan.
   void inject_fault() {
     Simulation& simulation = cluster_.simulation();
     const auto index = static_cast<std::size_t>(
@@ -223,6 +225,7 @@
     }
   }
 
+  // Heals the network and the disks, and starts all machines.
   void end_faults() {
     cluster_.simulation().heal();
     for (std::size_t index = 0; index < cluster_.size(); ++index) cluster_.node(index).refuse_writes(false);
@@ -273,15 +276,15 @@
                   [&simulation, index] { simulation.node(index).refuse_writes(false); });
   }
   void wipe(std::size_t index) {
-    if (wiped_ && !(cluster_.running(*wiped_) && cluster_.group(*wiped_).votes())) return;
+    if (last_wiped_ && !(cluster_.running(*last_wiped_) && cluster_.group(*last_wiped_).votes())) return;
     if (!cluster_.running(index) || !cluster_.group(index).votes()) return;
     cluster_.wipe(index);
-    wiped_ = index;
+    last_wiped_ = index;
   }
 
   ControlCluster<Application>& cluster_;
   const FaultPlan plan_;
-  std::optional<std::size_t> wiped_;
+  std::optional<std::size_t> last_wiped_;
 };
 
 }  // namespace winchhall::cluster::sim
--- a/tests/cluster/support/disk_model.hpp
+++ b/tests/cluster/support/disk_model.hpp
@@ -1,4 +1,4 @@
-// A model of a disk's durability: what a power loss can leave of files and names.
+// A model of a disk's durability: the states of files and names that a power loss can leave.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 enum class DiskOperationKind { create, write, sync, rename, remove, sync_directory };
 
-// A change of the disk, as recorded in a trace.
+// One change of the disk, as recorded in a trace.
 struct DiskOperation {
   DiskOperationKind kind;
   std::string path;
@@ -84,7 +84,7 @@
     return total;
   }
 
-  // One of the states that a power loss now can leave, drawn at random.
+  // A random one of the states that a power loss at this point can leave.
   DiskFiles after_power_loss(std::mt19937_64& random) const {
     std::map<std::string, int> names = durable_names_;
     for (const NameChange& change : unsynced_names_) {
@@ -179,19 +179,19 @@
   // Applies a prefix of the data, a subset of its sectors, or all of it with one sector overwritten by
   // garbage.
   static void put_torn(std::string& content, const Write& write, std::mt19937_64& random) {
-    constexpr std::size_t kSector = 512;
+    constexpr std::size_t kSectorBytes = 512;
     const auto outcome = random() % 3;
     if (write.data.empty()) return;
     if (outcome == 0) return put(content, write.offset, write.data.substr(0, random() % write.data.size()));
     if (outcome == 1) {
-      for (std::size_t offset = 0; offset < write.data.size(); offset += kSector) {
-        if (random() % 2 == 0) put(content, write.offset + offset, write.data.substr(offset, kSector));
+      for (std::size_t offset = 0; offset < write.data.size(); offset += kSectorBytes) {
+        if (random() % 2 == 0) put(content, write.offset + offset, write.data.substr(offset, kSectorBytes));
       }
       return;
     }
     std::string data = write.data;
     const std::size_t start = random() % data.size();
-    for (std::size_t offset = start; offset < std::min(start + kSector, data.size()); ++offset) {
+    for (std::size_t offset = start; offset < std::min(start + kSectorBytes, data.size()); ++offset) {
       data[offset] = static_cast<char>(random());
     }
     put(content, write.offset, data);
--- a/tests/cluster/support/fake_runtime.hpp
+++ b/tests/cluster/support/fake_runtime.hpp
@@ -1,4 +1,4 @@
-// Runtime for unit tests: virtual time, and scripted peers that answer calls. Nothing sleeps.
+// Runtime for unit tests: virtual time, and peers that the test implements. Never sleeps.
 #pragma once
 
 #include <functional>
@@ -48,8 +48,8 @@
     return random_ >> 33;
   }
 
-  void run_for(Millis span) {
-    const TimePoint end = now_ + span;
+  void run_for(Millis duration) {
+    const TimePoint end = now_ + duration;
     while (!events_.empty() && events_.begin()->first.first <= end) {
       const auto event = events_.extract(events_.begin());
       now_ = event.key().first;
--- a/tests/cluster/support/long_fault_injector.hpp
+++ b/tests/cluster/support/long_fault_injector.hpp
@@ -1,5 +1,5 @@
-// Faults that outlast every lease and every call: partitions, freezes and hung disks of 5 to 30 s, one at a
-// time.
+// Faults that last longer than every lease and every call: partitions, freezes and hung disks of 5 to 30 s,
+// one at a time.
 #pragma once
 
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -11,11 +11,11 @@
  public:
   explicit LongFaultInjector(ControlCluster<Application>& cluster) : cluster_(cluster) {}
 
-  // Begins one random fault and returns its duration.
+  // Starts one random fault and returns its duration.
   Millis inject_fault() {
     Simulation& simulation = cluster_.simulation();
-    const std::size_t index = pick();
-    const Millis span(simulation.random_between(5000, 30000));
+    const std::size_t index = random_machine();
+    const Millis duration(simulation.random_between(5000, 30000));
     switch (simulation.random_between(0, 6)) {
       case 0:
         simulation.isolate(index);
@@ -30,27 +30,27 @@
         split();
         break;
       case 4:
-        simulation.node(index).freeze_for(span);
+        simulation.node(index).freeze_for(duration);
         break;
       case 5:
-        simulation.node(index).hang_disk_for(span);
+        simulation.node(index).hang_disk_for(duration);
         break;
       default:
-        flap(index, span);
+        flap(index, duration);
     }
-    simulation.in(span, [&simulation] { simulation.heal(); });
-    return span;
+    simulation.in(duration, [&simulation] { simulation.heal(); });
+    return duration;
   }
 
  private:
-  std::size_t pick() {
+  std::size_t random_machine() {
     return static_cast<std::size_t>(
         cluster_.simulation().random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
   }
-  void cut_one_way(std::size_t index, bool outwards) {
+  void cut_one_way(std::size_t index, bool outbound) {
     for (std::size_t other = 0; other < cluster_.size(); ++other) {
       if (other == index) continue;
-      cluster_.simulation().cut(outwards ? index : other, outwards ? other : index);
+      cluster_.simulation().cut(outbound ? index : other, outbound ? other : index);
     }
   }
   void split() {
@@ -62,12 +62,12 @@
       }
     }
   }
-  // Partitioned and healed, again and again.
-  void flap(std::size_t index, Millis span) {
+  // Partitions and reconnects a machine repeatedly.
+  void flap(std::size_t index, Millis duration) {
     Simulation& simulation = cluster_.simulation();
-    for (Millis at{0}; at < span; at += Millis(simulation.random_between(300, 2500))) {
-      const bool on = simulation.chance(0.6);
-      simulation.in(at, [&simulation, index, on] { simulation.isolate(index, on); });
+    for (Millis at{0}; at < duration; at += Millis(simulation.random_between(300, 2500))) {
+      const bool isolated = simulation.chance(0.6);
+      simulation.in(at, [&simulation, index, isolated] { simulation.isolate(index, isolated); });
     }
   }
 
--- a/tests/cluster/support/loopback_client.hpp
+++ b/tests/cluster/support/loopback_client.hpp
@@ -1,4 +1,4 @@
-// Client connection on the loopback interface that collects its input.
+// Client connection on the loopback interface that collects what it receives.
 #pragma once
 
 #include <array>
--- a/tests/cluster/support/scripted_runtime.hpp
+++ b/tests/cluster/support/scripted_runtime.hpp
@@ -1,4 +1,4 @@
-// A runtime with a manual clock and calls that the test answers.
+// Runtime for unit tests with a manual clock, whose calls the test answers.
 #pragma once
 
 #include <algorithm>
@@ -45,8 +45,8 @@
   }
 
   // Moves the clock and fires the timers that are due.
-  void advance(Millis span) {
-    const TimePoint end = now_ + span;
+  void advance(Millis duration) {
+    const TimePoint end = now_ + duration;
     while (!timers_.empty() && timers_.begin()->first.first <= end) {
       const auto first = timers_.begin();
       now_ = std::max(now_, first->first.first);
@@ -57,8 +57,8 @@
     now_ = end;
   }
 
-  // Moves the clock as if the process were suspended: timers fire late.
-  void suspend(Millis span) { now_ += span; }
+  // Moves the clock without firing timers, as if the process were suspended: they fire late.
+  void suspend(Millis duration) { now_ += duration; }
 
   std::deque<Call> calls;
 
--- a/tests/cluster/support/sim_runtime.hpp
+++ b/tests/cluster/support/sim_runtime.hpp
@@ -36,8 +36,8 @@
 
 class Simulation;
 
-// A disk. Synced batches are durable; when the machine crashes, each other batch is either durable or lost,
-// at random.
+// A simulated disk. Synced batches are durable. When the machine crashes, each unsynced batch is randomly
+// either durable or lost.
 class SimStore : public DurableStore {
  public:
   explicit SimStore(class SimNode& node) : node_(node) {}
@@ -108,17 +108,18 @@
   // Ends the process immediately. Each batch that is not synced is durable or lost, at random.
   void crash();
   void lose_disk() { store_.durable_.clear(); }
-  void freeze_for(Millis span);
-  // No write completes before then.
-  void hang_disk_for(Millis span);
+  void freeze_for(Millis duration);
+  // Delays the completion of all writes until the end of this time.
+  void hang_disk_for(Millis duration);
+  // While on, every write is reported as failed and takes effect at random.
   void refuse_writes(bool refuse) { refuse_writes_ = refuse; }
 
  private:
   friend class Simulation;
   friend class SimStore;
 
-  // Runs an action of this process at a time: later if the process is frozen then, never in another
-  // incarnation.
+  // Runs an action of this process at a simulated time, or later if the process is frozen then. Never runs it
+  // in another incarnation.
   void run_at(std::int64_t time_us, std::function<void()> action);
 
   Simulation& simulation_;
@@ -135,18 +136,19 @@
   std::int64_t clock_offset_us_ = 0;
 };
 
+// Owns the nodes, the simulated network and the queue of events. Single-threaded.
 class Simulation {
  public:
   explicit Simulation(std::uint64_t seed, SimulationOptions options = {})
       : options_(options), generator_(seed) {}
-  // Programs must end before the simulation that they run in.
+  // Ends the programs, which must not outlive the simulation.
   ~Simulation() {
     for (const auto& node : nodes_) {
       if (node->running_) node->crash();
     }
   }
 
-  // Adds a machine, which is not started.
+  // Adds a machine without starting it.
   SimNode& add_node(Address address, SimNode::Boot boot) {
     nodes_.push_back(std::make_unique<SimNode>(*this, nodes_.size(), std::move(address), std::move(boot)));
     by_address_[nodes_.back()->address()] = nodes_.back().get();
@@ -159,7 +161,7 @@
   std::int64_t now_ms() const { return now_us_ / 1000; }
   SimulationOptions& options() { return options_; }
 
-  // Partitions, or reconnects, one direction between two machines.
+  // Blocks, or unblocks, the messages of one machine to another.
   void cut(std::size_t from, std::size_t to, bool on = true) {
     if (on) {
       cuts_.emplace(from, to);
@@ -186,10 +188,10 @@
   void in(Millis delay, std::function<void()> action) {
     at(now_us_ + delay.count() * 1000, std::move(action));
   }
-  // `check` is called after every event, to check invariants.
+  // Sets a function that is called after every event, to check invariants; null: none.
   void on_event(std::function<void()> check) { check_ = std::move(check); }
-  // `rewrite` is called with the sender and every message before it is sent: simulates nodes of other
-  // versions.
+  // Sets a function that is called with the sender and every message before it is sent, to simulate nodes of
+  // other versions.
   using Rewrite = std::function<void(std::size_t from, wire::Envelope& message)>;
   void rewrite_messages(Rewrite rewrite) { rewrite_ = std::move(rewrite); }
   void rewrite(std::size_t from, wire::Envelope& message) const {
@@ -205,12 +207,12 @@
     if (check_) check_();
     return true;
   }
-  void run_for(Millis span) { run_until_us(now_us_ + span.count() * 1000); }
+  void run_for(Millis duration) { run_until_us(now_us_ + duration.count() * 1000); }
   void run_until_us(std::int64_t time_us) {
     while (!events_.empty() && events_.top().time_us <= time_us) step();
     now_us_ = std::max(now_us_, time_us);
   }
-  // Runs until the predicate holds. False if it doesn't within the limit.
+  // Runs until the predicate holds. Returns false if it doesn't within the limit.
   bool run_until(const std::function<bool()>& predicate, Millis limit) {
     const std::int64_t end_us = now_us_ + limit.count() * 1000;
     while (!predicate()) {
@@ -253,8 +255,8 @@
     if (chance(options_.late)) return random_between(options_.delay_max_us, options_.late_max_us);
     return random_between(options_.delay_min_us, options_.delay_max_us);
   }
-  // Transmits one message: calls `arrive` never, once or twice when it reaches the receiver.
-  void carry(std::size_t from, std::size_t to, const std::function<void()>& arrive) {
+  // Transmits one message: calls `arrive` when it reaches the receiver, which may be never, once or twice.
+  void transmit(std::size_t from, std::size_t to, const std::function<void()>& arrive) {
     const int copies = chance(options_.duplication) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
       if (from != to && (is_cut(from, to) || chance(options_.loss))) continue;
@@ -344,10 +346,10 @@
   simulation_.rewrite(index_, request);
   const std::size_t from = index_;
   const std::size_t to = receiver->index_;
-  simulation_.carry(
+  simulation_.transmit(
       from, to, [this, receiver, from, to, incarnation = incarnation_, notify, request = std::move(request)] {
         const auto answer_back = [this, from, to, incarnation, notify](CallResult result) {
-          simulation_.carry(to, from, [this, incarnation, notify, result = std::move(result)] {
+          simulation_.transmit(to, from, [this, incarnation, notify, result = std::move(result)] {
             if (!running_ || incarnation != incarnation_) return;
             run_at(simulation_.now_us(), [notify, result] { notify(result); });
           });
@@ -377,12 +379,12 @@
   program_ = Program{};
 }
 
-inline void SimNode::freeze_for(Millis span) {
-  frozen_until_us_ = simulation_.now_us() + span.count() * 1000;
+inline void SimNode::freeze_for(Millis duration) {
+  frozen_until_us_ = simulation_.now_us() + duration.count() * 1000;
 }
 
-inline void SimNode::hang_disk_for(Millis span) {
-  store_.hangs_until_us_ = simulation_.now_us() + span.count() * 1000;
+inline void SimNode::hang_disk_for(Millis duration) {
+  store_.hangs_until_us_ = simulation_.now_us() + duration.count() * 1000;
   store_.busy_until_us_ = std::max(store_.busy_until_us_, store_.hangs_until_us_);
 }
 
--- a/tests/cluster/support/sim_store_impl.hpp
+++ b/tests/cluster/support/sim_store_impl.hpp
@@ -6,7 +6,7 @@
 inline void SimStore::commit(StoreBatch batch, std::function<void(CommitOutcome)> done) {
   Simulation& simulation = node_.simulation_;
   const std::int64_t start_us = std::max(busy_until_us_, simulation.now_us());
-  // Pending batches may share one sync. While the disk hangs, all of them do.
+  // Pending batches may share one sync. All batches issued while the disk hangs share one.
   const bool hangs = simulation.now_us() < hangs_until_us_;
   const bool shares_sync = hangs || (busy_until_us_ > simulation.now_us() && simulation.chance(0.5));
   busy_until_us_ = start_us + (shares_sync ? 1
--- a/tests/cluster/support/simulated_disk.hpp
+++ b/tests/cluster/support/simulated_disk.hpp
@@ -1,4 +1,5 @@
-// A disk in memory that records all operations and can be made to lose power, fail, fill up or hang.
+// A disk in memory that records all operations. Tests can make it fail, fill up or hang, and replay its trace
+// on a DiskModel to simulate a power loss.
 #pragma once
 
 #include <condition_variable>
@@ -27,7 +28,7 @@
     return change({DiskOperationKind::sync_directory, path, "", "", 0}).ok();
   }
 
-  // The changes so far, in order.
+  // The recorded changes, in order.
   std::vector<DiskOperation> trace() const {
     const std::lock_guard lock(mutex_);
     return trace_;
@@ -55,14 +56,14 @@
   // Stops recording the trace, to save memory in long tests.
   void disable_trace() {
     const std::lock_guard lock(mutex_);
-    record_ = false;
+    records_trace_ = false;
   }
   // While on, every change fails with an I/O error.
   void fail_changes(bool on) {
     const std::lock_guard lock(mutex_);
     failing_ = on;
   }
-  // Lets the changes with these numbers fail, counted from 0 at this call.
+  // Makes the changes with these numbers fail, counted from 0 at this call.
   void fail_changes_numbered(const std::set<std::size_t>& numbers) {
     const std::lock_guard lock(mutex_);
     failing_changes_.clear();
@@ -77,17 +78,17 @@
   void hang(bool on) {
     const std::lock_guard lock(mutex_);
     hanging_ = on;
-    wake_.notify_all();
+    state_changed_.notify_all();
   }
   // Blocks until a sync hangs.
   void wait_for_hanging_sync() {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [this] { return hanging_syncs_ > 0; });
+    state_changed_.wait(lock, [this] { return hanging_syncs_ > 0; });
   }
   // Blocks until no database is open on the disk.
   void wait_for_unlock() {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [this] { return locks_ == 0; });
+    state_changed_.wait(lock, [this] { return locks_ == 0; });
   }
 
  private:
@@ -97,11 +98,11 @@
   bool next_change_fails();
 
   mutable std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable state_changed_;
   DiskModel model_;
   std::vector<DiskOperation> trace_;
   std::unique_ptr<leveldb::Env> files_;
-  bool record_ = true;
+  bool records_trace_ = true;
   std::size_t peak_bytes_ = 0;
   std::size_t written_bytes_ = 0;
   std::size_t capacity_ = SIZE_MAX;
--- a/tests/cluster/support/simulated_disk_impl.hpp
+++ b/tests/cluster/support/simulated_disk_impl.hpp
@@ -53,10 +53,10 @@
     const std::lock_guard lock(disk_.mutex_);
     return disk_.model_.exists(path);
   }
-  leveldb::Status GetChildren(const std::string& folder, std::vector<std::string>* names) override {
+  leveldb::Status GetChildren(const std::string& directory, std::vector<std::string>* names) override {
     names->clear();
     for (const auto& [path, content] : disk_.content()) {
-      const std::string prefix = folder + "/";
+      const std::string prefix = directory + "/";
       if (!path.starts_with(prefix)) continue;
       const std::string name = path.substr(prefix.size(), path.find('/', prefix.size()) - prefix.size());
       if (names->empty() || names->back() != name) names->push_back(name);
@@ -88,7 +88,7 @@
   leveldb::Status UnlockFile(leveldb::FileLock* lock) override {
     const std::lock_guard guard(disk_.mutex_);
     --disk_.locks_;
-    disk_.wake_.notify_all();
+    disk_.state_changed_.notify_all();
     delete lock;
     return leveldb::Status::OK();
   }
@@ -114,9 +114,9 @@
   ~SimulatedWriter() override { Flush(); }
 
   leveldb::Status Append(const leveldb::Slice& data) override {
-    constexpr std::size_t kBuffer = 65536;
+    constexpr std::size_t kBufferBytes = 65536;
     buffer_.append(data.data(), data.size());
-    return buffer_.size() < kBuffer ? leveldb::Status::OK() : Flush();
+    return buffer_.size() < kBufferBytes ? leveldb::Status::OK() : Flush();
   }
   leveldb::Status Close() override { return Flush(); }
   leveldb::Status Flush() override {
@@ -161,8 +161,8 @@
   std::unique_lock lock(mutex_);
   if (operation.kind == DiskOperationKind::sync && hanging_) {
     ++hanging_syncs_;
-    wake_.notify_all();
-    wake_.wait(lock, [this] { return !hanging_; });
+    state_changed_.notify_all();
+    state_changed_.wait(lock, [this] { return !hanging_; });
     --hanging_syncs_;
   }
   if (next_change_fails()) return leveldb::Status::IOError(operation.path, "simulated I/O error");
@@ -178,7 +178,7 @@
   const int file = model_.apply(operation);
   if (created) *created = file;
   peak_bytes_ = std::max(peak_bytes_, model_.bytes());
-  if (record_) trace_.push_back(std::move(operation));
+  if (records_trace_) trace_.push_back(std::move(operation));
   return status;
 }
 
--- a/tests/cluster/support/temporary_file.hpp
+++ b/tests/cluster/support/temporary_file.hpp
@@ -1,4 +1,4 @@
-// A file for one test.
+// Temporary files for tests.
 #pragma once
 
 #include <unistd.h>
@@ -9,7 +9,7 @@
 
 namespace winchhall::cluster::testing {
 
-// Creates a file with the given content in the temporary directory, and removes it at the end.
+// Creates a file with the given content in the temporary directory and removes it in the destructor.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text)
