--- a/tests/cluster/consensus/lease_candidate.hpp
+++ b/tests/cluster/consensus/lease_candidate.hpp
@@ -1,4 +1,4 @@
-// Nodes that are candidates for the lease of one shard and do nothing else with it.
+// Nodes that are candidates for the lease of one shard and write nothing to it.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 inline const std::string kShard = "service/one";
 
-// Takes part in one shard on one node.
+// Participates in one shard on one node.
 struct Candidate {
   Candidate(SimNode&, ControlGroup& group) : shard(group.open_shard(kShard, callbacks())) {}
   static ShardCallbacks callbacks() {
@@ -27,7 +27,7 @@
 
 inline std::optional<std::size_t> leader_of(CandidateCluster& cluster) {
   for (std::size_t index = 0; index < cluster.size(); ++index)
-    if (cluster.running(index) && cluster.extra(index).shard->leads()) return index;
+    if (cluster.running(index) && cluster.application(index).shard->leads()) return index;
   return std::nullopt;
 }
 
--- a/tests/cluster/consensus/register_test.cpp
+++ b/tests/cluster/consensus/register_test.cpp
@@ -1,4 +1,4 @@
-// Registers on a simulated control group: every history under faults must be linearizable.
+// Registers on a simulated control group: every history, also under faults, must be linearizable.
 #include <catch2/catch.hpp>
 
 #include "tests/cluster/support/consensus_fixture.hpp"
@@ -8,9 +8,9 @@
 
 const std::string kKey = "list";
 
-// Appends unique marks to one register from many nodes and checks what the updates return: the values form
-// one chain of prefixes, each holds its mark once, and whatever ended before an update began is a prefix of
-// its value.
+// Appends unique markers to one register from many nodes and checks the values that the updates return: they
+// form one chain of prefixes, each contains its own marker exactly once, and every value returned before an
+// update began is a prefix of the value that this update returns.
 class AppendHistory {
  public:
   explicit AppendHistory(ControlCluster<>& cluster) : cluster_(cluster) {}
@@ -28,7 +28,7 @@
 
   std::size_t ended() const { return ended_; }
   std::size_t acknowledged() const { return acknowledged_.size(); }
-  // True if a value holds every acknowledged mark.
+  // True if a value contains every acknowledged marker.
   bool complete(const std::string& value) const {
     return std::all_of(acknowledged_.begin(), acknowledged_.end(),
                        [&](const std::string& marker) { return value.find(marker) != std::string::npos; });
@@ -73,11 +73,11 @@
   REQUIRE(history.complete(history.longest()));
 }
 
-void run_history(std::uint64_t seed, std::size_t machines, SimulationOptions terms, FaultPlan fault_plan) {
+void run_history(std::uint64_t seed, std::size_t machines, SimulationOptions options, FaultPlan fault_plan) {
   CAPTURE(seed, machines);
-  ControlCluster<> cluster(seed, machines, terms);
+  ControlCluster<> cluster(seed, machines, options);
   AppendHistory history(cluster);
-  FaultInjector<NoExtra> faults(cluster, fault_plan);
+  FaultInjector<NoApplication> faults(cluster, fault_plan);
   Simulation& simulation = cluster.simulation();
   cluster.bootstrap();
   const std::int64_t end_ms = simulation.now_ms() + 25000;
@@ -92,13 +92,13 @@
     }
     simulation.run_for(Millis(simulation.random_between(1, 150)));
     if (simulation.now_ms() < next_fault_ms) continue;
-    faults.one();
+    faults.inject_fault();
     next_fault_ms = simulation.now_ms() + simulation.random_between(50, 2500);
   }
-  faults.end();
+  faults.end_faults();
   simulation.run_for(kMaxFaultDuration);
-  simulation.terms().loss = 0;
-  simulation.terms().late = 0;
+  simulation.options().loss = 0;
+  simulation.options().late = 0;
   REQUIRE(simulation.run_until([&] { return cluster.is_stable(); }, Millis(15000)));
   require_all_acknowledged_readable(cluster, history);
   REQUIRE(history.acknowledged() > 5);
@@ -207,20 +207,20 @@
 }
 
 TEST_CASE("registers are linearizable: lost, duplicated and late messages") {
-  SimulationOptions terms;
-  terms.loss = 0.05;
-  terms.duplication = 0.1;
-  terms.late = 0.05;
-  for (std::uint64_t seed = 1; seed <= 80; ++seed) run_history(seed, 5, terms, FaultPlan{});
+  SimulationOptions options;
+  options.loss = 0.05;
+  options.duplication = 0.1;
+  options.late = 0.05;
+  for (std::uint64_t seed = 1; seed <= 80; ++seed) run_history(seed, 5, options, FaultPlan{});
 }
 
 TEST_CASE("registers are linearizable: members lose their disks one after another") {
-  SimulationOptions terms;
-  terms.duplication = 0.05;
-  terms.late = 0.05;
+  SimulationOptions options;
+  options.duplication = 0.05;
+  options.late = 0.05;
   FaultPlan faults;
-  faults.wipes = true;
-  for (std::uint64_t seed = 1; seed <= 100; ++seed) run_history(seed, seed % 3 == 0 ? 4 : 5, terms, faults);
+  faults.disk_losses = true;
+  for (std::uint64_t seed = 1; seed <= 100; ++seed) run_history(seed, seed % 3 == 0 ? 4 : 5, options, faults);
 }
 
 }  // namespace
--- a/tests/cluster/support/consensus_fixture.hpp
+++ b/tests/cluster/support/consensus_fixture.hpp
@@ -1,4 +1,4 @@
-// A simulated control group: machines that run a ControlGroup each, and an injector of random faults.
+// A simulated control group: machines that each run a ControlGroup, and an injector of random faults.
 #pragma once
 
 #include <memory>
@@ -28,27 +28,29 @@
   return settings;
 }
 
-// The program of one machine. `Extra` is what runs on top of the group: built after it, destroyed before it.
-template <typename Extra>
+// The program of one machine. `Application` uses the group: it is constructed after the group and destroyed
+// before it.
+template <typename Application>
 struct ControlProgram {
   ControlProgram(SimNode& node, const NodeSettings& settings)
-      : group(node, node.store(), settings), extra(node, group) {
+      : group(node, node.store(), settings), application(node, group) {
     group.start();
   }
   ControlGroup group;
-  Extra extra;
+  Application application;
 };
 
-// Nothing on top of the group.
-struct NoExtra {
-  NoExtra(SimNode&, ControlGroup&) {}
+// For machines on which only the group runs.
+struct NoApplication {
+  NoApplication(SimNode&, ControlGroup&) {}
 };
 
-template <typename Extra = NoExtra>
+// Owns the simulation and the programs of its machines.
+template <typename Application = NoApplication>
 class ControlCluster {
  public:
-  ControlCluster(std::uint64_t seed, std::size_t machines, SimulationOptions terms = {})
-      : simulation_(seed, terms), programs_(64) {
+  ControlCluster(std::uint64_t seed, std::size_t machines, SimulationOptions options = {})
+      : simulation_(seed, options), programs_(64) {
     for (std::size_t index = 0; index < machines; ++index) add_machine();
   }
   ~ControlCluster() { crash_all(); }
@@ -58,25 +60,25 @@
   SimNode& node(std::size_t index) { return simulation_.node(index); }
   bool running(std::size_t index) { return simulation_.node(index).running(); }
   ControlGroup& group(std::size_t index) { return programs_.at(index)->group; }
-  Extra& extra(std::size_t index) { return programs_.at(index)->extra; }
+  Application& application(std::size_t index) { return programs_.at(index)->application; }
 
-  // This machine's pings and their answers don't announce that it knows learners, as those of earlier
-  // versions. It admits nobody, as it would have to do so by their rules.
+  // Simulates a machine of an earlier version: its pings and answers to pings don't announce that it knows
+  // learners. It admits no machines, because it would have to do so by the rules of that version.
   void mark_without_learners(std::size_t index) { without_learners_.insert(machine_ip(index) + ":7000"); }
 
-  // From now on machines start with seeds that are up, as the operators keep the list current.
+  // From now on machines start with seeds that are running, as if the operators kept the list up to date.
   void use_fresh_seeds() { fresh_seeds_ = true; }
 
   std::size_t add_machine() {
     const std::size_t index = simulation_.size();
     simulation_.add_node(machine_ip(index) + ":7000", [this, index](SimNode& node) {
-      auto program = std::make_shared<ControlProgram<Extra>>(node, settings_now(index));
+      auto program = std::make_shared<ControlProgram<Application>>(node, settings_now(index));
       programs_[index] = program.get();
       ControlGroup& group = program->group;
       return SimNode::Program{
           program, [this, index, &group](const wire::Envelope& request, const ReplyCallback& reply) {
             if (without_learners_.empty()) return group.handle(request, reply);
-            return handle_as_by_versions(index, request, reply);
+            return handle_with_versions(index, request, reply);
           }};
     });
     return index;
@@ -104,7 +106,7 @@
   void start_all() {
     for (std::size_t index = 0; index < size(); ++index) start(index);
   }
-  // The machine comes back at once with an empty disk.
+  // Restarts the machine immediately with an empty disk.
   void wipe(std::size_t index) {
     crash(index);
     simulation_.node(index).lose_disk();
@@ -118,7 +120,7 @@
     }
     return false;
   }
-  // True once every running machine votes and all know the same record, whose members are just these
+  // True if every running machine votes and all of them know the same record, whose members are exactly these
   // machines.
   bool is_stable() {
     std::size_t machines = 0;
@@ -139,7 +141,7 @@
   }
 
  private:
-  bool handle_as_by_versions(std::size_t index, wire::Envelope request, const ReplyCallback& reply) {
+  bool handle_with_versions(std::size_t index, wire::Envelope request, const ReplyCallback& reply) {
     if (request.has_member_ping() && without_learners_.contains(request.member_ping().address()))
       request.mutable_member_ping()->clear_knows_learners();
     if (!without_learners_.contains(machine_ip(index) + ":7000"))
@@ -165,7 +167,7 @@
   }
 
   Simulation simulation_;
-  std::vector<ControlProgram<Extra>*> programs_;
+  std::vector<ControlProgram<Application>*> programs_;
   bool first_start_ = false;
   bool fresh_seeds_ = false;
   std::set<Address> without_learners_;
@@ -176,52 +178,55 @@
   bool crashes = true;
   bool power_loss = true;
   bool freezes = true;
-  bool cuts = true;
-  bool disks = true;
-  bool wipes = false;  // one at a time: the next only once the machine before votes again
+  bool partitions = true;
+  bool disk_faults = true;
+  bool disk_losses = false;  // one at a time: the next one only after the previous machine votes again
 };
 
-// Every fault is over this long after it began.
+// Every fault ends within this time after its start.
 constexpr Millis kMaxFaultDuration{4000};
 
-// Injects random faults into a cluster, and ends them.
-template <typename Extra>
+// Injects random faults into a cluster and ends them.
+template <typename Application>
 class FaultInjector {
  public:
-  FaultInjector(ControlCluster<Extra>& cluster, FaultPlan terms) : cluster_(cluster), terms_(terms) {}
+  FaultInjector(ControlCluster<Application>& cluster, FaultPlan plan) : cluster_(cluster), plan_(plan) {}
 
-  void one() {
+  // Starts one random fault, or none if its kind is not in the plan.
+  void inject_fault() {
     Simulation& simulation = cluster_.simulation();
     const auto index = static_cast<std::size_t>(
         simulation.random_between(0, static_cast<std::int64_t>(cluster_.size()) - 1));
     switch (simulation.random_between(0, 9)) {
       case 0:
       case 1:
-        if (terms_.crashes) return crash(index);
+        if (plan_.crashes) return crash(index);
         break;
       case 2:
-        if (terms_.power_loss && simulation.chance(0.3)) return lose_power();
+        if (plan_.power_loss && simulation.chance(0.3)) return lose_power();
         break;
       case 3:
       case 4:
-        if (terms_.freezes) simulation.node(index).freeze_for(Millis(simulation.random_between(50, 4000)));
+        if (plan_.freezes) simulation.node(index).freeze_for(Millis(simulation.random_between(50, 4000)));
         break;
       case 5:
       case 6:
-        if (terms_.cuts) return cut(index);
+        if (plan_.partitions) return cut(index);
         break;
       case 7:
-        if (terms_.disks) simulation.node(index).hang_disk_for(Millis(simulation.random_between(50, 3000)));
+        if (plan_.disk_faults)
+          simulation.node(index).hang_disk_for(Millis(simulation.random_between(50, 3000)));
         break;
       case 8:
-        if (terms_.disks) return refuse_writes(index);
+        if (plan_.disk_faults) return refuse_writes(index);
         break;
       default:
-        if (terms_.wipes) wipe(index);
+        if (plan_.disk_losses) wipe(index);
     }
   }
 
-  void end() {
+  // Heals the network and the disks, and starts all machines.
+  void end_faults() {
     cluster_.simulation().heal();
     for (std::size_t index = 0; index < cluster_.size(); ++index) cluster_.node(index).refuse_writes(false);
     cluster_.start_all();
@@ -271,15 +276,15 @@
                   [&simulation, index] { simulation.node(index).refuse_writes(false); });
   }
   void wipe(std::size_t index) {
-    if (wiped_ && !(cluster_.running(*wiped_) && cluster_.group(*wiped_).votes())) return;
+    if (last_wiped_ && !(cluster_.running(*last_wiped_) && cluster_.group(*last_wiped_).votes())) return;
     if (!cluster_.running(index) || !cluster_.group(index).votes()) return;
     cluster_.wipe(index);
-    wiped_ = index;
+    last_wiped_ = index;
   }
 
-  ControlCluster<Extra>& cluster_;
-  const FaultPlan terms_;
-  std::optional<std::size_t> wiped_;
+  ControlCluster<Application>& cluster_;
+  const FaultPlan plan_;
+  std::optional<std::size_t> last_wiped_;
 };
 
 }  // namespace winchhall::cluster::sim
