--- a/src/aggregator/app/aggregator_process.cpp
+++ b/src/aggregator/app/aggregator_process.cpp
@@ -110,7 +110,7 @@
   o.bounds.cells = config.cells;
   o.limits.max_removed_share = config.drop_share;
   o.limits.drain_time = config.drain_time;
-  o.parse_files = read_set;
+  o.parse_files = read_config_files;
   return o;
 }
 
--- a/src/aggregator/app/files_command.cpp
+++ b/src/aggregator/app/files_command.cpp
@@ -27,7 +27,7 @@
   faults = look.faults;
   if (!faults.empty()) return nullptr;
   dynamic_config::Rows rows;
-  read_set(look.bytes, rows, faults);
+  read_config_files(look.bytes, rows, faults);
   if (!faults.empty()) return nullptr;
   return dynamic_config::check(rows, dynamic_config::digest_of(look.bytes), bounds, faults);
 }
--- a/src/aggregator/app/operator_file.cpp
+++ b/src/aggregator/app/operator_file.cpp
@@ -21,8 +21,8 @@
   return faults;
 }
 
-void read_set(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
-              std::vector<dynamic_config::Fault>& faults) {
+void read_config_files(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
+                       std::vector<dynamic_config::Fault>& faults) {
   static std::string why;
   static auto reader = find<SetReader>("winchhall_read_set", why);
   if (!reader) return faults.push_back({dynamic_config::Kind::nodes, 0, "files cannot be read: " + why});
--- a/src/aggregator/app/operator_file.hpp
+++ b/src/aggregator/app/operator_file.hpp
@@ -53,8 +53,8 @@
 std::vector<Fault> read_operator_file(const std::string& path, OperatorSettings& settings);
 
 // Reads a set of watched files: rows, and every fault of reading. May run on any thread, one at a time.
-void read_set(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
-              std::vector<dynamic_config::Fault>& faults);
+void read_config_files(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
+                       std::vector<dynamic_config::Fault>& faults);
 
 // What the module offers; called through the loader only.
 using OperatorReader = void (*)(const std::string& path, OperatorSettings& settings,
--- a/tests/aggregator/app/program_test.cpp
+++ b/tests/aggregator/app/program_test.cpp
@@ -8,30 +8,30 @@
 TEST_CASE("it serves, and after SIGTERM finishes what it took and what still arrives, then exits with 0") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
-  Program p(loop, configuration(leaf.listener.port()));
+  Program p(loop, make_configuration(leaf.listener.port()));
   int port = p.port("listens on port ");
-  auto client = p.dial(port), other = p.dial(port), front = p.dial(port);
-  p.until([&] { return has(p.ask(*client, kReady), "200 OK"); });
-  CHECK(has(p.ask(*client, Stage::query("q1", kTwoParts)), "\"exact\":true"));
+  auto client = p.connect(port), other = p.connect(port), front = p.connect(port);
+  p.run_until([&] { return has(p.ask(*client, kReady), "200 OK"); });
+  CHECK(has(p.ask(*client, HttpFixture::query("q1", kTwoParts)), "\"exact\":true"));
 
   std::vector<ScriptedLeaf::Part> held;
   leaf.on_part = [&](const ScriptedLeaf::Part& part) { held.push_back(part); };
   client->text.clear();
-  client->stream->write(Stage::query("q2", kTwoParts, "lookup", 20000));
-  p.until([&] { return held.size() == 2; });
+  client->stream->write(HttpFixture::query("q2", kTwoParts, "lookup", 20000));
+  p.run_until([&] { return held.size() == 2; });
   // Two requests are half there when the signal comes, so that no haste is needed for their other halves.
-  std::string late = Stage::query("q3", R"({"id":1,"w":1})", "lookup", 20000);
+  std::string late = HttpFixture::query("q3", R"({"id":1,"w":1})", "lookup", 20000);
   front->stream->write(std::string(kReady, 20));
   other->stream->write(late.substr(0, 40));
-  p.until([&] { return front->stream->unsent() + other->stream->unsent() == 0; });
+  p.run_until([&] { return front->stream->unsent() + other->stream->unsent() == 0; });
   REQUIRE(kill(p.pid, SIGTERM) == 0);
-  p.until([&] { return has(p.log, "phase leaving"); });
+  p.run_until([&] { return has(p.log, "phase leaving"); });
   front->stream->write(kReady + 20);
   other->stream->write(late.substr(40));
-  p.until([&] { return has(front->text, "HTTP/1.1 503"); });
-  p.until([&] { return held.size() == 3; });
+  p.run_until([&] { return has(front->text, "HTTP/1.1 503"); });
+  p.run_until([&] { return held.size() == 3; });
   for (const auto& part : held) ScriptedLeaf::answer(part);
-  p.until([&] { return has(client->text, "\"exact\":true") && has(other->text, "\"exact\":true"); });
+  p.run_until([&] { return has(client->text, "\"exact\":true") && has(other->text, "\"exact\":true"); });
   CHECK(p.exit_code() == 0);
   CHECK(has(p.log, "phase leaving"));
   CHECK(has(p.log, "phase stopped"));
@@ -42,41 +42,41 @@
   ScriptedLeaf leaf(loop), second(loop);
   ScriptedDiscovery first(loop), moved(loop), last(loop);
   int port = leaf.listener.port();
-  Program p(loop, configuration(port, first.address()), "", 0, first.address());
-  auto client = p.dial(p.port("listens on port "));
-  p.until([&] { return first.calls.size() == 1; });
-  first.tell(7, ScriptedDiscovery::row("s-2", second.listener.port()));
-  p.until([&] { return has(p.log, "discovery revision 7"); });
+  Program p(loop, make_configuration(port, first.address()), "", 0, first.address());
+  auto client = p.connect(p.port("listens on port "));
+  p.run_until([&] { return first.calls.size() == 1; });
+  first.send_update(7, ScriptedDiscovery::row("s-2", second.listener.port()));
+  p.run_until([&] { return has(p.log, "discovery revision 7"); });
 
   for (const char* bad : {"", "{", "{}", R"({"discovery":"127.0.0.1:2","settings":{"services":7}})"}) {
     p.log.clear();
     p.reload(bad);
-    p.until([&] { return has(p.log, "configuration not taken over"); });
+    p.run_until([&] { return has(p.log, "configuration not taken over"); });
   }
-  std::string spoilt = configuration(port, moved.address());
+  std::string spoilt = make_configuration(port, moved.address());
   p.log.clear();
   p.reload(spoilt.replace(spoilt.find("1024"), 4, "\"1\""));
-  p.until([&] { return has(p.log, "limits.sockets is \"1\": wanted is a number"); });
-  CHECK(!first.peers[0]->over);
+  p.run_until([&] { return has(p.log, "limits.sockets is \"1\": wanted is a number"); });
+  CHECK(!first.peers[0]->is_closed);
   CHECK(moved.calls.empty());
 
-  p.reload(configuration(port, moved.address()));
-  p.until([&] { return moved.calls.size() == 1 && first.peers[0]->over; });
+  p.reload(make_configuration(port, moved.address()));
+  p.run_until([&] { return moved.calls.size() == 1 && first.peers[0]->is_closed; });
   CHECK(has(moved.calls[0], "watch=1&after=7 "));
-  moved.tell(9, ScriptedDiscovery::row("s-1", port, "draining"));
-  p.until([&] { return has(p.log, "discovery revision 9"); });
+  moved.send_update(9, ScriptedDiscovery::row("s-1", port, "draining"));
+  p.run_until([&] { return has(p.log, "discovery revision 9"); });
   for (int i = 0; i < 4; ++i)
-    CHECK(has(p.ask(*client, Stage::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
+    CHECK(has(p.ask(*client, HttpFixture::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
   CHECK(leaf.parts.empty());
   CHECK(second.parts.size() == 8);
 
   // While draining it moves as well: what was taken still needs the list.
   client->stream->write(std::string(kReady, 20));
-  p.until([&] { return client->stream->unsent() == 0; });
+  p.run_until([&] { return client->stream->unsent() == 0; });
   REQUIRE(kill(p.pid, SIGTERM) == 0);
-  p.until([&] { return has(p.log, "phase leaving"); });
-  p.reload(configuration(port, last.address()));
-  p.until([&] { return last.calls.size() == 1; });
+  p.run_until([&] { return has(p.log, "phase leaving"); });
+  p.reload(make_configuration(port, last.address()));
+  p.run_until([&] { return last.calls.size() == 1; });
   CHECK(has(last.calls[0], "watch=1&after=9 "));
   client->stream->write(kReady + 20);
   CHECK(p.exit_code() == 0);
@@ -85,32 +85,32 @@
 TEST_CASE("out of descriptors it waits, and serves again when clients leave") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
-  Program p(loop, configuration(leaf.listener.port()), "", 24);
+  Program p(loop, make_configuration(leaf.listener.port()), "", 24);
   int port = p.port("listens on port ");
-  auto first = p.dial(port);
-  p.until([&] { return has(p.ask(*first, kReady), "200 OK"); });
-  CHECK(has(p.ask(*first, Stage::query("q1", kTwoParts)), "\"exact\":true"));
+  auto first = p.connect(port);
+  p.run_until([&] { return has(p.ask(*first, kReady), "200 OK"); });
+  CHECK(has(p.ask(*first, HttpFixture::query("q1", kTwoParts)), "\"exact\":true"));
   std::vector<std::shared_ptr<Peer>> crowd;
-  for (int i = 0; i < 60; ++i) crowd.push_back(p.dial(port));
+  for (int i = 0; i < 60; ++i) crowd.push_back(p.connect(port));
   for (int i = 0; i < 5; ++i) CHECK(has(p.ask(*first, kReady), "200 OK"));
   for (auto& peer : crowd) peer->stream->close();
-  auto late = p.dial(port);
-  CHECK(has(p.ask(*late, Stage::query("q2", kTwoParts)), "\"exact\":true"));
+  auto late = p.connect(port);
+  CHECK(has(p.ask(*late, HttpFixture::query("q2", kTwoParts)), "\"exact\":true"));
 }
 
 TEST_CASE("the Flight front is off, and an operator's file turns it on") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   {
-    Program p(loop, configuration(leaf.listener.port()));
+    Program p(loop, make_configuration(leaf.listener.port()));
     p.port("listens on port ");
     CHECK(!has(p.log, "Flight on port"));
   }
-  Program p(loop, configuration(leaf.listener.port()), R"({"enabled":true,"listen":"127.0.0.1:0"})");
-  auto analyst = p.dial(p.port("Flight on port "));
+  Program p(loop, make_configuration(leaf.listener.port()), R"({"enabled":true,"listen":"127.0.0.1:0"})");
+  auto analyst = p.connect(p.port("Flight on port "));
   analyst->stream->write(std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n") +
                          std::string("\0\0\0\x04\0\0\0\0\0", 9));
-  p.until([&] { return analyst->text.size() >= 9; });
+  p.run_until([&] { return analyst->text.size() >= 9; });
   CHECK(analyst->text[3] == 4);  // the server's settings
 }
 
@@ -118,41 +118,41 @@
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   ScriptedDiscovery directory(loop);
-  auto tell = [&](const std::string& line) {
+  auto send_update = [&](const std::string& line) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
     for (auto& peer : directory.peers) peer->stream->write(size + line + "\n\r\n");
   };
-  Program p(loop, configuration(leaf.listener.port()),
+  Program p(loop, make_configuration(leaf.listener.port()),
             "<winchhall xmlns=\"urn:winchhall:operator:1\"><ranges directory=\"" + directory.address() +
                 "\"/></winchhall>");
   int port = p.port("listens on port ");
-  p.until([&] { return !directory.calls.empty(); });
+  p.run_until([&] { return !directory.calls.empty(); });
   CHECK(has(directory.calls[0], "GET /v1/ranges?watch=1 "));
-  auto client = p.dial(port);
+  auto client = p.connect(port);
   CHECK(has(p.ask(*client, kReady), "503"));  // no map yet
   const std::string end = "9007199254740992";
-  tell(R"({"incarnation":1,"revision":5,"ranges":[{"id":0,"from":0,"to":)" + end +
-       R"(,"holders":["s-1"]}]})");
-  p.until([&] { return has(p.ask(*client, kReady), "200 OK"); });
+  send_update(R"({"incarnation":1,"revision":5,"ranges":[{"id":0,"from":0,"to":)" + end +
+              R"(,"holders":["s-1"]}]})");
+  p.run_until([&] { return has(p.ask(*client, kReady), "200 OK"); });
   std::vector<ScriptedLeaf::Part> held;
   leaf.on_part = [&](const ScriptedLeaf::Part& part) { held.push_back(part); };
   std::string body = R"({"spans":[{"from":0,"to":100}],"expr":"c41e"})";
   client->text.clear();
   client->stream->write("POST /lookup HTTP/1.1\r\nX-Request-ID: q1\r\nX-Timeout: 20000m\r\nContent-Length: " +
                         std::to_string(body.size()) + "\r\n\r\n" + body);
-  p.until([&] { return held.size() == 1; });
+  p.run_until([&] { return held.size() == 1; });
   REQUIRE(kill(p.pid, SIGTERM) == 0);
-  p.until([&] { return has(p.log, "phase leaving"); });
+  p.run_until([&] { return has(p.log, "phase leaving"); });
   REQUIRE(kill(p.pid, SIGHUP) == 0);
-  tell(
+  send_update(
       R"({"incarnation":1,"revision":6,"changes":[{"op":"split","range":0,"from":0,"at":40,"left":1,"right":2,)"
       R"("left_weight":1,"right_weight":1}]})");
-  p.until([&] { return has(p.log, "configuration read again"); });
+  p.run_until([&] { return has(p.log, "configuration read again"); });
   ScriptedLeaf::answer(held[0], 500);  // its children are asked while the program drains
-  p.until([&] { return held.size() == 3; });
+  p.run_until([&] { return held.size() == 3; });
   for (std::size_t i = 1; i < 3; ++i) ScriptedLeaf::answer(held[i]);
-  p.until([&] { return has(client->text, "\"exact\":true"); });
+  p.run_until([&] { return has(client->text, "\"exact\":true"); });
   CHECK(has(client->text, R"("from":40,"rev":"1.6","to":100)"));
   CHECK(p.exit_code() == 0);
 }
@@ -160,11 +160,11 @@
 TEST_CASE("an operator's file with faults ends the program with each of them and its line") {
   event_loop::Loop loop;
   Program p(
-      loop, configuration(1),
+      loop, make_configuration(1),
       "<winchhall xmlns=\"urn:winchhall:operator:1\">\n  <flight listen=\"127.0.0.1:0\" nodes=\"smoke\"/>\n"
       "  <ranges directory=\"127.0.0.1:99999\" most=\"0\"/>\n</winchhall>");
   CHECK(p.exit_code() == 1);
-  p.until([&] { return has(p.log, "critical"); });
+  p.run_until([&] { return has(p.log, "critical"); });
   CHECK(has(p.log, ":2: "));
   CHECK(has(p.log, "'frames', 'flight'"));
   CHECK(has(p.log, ":3: "));
@@ -172,7 +172,7 @@
 
 TEST_CASE("without an operator's file the XML library is not even loaded") {
   event_loop::Loop loop;
-  Program p(loop, configuration(1));
+  Program p(loop, make_configuration(1));
   p.port("listens on port ");
   std::ifstream maps("/proc/" + std::to_string(p.pid) + "/maps");
   std::string all((std::istreambuf_iterator<char>(maps)), std::istreambuf_iterator<char>());
@@ -190,16 +190,16 @@
     for (std::size_t n; (n = fread(buffer, 1, sizeof buffer, pipe)) > 0;) out.append(buffer, n);
     return WEXITSTATUS(pclose(pipe));
   };
-  std::string out, map = temporary(R"({"incarnation":1,"revision":4,
+  std::string out, map = write_temporary_file(R"({"incarnation":1,"revision":4,
 "ranges":[
  {"id":1,"from":0,"to":100,"weight":2,"holders":["a"]},
  {"id":2,"from":100,"to":9007199254740992,"holders":["b"]}]})");
-  std::string gap = temporary(R"({"incarnation":1,"revision":5,
+  std::string gap = write_temporary_file(R"({"incarnation":1,"revision":5,
 "ranges":[
  {"id":1,"from":0,"to":90,"holders":["a"]},
  {"id":2,"from":100,"to":9007199254740992,"holders":["b"]}]})");
-  std::string broken = temporary("{\n\"ranges\": [,]}");
-  std::string settings = temporary(configuration(1)), none = temporary("");
+  std::string broken = write_temporary_file("{\n\"ranges\": [,]}");
+  std::string settings = write_temporary_file(make_configuration(1)), none = write_temporary_file("");
   CHECK(run("--version", out) == 0);
   CHECK(has(out, "winchhall "));
   CHECK(run("check " + map + " " + settings, out) == 0);
@@ -236,30 +236,30 @@
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   int port = leaf.listener.port();
-  std::string root = temporary("");
+  std::string root = write_temporary_file("");
   fs::remove(root);
   fs::create_directories(root + "/files");
   std::ofstream(root + "/files/nodes.xml") << nodes_file({port});
   std::string ops = "<winchhall xmlns=\"urn:winchhall:operator:1\"><files folder=\"" + root +
                     "/files\" store=\"" + root + "/store.db\"/></winchhall>";
-  std::string config = configuration(1);
+  std::string config = make_configuration(1);
   config.replace(config.find("\"members\":["), config.find("]},") - config.find("\"members\":["),
                  "\"members\":[");
   {
     Program p(loop, config, ops);
     int at = p.port("listens on port ");
-    auto client = p.dial(at);
-    p.until([&] { return has(p.ask(*client, kReady), "200 OK"); });
-    CHECK(has(p.ask(*client, Stage::query("q1", kTwoParts)), "\"exact\":true"));
+    auto client = p.connect(at);
+    p.run_until([&] { return has(p.ask(*client, kReady), "200 OK"); });
+    CHECK(has(p.ask(*client, HttpFixture::query("q1", kTwoParts)), "\"exact\":true"));
     // Half a file, then a whole one.
     std::ofstream(root + "/files/nodes.xml") << nodes_file({port, 1}).substr(0, 60);
-    p.until([&] { return has(p.log, "files refused: "); });
-    CHECK(has(p.ask(*client, Stage::query("q2", kTwoParts)), "\"exact\":true"));
+    p.run_until([&] { return has(p.log, "files refused: "); });
+    CHECK(has(p.ask(*client, HttpFixture::query("q2", kTwoParts)), "\"exact\":true"));
     std::ofstream(root + "/files/nodes.xml") << nodes_file({port, 1, 2});
-    p.until([&] { return has(p.log, "number 2, 3 nodes"); });
+    p.run_until([&] { return has(p.log, "number 2, 3 nodes"); });
     // It takes away two of three: an operator's word is awaited, and given.
     std::ofstream(root + "/files/nodes.xml") << nodes_file({port});
-    p.until([&] { return has(p.log, "files held: generation "); });
+    p.run_until([&] { return has(p.log, "files held: generation "); });
     std::size_t word = p.log.find("files held: generation ") + 23;
     std::string digest = p.log.substr(word, 16);
     pid_t tool = fork();
@@ -271,26 +271,26 @@
       _exit(127);
     }
     int status = 0;
-    p.until([&] { return waitpid(tool, &status, WNOHANG) == tool; });
+    p.run_until([&] { return waitpid(tool, &status, WNOHANG) == tool; });
     CHECK(WEXITSTATUS(status) == 0);
     CHECK(has(p.log, "an operator's word: accept " + digest + ": done"));
-    p.until([&] { return has(p.log, "kept 3") || has(p.ask(*client, kReady), "200 OK"); });
+    p.run_until([&] { return has(p.log, "kept 3") || has(p.ask(*client, kReady), "200 OK"); });
     REQUIRE(kill(p.pid, SIGKILL) == 0);
   }
   // Files and discovery are away: it serves by the store.
   fs::remove_all(root + "/files");
   Program p(loop, config, ops);
   int at = p.port("listens on port ");
-  auto client = p.dial(at);
-  p.until([&] { return has(p.ask(*client, kReady), "200 OK"); });
+  auto client = p.connect(at);
+  p.run_until([&] { return has(p.ask(*client, kReady), "200 OK"); });
   CHECK(has(p.log, "files restored: generation "));
-  CHECK(has(p.ask(*client, Stage::query("q9", kTwoParts)), "\"exact\":true"));
+  CHECK(has(p.ask(*client, HttpFixture::query("q9", kTwoParts)), "\"exact\":true"));
   fs::remove_all(root);
 }
 
 TEST_CASE("on the platform no store is opened and no file is watched") {
   event_loop::Loop loop;
-  Program p(loop, configuration(1));
+  Program p(loop, make_configuration(1));
   p.port("listens on port ");
   std::ifstream maps("/proc/" + std::to_string(p.pid) + "/maps");
   std::string all((std::istreambuf_iterator<char>(maps)), std::istreambuf_iterator<char>());
@@ -311,21 +311,21 @@
   for (const char* text : {"{", "{}", R"({"settings":{"services":[{"name":"a"}]},"listen":"nowhere"})"}) {
     Program p(loop, text);
     CHECK(p.exit_code() == 1);
-    p.until([&] { return has(p.log, "critical"); });
+    p.run_until([&] { return has(p.log, "critical"); });
   }
 }
 
 TEST_CASE("SIGTERM: half a request gets its answer, a resting client an end in good order, then it exits") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
-  Program p(loop, configuration(leaf.listener.port()));
+  Program p(loop, make_configuration(leaf.listener.port()));
   int port = p.port("listens on port ");
-  auto half = p.dial(port), resting = p.dial(port);
+  auto half = p.connect(port), resting = p.connect(port);
   half->stream->write("POST /lookup?k=7f3a HTTP/1.1\r\nHost: x\r\n");
   // Listening comes before being ready. Once it says so, what the other client sent before is read too.
-  p.until([&] { return has(p.ask(*resting, kReady), "200 OK"); });
+  p.run_until([&] { return has(p.ask(*resting, kReady), "200 OK"); });
   REQUIRE(kill(p.pid, SIGTERM) == 0);
-  p.until([&] { return half->over && resting->over; });
+  p.run_until([&] { return half->is_closed && resting->is_closed; });
   CHECK(has(half->text, " 408 "));
   CHECK_FALSE(half->stream->reset());
   CHECK_FALSE(resting->stream->reset());
--- a/tests/aggregator/app/shutdown_integration_test.cpp
+++ b/tests/aggregator/app/shutdown_integration_test.cpp
@@ -1,6 +1,6 @@
 // Closings, and clients that leave: what comes in the very moment in which a side ends a connection.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "tests/aggregator/support/admin_server_fixture.hpp"
+#include "tests/aggregator/support/stalled_listener.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
@@ -8,13 +8,14 @@
 namespace {
 
 // One query open, whose part is with a leaf that says nothing.
-struct Open : Stage {
-  explicit Open(winchhall::Settings settings = patient()) : Stage(std::move(settings)), leaf(loop) {
+struct Open : HttpFixture {
+  explicit Open(winchhall::Settings settings = long_deadlines())
+      : HttpFixture(std::move(settings)), leaf(loop) {
     leaf.on_part = [](const ScriptedLeaf::Part&) {};
     begin({member("a", leaf.listener.port(), 0)});
-    client = dial();
+    client = connect();
     client->stream->write(query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-    until([&] { return leaf.parts.size() == 1; });
+    run_until([&] { return leaf.parts.size() == 1; });
   }
   ScriptedLeaf leaf;
   std::shared_ptr<Peer> client;
@@ -25,30 +26,30 @@
 TEST_CASE("a client that sends much behind its request and goes is seen to go") {
   Open s;
   s.client->stream->write(std::string(1 << 20, 'x'));
-  s.until([&] { return s.client->stream->unsent() == 0; });
+  s.run_until([&] { return s.client->stream->unsent() == 0; });
   s.client->stream->close();
-  s.until([&] { return s.router.open_queries() == 0; });
+  s.run_until([&] { return s.router.open_queries() == 0; });
   CHECK(s.router.counters()[0].withdrawn == 1);
-  s.until([&] { return s.leaf.given_up.size() == 1; });
+  s.run_until([&] { return s.leaf.cancelled.size() == 1; });
 }
 
 TEST_CASE("a client that sends much behind its request and stays gets its answer, and it is the last") {
   Open s;
   s.client->stream->write(std::string(1 << 20, 'x'));
-  s.until([&] { return s.client->stream->unsent() == 0; });
+  s.run_until([&] { return s.client->stream->unsent() == 0; });
   ScriptedLeaf::answer(s.leaf.parts[0]);
   std::string got = s.answer(*s.client);
   CHECK(has(got, "\"exact\":true"));
   CHECK(has(got, "Connection: close"));
-  s.until([&] { return s.client->over; });
+  s.run_until([&] { return s.client->is_closed; });
   CHECK_FALSE(s.client->stream->reset());
 }
 
 TEST_CASE("a request behind an open one that fits is answered in its turn") {
   Open s;
-  std::string next = Stage::query("q2", R"({"id":2,"w":1})", "lookup", 60000);
+  std::string next = HttpFixture::query("q2", R"({"id":2,"w":1})", "lookup", 60000);
   s.client->stream->write(next);
-  s.until([&] { return s.client->stream->unsent() == 0; });
+  s.run_until([&] { return s.client->stream->unsent() == 0; });
   s.leaf.on_part = [](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p); };
   ScriptedLeaf::answer(s.leaf.parts[0]);
   CHECK(has(s.answer(*s.client), "\"v1\""));
@@ -56,56 +57,56 @@
 }
 
 TEST_CASE("sixty clients that leave in one turn leave nothing open, and nothing more is sent for them") {
-  Stage s(patient());
+  HttpFixture s(long_deadlines());
   ScriptedLeaf leaf(s.loop);
   leaf.on_part = [](const ScriptedLeaf::Part&) {};
   s.begin({member("a", leaf.listener.port(), 0)});
   std::vector<std::shared_ptr<Peer>> clients;
   for (int i = 0; i < 60; ++i) {
-    clients.push_back(s.dial());
+    clients.push_back(s.connect());
     clients.back()->stream->write(
-        Stage::query("q" + std::to_string(i), R"({"id":1,"w":1})", "lookup", 60000));
+        HttpFixture::query("q" + std::to_string(i), R"({"id":1,"w":1})", "lookup", 60000));
   }
-  s.until([&] { return leaf.parts.size() == 60; });
+  s.run_until([&] { return leaf.parts.size() == 60; });
   // Their leaf's connection breaks in the same turn: each part would be sent again.
   for (auto& c : clients) c->stream->close();
   for (auto& peer : leaf.peers) peer->stream->close();
-  s.until([&] { return s.router.open_queries() == 0 && s.router.attempts_in_flight() == 0; });
+  s.run_until([&] { return s.router.open_queries() == 0 && s.router.attempts_in_flight() == 0; });
   CHECK(leaf.parts.size() == 60);
   CHECK(s.router.counters()[0].withdrawn == 60);
 }
 
 TEST_CASE("a part that waits for its connection is taken back when its client leaves") {
-  auto settings = patient();
+  auto settings = long_deadlines();
   bool may_cancel = false;
   SUBCASE("running attempts may be cancelled") { may_cancel = true; }
   SUBCASE("they may not") {}
   settings.may_cancel = may_cancel;
-  Stage s(settings, {1, 32, 60000, 60000, 50});
-  LateDoor door;
-  door.shut();
-  s.begin({member("a", door.port(), 0)});
-  auto client = s.dial();
-  client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.attempts_in_flight() == 1; });
+  HttpFixture s(settings, {1, 32, 60000, 60000, 50});
+  StalledListener listener;
+  listener.fill_backlog();
+  s.begin({member("a", listener.port(), 0)});
+  auto client = s.connect();
+  client->stream->write(HttpFixture::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
+  s.run_until([&] { return s.router.attempts_in_flight() == 1; });
   client->stream->close();
-  s.until([&] { return s.router.open_queries() == 0; });
+  s.run_until([&] { return s.router.open_queries() == 0; });
   s.router.run();
   CHECK(s.router.attempts_in_flight() == 0);
 }
 
 TEST_CASE("a part that waits for its connection leaves a server that begins to drain") {
-  Stage s(patient(), {1, 32, 60000, 60000, 50});
-  LateDoor door;
-  door.shut();
+  HttpFixture s(long_deadlines(), {1, 32, 60000, 60000, 50});
+  StalledListener listener;
+  listener.fill_backlog();
   ScriptedLeaf other(s.loop);
-  s.begin({member("a", door.port(), 0)});
-  auto client = s.dial();
-  client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.attempts_in_flight() == 1; });
-  s.router.update_endpoints(
-      winchhall::ServerList::Kind::changes,
-      {member("a", door.port(), 0, winchhall::ServerState::draining), member("b", other.listener.port(), 1)});
+  s.begin({member("a", listener.port(), 0)});
+  auto client = s.connect();
+  client->stream->write(HttpFixture::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
+  s.run_until([&] { return s.router.attempts_in_flight() == 1; });
+  s.router.update_endpoints(winchhall::ServerList::Kind::changes,
+                            {member("a", listener.port(), 0, winchhall::ServerState::draining),
+                             member("b", other.listener.port(), 1)});
   CHECK(has(s.answer(*client), "\"exact\":true"));
 }
 
@@ -128,7 +129,7 @@
 };
 
 // Its first request is on the way.
-struct Asked : Stage {
+struct Asked : HttpFixture {
   Asked() : leaf(loop), client(front.port()) {
     begin({member("a", leaf.listener.port(), 0)});
     client.send(query("q1", R"({"id":1,"w":1})"));
@@ -139,10 +140,10 @@
 
 TEST_CASE("a request that crosses the end of its resting connection: no reset, and nothing sent on") {
   Asked s;
-  s.until([&] { return s.router.counters()[0].complete == 1; });
+  s.run_until([&] { return s.router.counters()[0].complete == 1; });
   for (int i = 0; i < 3; ++i) s.loop.run_once(1);  // its answer is written
   s.front.close_idle();
-  s.client.send(Stage::query("q2", R"({"id":2,"w":1})"));  // it has not read the end yet
+  s.client.send(HttpFixture::query("q2", R"({"id":2,"w":1})"));  // it has not read the end yet
   for (int i = 0; i < 3; ++i) s.loop.run_once(1);
   CHECK(s.client.error() == 0);
   char all[4096];
@@ -155,8 +156,8 @@
 
 TEST_CASE("a client that rests and never closes is let go a while after our end") {
   Asked s;
-  s.until([&] { return s.router.counters()[0].complete == 1; });
-  s.until([&] {
+  s.run_until([&] { return s.router.counters()[0].complete == 1; });
+  s.run_until([&] {
     s.front.close_idle();
     return s.front.connections() == 0;
   });
@@ -166,6 +167,6 @@
 TEST_CASE("a connection that waits in the queue when listening ends is taken, and its request answered") {
   Asked s;
   s.front.stop_listening();  // before the loop has looked at the queue
-  s.until([&] { return s.router.counters()[0].complete == 1; });
+  s.run_until([&] { return s.router.counters()[0].complete == 1; });
   CHECK(s.client.error() == 0);
 }
--- a/tests/aggregator/compatibility/stored_data_test.cpp
+++ b/tests/aggregator/compatibility/stored_data_test.cpp
@@ -173,7 +173,7 @@
 
   dynamic_config::Rows rows;
   std::vector<dynamic_config::Fault> faults;
-  app::read_set(look.bytes, rows, faults);
+  app::read_config_files(look.bytes, rows, faults);
   REQUIRE(faults.empty());
   CHECK(rows.revisions[Kind::nodes] == 7);
   CHECK(rows.revisions[Kind::ranges] == 12);
--- a/tests/aggregator/coordination/request_router_integration_test.cpp
+++ b/tests/aggregator/coordination/request_router_integration_test.cpp
@@ -11,79 +11,79 @@
 using namespace winchhall;
 using coordination::Outcome;
 using coordination::QueryResult;
-using testing::Desk;
+using testing::RouterFixture;
 
 TEST_CASE("unresponsive servers: one final result before the client's deadline") {
-  Desk d;
-  d.ask(0, 800);
-  d.pass(3000);
-  REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind != QueryResult::Kind::answered);
-  CHECK(d.decided_at < 1800);
+  RouterFixture d;
+  d.submit(0, 800);
+  d.advance(3000);
+  REQUIRE(d.results.size() == 1);
+  CHECK(d.results[0].kind != QueryResult::Kind::answered);
+  CHECK(d.result_at < 1800);
   CHECK(d.router.attempts_in_flight() == 0);
-  CHECK(d.out.empty());
+  CHECK(d.in_flight.empty());
 }
 
 TEST_CASE("an answer that arrives after its attempt was abandoned is not in the result") {
-  Desk d;
-  d.ask(0, 2000, 1);
-  auto first = d.out.begin()->first;
-  d.pass(1500);  // it is late: retried under a new attempt number
-  REQUIRE(!d.out.empty());
-  CHECK(d.out.count(first) == 0);
-  d.end(first, Outcome::ok, "late");
-  CHECK(d.verdicts.empty());
-  d.end(d.out.begin()->first, Outcome::ok, "second");
-  REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].rows[0].values == std::vector<std::string>{"second"});
+  RouterFixture d;
+  d.submit(0, 2000, 1);
+  auto first = d.in_flight.begin()->first;
+  d.advance(1500);  // it is late: retried under a new attempt number
+  REQUIRE(!d.in_flight.empty());
+  CHECK(d.in_flight.count(first) == 0);
+  d.end_attempt(first, Outcome::ok, "late");
+  CHECK(d.results.empty());
+  d.end_attempt(d.in_flight.begin()->first, Outcome::ok, "second");
+  REQUIRE(d.results.size() == 1);
+  CHECK(d.results[0].rows[0].values == std::vector<std::string>{"second"});
 }
 
 TEST_CASE("a partial answer has at least the minimum share and is not marked complete") {
-  Desk d;
-  d.ask(1, 6000);
-  REQUIRE(d.out.size() == 4);
-  auto parts = d.out;
+  RouterFixture d;
+  d.submit(1, 6000);
+  REQUIRE(d.in_flight.size() == 4);
+  auto parts = d.in_flight;
   auto it = parts.begin();
-  for (int i = 0; i < 3; ++i) d.end((it++)->first, Outcome::ok);
-  d.pass(200);
-  CHECK(d.verdicts.empty());
-  d.pass(200);  // the latency target has passed
-  REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind == QueryResult::Kind::answered);
-  CHECK(!d.verdicts[0].complete);
-  CHECK(d.verdicts[0].share == doctest::Approx(0.75));
-  CHECK(d.verdicts[0].rows.size() == 3);
+  for (int i = 0; i < 3; ++i) d.end_attempt((it++)->first, Outcome::ok);
+  d.advance(200);
+  CHECK(d.results.empty());
+  d.advance(200);  // the latency target has passed
+  REQUIRE(d.results.size() == 1);
+  CHECK(d.results[0].kind == QueryResult::Kind::answered);
+  CHECK(!d.results[0].complete);
+  CHECK(d.results[0].share == doctest::Approx(0.75));
+  CHECK(d.results[0].rows.size() == 3);
   CHECK(d.abandoned >= 1);
   CHECK(d.router.attempts_in_flight() == 0);
 }
 
 TEST_CASE("parts go to the server that reports less load") {
-  Desk d;
-  d.ask(0, 5000, 2);  // a part for each of the two servers
-  REQUIRE(d.out.size() == 2);
-  for (const auto& [n, order] : std::map(d.out)) {
+  RouterFixture d;
+  d.submit(0, 5000, 2);  // a part for each of the two servers
+  REQUIRE(d.in_flight.size() == 2);
+  for (const auto& [n, order] : std::map(d.in_flight)) {
     coordination::AttemptResult r{.values = {"v"}, .load = {.in_flight = order.server == "a" ? 40.0 : 0.5}};
     d.router.attempt_ended(n, r);
     d.router.run();
   }
-  d.out.clear();
-  for (int i = 0; i < 5; ++i) d.ask(0, 5000, 2);
-  CHECK(d.out.size() == 10);
-  for (const auto& [n, order] : d.out) CHECK(order.server == "b");
+  d.in_flight.clear();
+  for (int i = 0; i < 5; ++i) d.submit(0, 5000, 2);
+  CHECK(d.in_flight.size() == 10);
+  for (const auto& [n, order] : d.in_flight) CHECK(order.server == "b");
 }
 
 TEST_CASE("capacities of servers count only where Settings::weights_count is set") {
   for (bool count : {false, true}) {
     winchhall::Settings settings = testing::two_classes();
     settings.weights_count = count;
-    Desk d(settings);
+    RouterFixture d(settings);
     coordination::Member heavy = testing::member("a", 1, 0);
     heavy.entry.size = 4;
     d.router.update_endpoints(winchhall::ServerList::Kind::changes, {heavy});
-    for (int i = 0; i < 20; ++i) d.ask(0, 5000, 2);
+    for (int i = 0; i < 20; ++i) d.submit(0, 5000, 2);
     std::size_t to_heavy = 0;
-    for (const auto& [n, order] : d.out) to_heavy += order.server == "a";
-    REQUIRE(d.out.size() == 40);
+    for (const auto& [n, order] : d.in_flight) to_heavy += order.server == "a";
+    REQUIRE(d.in_flight.size() == 40);
     CHECK(to_heavy == (count ? 32 : 20));
   }
 }
@@ -91,7 +91,7 @@
 // A state saved between the arrival of a list and its processing must not name a revision that its members
 // don't have yet.
 TEST_CASE("the list's revision changes together with its members") {
-  Desk d;
+  RouterFixture d;
   const std::size_t before = d.router.members().size();
   d.router.update_endpoints(winchhall::ServerList::Kind::changes, {testing::member("c", 1, 0)},
                             winchhall::CallEnd::failed, 9);
@@ -105,30 +105,30 @@
 TEST_CASE("a query above max_open is refused at once, with a retry-after") {
   winchhall::Settings settings = testing::two_classes();
   settings.max_open = 5;
-  Desk d(settings);
-  d.ask(0, 2000);
-  CHECK(d.verdicts.empty());
-  d.ask(0, 2000);
-  REQUIRE(d.verdicts.size() == 1);
-  CHECK(d.verdicts[0].kind == QueryResult::Kind::refused);
-  CHECK(d.verdicts[0].retry_after == 2000);
-  CHECK(d.decided_at == d.now);
+  RouterFixture d(settings);
+  d.submit(0, 2000);
+  CHECK(d.results.empty());
+  d.submit(0, 2000);
+  REQUIRE(d.results.size() == 1);
+  CHECK(d.results[0].kind == QueryResult::Kind::refused);
+  CHECK(d.results[0].retry_after == 2000);
+  CHECK(d.result_at == d.now);
 }
 
 TEST_CASE("a withdrawn query leaves no attempts behind and gets no result") {
-  Desk d;
-  d.ask(0, 2000);
-  d.router.withdraw(d.last);
+  RouterFixture d;
+  d.submit(0, 2000);
+  d.router.withdraw(d.last_query);
   d.router.run();
-  CHECK(d.out.empty());
+  CHECK(d.in_flight.empty());
   CHECK(d.router.attempts_in_flight() == 0);
   CHECK(d.router.open_queries() == 0);
-  d.pass(3000);
-  CHECK(d.verdicts.empty());
+  d.advance(3000);
+  CHECK(d.results.empty());
 }
 
 TEST_CASE("memory use stays constant while servers and queries are replaced") {
-  Desk d;
+  RouterFixture d;
   std::size_t before = 0;
   for (int round = 0; round < 1500; ++round) {
     // Each round all servers are new, and the previous ones have been gone for longer than their state is
@@ -137,11 +137,11 @@
     d.router.update_endpoints(winchhall::ServerList::Kind::complete,
                               {testing::member(a, 1, 0), testing::member(b, 2, 1)});
     for (int i = 0; i < 10; ++i) {
-      d.ask(0, 2000, 2);
-      for (const auto& [n, order] : std::map(d.out)) d.end(n, Outcome::ok);
-      d.out.clear();
+      d.submit(0, 2000, 2);
+      for (const auto& [n, order] : std::map(d.in_flight)) d.end_attempt(n, Outcome::ok);
+      d.in_flight.clear();
     }
-    d.verdicts.clear();
+    d.results.clear();
     d.now += 20000;
     d.router.run();
     CHECK(d.router.known_servers() == 2);
--- a/tests/aggregator/decision/coordinator_health_test.cpp
+++ b/tests/aggregator/decision/coordinator_health_test.cpp
@@ -151,7 +151,7 @@
 TEST(ServerHealth, LateAttemptAtAnUnresponsiveServerIsRetriedElsewhere) {
   Driver d(plain_settings());
   d.servers({"a", "b"});
-  teach(d, 20, 100);
+  train_estimates(d, 20, 100);
   d.query("q", {100});
   std::string first = d.sent_to("q/0");
   d.advance(450);
@@ -250,9 +250,9 @@
     }
   };
   only({"a"});
-  teach(d, 8, 400);  // as the only server, 400 ms per part
+  train_estimates(d, 8, 400);  // as the only server, 400 ms per part
   only({"b", "c"});
-  teach(d, 8, 50);
+  train_estimates(d, 8, 50);
   only({"a", "b", "c"});
   d.advance(10);  // the median response ratio is now that of b and c, an eighth of a's
   only({"a"});
--- a/tests/aggregator/decision/coordinator_sparse_test.cpp
+++ b/tests/aggregator/decision/coordinator_sparse_test.cpp
@@ -114,7 +114,7 @@
   s.may_hedge = true;
   Driver d(s);
   d.servers({"a", "b", "c"});
-  teach(d, 20, 30);
+  train_estimates(d, 20, 30);
   d.query("q", {10});
   auto first = d.actions_of<SendPart>();
   ASSERT_EQ(first.size(), 1u);
@@ -140,7 +140,7 @@
   s.may_hedge = true;
   Driver d(s);
   d.servers({"a", "b"});
-  teach(d, 20, 30);
+  train_estimates(d, 20, 30);
   d.query("q", {10});
   d.event(AttemptStarted{"q/0", 0});
   d.advance(140);
@@ -154,7 +154,7 @@
   s.may_hedge = true;
   Driver d(s);
   d.servers({"a", "b"});
-  teach(d, 20, 30);
+  train_estimates(d, 20, 30);
   d.query("q", {10});
   std::string first = d.sent_to("q/0");
   d.advance(140);
@@ -216,7 +216,7 @@
   // One of two servers stops answering with many parts: a few are retried elsewhere, not all of them at once.
   Driver d(plain_settings());
   d.servers({"a", "b"});
-  teach(d, 20, 50);
+  train_estimates(d, 20, 50);
   d.query("q", std::vector<double>(40, 13));
   auto sends = d.actions_of<SendPart>();
   ASSERT_EQ(sends.size(), 40u);
--- a/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
+++ b/tests/aggregator/dynamic_config/file_config_source_integration_test.cpp
@@ -58,7 +58,7 @@
             two_classes(), 7, [this] { return loop.now(); }, [](const std::string&) {}),
         source(loop, router, options(folder, most)) {
     spdlog::set_level(spdlog::level::off);
-    router.attach(nobody, source, &source);
+    router.attach(transport, source, &source);
     router.start({});
     source.start();
   }
@@ -66,7 +66,7 @@
     dynamic_config::FileConfigOptions o;
     o.folder = folder.path;
     o.max_file_bytes = most;
-    o.parse_files = app::read_set;
+    o.parse_files = app::read_config_files;
     return o;
   }
   void wait_until(const std::function<bool()>& done) {
@@ -90,7 +90,7 @@
 
   event_loop::Loop loop;
   coordination::RequestRouter router;
-  Nobody nobody;
+  NullTransport transport;
   dynamic_config::FileConfigSource source;
 };
 
--- a/tests/aggregator/flight/flight_fixture.hpp
+++ b/tests/aggregator/flight/flight_fixture.hpp
@@ -45,12 +45,12 @@
     void on_stream_closed(std::int32_t, std::uint32_t error) override {
       owner.cancelled += error == NGHTTP2_CANCEL;
     }
-    void on_disconnected() override { over = true; }
+    void on_disconnected() override { is_closed = true; }
     StubNode& owner;
     Http2Connection http2;
     std::map<std::int32_t, Headers> heads;
     std::map<std::int32_t, std::string> in;
-    bool over = false;
+    bool is_closed = false;
   };
   struct Part {
     NodeConnection* connection;
@@ -123,7 +123,7 @@
   }
   void on_disconnected() override { lost = true; }
 
-  void until(const std::function<bool()>& done) {
+  void run_until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
@@ -165,7 +165,7 @@
     return call("DoGet", ticket.SerializeAsString(), timeout, id);
   }
   Reply& finish(std::int32_t stream) {
-    until([&] { return replies[stream].done; });
+    run_until([&] { return replies[stream].done; });
     return replies[stream];
   }
   static std::vector<ArrowRow> read(Reply& r, std::string* metadata = nullptr) {
@@ -185,7 +185,7 @@
 
   event_loop::Loop loop;
   coordination::RequestRouter router;
-  NoDiscovery none;
+  NullMembershipSource none;
   FlightPool pool;
   FlightServer front;
   Http2Connection client;
--- a/tests/aggregator/flight/flight_integration_test.cpp
+++ b/tests/aggregator/flight/flight_integration_test.cpp
@@ -61,7 +61,7 @@
     CHECK(FlightFixture::read(got) == std::vector<ArrowRow>{{1, "v1"}, {2, "v2"}, {3, "v3"}, {4, "v4"}});
   }
   CHECK(!broken.asked.empty());
-  s.until([&] { return s.router.attempts_in_flight() == 0; });
+  s.run_until([&] { return s.router.attempts_in_flight() == 0; });
 }
 
 TEST_CASE("when a client cancels, its parts are cancelled at the nodes and nothing is kept") {
@@ -75,15 +75,15 @@
   };
   s.begin({member("a", node.listener.port(), 0)});
   std::int32_t id = s.get(FlightFixture::command({1, 2}));
-  s.until([&] { return node.asked.size() == 2 && s.router.attempts_in_flight() == 1; });
+  s.run_until([&] { return node.asked.size() == 2 && s.router.attempts_in_flight() == 1; });
   if (drops) {
     s.client.close();
   } else {
     s.client.reset_stream(id, NGHTTP2_CANCEL);
     s.client.send_pending();
   }
-  s.until([&] { return node.cancelled == 1; });
-  s.until(
+  s.run_until([&] { return node.cancelled == 1; });
+  s.run_until(
       [&] { return s.router.open_queries() == 0 && s.router.attempts_in_flight() == 0 && !s.front.busy(); });
   CHECK(s.router.counters()[0].withdrawn == 1);
   if (drops) CHECK(s.front.connections() == 0);
@@ -100,7 +100,7 @@
   s.begin({member("a", node.listener.port(), 0)});
   // A client that never widens its flow-control windows: only the first 64 KiB of the response can be sent.
   Peer raw(s.loop);
-  raw.dial(s.front.port());
+  raw.connect(s.front.port());
   struct Quiet : Http2Connection::Handler {
     void on_headers(std::int32_t, const Headers&) override {}
     void on_data(std::int32_t, std::string_view) override {}
@@ -114,7 +114,7 @@
   event_loop::Listener tap(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
     auto ear = std::make_shared<Peer>(s.loop);
     ears.push_back(ear);
-    ear->heard = [&bytes](std::string& in) { bytes += std::exchange(in, {}); };
+    ear->on_received = [&bytes](std::string& in) { bytes += std::exchange(in, {}); };
     ear->adopt(std::move(fd));
   });
   Http2Connection scribe(s.loop, quiet, Http2Connection::Side::client);
@@ -128,13 +128,13 @@
                          {"content-type", "application/grpc"},
                          {"grpc-timeout", "5S"}},
                         frame_message(ticket.SerializeAsString()));
-  s.until([&] { return has(bytes, "x") && bytes.size() > 150 && scribe.unsent() == 0; });
+  s.run_until([&] { return has(bytes, "x") && bytes.size() > 150 && scribe.unsent() == 0; });
   std::size_t size = 0;
-  s.until([&] { return std::exchange(size, bytes.size()) == bytes.size(); });
+  s.run_until([&] { return std::exchange(size, bytes.size()) == bytes.size(); });
   raw.stream->write(bytes);
-  s.until([&] { return s.router.counters()[0].complete == 1; });
+  s.run_until([&] { return s.router.counters()[0].complete == 1; });
   CHECK(s.front.busy());
-  s.until([&] { return !s.front.busy(); });
+  s.run_until([&] { return !s.front.busy(); });
 }
 
 TEST_CASE("a process that was stopped past a call's deadline ends it with a status, not with a reset") {
@@ -144,7 +144,7 @@
   s.begin({member("a", node.listener.port(), 0)});
   std::vector<std::int32_t> calls;
   for (int i = 0; i < 3; ++i) calls.push_back(s.get(FlightFixture::command({1, 2}), "1S"));
-  s.until([&] { return node.asked.size() == 6; });
+  s.run_until([&] { return node.asked.size() == 6; });
   std::this_thread::sleep_for(std::chrono::milliseconds(1500));  // as a SIGSTOP and a SIGCONT would
   for (std::int32_t call : calls) {
     Reply& got = s.finish(call);
@@ -152,7 +152,7 @@
     CHECK(got.error == NGHTTP2_NO_ERROR);
   }
   CHECK(s.router.counters()[0].failed == 3);
-  s.until([&] { return s.router.attempts_in_flight() == 0 && !s.front.busy(); });
+  s.run_until([&] { return s.router.attempts_in_flight() == 0 && !s.front.busy(); });
 }
 
 TEST_CASE("every call ends with the status of its outcome") {
@@ -164,7 +164,7 @@
   s.begin({member("a", node.listener.port(), 0)});
   auto hold = [&](const char* timeout) {
     std::int32_t id = s.get(FlightFixture::command({1, 2}), timeout, "mine");
-    s.until([&] { return node.asked.size() == 2; });
+    s.run_until([&] { return node.asked.size() == 2; });
     return id;
   };
   SUBCASE("refused: unavailable, with advice when to come back") {
@@ -177,7 +177,7 @@
     // The deadline is the grpc-timeout of the call: a silent node does not hold the answer back.
     CHECK(s.finish(hold("1S")).status() == static_cast<int>(Status::deadline_exceeded));
     CHECK(s.router.counters()[0].failed == 1);
-    s.until([&] { return node.cancelled == 2; });
+    s.run_until([&] { return node.cancelled == 2; });
   }
   SUBCASE("bad input") {
     hold("60S");
@@ -202,9 +202,9 @@
   }
   SUBCASE("bytes that are no HTTP/2 end that connection alone") {
     Peer raw(s.loop);
-    raw.dial(s.front.port());
+    raw.connect(s.front.port());
     raw.stream->write("GET / HTTP/1.1\r\n\r\n" + std::string(100, '\xee'));
-    s.until([&] { return raw.over; });
+    s.run_until([&] { return raw.is_closed; });
     CHECK(s.client.open());
   }
 }
@@ -253,18 +253,18 @@
   FlightFixture s;
   StubNode node(s.loop);
   s.begin({member("a", node.listener.port(), 0)});
-  auto dial = [&](const std::string& bytes) {
+  auto connect = [&](const std::string& bytes) {
     auto peer = std::make_shared<Peer>(s.loop);
-    peer->dial(s.front.port());
+    peer->connect(s.front.port());
     peer->stream->write(bytes);
     return peer;
   };
   std::string preface =
       std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n") + std::string("\0\0\0\x04\0\0\0\0\0", 9);
-  auto no_bytes = dial(""), no_call = dial(preface);
-  auto half = dial(preface + std::string("\0\0\x06\x01\x04\0\0\0\x01\x83\x86\x84\x41\x01x", 15));
-  s.until([&] { return no_bytes->over && no_call->over; });
-  s.until([&] {  // headers come on its stream
+  auto no_bytes = connect(""), no_call = connect(preface);
+  auto half = connect(preface + std::string("\0\0\x06\x01\x04\0\0\0\x01\x83\x86\x84\x41\x01x", 15));
+  s.run_until([&] { return no_bytes->is_closed && no_call->is_closed; });
+  s.run_until([&] {  // headers come on its stream
     std::string_view left = half->text;
     for (std::size_t size = 0; left.size() >= 9; left.remove_prefix(std::min(left.size(), 9 + size))) {
       size = static_cast<unsigned char>(left[1]) * 256u + static_cast<unsigned char>(left[2]);
@@ -278,23 +278,23 @@
   FlightFixture s;
   StubNode node(s.loop);
   s.begin({member("a", node.listener.port(), 0)});
-  s.until([&] { return s.front.connections() == 1; });
+  s.run_until([&] { return s.front.connections() == 1; });
   // The call arrives after the process has read its sockets and before it checks its connections.
   std::int32_t call = 0;
   s.loop.run_at(s.loop.now(), [&] { call = s.get(FlightFixture::command({1})); });
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
-  s.until([&] { return s.lost || s.replies[call].done; });
+  s.run_until([&] { return s.lost || s.replies[call].done; });
   CHECK(!s.lost);
   CHECK(s.replies[call].status() == 0);
 }
 
 TEST_CASE("bytes that can't be read are an error of one part, and the node is not ejected") {
-  FlightFixture s(patient());
+  FlightFixture s(long_deadlines());
   StubNode healthy(s.loop);
   std::vector<std::shared_ptr<Peer>> called;
   event_loop::Listener mad(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
     called.push_back(std::make_shared<Peer>(s.loop));
-    called.back()->heard = [peer = called.back().get()](std::string& in) {
+    called.back()->on_received = [peer = called.back().get()](std::string& in) {
       // Only once the part is there: a ticket names it.
       if (has(in, "c41e77d0")) peer->stream->write("noise that no codec reads, at some length");
     };
@@ -317,16 +317,16 @@
   CHECK(a.asked.empty());
   b.on_part = [](const StubNode::Part&) {};
   std::int32_t last = s.get(FlightFixture::command({1}));
-  s.until([&] { return b.asked.size() == 11; });
+  s.run_until([&] { return b.asked.size() == 11; });
   s.front.begin_drain();
   StubNode::answer(b.asked.back());
   b.asked.back().connection->http2.send_pending();
   CHECK(s.finish(last).status() == 0);
-  s.until([&] { return s.lost && s.front.connections() == 0; });
+  s.run_until([&] { return s.lost && s.front.connections() == 0; });
 }
 
 TEST_CASE("an answer holds the class's least share, and a partial one is marked as such") {
-  FlightFixture s(patient());
+  FlightFixture s(long_deadlines());
   StubNode node(s.loop);
   node.on_part = [](const StubNode::Part& p) {
     if (p.shard != 4) return StubNode::answer(p);
@@ -362,25 +362,26 @@
   auto errs = [](int shard) { return shard == 11; };
   std::vector<std::string> http, over_flight;
 
-  Stage h(patient());
+  HttpFixture h(long_deadlines());
   ScriptedLeaf ha(h.loop), hb(h.loop);
   ha.on_part =
       hb.on_part = [&](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, errs(p.shard) ? 500 : 200); };
   h.begin({member("a", ha.listener.port(), 0), member("b", hb.listener.port(), 1)});
-  auto client = h.dial();
+  auto client = h.connect();
   for (std::size_t i = 0; i < mix.size(); ++i) {
     std::string parts;
     for (int shard : mix[i].shards)
       parts += (parts.empty() ? "" : ",") + std::string("{\"id\":") + std::to_string(shard) +
                ",\"w\":" + std::to_string(1.0 / static_cast<double>(mix[i].shards.size())) + "}";
-    std::string got = h.ask(*client, Stage::query("q" + std::to_string(i), parts, mix[i].query_class, 60000));
+    std::string got =
+        h.ask(*client, HttpFixture::query("q" + std::to_string(i), parts, mix[i].query_class, 60000));
     std::string outcome = has(got, "200 OK") ? has(got, "\"exact\":true") ? "whole" : "partial" : "none";
     for (int shard = 0; shard < 12; ++shard)
       if (has(got, "\"v" + std::to_string(shard) + "\"")) outcome += " v" + std::to_string(shard);
     http.push_back(outcome);
   }
 
-  FlightFixture f(patient());
+  FlightFixture f(long_deadlines());
   StubNode fa(f.loop), fb(f.loop);
   fa.on_part = fb.on_part = [&](const StubNode::Part& p) {
     if (errs(p.shard)) return StubNode::reply(p, "", status_trailers(Status::internal, "broken"));
--- a/tests/aggregator/http/connection_integration_test.cpp
+++ b/tests/aggregator/http/connection_integration_test.cpp
@@ -1,48 +1,48 @@
 // Connections to leafs: slow to connect, idle, or closed at a bad moment; and attempts that were never
 // written.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "tests/aggregator/support/admin_server_fixture.hpp"
+#include "tests/aggregator/support/stalled_listener.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
 
 TEST_CASE("a part is written to an established connection, not to a fuller one that is still connecting") {
-  Stage s(patient(), {1, 2, 60000, 60000, 50});
-  LateDoor door;
+  HttpFixture s(long_deadlines(), {1, 2, 60000, 60000, 50});
+  StalledListener listener;
   ScriptedLeaf leaf(s.loop);
   leaf.on_part = [](const ScriptedLeaf::Part&) {};
-  s.begin({member("a", door.port(), 0)});
-  auto client = s.dial();
-  client->stream->write(Stage::query("q1", kTwoParts, "lookup", 60000));
+  s.begin({member("a", listener.port(), 0)});
+  auto client = s.connect();
+  client->stream->write(HttpFixture::query("q1", kTwoParts, "lookup", 60000));
   event_loop::UniqueFd first;
-  s.until([&] { return (first = door.accept()).get() >= 0; });
+  s.run_until([&] { return (first = listener.accept()).get() >= 0; });
   leaf.take(s.loop, std::move(first));
-  s.until([&] { return leaf.parts.size() == 2; });
-  door.shut();
-  auto waits = s.dial();  // the first connection is full, and a second one is never established
-  waits->stream->write(Stage::query("q2", R"({"id":5,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.attempts_in_flight() == 3; });
+  s.run_until([&] { return leaf.parts.size() == 2; });
+  listener.fill_backlog();
+  auto waits = s.connect();  // the first connection is full, and a second one is never established
+  waits->stream->write(HttpFixture::query("q2", R"({"id":5,"w":1})", "lookup", 60000));
+  s.run_until([&] { return s.router.attempts_in_flight() == 3; });
   for (int i = 0; i < 2; ++i) ScriptedLeaf::answer(leaf.parts[static_cast<std::size_t>(i)]);
   CHECK(has(s.answer(*client), "\"exact\":true"));
-  client->stream->write(Stage::query("q3", R"({"id":6,"w":1})", "lookup", 60000));
-  s.until([&] { return leaf.parts.size() == 3; });
+  client->stream->write(HttpFixture::query("q3", R"({"id":6,"w":1})", "lookup", 60000));
+  s.run_until([&] { return leaf.parts.size() == 3; });
   CHECK(leaf.parts[2].id == "q3.6");
 }
 
 TEST_CASE("a part queued on a connection that is slow to connect causes a second connection") {
-  Stage s(patient(), {1, 32, 500, 60000, 50});
-  LateDoor door;
+  HttpFixture s(long_deadlines(), {1, 32, 500, 60000, 50});
+  StalledListener listener;
   ScriptedLeaf leaf(s.loop);
-  door.shut();
-  s.begin({member("a", door.port(), 0)});
-  auto client = s.dial();
-  client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.pool.connections() == 2; }, "a second connection beside the slow one");
+  listener.fill_backlog();
+  s.begin({member("a", listener.port(), 0)});
+  auto client = s.connect();
+  client->stream->write(HttpFixture::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
+  s.run_until([&] { return s.pool.connections() == 2; }, "a second connection beside the slow one");
   CHECK(leaf.parts.empty());
 }
 
 TEST_CASE("a part is not written after its send_by time, while later ones in the queue are") {
-  Stage s;
+  HttpFixture s;
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
   auto text = std::make_shared<const std::string>("c41e77d0");
@@ -59,18 +59,18 @@
   s.pool.launch(order(1001, "late.1", s.loop.now() - 1));
   s.pool.launch(order(1002, "good.1", s.loop.now() + 60000));
   s.pool.flush();
-  s.until([&] { return !leaf.parts.empty(); });
+  s.run_until([&] { return !leaf.parts.empty(); });
   CHECK(leaf.parts[0].id == "good.1");
 }
 
 TEST_CASE(
     "no part is written to a connection that its leaf has closed as idle, even if the close is still "
     "unread") {
-  Stage s(patient());
+  HttpFixture s(long_deadlines());
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
-  auto client = s.dial();
-  CHECK(has(s.ask(*client, Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000)), "\"v1\""));
+  auto client = s.connect();
+  CHECK(has(s.ask(*client, HttpFixture::query("q1", R"({"id":1,"w":1})", "lookup", 60000)), "\"v1\""));
   REQUIRE(leaf.peers.size() == 1);
   // The close arrives after poll() and before the part is written.
   bool ended = false;
@@ -83,14 +83,14 @@
     ended = true;
   });
   s.router.run();
-  s.until([&] { return ended; });
+  s.run_until([&] { return ended; });
   CHECK(result.kind == coordination::QueryResult::Kind::answered);
   CHECK(s.router.counters()[0].attempts == 2);  // none was lost on the closed connection
 }
 
 TEST_CASE("attempts that were never written do not count towards the limit of three per part") {
   // Three servers refuse the connection, and one that is added later gets the part.
-  Stage s(patient());
+  HttpFixture s(long_deadlines());
   std::vector<int> closed;
   for (int i = 0; i < 3; ++i) {
     ScriptedLeaf removed(s.loop);
@@ -98,9 +98,9 @@
   }
   ScriptedLeaf sound(s.loop);
   s.begin({member("a", closed[0], 0), member("b", closed[1], 1), member("c", closed[2], 0)});
-  auto client = s.dial();
-  client->stream->write(Stage::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
-  s.until([&] { return s.router.counters()[0].attempts >= 3 && s.router.attempts_in_flight() == 0; });
+  auto client = s.connect();
+  client->stream->write(HttpFixture::query("q1", R"({"id":1,"w":1})", "lookup", 60000));
+  s.run_until([&] { return s.router.counters()[0].attempts >= 3 && s.router.attempts_in_flight() == 0; });
   s.router.update_endpoints(winchhall::ServerList::Kind::changes, {member("d", sound.listener.port(), 1)});
   CHECK(has(s.answer(*client), "\"exact\":true"));
 }
--- a/tests/aggregator/http/leaf_integration_test.cpp
+++ b/tests/aggregator/http/leaf_integration_test.cpp
@@ -6,7 +6,7 @@
 using winchhall::ServerState;
 
 TEST_CASE("a broken or refused connection costs an attempt, not the response") {
-  Stage s;
+  HttpFixture s;
   ScriptedLeaf breaks(s.loop), sound(s.loop);
   breaks.on_part = [](const ScriptedLeaf::Part& p) { p.from->stream->close(); };
   int refused_port = 0;
@@ -19,10 +19,10 @@
   SUBCASE("refused") { refused = true; }
   s.begin({member("a", refused ? refused_port : breaks.listener.port(), 0),
            member("b", sound.listener.port(), 1)});
-  auto client = s.dial();
+  auto client = s.connect();
   for (int i = 0; i < 6; ++i)
-    CHECK(has(s.ask(*client, Stage::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
-  s.until([&] { return s.router.attempts_in_flight() == 0; });
+    CHECK(has(s.ask(*client, HttpFixture::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
+  s.run_until([&] { return s.router.attempts_in_flight() == 0; });
   CHECK(s.router.counters()[0].complete == 6);
   CHECK(s.router.counters()[0].attempts > 12);
 }
@@ -34,13 +34,13 @@
   CHECK(!http::read_answer("x.1 200 5 -"));
   // After a rejection or an error of one leaf, the other replica is used.
   for (int end : {503, 500}) {
-    Stage s;
+    HttpFixture s;
     ScriptedLeaf bad(s.loop), good(s.loop);
     bad.on_part = [&](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, end); };
     s.begin({member("a", bad.listener.port(), 0), member("b", good.listener.port(), 1)});
-    auto client = s.dial();
-    CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "\"exact\":true"));
-    CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "\"exact\":true"));
+    auto client = s.connect();
+    CHECK(has(s.ask(*client, HttpFixture::query("q", kTwoParts)), "\"exact\":true"));
+    CHECK(has(s.ask(*client, HttpFixture::query("p", kTwoParts)), "\"exact\":true"));
   }
 }
 
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("after invalid frames only the connection of that leaf is closed") {
-  Stage s;
+  HttpFixture s;
   ScriptedLeaf faulty(s.loop), sound(s.loop);
   std::string words;
   SUBCASE("length zero") { words = std::string(8, '\0'); }
@@ -64,13 +64,13 @@
   SUBCASE("malformed response") { words = http::make_frame('O', "only words"); }
   faulty.on_part = [&](const ScriptedLeaf::Part& p) { p.from->stream->write(words); };
   s.begin({member("a", faulty.listener.port(), 0), member("b", sound.listener.port(), 1)});
-  auto client = s.dial();
+  auto client = s.connect();
   for (int i = 0; i < 3; ++i)
-    CHECK(has(s.ask(*client, Stage::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
+    CHECK(has(s.ask(*client, HttpFixture::query("q" + std::to_string(i), kTwoParts)), "\"exact\":true"));
 }
 
 TEST_CASE("a damaged response fails one attempt at once, and its leaf stays selectable") {
-  Stage s(patient());
+  HttpFixture s(long_deadlines());
   ScriptedLeaf a(s.loop), b(s.loop);
   auto send_frame = [](const ScriptedLeaf::Part& p, const std::string& rest) {
     p.from->stream->write(http::make_frame('O', rest));
@@ -107,22 +107,22 @@
     held.push_back(p);
     if (held.size() == 3) send_damaged(held[1]);
   };
-  auto client = s.dial();
+  auto client = s.connect();
   client->stream->write(
-      Stage::query("q", R"({"id":1,"w":0.4},{"id":2,"w":0.3},{"id":3,"w":0.3})", "lookup", 50000));
-  s.until([&] { return held.size() == 6; });
+      HttpFixture::query("q", R"({"id":1,"w":0.4},{"id":2,"w":0.3},{"id":3,"w":0.3})", "lookup", 50000));
+  s.run_until([&] { return held.size() == 6; });
   for (std::size_t i = 3; i < 6; ++i) ScriptedLeaf::answer(held[i]);
   CHECK(has(s.answer(*client), "\"exact\":true"));
   CHECK(a.peers.size() == 2);
   a.on_part = b.on_part = [](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, 200, "-"); };
   s.router.update_endpoints(winchhall::ServerList::Kind::changes, {member("b", b.listener.port(), 1)});
   for (int i = 0; i < 20; ++i)
-    s.ask(*client, Stage::query("r" + std::to_string(i), kTwoParts, "lookup", 50000));
+    s.ask(*client, HttpFixture::query("r" + std::to_string(i), kTwoParts, "lookup", 50000));
   CHECK(a.parts.size() > 10);
 }
 
 TEST_CASE("surplus bytes after a response do not damage later ones, nor does an unreadable load report") {
-  Stage s(patient());
+  HttpFixture s(long_deadlines());
   ScriptedLeaf leaf(s.loop);
   std::string surplus, report = "-";
   SUBCASE("the beginning of a frame") { surplus = std::string("\x40\x00\x00\x00O", 5); }
@@ -139,21 +139,22 @@
     p.from->stream->write(good + (surplus == "copy" ? good : surplus));
   };
   s.begin({member("a", leaf.listener.port(), 0)});
-  auto client = s.dial();
+  auto client = s.connect();
   for (int i = 0; i < 4; ++i)
-    CHECK(has(s.ask(*client, Stage::query("q" + std::to_string(i), R"({"id":1,"w":1})", "lookup", 50000)),
-              "\"exact\":true"));
+    CHECK(
+        has(s.ask(*client, HttpFixture::query("q" + std::to_string(i), R"({"id":1,"w":1})", "lookup", 50000)),
+            "\"exact\":true"));
   CHECK(leaf.parts.size() == 4);
   CHECK(!http::read_load("busy_reqs=nan,pending=-3,svc_ms=inf").in_flight);
   CHECK(!http::read_load("busy_reqs=nan,pending=-3,svc_ms=inf").queued);
 }
 
 TEST_CASE("connections to a removed server are closed, and its replacement is used") {
-  Stage s;
+  HttpFixture s;
   ScriptedLeaf old(s.loop), fresh(s.loop);
   s.begin({member("a", old.listener.port(), 0)});
-  auto client = s.dial();
-  CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "200 OK"));
+  auto client = s.connect();
+  CHECK(has(s.ask(*client, HttpFixture::query("q", kTwoParts)), "200 OK"));
   bool listed_as_removed = false;
   SUBCASE("absent from a complete list") {}
   SUBCASE("listed as removed") { listed_as_removed = true; }
@@ -163,14 +164,14 @@
     s.router.update_endpoints(winchhall::ServerList::Kind::changes, {removed, next});
   else
     s.router.update_endpoints(winchhall::ServerList::Kind::complete, {next});
-  s.until([&] { return old.peers[0]->over; });
+  s.run_until([&] { return old.peers[0]->is_closed; });
   CHECK(s.router.known_servers() == 1);
-  CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
+  CHECK(has(s.ask(*client, HttpFixture::query("p", kTwoParts)), "200 OK"));
   CHECK(fresh.parts.size() == 2);
 }
 
 TEST_CASE("parts beyond the limit of a connection open another one, and frames keep their limit of parts") {
-  Stage s(two_classes(), {2, 4, 250, 30000, 50});
+  HttpFixture s(two_classes(), {2, 4, 250, 30000, 50});
   ScriptedLeaf leaf(s.loop);
   std::vector<ScriptedLeaf::Part> held;
   leaf.on_part = [&](const ScriptedLeaf::Part& p) { held.push_back(p); };
@@ -178,9 +179,9 @@
   std::string parts;
   for (int i = 0; i < 10; ++i)
     parts += (i ? "," : "") + std::string("{\"id\":") + std::to_string(i) + ",\"w\":0.1}";
-  auto client = s.dial();
-  client->stream->write(Stage::query("q", parts));
-  s.until([&] { return held.size() == 10; });
+  auto client = s.connect();
+  client->stream->write(HttpFixture::query("q", parts));
+  s.run_until([&] { return held.size() == 10; });
   CHECK(leaf.frames == 5);
   CHECK(leaf.peers.size() == 3);
   for (const auto& p : held) ScriptedLeaf::answer(p);
@@ -188,23 +189,23 @@
 }
 
 TEST_CASE("an idle connection is closed before the idle timeout of the leaf") {
-  Stage s(two_classes(), {1, 32, 250, 500, 50});
+  HttpFixture s(two_classes(), {1, 32, 250, 500, 50});
   ScriptedLeaf leaf(s.loop);
   s.begin({member("a", leaf.listener.port(), 0)});
-  auto client = s.dial();
-  CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "200 OK"));
-  s.until([&] { return s.pool.connections() == 0 && leaf.peers[0]->over; });
-  CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
+  auto client = s.connect();
+  CHECK(has(s.ask(*client, HttpFixture::query("q", kTwoParts)), "200 OK"));
+  s.run_until([&] { return s.pool.connections() == 0 && leaf.peers[0]->is_closed; });
+  CHECK(has(s.ask(*client, HttpFixture::query("p", kTwoParts)), "200 OK"));
   CHECK(leaf.peers.size() == 2);
 }
 
 TEST_CASE("an unresponsive connection is retired, and its leaf is used on a new one") {
-  winchhall::Settings settings = patient();
+  winchhall::Settings settings = long_deadlines();
   settings.classes[0].latency_target = 400;  // half of it is the wait for a response
-  Stage s(settings);
+  HttpFixture s(settings);
   ScriptedLeaf leaf(s.loop), other(s.loop);
   s.begin({member("a", leaf.listener.port(), 0), member("b", other.listener.port(), 1)});
-  auto client = s.dial();
+  auto client = s.connect();
   // The first connection to the leaf never responds; all later ones do.
   leaf.on_part = [&](const ScriptedLeaf::Part& p) {
     if (p.from != leaf.peers[0].get()) ScriptedLeaf::answer(p, 200, "-");
@@ -214,20 +215,20 @@
   // The leaf is not selected for a while, and then tried with a part.
   event_loop::Millis give_up = s.loop.now() + 30000;  // only ends a failing test
   while (leaf.peers.size() < 2 && s.loop.now() < give_up)
-    s.ask(*client, Stage::query("q" + std::to_string(++asked), kTwoParts, "lookup", 50000));
+    s.ask(*client, HttpFixture::query("q" + std::to_string(++asked), kTwoParts, "lookup", 50000));
   CHECK(leaf.peers.size() == 2);
 }
 
 TEST_CASE("a restarted server is used on new connections") {
-  Stage s;
+  HttpFixture s;
   ScriptedLeaf leaf(s.loop);
   coordination::Member m = member("a", leaf.listener.port(), 0);
   s.begin({m});
-  auto client = s.dial();
-  CHECK(has(s.ask(*client, Stage::query("q", kTwoParts)), "200 OK"));
+  auto client = s.connect();
+  CHECK(has(s.ask(*client, HttpFixture::query("q", kTwoParts)), "200 OK"));
   m.entry.started = 1000.0;
   s.router.update_endpoints(winchhall::ServerList::Kind::changes, {m});
-  s.until([&] { return leaf.peers[0]->over; });
-  CHECK(has(s.ask(*client, Stage::query("p", kTwoParts)), "200 OK"));
+  s.run_until([&] { return leaf.peers[0]->is_closed; });
+  CHECK(has(s.ask(*client, HttpFixture::query("p", kTwoParts)), "200 OK"));
   CHECK(leaf.peers.size() == 2);
 }
--- a/tests/aggregator/membership/discovery_integration_test.cpp
+++ b/tests/aggregator/membership/discovery_integration_test.cpp
@@ -10,7 +10,7 @@
   winchhall::Settings settings = two_classes();
   settings.list_on_request = true;
   settings.max_poll_interval = 1000;
-  Stage s(settings);
+  HttpFixture s(settings);
   ScriptedLeaf a(s.loop), b(s.loop);
   int calls = 0;
   std::string after;
@@ -19,7 +19,7 @@
     auto peer = std::make_shared<Peer>(s.loop);
     watchers.push_back(peer);
     Peer* raw = peer.get();
-    peer->heard = [&, raw](std::string& in) {
+    peer->on_received = [&, raw](std::string& in) {
       if (!has(in, "\r\n\r\n")) return;
       after = std::exchange(in, {});
       int call = ++calls;
@@ -42,14 +42,14 @@
   http::Discovery discovery(s.loop, s.router, "127.0.0.1:" + std::to_string(service.port()), 5, 250);
   s.router.attach(s.pool, discovery);
   s.begin({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
-  auto client = s.dial();
-  s.until([&] { return calls >= 2; });
-  CHECK(has(s.ask(*client, Stage::query("kept", kTwoParts)), "\"exact\":true"));
-  s.until([&] { return s.router.lists_delivered() >= 4; });  // the initial list, two failures, the drain
+  auto client = s.connect();
+  s.run_until([&] { return calls >= 2; });
+  CHECK(has(s.ask(*client, HttpFixture::query("kept", kTwoParts)), "\"exact\":true"));
+  s.run_until([&] { return s.router.lists_delivered() >= 4; });  // the initial list, two failures, the drain
   CHECK(has(after, "GET /v1/endpoints?watch=1&after=5 "));
   std::size_t at_drain = a.parts.size();
   for (int i = 0; i < 10; ++i)
-    CHECK(has(s.ask(*client, Stage::query("d" + std::to_string(i), kTwoParts)), "\"exact\":true"));
+    CHECK(has(s.ask(*client, HttpFixture::query("d" + std::to_string(i), kTwoParts)), "\"exact\":true"));
   CHECK(a.parts.size() == at_drain);
 }
 
--- a/tests/aggregator/ranges/spans_directory_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_directory_integration_test.cpp
@@ -21,13 +21,13 @@
         port(listener->port()),
         directory(loop, router, "127.0.0.1:" + std::to_string(port), {1000, 1000}, 5) {
     spdlog::set_level(spdlog::level::off);
-    router.attach(nobody, none);
+    router.attach(transport, none);
     directory.start();
   }
   void accept(event_loop::UniqueFd fd) {
     peers.push_back(std::make_shared<Peer>(loop));
     Peer* raw = peers.back().get();
-    raw->heard = [this, raw](std::string& in) {
+    raw->on_received = [this, raw](std::string& in) {
       if (!has(in, "\r\n\r\n")) return;
       requests.push_back(in.substr(0, in.find('\r')));
       in.clear();
@@ -59,8 +59,8 @@
 
   event_loop::Loop loop;
   coordination::RequestRouter router;
-  Nobody nobody;
-  NoDiscovery none;
+  NullTransport transport;
+  NullMembershipSource none;
   std::vector<std::shared_ptr<Peer>> peers;
   std::vector<std::string> requests;
   std::unique_ptr<event_loop::Listener> listener;
--- a/tests/aggregator/ranges/spans_wire_integration_test.cpp
+++ b/tests/aggregator/ranges/spans_wire_integration_test.cpp
@@ -19,7 +19,7 @@
 
 // HTTP server and leaf connections with spans enabled; the test sets the range map.
 struct SpanFixture {
-  explicit SpanFixture(winchhall::Settings settings = patient())
+  explicit SpanFixture(winchhall::Settings settings = long_deadlines())
       : router(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
         pool(loop, router, {1, 32, 250, 30000, 50, true}),
@@ -27,7 +27,7 @@
     spdlog::set_level(spdlog::level::off);
     router.attach(pool, none);
   }
-  void until(const std::function<bool()>& done) {
+  void run_until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
@@ -35,9 +35,9 @@
       REQUIRE(loop.now() < give_up);
     }
   }
-  std::shared_ptr<Peer> dial() {
+  std::shared_ptr<Peer> connect() {
     auto peer = std::make_shared<Peer>(loop);
-    peer->dial(front.port());
+    peer->connect(front.port());
     return peer;
   }
   static std::string request(const std::string& body, const std::string& id = "q1") {
@@ -46,7 +46,7 @@
   }
   event_loop::Loop loop;
   coordination::RequestRouter router;
-  NoDiscovery none;
+  NullMembershipSource none;
   http::LeafPool pool;
   http::HttpServer front;
 };
@@ -57,7 +57,7 @@
       : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
           peers.push_back(std::make_shared<Peer>(loop));
           Peer* raw = peers.back().get();
-          raw->heard = [this, raw](std::string& in) {
+          raw->on_received = [this, raw](std::string& in) {
             bool bad = false;
             while (auto frame = http::take_frame(in, bad)) on_frame(*raw, *frame);
           };
@@ -88,9 +88,9 @@
   a.on_frame = b.on_frame = serve;
   s.router.start({member("a", a.listener.port(), 0), member("b", b.listener.port(), 1)});
   s.router.update_ranges(four_ranges());
-  auto client = s.dial();
+  auto client = s.connect();
   client->stream->write(SpanFixture::request(R"({"spans":[{"from":0,"to":100}],"expr":"c41e","hint":9000})"));
-  s.until([&] { return has(client->text, "\r\n\r\n{\"exact\""); });
+  s.run_until([&] { return has(client->text, "\r\n\r\n{\"exact\""); });
   REQUIRE(asked.size() == 3);
   CHECK(asked[0].find("q1.r0 0 d=") == 0);
   CHECK(has(asked[0], ",from=0,to=100,rev=1.5 4\nc41e"));
@@ -103,11 +103,11 @@
     "error responses name the reason in the body, and spans are rejected where no directory is followed") {
   SpanFixture s;
   s.router.update_ranges(four_ranges());
-  auto client = s.dial();
+  auto client = s.connect();
   auto expect_error = [&](const std::string& request, const std::string& status, const std::string& words) {
     client->text.clear();
     client->stream->write(request);
-    s.until([&] { return has(client->text, "}"); });
+    s.run_until([&] { return has(client->text, "}"); });
     INFO(client->text);
     CHECK(has(client->text, "HTTP/1.1 " + status));
     CHECK(has(client->text, "{\"error\":\""));
@@ -126,16 +126,16 @@
   expect_error("GET /lookup HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 0\r\n\r\n", "405",
                "wanted is POST");
 
-  Stage off;
+  HttpFixture off;
   off.begin({});
-  auto other = off.dial();
+  auto other = off.connect();
   std::string answer = off.ask(*other, SpanFixture::request(R"({"spans":[{"from":0,"to":9}]})"));
   CHECK(has(answer, "400"));
   CHECK(has(answer, "no directory of ranges is followed here"));
 }
 
 TEST_CASE("with spans disabled, requests and answers on the sockets are byte for byte as before") {
-  Stage s(patient());
+  HttpFixture s(long_deadlines());
   RawLeaf leaf(s.loop);
   std::string frames;
   leaf.on_frame = [&](Peer& from, const http::Frame& f) {
@@ -149,8 +149,8 @@
     from.stream->write(http::make_frame('O', part + " 200 1840277719 inflight=7,util=0.61\n5be2a07c"));
   };
   s.begin({member("a", leaf.listener.port(), 0)});
-  auto client = s.dial();
-  CHECK(s.ask(*client, Stage::query("9b1f", kTwoParts)) ==
+  auto client = s.connect();
+  CHECK(s.ask(*client, HttpFixture::query("9b1f", kTwoParts)) ==
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 77\r\n\r\n"
         R"({"exact":true,"rows":[{"data":"5be2a07c","id":3},{"data":"5be2a07c","id":4}]})");
   CHECK(frames == "D9b1f.4 4 d=N 8\nc41e77d0\n--\nD9b1f.3 3 d=N 8\nc41e77d0\n--\n");
@@ -161,8 +161,8 @@
     if (f.type != 'D') return;
     from.stream->write(http::make_frame('O', f.payload.substr(0, f.payload.find(' ')) + " 421 1 -\n{}"));
   };
-  client->stream->write(Stage::query("9b20", kTwoParts));
-  s.until([&] { return leaf.peers.front()->over; });
+  client->stream->write(HttpFixture::query("9b20", kTwoParts));
+  s.run_until([&] { return leaf.peers.front()->is_closed; });
 }
 
 TEST_CASE("spans over Flight, to nodes over Flight: schema, interval, denial, rows") {
@@ -232,9 +232,9 @@
   event_loop::Loop loop;
   spdlog::set_level(spdlog::level::off);
   coordination::RequestRouter router(
-      patient(), 7, [&] { return loop.now(); }, [](const std::string&) {});
+      long_deadlines(), 7, [&] { return loop.now(); }, [](const std::string&) {});
   flight::FlightPool pool(loop, router, {});
-  NoDiscovery none;
+  NullMembershipSource none;
   router.attach(pool, none);
   flight::FlightServer front(loop, router, loopback(0),
                              {.shard_count = 16, .seed = 9, .max_connections = 20, .allows_spans = true});
--- a/tests/aggregator/support/program.hpp
+++ b/tests/aggregator/support/program.hpp
@@ -14,7 +14,7 @@
 
 namespace winchhall::testing {
 
-inline std::string temporary(const std::string& text) {
+inline std::string write_temporary_file(const std::string& text) {
   const char* dir = std::getenv("TMPDIR");
   std::string path = std::string(dir ? dir : "/tmp") + "/winchhall-test-XXXXXX";
   int fd = mkstemp(path.data());
@@ -24,7 +24,7 @@
   return path;
 }
 
-inline std::string configuration(int leaf_port, const std::string& discovery = "127.0.0.1:1") {
+inline std::string make_configuration(int leaf_port, const std::string& discovery = "127.0.0.1:1") {
   return R"({"name":"t0","listen":"127.0.0.1:0","discovery":")" + discovery + R"(","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
     "known":{"revision":1,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:)" +
@@ -42,7 +42,9 @@
  public:
   Program(event_loop::Loop& loop, const std::string& config, const std::string& flight = "", rlim_t files = 0,
           const std::string& discovery = "", const std::string& folder = "")
-      : loop_(loop), config_(temporary(config)), flight_(flight.empty() ? "" : temporary(flight)) {
+      : loop_(loop),
+        config_(write_temporary_file(config)),
+        flight_(flight.empty() ? "" : write_temporary_file(flight)) {
     int ends[2];
     REQUIRE(pipe(ends) == 0);
     pid = fork();
@@ -81,7 +83,7 @@
     unlink(config_.c_str());
     if (!flight_.empty()) unlink(flight_.c_str());
   }
-  void until(const std::function<bool()>& done) {
+  void run_until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop_.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop_.run_once(20);
@@ -91,7 +93,7 @@
   }
   int port(const std::string& before) {
     std::size_t at = std::string::npos;
-    until([&] {
+    run_until([&] {
       return (at = log.find(before)) != std::string::npos && log.find('\n', at) != std::string::npos;
     });
     return std::stoi(log.substr(at + before.size()));
@@ -102,19 +104,19 @@
   }
   int exit_code() {
     int status = 0;
-    until([&] { return waitpid(pid, &status, WNOHANG) == pid; });
+    run_until([&] { return waitpid(pid, &status, WNOHANG) == pid; });
     pid = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  std::shared_ptr<Peer> dial(int to) {
+  std::shared_ptr<Peer> connect(int to) {
     auto peer = std::make_shared<Peer>(loop_);
-    peer->dial(to);
+    peer->connect(to);
     return peer;
   }
   std::string ask(Peer& peer, const std::string& request) {
     peer.text.clear();
     peer.stream->write(request);
-    until([&] {
+    run_until([&] {
       return has(peer.text, "\r\n\r\n") &&
              (!has(peer.text, "200 OK") || !has(request, "POST") || has(peer.text, "]}"));
     });
--- a/tests/aggregator/support/program_fixture.hpp
+++ b/tests/aggregator/support/program_fixture.hpp
@@ -45,7 +45,7 @@
 }
 
 // Times so long that no verdict depends on how fast the machine is.
-inline winchhall::Settings patient() {
+inline winchhall::Settings long_deadlines() {
   winchhall::Settings s = two_classes();
   for (auto& c : s.classes) {
     c.latency_target = 30000;
@@ -73,21 +73,21 @@
  public:
   explicit Peer(event_loop::Loop& loop) : loop_(loop) {}
   void adopt(event_loop::UniqueFd fd) { stream = event_loop::Stream::adopt(loop_, std::move(fd), *this); }
-  void dial(int port) {
+  void connect(int port) {
     int error = 0;
     stream = event_loop::Stream::connect(loop_, loopback(port), *this, error);
     REQUIRE(stream);
   }
   void received(std::string& in) override {
-    if (heard) return heard(in);
+    if (on_received) return on_received(in);
     text += std::exchange(in, {});
   }
-  void ended() override { over = true; }
+  void ended() override { is_closed = true; }
 
   std::shared_ptr<event_loop::Stream> stream;
-  std::function<void(std::string&)> heard;
+  std::function<void(std::string&)> on_received;
   std::string text;
-  bool over = false;
+  bool is_closed = false;
 
  private:
   event_loop::Loop& loop_;
@@ -108,7 +108,7 @@
   void take(event_loop::Loop& loop, event_loop::UniqueFd fd) {
     auto peer = std::make_shared<Peer>(loop);
     Peer* raw = peer.get();
-    peer->heard = [this, raw](std::string& in) { read(raw, in); };
+    peer->on_received = [this, raw](std::string& in) { read(raw, in); };
     peers.push_back(peer);
     peer->adopt(std::move(fd));
   }
@@ -123,14 +123,14 @@
   std::vector<std::shared_ptr<Peer>> peers;
   std::function<void(const Part&)> on_part = [](const Part& p) { answer(p); };
   std::vector<Part> parts;
-  std::vector<std::string> given_up;
+  std::vector<std::string> cancelled;
   std::size_t frames = 0;
 
  private:
   void read(Peer* from, std::string& in) {
     bool bad = false;
     while (auto frame = http::take_frame(in, bad)) {
-      if (frame->type == 'K') given_up.push_back(frame->payload);
+      if (frame->type == 'K') cancelled.push_back(frame->payload);
       if (frame->type != 'D') continue;
       ++frames;
       for (std::string rest = frame->payload; !rest.empty();) {
@@ -157,7 +157,7 @@
       : listener(loop, loopback(0), [this, &loop](event_loop::UniqueFd fd) {
           auto peer = std::make_shared<Peer>(loop);
           Peer* raw = peer.get();
-          peer->heard = [this, raw](std::string& in) {
+          peer->on_received = [this, raw](std::string& in) {
             if (has(in, "\r\n\r\n"))
               raw->stream->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             if (has(in, "\r\n\r\n")) calls.push_back(std::exchange(in, {}));
@@ -169,7 +169,7 @@
     return text.find(piece) != std::string::npos;
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
-  void tell(int revision, const std::string& rows, bool complete = false) {
+  void send_update(int revision, const std::string& rows, bool complete = false) {
     std::string line = "{\"revision\":" + std::to_string(revision) +
                        ",\"complete\":" + (complete ? "true" : "false") + ",\"members\":[" + rows + "]}\n";
     char size[16];
@@ -186,16 +186,16 @@
   std::vector<std::string> calls;
 };
 
-class NoDiscovery : public coordination::MembershipSource {
+class NullMembershipSource : public coordination::MembershipSource {
  public:
   void watch(bool) override {}
   void fetch() override {}
 };
 
-class Stage {
+class HttpFixture {
  public:
-  explicit Stage(winchhall::Settings settings = two_classes(),
-                 http::LeafLimits limits = {1, 32, 250, 30000, 50})
+  explicit HttpFixture(winchhall::Settings settings = two_classes(),
+                       http::LeafLimits limits = {1, 32, 250, 30000, 50})
       : router(
             std::move(settings), 7, [this] { return loop.now(); }, [](const std::string&) {}),
         pool(loop, router, limits),
@@ -207,7 +207,7 @@
   void begin(const std::vector<coordination::Member>& members) { router.start(members); }
 
   // The limit only ends a test that hangs; nothing passes or fails by how long it took.
-  void until(const std::function<bool()>& done, const char* what = "") {
+  void run_until(const std::function<bool()>& done, const char* what = "") {
     event_loop::Millis give_up = loop.now() + 60000;
     while (!done()) {
       loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
@@ -217,15 +217,15 @@
     }
   }
 
-  std::shared_ptr<Peer> dial() {
+  std::shared_ptr<Peer> connect() {
     auto peer = std::make_shared<Peer>(loop);
-    peer->dial(front.port());
+    peer->connect(front.port());
     return peer;
   }
   // Waits for one whole answer and takes it from the peer's text.
   std::string answer(Peer& peer) {
     std::size_t end = std::string::npos, size = 0;
-    until([&] {
+    run_until([&] {
       end = peer.text.find("\r\n\r\n");
       if (end == std::string::npos) return false;
       std::size_t at = peer.text.find("Content-Length: ");
@@ -251,7 +251,7 @@
 
   event_loop::Loop loop;
   coordination::RequestRouter router;
-  NoDiscovery none;
+  NullMembershipSource none;
   http::LeafPool pool;
   http::HttpServer front;
 };
--- a/tests/aggregator/support/router_fixture.hpp
+++ b/tests/aggregator/support/router_fixture.hpp
@@ -8,7 +8,7 @@
 namespace winchhall::testing {
 
 // A carrier for stories in which nothing is sent.
-struct Nobody : coordination::Transport {
+struct NullTransport : coordination::Transport {
   void launch(const coordination::AttemptRequest&) override {}
   void flush() override {}
   void abandon(coordination::AttemptNumber) override {}
@@ -19,17 +19,17 @@
 };
 
 // The exchange by itself, on a clock that the test sets; the test is carrier, roster and directory of ranges.
-struct Desk : coordination::Transport, coordination::MembershipSource, coordination::RangeSource {
-  explicit Desk(winchhall::Settings settings = two_classes())
+struct RouterFixture : coordination::Transport, coordination::MembershipSource, coordination::RangeSource {
+  explicit RouterFixture(winchhall::Settings settings = two_classes())
       : router(
             std::move(settings), 3, [this] { return now; }, [](const std::string&) {}) {
     router.attach(*this, *this, this);
     router.start({member("a", 1, 0), member("b", 2, 1)});
   }
-  void launch(const coordination::AttemptRequest& o) override { out[o.attempt] = o; }
+  void launch(const coordination::AttemptRequest& o) override { in_flight[o.attempt] = o; }
   void flush() override {}
   void abandon(coordination::AttemptNumber n) override {
-    out.erase(n);
+    in_flight.erase(n);
     ++abandoned;
   }
   bool recall(coordination::AttemptNumber) override { return false; }  // all that is launched here is written
@@ -40,66 +40,68 @@
   void fetch() override {}
   void refresh() override { ++refreshed; }
 
-  void ask(int query_class, coordination::Millis lasts, int parts = 4) {
+  void submit(int query_class, coordination::Millis lasts, int parts = 4) {
     coordination::QuerySpec q{
-        .id = "q" + std::to_string(asked++), .query_class = query_class, .give_up_at = now + lasts};
+        .id = "q" + std::to_string(query_count++), .query_class = query_class, .give_up_at = now + lasts};
     for (int i = 0; i < parts; ++i) q.parts.push_back({i, 1.0 / parts, 10.0});
-    last = router.submit(q, [this](coordination::QueryResult v) {
-      verdicts.push_back(v);
-      decided_at = now;
+    last_query = router.submit(q, [this](coordination::QueryResult v) {
+      results.push_back(v);
+      result_at = now;
     });
     router.run();
   }
-  void ask_spans(int query_class, coordination::Millis lasts, std::vector<ranges::Span> spans) {
-    last = router.submit({.id = "q" + std::to_string(asked++),
-                          .query_class = query_class,
-                          .give_up_at = now + lasts,
-                          .spans = std::move(spans)},
-                         [this](coordination::QueryResult v) {
-                           verdicts.push_back(v);
-                           decided_at = now;
-                         });
+  void submit_spans(int query_class, coordination::Millis lasts, std::vector<ranges::Span> spans) {
+    last_query = router.submit({.id = "q" + std::to_string(query_count++),
+                                .query_class = query_class,
+                                .give_up_at = now + lasts,
+                                .spans = std::move(spans)},
+                               [this](coordination::QueryResult v) {
+                                 results.push_back(v);
+                                 result_at = now;
+                               });
     router.run();
   }
   void update_ranges(const ranges::RangeMap& map) {
     router.update_ranges(map);
     router.run();
   }
-  // The attempt that is out for this span.
-  coordination::AttemptNumber out_for(const ranges::Span& span) {
-    for (const auto& [n, order] : out)
+  // The attempt in flight for this span.
+  coordination::AttemptNumber attempt_for(const ranges::Span& span) {
+    for (const auto& [n, order] : in_flight)
       if (order.span == span) return n;
-    FAIL("nothing is out for ", ranges::text_of(span));
+    FAIL("no attempt in flight for ", ranges::text_of(span));
     return 0;
   }
-  bool is_out(const ranges::Span& span) const {
-    return std::any_of(out.begin(), out.end(), [&](const auto& o) { return o.second.span == span; });
+  bool has_attempt_for(const ranges::Span& span) const {
+    return std::any_of(in_flight.begin(), in_flight.end(),
+                       [&](const auto& o) { return o.second.span == span; });
   }
   void deny(coordination::AttemptNumber n, ranges::Denial words) {
-    out.erase(n);
+    in_flight.erase(n);
     coordination::AttemptResult r{.outcome = coordination::Outcome::not_mine};
     r.denial = std::make_shared<const ranges::Denial>(std::move(words));
     router.attempt_ended(n, r);
     router.run();
   }
-  void end(coordination::AttemptNumber n, coordination::Outcome outcome, const std::string& value = "v") {
-    out.erase(n);
+  void end_attempt(coordination::AttemptNumber n, coordination::Outcome outcome,
+                   const std::string& value = "v") {
+    in_flight.erase(n);
     coordination::AttemptResult r{.outcome = outcome};
     if (outcome == coordination::Outcome::ok) r.values = {value};
     router.attempt_ended(n, r);
     router.run();
   }
-  void pass(coordination::Millis time) {
+  void advance(coordination::Millis time) {
     for (coordination::Millis until = now + time; now < until; now += 5) router.run();
   }
 
   coordination::Millis now = 1000;
   coordination::RequestRouter router;
-  std::map<coordination::AttemptNumber, coordination::AttemptRequest> out;
-  std::vector<coordination::QueryResult> verdicts;
-  coordination::QueryNumber last = 0;
-  coordination::Millis decided_at = 0;
-  int asked = 0, abandoned = 0, refreshed = 0;
+  std::map<coordination::AttemptNumber, coordination::AttemptRequest> in_flight;
+  std::vector<coordination::QueryResult> results;
+  coordination::QueryNumber last_query = 0;
+  coordination::Millis result_at = 0;
+  int query_count = 0, abandoned = 0, refreshed = 0;
 };
 
 }  // namespace winchhall::testing
--- a/tests/aggregator/support/router_setup.hpp
+++ b/tests/aggregator/support/router_setup.hpp
@@ -8,7 +8,7 @@
 namespace winchhall::testing {
 
 // Answers `rounds` single-part queries so that the learned figures are trusted; each takes `took` ms.
-inline void teach(Driver& d, int rounds, Millis took, double hint = 100) {
+inline void train_estimates(Driver& d, int rounds, Millis took, double hint = 100) {
   for (int i = 0; i < rounds; ++i) {
     std::string id = "teach" + std::to_string(d.now) + "." + std::to_string(i);
     d.query(id, {hint});
--- a/tests/aggregator/support/admin_server_fixture.hpp
+++ b/tests/aggregator/support/stalled_listener.hpp
@@ -7,9 +7,9 @@
 
 namespace winchhall::testing {
 
-class LateDoor {
+class StalledListener {
  public:
-  LateDoor() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
+  StalledListener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
     sockaddr_in at = loopback(0);
     socklen_t size = sizeof at;
     REQUIRE(::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
@@ -20,7 +20,7 @@
   int port() const { return ntohs(at_.sin_port); }
 
   // From now on no connection comes up. One waits in a queue of length 0, and those behind it are not heard.
-  void shut() {
+  void fill_backlog() {
     for (int i = 0; i < 2; ++i) {
       plugs_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
       ::connect(plugs_.back().get(), reinterpret_cast<const sockaddr*>(&at_), sizeof at_);
