--- a/src/aggregator/app/aggregator_process.hpp
+++ b/src/aggregator/app/aggregator_process.hpp
@@ -39,7 +39,7 @@
 
  private:
   // Construction, in this order.
-  void find_siblings();
+  void find_sibling_processes();
   void create_transport();
   void create_list_source();
   void handle_signals();
@@ -58,29 +58,31 @@
   void publish_state(hot_restart::State& state);
   void on_siblings_scanned();
   std::size_t client_capacity() const;
-  bool uses_spans() const { return config_.ops.ranges.enabled || config_.ops.files.enabled; }
+  bool uses_spans() const {
+    return config_.operator_settings.ranges.enabled || config_.operator_settings.files.enabled;
+  }
 
   event_loop::UniqueFd signal_fd_;
-  ConfigFile file_;
-  Config config_;  // as of the start; file_ has the current one
+  ConfigFile config_file_;
+  Config config_;  // as of the start; config_file_ has the current values
   Lifecycle lifecycle_;
   event_loop::Loop loop_;
   std::unique_ptr<SiblingProcesses> siblings_;  // null without an admin address
-  int processes_ = 1;                           // live processes of this aggregator, this one included
+  int process_count_ = 1;                       // live processes of this aggregator, this one included
   std::unique_ptr<coordination::RequestRouter> router_;
-  std::unique_ptr<http::LeafPool> leafs_;       // the transport: either this ...
-  std::unique_ptr<flight::FlightPool> nodes_;   // ... or this
-  std::unique_ptr<http::Discovery> discovery_;  // the source of the endpoint list: either this ...
-  std::unique_ptr<dynamic_config::FileConfigSource> files_;  // ... or this
+  std::unique_ptr<http::LeafPool> leaf_pool_;        // the transport: either this ...
+  std::unique_ptr<flight::FlightPool> flight_pool_;  // ... or this
+  std::unique_ptr<http::Discovery> discovery_;       // the source of the endpoint list: either this ...
+  std::unique_ptr<dynamic_config::FileConfigSource> file_source_;  // ... or this
   std::unique_ptr<coordination::SettingsTransition> settings_transition_;
   bool configuration_reloaded_ = false;
-  std::unique_ptr<http::RangeDirectory> directory_;  // null unless ranges are enabled
-  std::unique_ptr<http::HttpServer> front_;
-  std::unique_ptr<flight::FlightServer> analysts_;    // null unless Flight is enabled
-  std::unique_ptr<admin::AdminServer> admin_server_;  // null without an admin address
+  std::unique_ptr<http::RangeDirectory> range_directory_;  // null unless ranges are enabled
+  std::unique_ptr<http::HttpServer> http_server_;
+  std::unique_ptr<flight::FlightServer> flight_server_;  // null unless Flight is enabled
+  std::unique_ptr<admin::AdminServer> admin_server_;     // null without an admin address
   Millis statistics_due_at_ = 0;
   bool listeners_closed_ = false;
-  bool flight_clients_dismissed_ = false;
+  bool flight_draining_ = false;
 };
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/check_files.cpp
+++ b/src/aggregator/app/check_files.cpp
@@ -20,10 +20,11 @@
   return 1 + std::count(text.begin(), text.begin() + static_cast<long>(std::min(at, text.size())), '\n');
 }
 
-// The first place behind `from` where the text has this key, with its value behind the colon.
+// Position of a JSON key in a text and of the value after its colon; npos if the key wasn't found.
 struct KeyPlace {
   std::size_t at = std::string::npos, value = std::string::npos;
 };
+// The first occurrence of the key at or after `from`.
 KeyPlace find_key(const std::string& text, const std::string& key, std::size_t from = 0) {
   std::string quoted = "\"" + key + "\"";
   for (std::size_t at = from; (at = text.find(quoted, at)) != std::string::npos; ++at) {
@@ -34,18 +35,18 @@
   return {};
 }
 
-// The number behind these words.
-std::optional<unsigned long long> number_behind(const std::string& text, const std::string& words) {
-  std::size_t at = text.find(words);
+// The number that follows the first occurrence of `prefix`.
+std::optional<unsigned long long> number_after(const std::string& text, const std::string& prefix) {
+  std::size_t at = text.find(prefix);
   if (at == std::string::npos) return std::nullopt;
-  const char* from = text.c_str() + at + words.size();
+  const char* from = text.c_str() + at + prefix.size();
   char* end = nullptr;
   unsigned long long n = std::strtoull(from, &end, 10);
   return end == from ? std::nullopt : std::optional(n);
 }
 
-// Our own faults name a key in quotes, a range by its id, or a place in a list; the line is where the file
-// has it.
+// The line that a fault's text refers to, or 0 if none is found. The texts name a key in quotes, a range by
+// its id ("range 7"), or an index of a list ("ranges[3]").
 long line_of_fault(const std::string& text, const std::string& what) {
   if (std::size_t open = what.find('\''); open != std::string::npos) {
     std::size_t close = what.find('\'', open + 1);
@@ -53,11 +54,11 @@
       if (auto key = find_key(text, what.substr(open + 1, close - open - 1)); key.at != std::string::npos)
         return line_at(text, key.at);
   }
-  if (auto id = number_behind(what, "range "))
+  if (auto id = number_after(what, "range "))
     for (KeyPlace key = find_key(text, "id"); key.value != std::string::npos;
          key = find_key(text, "id", key.at + 1))
       if (std::strtoull(text.c_str() + key.value, nullptr, 10) == *id) return line_at(text, key.at);
-  if (auto place = number_behind(what, "ranges[")) {
+  if (auto place = number_after(what, "ranges[")) {
     KeyPlace key = find_key(text, "id");
     for (unsigned long long n = 0; n < *place && key.at != std::string::npos; ++n)
       key = find_key(text, "id", key.at + 1);
@@ -66,7 +67,7 @@
   return 0;
 }
 
-Checked check_json(const std::string& path, const std::string& text) {
+CheckedFile check_json(const std::string& path, const std::string& text) {
   json from;
   try {
     from = json::parse(text);
@@ -74,21 +75,21 @@
     return {"JSON", {{path, line_at(text, error.byte), error.what()}}};
   }
   if (!from.is_object()) return {"JSON", {{path, 1, "an object is wanted"}}};
-  Checked c;
+  CheckedFile checked;
   std::string what;
   if (from.contains("ranges")) {
-    c.kind = "map of ranges";
+    checked.kind = "map of ranges";
     if (auto update = http::read_update(text, what))
       ranges::RangeMap::build(update->revision, std::move(update->ranges), what);
   } else if (from.contains("settings")) {
-    c.kind = "configuration";
+    checked.kind = "configuration";
     try {
-      if (!parse_config(text).known_read) what = "'known' is no list of servers";
+      if (!parse_config(text).initial_list_valid) what = "'known' is no list of servers";
     } catch (const std::exception& error) {
       what = error.what();
     }
   } else {
-    c.kind = "old Flight file";
+    checked.kind = "old Flight file";
     try {
       FlightConfig flight;
       parse_flight_config(text, flight);
@@ -96,8 +97,8 @@
       what = error.what();
     }
   }
-  if (!what.empty()) c.faults.push_back({path, line_of_fault(text, what), what});
-  return c;
+  if (!what.empty()) checked.faults.push_back({path, line_of_fault(text, what), what});
+  return checked;
 }
 
 }  // namespace
@@ -110,7 +111,7 @@
   return all.str();
 }
 
-Checked check_file(const std::string& path) {
+CheckedFile check_file(const std::string& path) {
   std::string why;
   std::string text = read_text(path, why);
   if (!why.empty()) return {"", {{path, 0, why}}};
--- a/src/aggregator/app/check_files.hpp
+++ b/src/aggregator/app/check_files.hpp
@@ -1,4 +1,4 @@
-// Looks a file over before a running program meets it.
+// Checks a file without starting the program, for `winchhall check`.
 #pragma once
 
 #include <string>
@@ -8,14 +8,16 @@
 
 namespace winchhall::app {
 
-struct Checked {
+// Result of checking one file.
+struct CheckedFile {
   std::string kind{};  // "operator file", "configuration", "map of ranges", "old Flight file"
   std::vector<Fault> faults{};
 };
 
-Checked check_file(const std::string& path);
+// Recognizes the kind of a file by its content and checks it. The faults are empty if the file is valid.
+CheckedFile check_file(const std::string& path);
 
-// The whole text, or nothing and why.
+// The content of a file. `why` gets the reason if it cannot be read.
 std::string read_text(const std::string& path, std::string& why);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/command_line.cpp
+++ b/src/aggregator/app/command_line.cpp
@@ -15,38 +15,38 @@
 namespace winchhall::app {
 namespace {
 
-constexpr std::size_t kPlanMost = 4096;  // parts, as when serving
+constexpr std::size_t kMaxPlanParts = 4096;  // of a query, as in the serving program
 
 int check(const std::vector<std::string>& files) {
   bool sound = true;
   for (const std::string& file : files) {
-    Checked c = check_file(file);
-    for (const Fault& fault : c.faults) std::cout << fault.text() << "\n";
-    if (c.faults.empty()) std::cout << file << ": sound (" << c.kind << ")\n";
-    sound = sound && c.faults.empty();
+    CheckedFile checked = check_file(file);
+    for (const Fault& fault : checked.faults) std::cout << fault.text() << "\n";
+    if (checked.faults.empty()) std::cout << file << ": sound (" << checked.kind << ")\n";
+    sound = sound && checked.faults.empty();
   }
   return sound ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-int show_plan_of(const std::string& source, const std::vector<std::string>& spans, double hint_us,
-                 bool json) {
+int run_plan_command(const std::string& source, const std::vector<std::string>& spans, double hint_us,
+                     bool json) {
   std::vector<ranges::Span> list;
   for (const std::string& text : spans) {
     auto span = parse_span(text);
     if (!span) throw CLI::ValidationError("--span", "'" + text + "': FROM:TO is wanted, two whole numbers");
     list.push_back(*span);
   }
-  std::string why = ranges::spans_fault(list, kPlanMost);
+  std::string why = ranges::spans_fault(list, kMaxPlanParts);
   if (!why.empty()) throw CLI::ValidationError("--span", why);
   auto hint = hint_us > 0 ? std::optional(hint_us / 1000) : std::nullopt;
-  auto plan = ranges::plan(load_map(source), list, hint, kPlanMost, why);
+  auto plan = ranges::plan(load_map(source), list, hint, kMaxPlanParts, why);
   if (!plan) throw std::runtime_error(why);
   std::cout << show_plan(*plan, json);
   return EXIT_SUCCESS;
 }
 
-// The serving program takes its files from the environment.
-int become_server(const std::string& config, const std::string& operator_file, const std::string& level) {
+// Replaces this process by the serving program, which takes its files from the environment.
+int exec_server(const std::string& config, const std::string& operator_file, const std::string& level) {
   if (!config.empty()) setenv("LB_CONFIG", config.c_str(), 1);
   if (!operator_file.empty()) setenv("WINCHHALL_OPERATOR", operator_file.c_str(), 1);
   if (!level.empty()) setenv("WINCHHALL_LOG", level.c_str(), 1);
@@ -64,15 +64,15 @@
   app.footer("Without a command it serves by its environment: LB_CONFIG, WINCHHALL_OPERATOR, WINCHHALL_LOG.");
 
   std::string config, operator_file, level;
-  CLI::App* serving = app.add_subcommand("serve", "serve queries until SIGTERM");
-  serving->add_option("-c,--config", config, "the platform's configuration (else LB_CONFIG)");
-  serving->add_option("-o,--operator", operator_file, "an operator's file (else WINCHHALL_OPERATOR)");
-  serving->add_option("--log-level", level, "trace, debug, info, warning, error")
+  CLI::App* serve = app.add_subcommand("serve", "serve queries until SIGTERM");
+  serve->add_option("-c,--config", config, "the platform's configuration (else LB_CONFIG)");
+  serve->add_option("-o,--operator", operator_file, "an operator's file (else WINCHHALL_OPERATOR)");
+  serve->add_option("--log-level", level, "trace, debug, info, warning, error")
       ->check(CLI::IsMember({"trace", "debug", "info", "warning", "error"}));
 
   std::vector<std::string> files;
-  CLI::App* checking = app.add_subcommand("check", "look files over; every fault with its line, 1 if any");
-  checking->add_option("FILE", files, "operator files, configurations, maps of ranges")->required();
+  CLI::App* check_files = app.add_subcommand("check", "look files over; every fault with its line, 1 if any");
+  check_files->add_option("FILE", files, "operator files, configurations, maps of ranges")->required();
 
   CLI::App* maps = app.add_subcommand("ranges", "look at a map of ranges: a file, or a directory's address");
   maps->require_subcommand(1);
@@ -87,34 +87,35 @@
   CLI::App* diff = maps->add_subcommand("diff", "what the second has otherwise; 1 where they differ");
   diff->add_option("A", source)->required();
   diff->add_option("B", other)->required();
-  CLI::App* planning = maps->add_subcommand("plan", "the parts of a query over these spans");
-  planning->add_option("SOURCE", source)->required();
-  planning->add_option("--span", spans, "FROM:TO, may be repeated")->required();
-  planning->add_option("--hint-us", hint_us, "work of the whole query in microseconds")
+  CLI::App* plan = maps->add_subcommand("plan", "the parts of a query over these spans");
+  plan->add_option("SOURCE", source)->required();
+  plan->add_option("--span", spans, "FROM:TO, may be repeated")->required();
+  plan->add_option("--hint-us", hint_us, "work of the whole query in microseconds")
       ->check(CLI::NonNegativeNumber);
-  planning->add_flag("--json", json);
+  plan->add_flag("--json", json);
 
-  std::string call, at;
+  std::string command, address;
   CLI::App* control = app.add_subcommand("control", "call at the operators' door; 0 for yes, 1 for no");
-  control->add_option("CALL", call)->required()->check(CLI::IsMember({"ready", "drain", "resume"}));
-  control->add_option("--at", at, "its address (else LB_CONTROL, else 'control' in LB_CONFIG's file)");
+  control->add_option("CALL", command)->required()->check(CLI::IsMember({"ready", "drain", "resume"}));
+  control->add_option("--at", address, "its address (else LB_CONTROL, else 'control' in LB_CONFIG's file)");
   control->add_flag("--json", json);
 
-  FilesCheck files_check;
+  FilesCheckOptions files_options;
   CLI::App* folder = app.add_subcommand("files", "look at a folder of watched files");
   folder->require_subcommand(1);
-  CLI::App* files_checking =
+  CLI::App* files_check_command =
       folder->add_subcommand("check", "every fault of the set, with its line; 1 if any");
-  files_checking->add_option("DIR", files_check.folder)->required();
-  files_checking->add_option("--zones", files_check.zones, "known zones, as in the operator's file");
-  files_checking->add_option("--cells", files_check.cells, "cells that are known: 0 up to, without, this");
-  files_checking->add_flag("--json", files_check.json);
+  files_check_command->add_option("DIR", files_options.folder)->required();
+  files_check_command->add_option("--zones", files_options.zones, "known zones, as in the operator's file");
+  files_check_command->add_option("--cells", files_options.cells,
+                                  "cells that are known: 0 up to, without, this");
+  files_check_command->add_flag("--json", files_options.json);
   std::string other_folder, store, digest;
   CLI::App* files_status = folder->add_subcommand("status", "the last verdict in a store");
   CLI::App* files_history = folder->add_subcommand("history", "all verdicts in a store, newest first");
   for (CLI::App* each : {files_status, files_history}) {
     each->add_option("STORE", store)->required();
-    each->add_flag("--json", files_check.json);
+    each->add_flag("--json", files_options.json);
   }
   CLI::App* files_accept =
       folder->add_subcommand("accept", "have the running program take a set that is held");
@@ -126,20 +127,21 @@
   }
   CLI::App* files_diff =
       folder->add_subcommand("diff", "what the second folder has otherwise; 1 where they differ");
-  files_diff->add_option("A", files_check.folder)->required();
+  files_diff->add_option("A", files_options.folder)->required();
   files_diff->add_option("B", other_folder)->required();
 
   try {
     app.parse(argc, argv);
-    if (serving->parsed()) return become_server(config, operator_file, level);
-    if (control->parsed()) return call_admin_server(at.empty() ? control_address() : at, call, json);
-    if (checking->parsed()) return check(files);
-    if (files_checking->parsed()) return check_folder(files_check);
-    if (files_status->parsed()) return show_store(store, false, files_check.json);
-    if (files_history->parsed()) return show_store(store, true, files_check.json);
+    if (serve->parsed()) return exec_server(config, operator_file, level);
+    if (control->parsed())
+      return call_admin_server(address.empty() ? control_address() : address, command, json);
+    if (check_files->parsed()) return check(files);
+    if (files_check_command->parsed()) return check_folder(files_options);
+    if (files_status->parsed()) return show_store(store, false, files_options.json);
+    if (files_history->parsed()) return show_store(store, true, files_options.json);
     if (files_accept->parsed()) return submit_command(store, "accept", digest);
     if (files_rollback->parsed()) return submit_command(store, "rollback", digest);
-    if (files_diff->parsed()) return diff_folders(files_check.folder, other_folder);
+    if (files_diff->parsed()) return diff_folders(files_options.folder, other_folder);
     if (show->parsed()) {
       auto span = within.empty() ? std::optional(ranges::Span{0, ranges::kKeyEnd}) : parse_span(within);
       if (!span) throw CLI::ValidationError("--within", "'" + within + "': FROM:TO is wanted");
@@ -151,7 +153,7 @@
       std::cout << lines;
       return lines.empty() ? EXIT_SUCCESS : EXIT_FAILURE;
     }
-    return show_plan_of(source, spans, hint_us, json);
+    return run_plan_command(source, spans, hint_us, json);
   } catch (const CLI::ParseError& error) {
     int code = app.exit(error);
     return code == 0 ? 0 : 2;
--- a/src/aggregator/app/config.hpp
+++ b/src/aggregator/app/config.hpp
@@ -1,4 +1,4 @@
-// What the platform or an operator tells the program at its start, as plain values.
+// Configuration of the serving program, from the platform's file, the environment and an operator's file.
 #pragma once
 
 #include <cstdint>
@@ -10,41 +10,46 @@
 
 namespace winchhall::app {
 
+// Values of the configuration. Times are in ms.
 struct Config {
   std::string name{}, listen{}, discovery{};
-  std::string control{};  // the operators' door; empty: none
+  std::string admin_address{};  // of the admin port; empty: none
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;
-  std::vector<coordination::Member> known{};
-  long long known_revision = 0;
-  bool known_read = true;  // false: the file's last list cannot be read
+  std::size_t max_sockets = 1024;                       // for clients and servers together
+  std::vector<coordination::Member> initial_members{};  // server list at the start
+  long long initial_list_revision = 0;
+  bool initial_list_valid = true;  // false if the file has a list that can't be read
   winchhall::Settings settings{};
-  int shards = 0;                // 0: not stated
-  int batch = 1;                 // parts in one call
-  int streams_per_conn = 1;      // parts on one connection
-  double conn_idle = 30000;      // ms
-  double connect_timeout = 250;  // ms
-  OperatorSettings ops{};        // beyond the platform
+  int shard_count = 0;                   // 0: not configured
+  int max_parts_per_frame = 1;           // sent to a server in one frame
+  int max_parts_per_connection = 1;      // in flight
+  double idle_timeout = 30000;           // ms after which a server closes an idle connection
+  double connect_timeout = 250;          // ms
+  OperatorSettings operator_settings{};  // from the operator's file, unknown to the platform
 };
 
-// Throws std::runtime_error with a plain message where the text, as a whole, is no configuration.
+// Decodes and validates a configuration (JSON). Throws std::runtime_error with the reason if it can't be
+// used.
 Config parse_config(const std::string& text);
+// The same for a file of the older WINCHHALL_FLIGHT form.
 void parse_flight_config(const std::string& text, FlightConfig& flight);
 
-// The file that LB_CONFIG names. Read at the start, when environment variables LB_* win over it, and again
-// when an operator asks for that.
+// The file named by LB_CONFIG. It is read at the start, when environment variables LB_* override its values,
+// and again when an operator requests a reload.
 class ConfigFile {
  public:
   ConfigFile();  // throws std::runtime_error
   const Config& config() const { return config_; }
-  // Takes over what may change in a running program: discovery's address, and the settings with what belongs
-  // to them. Throws std::runtime_error and leaves all as it was where any of the file cannot be used.
+  // Applies what may change in a running program: discovery's address, the settings and the limits that
+  // belong to them. Throws std::runtime_error, and changes nothing, if any part of the file can't be used.
   void reload();
 
  private:
-  void read_operator(const std::string& path);
+  void read_operator_settings(const std::string& path);
 
-  std::string path_, text_, discovery_in_file_;  // text_: as the program began
+  // text_: the content at the start; file_discovery_: the address last read from the file, without
+  // LB_DISCOVERY.
+  std::string path_, text_, file_discovery_;
   Config config_;
 };
 
--- a/src/aggregator/app/control_command.cpp
+++ b/src/aggregator/app/control_command.cpp
@@ -17,43 +17,44 @@
 
 namespace winchhall::app {
 namespace {
-constexpr long kWithin = 2;  // s for the door to answer, which it owes in 1
+constexpr long kTimeoutSeconds = 2;  // the admin port answers within 1 s
 }  // namespace
 
 std::string control_address() {
-  if (const char* at = std::getenv("LB_CONTROL")) return at;
-  return std::getenv("LB_CONFIG") ? ConfigFile().config().control : "";
+  if (const char* address = std::getenv("LB_CONTROL")) return address;
+  return std::getenv("LB_CONFIG") ? ConfigFile().config().admin_address : "";
 }
 
-int call_admin_server(const std::string& at, const std::string& word, bool json) {
-  auto to = event_loop::parse_address(at);
+int call_admin_server(const std::string& address, const std::string& command, bool json) {
+  auto to = event_loop::parse_address(address);
   if (!to)
-    throw std::runtime_error("'" + at +
+    throw std::runtime_error("'" + address +
                              "' is no address: --at HOST:PORT, LB_CONTROL or 'control' in LB_CONFIG's file");
-  auto fault = [&](const char* what) {
-    return std::runtime_error(at + ": " + what + ": " + std::strerror(errno));
+  auto socket_error = [&](const char* what) {
+    return std::runtime_error(address + ": " + what + ": " + std::strerror(errno));
   };
   event_loop::UniqueFd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  timeval within{kWithin, 0};
-  for (int way : {SO_RCVTIMEO, SO_SNDTIMEO}) ::setsockopt(fd.get(), SOL_SOCKET, way, &within, sizeof within);
+  timeval timeout{kTimeoutSeconds, 0};
+  for (int option : {SO_RCVTIMEO, SO_SNDTIMEO})
+    ::setsockopt(fd.get(), SOL_SOCKET, option, &timeout, sizeof timeout);
   if (!fd || ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0)
-    throw fault("no connection");
-  std::string call = word + "\n", heard;
-  if (::send(fd.get(), call.data(), call.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(call.size()))
-    throw fault("not called");
+    throw socket_error("no connection");
+  std::string request = command + "\n", reply_text;
+  if (::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(request.size()))
+    throw socket_error("not called");
   char buffer[512];
   ssize_t n = 0;
-  while (heard.find('\n') == std::string::npos && (n = ::recv(fd.get(), buffer, sizeof buffer, 0)) > 0)
-    heard.append(buffer, static_cast<std::size_t>(n));
-  auto answer = admin::parse_reply(heard);
-  if (!answer && n < 0) throw fault("no answer");
-  if (!answer) throw std::runtime_error(at + ": no answer of a door: '" + heard.substr(0, 60) + "'");
+  while (reply_text.find('\n') == std::string::npos && (n = ::recv(fd.get(), buffer, sizeof buffer, 0)) > 0)
+    reply_text.append(buffer, static_cast<std::size_t>(n));
+  auto reply = admin::parse_reply(reply_text);
+  if (!reply && n < 0) throw socket_error("no answer");
+  if (!reply) throw std::runtime_error(address + ": no answer of a door: '" + reply_text.substr(0, 60) + "'");
   if (json)
-    std::cout << nlohmann::json{{"call", word}, {"yes", answer->accepted}, {"word", answer->message}}.dump()
+    std::cout << nlohmann::json{{"call", command}, {"yes", reply->accepted}, {"word", reply->message}}.dump()
               << "\n";
   else
-    std::cout << (answer->accepted ? "yes: " : "no: ") << answer->message << "\n";
-  return answer->accepted ? EXIT_SUCCESS : EXIT_FAILURE;
+    std::cout << (reply->accepted ? "yes: " : "no: ") << reply->message << "\n";
+  return reply->accepted ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/control_command.hpp
+++ b/src/aggregator/app/control_command.hpp
@@ -1,15 +1,16 @@
-// Calls at the operators' door of a running program.
+// `winchhall control`: commands to the admin port of a running program.
 #pragma once
 
 #include <string>
 
 namespace winchhall::app {
 
-// Where LB_CONTROL or the configuration of LB_CONFIG says; empty where neither does.
+// Address of the admin port from LB_CONTROL, or else from the configuration that LB_CONFIG names; empty if
+// neither has one.
 std::string control_address();
 
-// Calls, prints the answer, and is 0 for ACK, 1 for NAK. Throws std::runtime_error where no answer comes in
-// time.
-int call_admin_server(const std::string& at, const std::string& word, bool json);
+// Sends the command, prints the answer and returns the exit code: 0 for ACK, 1 for NAK. Throws
+// std::runtime_error if no answer arrives in time.
+int call_admin_server(const std::string& address, const std::string& command, bool json);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/files_command.cpp
+++ b/src/aggregator/app/files_command.cpp
@@ -14,22 +14,22 @@
 namespace winchhall::app {
 namespace {
 
-constexpr int kMaxAnswerPolls = 100;          // of 100 ms: a running program looks twice a second
-constexpr std::size_t kFileMost = 256 << 20;  // bytes: the most that an operator's file can allow
+constexpr int kMaxAnswerPolls = 100;  // 100 ms apart; a running program reads commands twice a second
+constexpr std::size_t kMaxFileBytes = 256 << 20;  // the largest limit that an operator's file can set
 
 dynamic_config::ConfigGenerationPtr read_folder(const std::string& folder,
                                                 const dynamic_config::Bounds& bounds,
                                                 std::vector<dynamic_config::Fault>& faults) {
-  dynamic_config::FolderContents look = dynamic_config::read_config_folder(folder, kFileMost);
-  if (!look.exists) throw std::runtime_error(folder + ": no such folder");
-  if (look.changed_while_read)
+  dynamic_config::FolderContents contents = dynamic_config::read_config_folder(folder, kMaxFileBytes);
+  if (!contents.exists) throw std::runtime_error(folder + ": no such folder");
+  if (contents.changed_while_read)
     throw std::runtime_error(folder + ": somebody writes to it just now, try again");
-  faults = look.faults;
+  faults = contents.faults;
   if (!faults.empty()) return nullptr;
   dynamic_config::Rows rows;
-  read_config_files(look.bytes, rows, faults);
+  read_config_files(contents.bytes, rows, faults);
   if (!faults.empty()) return nullptr;
-  return dynamic_config::check(rows, dynamic_config::digest_of(look.bytes), bounds, faults);
+  return dynamic_config::check(rows, dynamic_config::digest_of(contents.bytes), bounds, faults);
 }
 
 std::unique_ptr<dynamic_config::Store> open_store(const std::string& path) {
@@ -58,56 +58,57 @@
   return stored.empty() ? 1 : 0;
 }
 
-int submit_command(const std::string& path, const std::string& word, const std::string& digest) {
+int submit_command(const std::string& path, const std::string& action, const std::string& digest) {
   if (digest.size() != 16 || digest.find_first_not_of("0123456789abcdef") != std::string::npos)
     throw std::runtime_error("'" + digest +
                              "' is no generation: 16 hex digits are wanted, as `files history` has them");
   auto store = open_store(path);
-  auto id = store->add_command(word, std::stoull(digest, nullptr, 16));
+  auto id = store->add_command(action, std::stoull(digest, nullptr, 16));
   if (!id) throw std::runtime_error(path + ": " + store->fault());
   for (int i = 0; i < kMaxAnswerPolls; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
-    auto order = store->find_command(*id);
-    if (!order || order->answer.empty()) continue;
-    std::cout << word << " " << digest << ": " << order->answer << "\n";
-    return order->answer == "done" ? 0 : 1;
+    auto command = store->find_command(*id);
+    if (!command || command->answer.empty()) continue;
+    std::cout << action << " " << digest << ": " << command->answer << "\n";
+    return command->answer == "done" ? 0 : 1;
   }
   store->answer(*id, "withdrawn: nobody answered");
   throw std::runtime_error(path + ": no running program has answered in 10 s; the word is withdrawn");
 }
 
-int check_folder(const FilesCheck& o) {
+int check_folder(const FilesCheckOptions& options) {
   dynamic_config::Bounds bounds;
-  bounds.zones = {o.zones.begin(), o.zones.end()};
-  bounds.cells = o.cells;
+  bounds.zones = {options.zones.begin(), options.zones.end()};
+  bounds.cells = options.cells;
   std::vector<dynamic_config::Fault> faults;
-  auto made = read_folder(o.folder, bounds, faults);
-  if (o.json) {
+  auto generation = read_folder(options.folder, bounds, faults);
+  if (options.json) {
     nlohmann::json rows = nlohmann::json::array();
     for (const auto& f : faults)
       rows.push_back({{"file", dynamic_config::file_name(f.kind)}, {"line", f.line}, {"what", f.what}});
-    nlohmann::json all{{"folder", o.folder}, {"sound", made != nullptr}, {"faults", rows}};
-    if (made) all["generation"] = dynamic_config::digest_text(made->digest);
+    nlohmann::json all{{"folder", options.folder}, {"sound", generation != nullptr}, {"faults", rows}};
+    if (generation) all["generation"] = dynamic_config::digest_text(generation->digest);
     std::cout << all.dump() << "\n";
-    return made ? 0 : 1;
+    return generation ? 0 : 1;
   }
-  for (const auto& f : faults) std::cout << o.folder << "/" << f.text() << "\n";
-  if (made)
-    std::cout << o.folder << ": sound, generation " << dynamic_config::digest_text(made->digest) << ", "
-              << made->members.size() << " nodes, " << (made->map ? made->map->size() : 0) << " ranges, "
-              << made->tenants.size() << " tenants\n";
-  return made ? 0 : 1;
+  for (const auto& f : faults) std::cout << options.folder << "/" << f.text() << "\n";
+  if (generation)
+    std::cout << options.folder << ": sound, generation " << dynamic_config::digest_text(generation->digest)
+              << ", " << generation->members.size() << " nodes, "
+              << (generation->map ? generation->map->size() : 0) << " ranges, " << generation->tenants.size()
+              << " tenants\n";
+  return generation ? 0 : 1;
 }
 
 int diff_folders(const std::string& a, const std::string& b) {
   std::vector<dynamic_config::Fault> faults;
-  dynamic_config::ConfigGenerationPtr sides[2];
+  dynamic_config::ConfigGenerationPtr generations[2];
   const std::string* names[] = {&a, &b};
   for (int i = 0; i < 2; ++i) {
-    sides[i] = read_folder(*names[i], {}, faults);
-    if (!sides[i]) throw std::runtime_error(*names[i] + "/" + faults.at(0).text());
+    generations[i] = read_folder(*names[i], {}, faults);
+    if (!generations[i]) throw std::runtime_error(*names[i] + "/" + faults.at(0).text());
   }
-  auto lines = dynamic_config::differences(*sides[0], *sides[1]);
+  auto lines = dynamic_config::differences(*generations[0], *generations[1]);
   for (const std::string& line : lines) std::cout << line << "\n";
   return lines.empty() ? 0 : 1;
 }
--- a/src/aggregator/app/files_command.hpp
+++ b/src/aggregator/app/files_command.hpp
@@ -1,4 +1,5 @@
-// `winchhall files`: looks at a folder of watched files as the serving program would.
+// `winchhall files`: checks folders of configuration files as the serving program would, and inspects its
+// store.
 #pragma once
 
 #include <string>
@@ -6,18 +7,26 @@
 
 namespace winchhall::app {
 
-struct FilesCheck {
+// Arguments of `winchhall files check`.
+struct FilesCheckOptions {
   std::string folder{};
-  std::vector<std::string> zones{};
-  long long cells = 0;
+  std::vector<std::string> zones{};  // valid zones; empty: any
+  long long cells = 0;               // valid cells are 0 to cells - 1; 0: any
   bool json = false;
 };
 
-int check_folder(const FilesCheck& options);  // 0 sound; 1 with every fault printed
-// Of a store, whether a program runs on it or not.
+// The functions print their results and return the exit code. They throw std::runtime_error if the folder or
+// store can't be read.
+
+// Prints every fault of the folder's files; 0 if there is none, otherwise 1.
+int check_folder(const FilesCheckOptions& options);
+// Prints the latest verdict in a store, or with `history` all of them; 1 if there is none. A program may be
+// running on the store.
 int show_store(const std::string& path, bool history, bool json);
-// Leaves an operator's word for the program that runs on the store, and waits for its answer.
-int submit_command(const std::string& path, const std::string& word, const std::string& digest);
+// Puts an operator's command (`accept` or `rollback`) for a generation into the store, and waits for the
+// answer of the program that runs on it.
+int submit_command(const std::string& path, const std::string& action, const std::string& digest);
+// Prints the differences between the configurations of two folders; 1 if there are any.
 int diff_folders(const std::string& a, const std::string& b);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/lifecycle.cpp
+++ b/src/aggregator/app/lifecycle.cpp
@@ -3,83 +3,83 @@
 namespace winchhall::app {
 namespace {
 
-// What an order does in a phase.
+// Effect of an event in a phase.
 enum class Transition : char {
-  none,                 // nothing, and that is right: ACK
-  no,                   // refused: NAK
+  no_op,                // accepted without effect: ACK
+  rejected,             // NAK
   drain,                // -> Draining
-  resume,               // -> where it would be had it never been sent away
-  leave,                // -> Leaving
-  endpoints_available,  // notes that it can serve, -> Ready or HandingOver where it waited for that
-  predecessor,          // notes that another serves, -> TakingOver where it had not served yet
-  successor,            // notes that a later one serves, -> HandingOver where it serves
-  alone,  // notes that no other is left, -> Ready where it handed over, Starting where it took over
-  stop,   // -> Stopped
+  resume,               // -> the phase it would be in without the drain
+  terminate,            // -> Leaving
+  endpoints_available,  // records that it can serve; Starting, TakingOver -> Ready or HandingOver
+  predecessor,          // records that an older process serves; Starting -> TakingOver
+  successor,            // records that a newer process serves; Ready -> HandingOver
+  no_siblings,          // records that no other process is left; HandingOver -> Ready, TakingOver -> Starting
+  stop,                 // -> Stopped
 };
 
-struct Cell {
+struct TableEntry {
   Transition transition;
   const char* message;
 };
 
-constexpr Cell kTable[kPhases][kLifecycleEvents] = {
-    // drain, resume, terminate, able, predecessor, successor, alone, emptied
+constexpr TableEntry kTable[kPhases][kLifecycleEvents] = {
+    // Columns: drain, resume, terminate, endpoints_available, predecessor, successor, no_siblings, drained.
     {{Transition::drain, "sent away before it served"},
-     {Transition::none, "starting"},
-     {Transition::leave, "leaving"},
+     {Transition::no_op, "starting"},
+     {Transition::terminate, "leaving"},
      {Transition::endpoints_available, "able"},
      {Transition::predecessor, "another serves"},
      {Transition::successor, "a later one serves"},
-     {Transition::alone, "alone"},
-     {Transition::none, "starting"}},
+     {Transition::no_siblings, "alone"},
+     {Transition::no_op, "starting"}},
     {{Transition::drain, "sent away before it served"},
-     {Transition::none, "taking over"},
-     {Transition::leave, "leaving"},
+     {Transition::no_op, "taking over"},
+     {Transition::terminate, "leaving"},
      {Transition::endpoints_available, "able"},
      {Transition::predecessor, "another serves"},
      {Transition::successor, "a later one serves"},
-     {Transition::alone, "alone"},
-     {Transition::none, "taking over"}},
+     {Transition::no_siblings, "alone"},
+     {Transition::no_op, "taking over"}},
     {{Transition::drain, "sending clients away"},
-     {Transition::none, "serving"},
-     {Transition::leave, "leaving"},
+     {Transition::no_op, "serving"},
+     {Transition::terminate, "leaving"},
      {Transition::endpoints_available, "serving"},
      {Transition::predecessor, "another serves"},
      {Transition::successor, "a later one serves"},
-     {Transition::alone, "alone"},
-     {Transition::none, "serving"}},
+     {Transition::no_siblings, "alone"},
+     {Transition::no_op, "serving"}},
     {{Transition::drain, "sending clients away"},
-     {Transition::none, "serving"},
-     {Transition::leave, "leaving"},
+     {Transition::no_op, "serving"},
+     {Transition::terminate, "leaving"},
      {Transition::endpoints_available, "serving"},
      {Transition::predecessor, "another serves"},
      {Transition::successor, "a later one serves"},
-     {Transition::alone, "alone"},
-     {Transition::none, "serving"}},
-    {{Transition::none, "sending clients away"},
+     {Transition::no_siblings, "alone"},
+     {Transition::no_op, "serving"}},
+    {{Transition::no_op, "sending clients away"},
      {Transition::resume, "back to work"},
-     {Transition::leave, "leaving"},
+     {Transition::terminate, "leaving"},
      {Transition::endpoints_available, "able"},
      {Transition::predecessor, "another serves"},
      {Transition::successor, "a later one serves"},
-     {Transition::alone, "alone"},
-     {Transition::none, "empty"}},
-    {{Transition::none, "leaving"},
-     {Transition::no, "leaving for good"},
-     {Transition::none, "leaving"},
-     {Transition::none, "leaving"},
-     {Transition::none, "leaving"},
-     {Transition::none, "leaving"},
-     {Transition::none, "leaving"},
+     {Transition::no_siblings, "alone"},
+     {Transition::no_op, "empty"}},
+    {{Transition::no_op, "leaving"},
+     {Transition::rejected, "leaving for good"},
+     {Transition::no_op, "leaving"},
+     {Transition::no_op, "leaving"},
+     {Transition::no_op, "leaving"},
+     {Transition::no_op, "leaving"},
+     {Transition::no_op, "leaving"},
      {Transition::stop, "stopped"}},
-    {{Transition::none, "stopped"},
-     {Transition::no, "stopped"},
-     {Transition::none, "stopped"},
-     {Transition::none, "stopped"},
-     {Transition::none, "stopped"},
-     {Transition::none, "stopped"},
-     {Transition::none, "stopped"},
-     {Transition::none, "stopped"}},
+    {{Transition::no_op, "stopped"},
+     {Transition::rejected, "stopped"},
+     {Transition::no_op, "stopped"},
+     {Transition::no_op, "stopped"},
+     {Transition::no_op, "stopped"},
+     {Transition::no_op, "stopped"},
+     {Transition::no_op, "stopped"},
+     {Transition::no_op, "stopped"}},
 };
 
 }  // namespace
@@ -90,21 +90,21 @@
   return kNames[static_cast<int>(phase)];
 }
 
-Lifecycle::Result Lifecycle::give(LifecycleEvent order, Millis now) {
-  const Cell& cell = kTable[static_cast<int>(phase_)][static_cast<int>(order)];
+Lifecycle::Result Lifecycle::handle(LifecycleEvent event, Millis now) {
+  const TableEntry& entry = kTable[static_cast<int>(phase_)][static_cast<int>(event)];
   Phase before = phase_;
-  bool drain = phase_ == Phase::Draining;
-  switch (cell.transition) {
-    case Transition::none:
-    case Transition::no:
+  bool was_draining = phase_ == Phase::Draining;
+  switch (entry.transition) {
+    case Transition::no_op:
+    case Transition::rejected:
       break;
     case Transition::drain:
       phase_ = Phase::Draining;
       draining_since_ = now;
       break;
-    case Transition::leave:
-      // Who was sent away before goes on counting from then.
-      if (!drain) draining_since_ = now;
+    case Transition::terminate:
+      // If it was draining already, the delays count from the start of the drain.
+      if (!was_draining) draining_since_ = now;
       phase_ = Phase::Leaving;
       break;
     case Transition::stop:
@@ -119,21 +119,22 @@
     case Transition::successor:
       has_successor_ = true;
       break;
-    case Transition::alone:
+    case Transition::no_siblings:
       has_predecessor_ = has_successor_ = false;
       break;
     case Transition::resume:
-      drain = false;
+      was_draining = false;
       break;
   }
-  bool notes = cell.transition == Transition::endpoints_available ||
-               cell.transition == Transition::predecessor || cell.transition == Transition::successor ||
-               cell.transition == Transition::alone || cell.transition == Transition::resume;
-  if (notes && !drain)
+  bool updates_phase = entry.transition == Transition::endpoints_available ||
+                       entry.transition == Transition::predecessor ||
+                       entry.transition == Transition::successor ||
+                       entry.transition == Transition::no_siblings || entry.transition == Transition::resume;
+  if (updates_phase && !was_draining)
     phase_ = endpoints_available_ ? (has_successor_ ? Phase::HandingOver : Phase::Ready)
              : has_predecessor_   ? Phase::TakingOver
                                   : Phase::Starting;
-  return {cell.transition != Transition::no, cell.message, phase_ != before};
+  return {entry.transition != Transition::rejected, entry.message, phase_ != before};
 }
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/lifecycle.hpp
+++ b/src/aggregator/app/lifecycle.hpp
@@ -1,5 +1,5 @@
-// The program's phases from start to exit, as one state machine: a table of states and legal moves. No I/O
-// and no clock of its own. Every order in every phase has a stated result.
+// State machine of the program's phases from start to exit, as a table of phases and events. No I/O and no
+// clock of its own: times are in ms on the caller's clock. Every event has a defined result in every phase.
 #pragma once
 
 #include <string>
@@ -9,59 +9,68 @@
 using Millis = double;
 
 enum class Phase {
-  Starting,     // no list of servers yet
-  TakingOver,   // as Starting, and another process of this name serves: it is to know of us first
-  Ready,        // serves and takes clients
-  HandingOver,  // the same, beside a later process of this name: what is shared is halved
-  Draining,     // an operator emptied it: clients are sent away, and may be called back
-  Leaving,      // SIGTERM: as Draining, for good
+  Starting,     // no server list yet
+  TakingOver,   // as Starting, and an older process of this name serves, which has to acknowledge this one
+  Ready,        // serves and accepts clients
+  HandingOver,  // as Ready, beside a newer process of this name: the shared limits are divided between them
+  Draining,     // drained by an operator: clients are sent away until an operator resumes it
+  Leaving,      // SIGTERM was received: as Draining, without a way back
   Stopped,
 };
 constexpr int kPhases = 7;
 
 enum class LifecycleEvent {
-  drain,                // by the operators' door
-  resume,               //
+  drain,                // command of the admin port
+  resume,               // command of the admin port
   terminate,            // SIGTERM
-  endpoints_available,  // a list is known and whoever was asked has answered: it can serve
-  predecessor,          // an earlier process of this name was found
-  successor,            // a later process of this name serves
-  alone,                // no other process of this name is left
-  drained,              // nothing taken is unanswered, nothing waits to be written, no client is left
+  endpoints_available,  // a server list is known and all older processes have acknowledged: it can serve
+  predecessor,          // an older process of this name was found
+  successor,            // a newer process of this name serves
+  no_siblings,          // no other process of this name is left
+  drained,              // no query is open, nothing is left to write, and no client is connected
 };
 constexpr int kLifecycleEvents = 8;
 
+// The phase's name in the log, on the admin port and in the state file.
 const char* name_of(Phase phase);
 
+// Current phase, with the conditions that decide which phase follows. Not thread-safe.
 class Lifecycle {
  public:
   struct Result {
-    bool taken = false;        // what the operators' door says: ACK or NAK ...
-    const char* message = "";  // ... and why
-    bool changed = false;      // the phase is another now
+    bool accepted = false;     // ACK or NAK on the admin port ...
+    const char* message = "";  // ... with this text
+    bool changed = false;      // whether the phase changed
   };
 
   Phase phase() const { return phase_; }
   const char* name() const { return name_of(phase_); }
 
-  Result give(LifecycleEvent order, Millis now);
+  // Applies an event that happened at `now`.
+  Result handle(LifecycleEvent event, Millis now);
 
-  bool admits() const { return phase_ == Phase::Ready || phase_ == Phase::HandingOver; }  // what /ready tells
-  bool leaving() const { return phase_ == Phase::Leaving || phase_ == Phase::Stopped; }
-  // Clients are to go elsewhere: each answer is the last one on its connection ...
-  bool drains() const { return phase_ == Phase::Draining || leaving(); }
-  // ... and, once those who send new ones have heard of it, connections that stand idle are closed as well.
-  bool closes_idle(Millis now) const { return drains() && now >= draining_since_ + kCrossing; }
-  // Leaving: no new connection is expected any more; the listener may be closed.
-  bool closes_listener(Millis now) const { return leaving() && now >= draining_since_ + kStayOpen; }
+  // The answer to /ready.
+  bool is_ready() const { return phase_ == Phase::Ready || phase_ == Phase::HandingOver; }
+  bool is_leaving() const { return phase_ == Phase::Leaving || phase_ == Phase::Stopped; }
+  // Clients must go elsewhere: each response is the last one on its connection ...
+  bool is_draining() const { return phase_ == Phase::Draining || is_leaving(); }
+  // ... and idle connections are closed as well, once load balancers have noticed the drain.
+  bool closes_idle_connections(Millis now) const {
+    return is_draining() && now >= draining_since_ + kIdleCloseDelay;
+  }
+  // Leaving: no new connection is expected any more, so the listener may be closed.
+  bool closes_listener(Millis now) const {
+    return is_leaving() && now >= draining_since_ + kListenerCloseDelay;
+  }
 
  private:
-  // ms in which clients are still sent here: the front asks every 0.1 s, and stops 0.2 s after a no.
-  static constexpr Millis kCrossing = 500;
-  static constexpr Millis kStayOpen = 1000;  // ms after SIGTERM in which clients may still find us
+  // ms in which clients are still sent here: the load balancer checks /ready every 0.1 s and stops sending
+  // 0.2 s after a negative answer.
+  static constexpr Millis kIdleCloseDelay = 500;
+  static constexpr Millis kListenerCloseDelay = 1000;  // ms after SIGTERM in which clients may still connect
 
   Phase phase_ = Phase::Starting;
-  bool endpoints_available_ = false;  // survives being sent away: who resumes is where it was
+  bool endpoints_available_ = false;  // kept while draining, so that resume returns to the phase before
   bool has_predecessor_ = false, has_successor_ = false;
   Millis draining_since_ = 0;
 };
--- a/src/aggregator/app/main.cpp
+++ b/src/aggregator/app/main.cpp
@@ -1,4 +1,5 @@
-// The program's begin: its command, its log, its exit code.
+// Entry point of winchhall-aggregator: sets up logging, then serves; with arguments it becomes
+// winchhall-tool.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
--- a/src/aggregator/app/operator_file.hpp
+++ b/src/aggregator/app/operator_file.hpp
@@ -1,8 +1,8 @@
-// The operator's file: XML, checked against deploy/winchhall.xsd, which is built in. Everything in it is off
-// where there is no such file.
+// The operator's file: XML, validated against deploy/winchhall.xsd, which is built in. Without such a file
+// all its features are off.
 //
-// The XML library stays out of the program that has no such file: reading is done by a module of its own
-// (winchhall_operator.so, beside the program), which is loaded only when there is one.
+// A module of its own (winchhall_operator.so, next to the program) parses XML. It is loaded only if there is
+// such a file, so that the program otherwise doesn't load the XML library.
 #pragma once
 
 #include <string>
@@ -12,54 +12,61 @@
 
 namespace winchhall::app {
 
+// A fault of a checked file.
 struct Fault {
   std::string file{};
-  long line = 0;  // 0: of the file as a whole
+  long line = 0;  // 0: the file as a whole
   std::string what{};
   std::string text() const { return file + (line > 0 ? ":" + std::to_string(line) : "") + ": " + what; }
 };
 
-struct FlightConfig {  // the second front; off unless an operator's file sets it up
+// Arrow Flight front end; off unless an operator's file enables it.
+struct FlightConfig {
   bool enabled = false;
-  std::string listen{};  // where Flight clients connect
-  bool nodes = false;    // ledger nodes are called over Flight too
+  std::string listen{};        // address for Flight clients
+  bool use_for_nodes = false;  // call ledger nodes over Flight instead of frames
 };
 
-struct RangesConfig {  // moving ranges; off unless an operator's file sets them up
+// Range directory; off unless an operator's file enables it.
+struct RangesConfig {
   bool enabled = false;
-  std::string directory{};        // its address
-  std::size_t most = 2'000'000;   // ranges held at most
-  double connect_timeout = 1000;  // ms
+  std::string directory{};             // address of the directory
+  std::size_t max_ranges = 2'000'000;  // of the range map
+  double connect_timeout = 1000;       // ms
 };
 
-struct FilesConfig {  // watched files; off unless an operator's file sets them up
+// Configuration from watched files; off unless an operator's file enables it.
+struct FilesConfig {
   bool enabled = false;
   std::string folder{};
-  std::string store{};                // a file of its own for what must outlive the process; empty: none
-  double drop_share = 0.25;           // a set that drops more of the nodes waits for an operator's word
-  double drain_time = 10000;          // ms that a dropped node goes on with what it has
-  std::size_t most_bytes = 32 << 20;  // of one file
-  std::vector<std::string> zones{};   // known ones; empty: any
-  long long cells = 0;                // known ones: from 0 up to, without, this; 0: any
+  std::string store{};  // database file for what must outlive the process; empty: none
+  // Share of the nodes. A change that removes more of them is held until an operator accepts it.
+  double max_removed_share = 0.25;
+  double drain_time = 10000;              // ms in which a removed node may finish its open work
+  std::size_t max_file_bytes = 32 << 20;  // of one file
+  std::vector<std::string> zones{};       // valid zones; empty: any
+  long long cell_count = 0;               // valid cells are 0 to cell_count - 1; 0: any
 };
 
+// All settings of the operator's file.
 struct OperatorSettings {
   FlightConfig flight{};
   RangesConfig ranges{};
   FilesConfig files{};
 };
 
-// Every fault of the file, with its line. Settings are of use only where there is none.
+// Reads the file into `settings` and returns every fault with its line. The settings may be used only if
+// there is no fault.
 std::vector<Fault> read_operator_file(const std::string& path, OperatorSettings& settings);
 
-// Reads a set of watched files: rows, and every fault of reading. May run on any thread, one at a time.
+// Parses the watched files into rows, and appends every fault. May run on any thread, but on one at a time.
 void read_config_files(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
                        std::vector<dynamic_config::Fault>& faults);
 
-// What the module offers; called through the loader only.
-using OperatorReader = void (*)(const std::string& path, OperatorSettings& settings,
-                                std::vector<Fault>& faults);
-using SetReader = void (*)(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
-                           std::vector<dynamic_config::Fault>& faults);
+// Functions of the module, found by name when it is loaded.
+using OperatorFileReader = void (*)(const std::string& path, OperatorSettings& settings,
+                                    std::vector<Fault>& faults);
+using ConfigFilesReader = void (*)(const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
+                                   std::vector<dynamic_config::Fault>& faults);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/program_path.hpp
+++ b/src/aggregator/app/program_path.hpp
@@ -1,4 +1,4 @@
-// Files that belong to this program and stand beside it.
+// Paths of files that are installed next to this program.
 #pragma once
 
 #include <unistd.h>
@@ -7,6 +7,7 @@
 
 namespace winchhall::app {
 
+// The path of `name` in the folder of the running program.
 inline std::string path_next_to_program(const char* name) {
   char path[4096];
   ssize_t n = readlink("/proc/self/exe", path, sizeof path);
--- a/src/aggregator/app/ranges_command.cpp
+++ b/src/aggregator/app/ranges_command.cpp
@@ -18,20 +18,20 @@
 
 using namespace ranges;
 using nlohmann::json;
-constexpr event_loop::Millis kPatience = 10000;  // ms for a directory to give its whole map
+constexpr event_loop::Millis kMapTimeout = 10000;  // ms for a directory to send its complete map
 
-// Asks a directory for its map, once.
-class Question : public event_loop::Stream::Owner {
+// One request to a range directory for its map, on an event loop of its own.
+class MapRequest : public event_loop::Stream::Owner {
  public:
-  explicit Question(const std::string& address) : address_(address) {}
+  explicit MapRequest(const std::string& address) : address_(address) {}
 
-  RangeMap ask() {
+  RangeMap fetch() {
     auto to = event_loop::parse_address(address_);
     int error = 0;
     if (to) stream_ = event_loop::Stream::connect(loop_, *to, *this, error);
     if (!stream_) throw std::runtime_error(address_ + ": no such file, and no address of a directory");
-    event_loop::Millis end = loop_.now() + kPatience;
-    while (!over_ && follower_.map().empty() && loop_.now() < end) loop_.run_once(100);
+    event_loop::Millis end = loop_.now() + kMapTimeout;
+    while (!is_finished_ && follower_.map().empty() && loop_.now() < end) loop_.run_once(100);
     stream_->close();
     if (!follower_.map().empty()) return follower_.map();
     throw std::runtime_error(address_ + ": " + (fault_.empty() ? "gave no map in 10 s" : fault_));
@@ -42,28 +42,28 @@
   }
   void received(std::string& in) override {
     parser_.feed(in);
-    take();
+    process_response();
   }
   void ended() override {
     parser_.connection_closed(stream_->reset());
-    take();
+    process_response();
     if (fault_.empty()) fault_ = "the connection ended before the whole map was there";
-    over_ = true;
+    is_finished_ = true;
   }
 
  private:
-  void take() {
+  void process_response() {
     http::HttpMessage& m = parser_.message();
     if (parser_.failed() || (parser_.head_done() && m.status != 200)) {
       fault_ = parser_.failed() ? "an answer that cannot be read" : "status " + std::to_string(m.status);
-      over_ = true;
+      is_finished_ = true;
       return;
     }
     for (std::size_t end; (end = m.body.find('\n')) != std::string::npos; m.body.erase(0, end + 1))
-      line(m.body.substr(0, end));
-    if (parser_.done() && !m.body.empty()) line(std::exchange(m.body, {}));
+      process_line(m.body.substr(0, end));
+    if (parser_.done() && !m.body.empty()) process_line(std::exchange(m.body, {}));
   }
-  void line(const std::string& text) {
+  void process_line(const std::string& text) {
     if (http::trim(text).empty()) return;
     auto update = http::read_update(text, fault_);
     if (update && follower_.apply_update(std::move(*update), 0) != UpdateResult::applied)
@@ -75,7 +75,7 @@
   http::HttpParser parser_{http::HttpParser::Mode::streamed};
   Follower follower_;
   std::shared_ptr<event_loop::Stream> stream_;
-  bool over_ = false;
+  bool is_finished_ = false;
 };
 
 std::string holders_text(const Holders& holders) {
@@ -98,7 +98,7 @@
 RangeMap load_map(const std::string& source) {
   std::string why;
   std::string text = read_text(source, why);
-  if (!why.empty()) return Question(source).ask();
+  if (!why.empty()) return MapRequest(source).fetch();
   auto update = http::read_update(text, why);
   if (!update) throw std::runtime_error(source + ": " + why);
   if (!update->complete) throw std::runtime_error(source + ": changes only, a whole map is wanted");
@@ -118,14 +118,14 @@
 }
 
 std::string show_map(const RangeMap& map, const Span& within, bool as_json) {
-  Update u{map.revision(), true, false, {}, {}};
+  Update update{map.revision(), true, false, {}, {}};
   map.visit(within, [&](const RangeView& p) {
-    u.ranges.push_back({p.id, p.span, p.weight, *p.holders});
+    update.ranges.push_back({p.id, p.span, p.weight, *p.holders});
     return true;
   });
-  if (as_json) return http::write_update(u) + "\n";
+  if (as_json) return http::write_update(update) + "\n";
   std::string out = "revision " + text_of(map.revision()) + ", " + std::to_string(map.size()) + " ranges\n";
-  for (const Range& r : u.ranges) out += range_text(r) + "\n";
+  for (const Range& r : update.ranges) out += range_text(r) + "\n";
   return out;
 }
 
--- a/src/aggregator/app/settings_check.hpp
+++ b/src/aggregator/app/settings_check.hpp
@@ -1,17 +1,18 @@
-// Whether a configuration can take the place of the one that a running program goes by.
+// Checks whether a configuration can replace the one of a running program.
 #pragma once
 
 #include <string>
 
 namespace winchhall::app {
 
-// Empty, or the first thing that keeps `fresh` from taking the place of `old`, by key, value and what is
-// allowed: a key that is missing or of another kind, a row of a class that lacks what another has, a list
-// that does not fit the classes, a deadline or a number of attempts that is not over 0. Both are whole JSON
-// texts; `old` is sound.
-std::string incompatible_setting(const std::string& old, const std::string& fresh);
+// The first reason why `fresh` can't replace `current`, with the key, its value and what is expected, or an
+// empty string: a key that is missing or of another type, a class without a key that the other classes have,
+// a list whose length isn't the number of classes, or a deadline or number of attempts that is not above 0.
+// Both are complete JSON texts; `current` must be valid.
+std::string incompatible_setting(const std::string& current, const std::string& fresh);
 
-// Where JSON ends to be any: "line L, column C", for messages. Empty where the text is JSON.
+// Where the JSON is malformed ("line L: ...", with the byte offset), for messages. Empty if the text is valid
+// JSON.
 std::string json_fault(const std::string& text);
 
 }  // namespace winchhall::app
--- a/src/aggregator/app/sibling_processes.hpp
+++ b/src/aggregator/app/sibling_processes.hpp
@@ -1,5 +1,4 @@
-// Other processes of this aggregator, as the serving program meets them: leaves this one's state, looks for
-// theirs.
+// Publishes this process's state to the other processes of this aggregator, and reads theirs periodically.
 #pragma once
 
 #include <functional>
@@ -13,29 +12,32 @@
 
 namespace winchhall::app {
 
+// Owns a worker thread for the file I/O; all other work runs on the loop's thread, and so do the callbacks.
+// The loop must outlive it.
 class SiblingProcesses {
  public:
-  // Looks at once, before it returns: what others know is wanted from the start. `fill` puts into a state
-  // what this process has to tell; `changed` is called after each look.
+  // Scans the folder before it returns, because the state of the other processes is needed at the start.
+  // `fill_state` fills in this process's state before each write; `on_scanned` is called after each later
+  // scan.
   SiblingProcesses(event_loop::Loop& loop, const std::string& folder, const std::string& name,
-                   std::function<void(hot_restart::State&)> fill, std::function<void()> changed);
-  ~SiblingProcesses();  // waits for the file at hand, and takes this process's own away
+                   std::function<void(hot_restart::State&)> fill_state, std::function<void()> on_scanned);
+  ~SiblingProcesses();  // waits for the write in progress and removes this process's state file
 
   const hot_restart::ProcessRegistry& process_registry() const { return registry_; }
-  void publish_now();  // what changed should not wait for the next turn
+  void publish_now();  // without waiting for the next interval
 
  private:
-  void turn();
-  void apply_scan(const hot_restart::StateFolder::FolderScan& found);
+  void publish_and_scan();
+  void apply_scan(const hot_restart::StateFolder::FolderScan& scan);
 
   event_loop::Loop& loop_;
   hot_restart::StateFolder folder_;
   hot_restart::State own_;
-  std::function<void(hot_restart::State&)> fill_;
-  std::function<void()> changed_;
+  std::function<void(hot_restart::State&)> fill_state_;
+  std::function<void()> on_scanned_;
   hot_restart::ProcessRegistry registry_;
   event_loop::TimerId timer_{};
-  bool busy_ = false, again_ = false;
+  bool is_publishing_ = false, publish_again_ = false;
   std::unique_ptr<event_loop::Worker> worker_;
 };
 
--- a/src/aggregator/app/tool_main.cpp
+++ b/src/aggregator/app/tool_main.cpp
@@ -1,4 +1,5 @@
-// winchhall's commands but for serving. `winchhall COMMAND` becomes this program.
+// Entry point of winchhall-tool, which has all commands of winchhall but serving. `winchhall COMMAND`
+// executes it.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
--- a/src/aggregator/app/xml/document.cpp
+++ b/src/aggregator/app/xml/document.cpp
@@ -3,30 +3,31 @@
 namespace winchhall::app::xml {
 namespace {
 
-using ParserContext = std::unique_ptr<xmlParserCtxt, Freer<xmlFreeParserCtxt>>;
-using SchemaContext = std::unique_ptr<xmlSchemaParserCtxt, Freer<xmlSchemaFreeParserCtxt>>;
-using ValidContext = std::unique_ptr<xmlSchemaValidCtxt, Freer<xmlSchemaFreeValidCtxt>>;
+using ParserContext = std::unique_ptr<xmlParserCtxt, Deleter<xmlFreeParserCtxt>>;
+using SchemaContext = std::unique_ptr<xmlSchemaParserCtxt, Deleter<xmlSchemaFreeParserCtxt>>;
+using ValidContext = std::unique_ptr<xmlSchemaValidCtxt, Deleter<xmlSchemaFreeValidCtxt>>;
 
-constexpr int kReportedMost = 50;  // of one text; more help nobody
+constexpr int kMaxReportedFaults = 50;  // of one text; a longer list is of no help
 
-struct Listing {
-  const Report& report;
-  std::string noise;  // the schema's namespace, which stands in every message and tells an operator nothing
+// Counts the faults of one text and passes them on.
+struct FaultList {
+  const FaultCallback& report;
+  std::string namespace_prefix;  // the schema's, part of every message; it tells an operator nothing
   int count = 0;
 };
 
-void note(void* to, xmlErrorPtr error) {
-  auto* list = static_cast<Listing*>(to);
-  if (++list->count > kReportedMost) return;
+void report_fault(void* to, xmlErrorPtr error) {
+  auto* faults = static_cast<FaultList*>(to);
+  if (++faults->count > kMaxReportedFaults) return;
   std::string what = error->message ? error->message : "a fault";
   while (!what.empty() && (what.back() == '\n' || what.back() == ' ')) what.pop_back();
-  for (std::size_t at; (at = what.find(list->noise)) != std::string::npos;)
-    what.erase(at, list->noise.size());
-  list->report(error->line, what);
+  for (std::size_t at; (at = what.find(faults->namespace_prefix)) != std::string::npos;)
+    what.erase(at, faults->namespace_prefix.size());
+  faults->report(error->line, what);
 }
 
 void record_parse_errors(void* context, xmlErrorPtr error) {
-  note(static_cast<xmlParserCtxt*>(context)->_private, error);
+  report_fault(static_cast<xmlParserCtxt*>(context)->_private, error);
 }
 
 }  // namespace
@@ -36,23 +37,23 @@
   return Schema(context ? xmlSchemaParse(context.get()) : nullptr);
 }
 
-Doc read(std::string_view text, xmlSchema* schema, std::string_view name_space, const Report& report) {
-  Listing list{report, "{" + std::string(name_space) + "}"};
+Doc read(std::string_view text, xmlSchema* schema, std::string_view name_space, const FaultCallback& report) {
+  FaultList faults{report, "{" + std::string(name_space) + "}"};
   ParserContext parser(xmlNewParserCtxt());
   if (!parser || !schema) {
     report(0, "the schema that is built in cannot be used");
     return nullptr;
   }
   parser->sax->serror = record_parse_errors;
-  parser->_private = &list;
+  parser->_private = &faults;
   Doc doc(xmlCtxtReadMemory(parser.get(), text.data(), static_cast<int>(text.size()), "", nullptr,
                             XML_PARSE_NONET | XML_PARSE_BIG_LINES | XML_PARSE_COMPACT));
   if (!doc) {
-    if (list.count == 0) report(0, "is no XML");
+    if (faults.count == 0) report(0, "is no XML");
     return nullptr;
   }
-  if (list.count > 0) return nullptr;
-  // Guards against entities that expand without end or refer outside: none can be declared.
+  if (faults.count > 0) return nullptr;
+  // Without a DOCTYPE no entity can be declared, so none can expand without bound or refer to other files.
   if (doc->intSubset) {
     report(0, "a DOCTYPE is not allowed here");
     return nullptr;
@@ -62,10 +63,10 @@
     report(0, "the schema that is built in cannot be used");
     return nullptr;
   }
-  xmlSchemaSetValidStructuredErrors(valid.get(), note, &list);
-  xmlSchemaSetValidOptions(valid.get(), XML_SCHEMA_VAL_VC_I_CREATE);  // defaults of the schema
+  xmlSchemaSetValidStructuredErrors(valid.get(), report_fault, &faults);
+  xmlSchemaSetValidOptions(valid.get(), XML_SCHEMA_VAL_VC_I_CREATE);  // adds the schema's default values
   if (xmlSchemaValidateDoc(valid.get(), doc.get()) == 0) return doc;
-  if (list.count == 0) report(0, "does not fit the schema");
+  if (faults.count == 0) report(0, "does not fit the schema");
   return nullptr;
 }
 
--- a/src/aggregator/app/xml/document.hpp
+++ b/src/aggregator/app/xml/document.hpp
@@ -1,5 +1,5 @@
-// One XML text against one schema: every fault with its line, or the document. Nothing is loaded from
-// anywhere, no entity can be declared, and texts are bounded by whoever read them.
+// Parses an XML text and validates it against a schema. Nothing is loaded from files or the network, and no
+// entity can be declared. The caller limits the size of the text.
 #pragma once
 
 #include <libxml/parser.h>
@@ -13,25 +13,28 @@
 
 namespace winchhall::app::xml {
 
+// Deleter of libxml2 objects for std::unique_ptr.
 template <auto Free>
-struct Freer {
+struct Deleter {
   template <class T>
   void operator()(T* p) const {
     Free(p);
   }
 };
-using Doc = std::unique_ptr<xmlDoc, Freer<xmlFreeDoc>>;
-using Schema = std::unique_ptr<xmlSchema, Freer<xmlSchemaFree>>;
+using Doc = std::unique_ptr<xmlDoc, Deleter<xmlFreeDoc>>;
+using Schema = std::unique_ptr<xmlSchema, Deleter<xmlSchemaFree>>;
 
-using Report = std::function<void(long line, std::string what)>;
+// Receives each fault with its line; 0: the text as a whole.
+using FaultCallback = std::function<void(long line, std::string what)>;
 
-// Made once from the text that is built in; it may be used again and again.
+// Compiles a schema; null if it is invalid. The result may be used for any number of documents.
 Schema compile(std::string_view schema);
 
-// Null where something was reported. Defaults of the schema stand in the document.
-Doc read(std::string_view text, xmlSchema* schema, std::string_view name_space, const Report& report);
+// Parses and validates `text`. Null if a fault was reported; otherwise the document, with the schema's
+// default values filled in. `name_space` is removed from the messages.
+Doc read(std::string_view text, xmlSchema* schema, std::string_view name_space, const FaultCallback& report);
 
-// Attributes of one element.
+// Attributes of one element, which must outlive it. Numbers are not checked: the schema has done that.
 struct Attributes {
   xmlNode* node;
   std::string text(const char* name) const {
@@ -40,20 +43,22 @@
     xmlFree(value);
     return s;
   }
-  bool yes(const char* name) const {
+  bool boolean(const char* name) const {
     std::string v = text(name);
     return v == "true" || v == "1";
   }
   double number(const char* name) const { return std::strtod(text(name).c_str(), nullptr); }
-  unsigned long long whole(const char* name) const { return std::strtoull(text(name).c_str(), nullptr, 10); }
+  unsigned long long unsigned_integer(const char* name) const {
+    return std::strtoull(text(name).c_str(), nullptr, 10);
+  }
   long line() const { return xmlGetLineNo(node); }
 };
 
 inline std::string name_of(const xmlNode* node) { return reinterpret_cast<const char*>(node->name); }
 
-// Each element below `parent`.
+// Calls `f` with each child element of `parent`.
 template <class F>
-void each(xmlNode* parent, F f) {
+void for_each_child(xmlNode* parent, F f) {
   for (xmlNode* node = parent->children; node; node = node->next)
     if (node->type == XML_ELEMENT_NODE) f(node);
 }
--- a/src/aggregator/app/xml/operator_module.cpp
+++ b/src/aggregator/app/xml/operator_module.cpp
@@ -1,4 +1,5 @@
-// The module that reads XML: operator files and watched sets, by libxml2 and the schemas built in.
+// The module that parses XML: operator files and watched configuration files, with libxml2 and the built-in
+// schemas.
 #include <sys/stat.h>
 
 #include <fstream>
@@ -13,47 +14,48 @@
 namespace winchhall::app {
 namespace {
 
-constexpr long long kFileMost = 1 << 20;  // bytes: a file of settings has a few thousand
+constexpr long long kMaxFileBytes = 1 << 20;  // a file of settings has a few thousand bytes
 
 using xml::Attributes;
 
-struct Listing {
+// Faults of one file.
+struct FaultList {
   const std::string& path;
   std::vector<Fault>& faults;
 };
 
-void read(xmlNode* root, OperatorSettings& s, Listing list) {
+void read_settings(xmlNode* root, OperatorSettings& s, FaultList fault_list) {
   auto address = [&](const Attributes& a, const char* name) {
     std::string v = a.text(name);
-    // The pattern lets 999.1.1.1:70000 through; what can't be bound or reached is told here as well.
+    // The schema's pattern accepts 999.1.1.1:70000, so addresses that can't be valid are reported here.
     if (!v.empty() && !event_loop::parse_address(v))
-      list.faults.push_back({list.path, a.line(),
-                             std::string("'") + name + "' is '" + v +
-                                 "', wanted is an IPv4 address and port, "
-                                 "as 127.0.0.1:8815"});
+      fault_list.faults.push_back({fault_list.path, a.line(),
+                                   std::string("'") + name + "' is '" + v +
+                                       "', wanted is an IPv4 address and port, "
+                                       "as 127.0.0.1:8815"});
     return v;
   };
-  xml::each(root, [&](xmlNode* node) {
+  xml::for_each_child(root, [&](xmlNode* node) {
     Attributes a{node};
     std::string name = xml::name_of(node);
     if (name == "flight") {
-      s.flight = {a.yes("enabled"), address(a, "listen"), a.text("nodes") == "flight"};
+      s.flight = {a.boolean("enabled"), address(a, "listen"), a.text("nodes") == "flight"};
       if (s.flight.enabled && s.flight.listen.empty())
-        list.faults.push_back({list.path, a.line(),
-                               "'listen' is missing, wanted is the address for Flight clients, or "
-                               "enabled=\"false\""});
+        fault_list.faults.push_back({fault_list.path, a.line(),
+                                     "'listen' is missing, wanted is the address for Flight clients, or "
+                                     "enabled=\"false\""});
     }
     if (name == "ranges")
-      s.ranges = {a.yes("enabled"), address(a, "directory"), static_cast<std::size_t>(a.whole("most")),
-                  a.number("connect-timeout-ms")};
+      s.ranges = {a.boolean("enabled"), address(a, "directory"),
+                  static_cast<std::size_t>(a.unsigned_integer("most")), a.number("connect-timeout-ms")};
     if (name == "files") {
-      s.files.enabled = a.yes("enabled");
+      s.files.enabled = a.boolean("enabled");
       s.files.folder = a.text("folder");
       s.files.store = a.text("store");
-      s.files.drop_share = a.number("drop-share-percent") / 100;
+      s.files.max_removed_share = a.number("drop-share-percent") / 100;
       s.files.drain_time = a.number("drain-ms");
-      s.files.most_bytes = static_cast<std::size_t>(a.whole("most-bytes"));
-      s.files.cells = static_cast<long long>(a.whole("cells"));
+      s.files.max_file_bytes = static_cast<std::size_t>(a.unsigned_integer("most-bytes"));
+      s.files.cell_count = static_cast<long long>(a.unsigned_integer("cells"));
       std::string zones = a.text("zones");
       for (std::size_t at = 0; at < zones.size();) {
         std::size_t end = std::min(zones.find(' ', at), zones.size());
@@ -61,15 +63,15 @@
         at = end + 1;
       }
       if (s.files.enabled && s.files.folder.empty())
-        list.faults.push_back(
-            {list.path, a.line(), "'folder' is missing, wanted is the folder of the files"});
+        fault_list.faults.push_back(
+            {fault_list.path, a.line(), "'folder' is missing, wanted is the folder of the files"});
     }
   });
-  // Two sources of one map would take turns in a way that nobody could follow.
+  // Two sources of the range map would overwrite each other's changes.
   if (s.files.enabled && s.ranges.enabled)
-    list.faults.push_back({list.path, 0,
-                           "both <files> and <ranges> are enabled: the map of ranges comes from a "
-                           "folder or from a directory, wanted is one of them"});
+    fault_list.faults.push_back({fault_list.path, 0,
+                                 "both <files> and <ranges> are enabled: the map of ranges comes from a "
+                                 "folder or from a directory, wanted is one of them"});
 }
 
 std::string read_file(const std::string& path, std::string& fault) {
@@ -78,7 +80,7 @@
     fault = "cannot be read: no such file";
     return "";
   }
-  if (info.st_size > kFileMost) {
+  if (info.st_size > kMaxFileBytes) {
     fault = "is larger than 1 MiB";
     return "";
   }
@@ -101,10 +103,11 @@
   xml::Doc doc = xml::read(text, schema.get(), "urn:winchhall:operator:1", [&](long line, std::string what) {
     faults.push_back({path, line, std::move(what)});
   });
-  if (doc) read(xmlDocGetRootElement(doc.get()), settings, {path, faults});
+  if (doc) read_settings(xmlDocGetRootElement(doc.get()), settings, {path, faults});
 }
 
-// A set of watched files. The schemas' order of elements does not say which root a file must have.
+// Parses the watched files. The schema doesn't say which root element each file must have, so that is checked
+// here.
 extern "C" __attribute__((visibility("default"))) void winchhall_read_set(
     const dynamic_config::Bytes& bytes, dynamic_config::Rows& rows,
     std::vector<dynamic_config::Fault>& faults) {
@@ -118,29 +121,34 @@
     });
     if (!doc) continue;
     xmlNode* root = xmlDocGetRootElement(doc.get());
-    std::string wanted = file_name(kind);
-    wanted.resize(wanted.size() - 4);
-    if (xml::name_of(root) != wanted) {
+    std::string expected = file_name(kind);
+    expected.resize(expected.size() - 4);
+    if (xml::name_of(root) != expected) {
       faults.push_back(
-          {kind, xmlGetLineNo(root), "element '" + xml::name_of(root) + "', wanted is '" + wanted + "'"});
+          {kind, xmlGetLineNo(root), "element '" + xml::name_of(root) + "', wanted is '" + expected + "'"});
       continue;
     }
-    rows.revisions[kind] = Attributes{root}.whole("revision");
-    xml::each(root, [&](xmlNode* node) {
+    rows.revisions[kind] = Attributes{root}.unsigned_integer("revision");
+    xml::for_each_child(root, [&](xmlNode* node) {
       Attributes a{node};
       if (of == Kind::nodes) {
         std::string address = a.text("address");
         if (!event_loop::parse_address(address))
           faults.push_back({of, a.line(), "address '" + address + "', wanted is an IPv4 address and port"});
-        rows.nodes.push_back({a.text("id"), address, a.text("zone"), static_cast<long long>(a.whole("cell")),
+        rows.nodes.push_back({a.text("id"), address, a.text("zone"),
+                              static_cast<long long>(a.unsigned_integer("cell")),
                               a.text("state") == "draining", a.line()});
       } else if (of == Kind::weights) {
         rows.weights.push_back({a.text("node"), a.number("value"), a.line()});
       } else if (of == Kind::tenants) {
         rows.tenants.push_back({a.text("name"), a.number("quota-per-s"), a.line()});
       } else {
-        RangeRow row{a.whole("id"), {a.whole("from"), a.whole("to")}, a.number("weight"), {}, a.line()};
-        xml::each(node, [&](xmlNode* child) {
+        RangeRow row{a.unsigned_integer("id"),
+                     {a.unsigned_integer("from"), a.unsigned_integer("to")},
+                     a.number("weight"),
+                     {},
+                     a.line()};
+        xml::for_each_child(node, [&](xmlNode* child) {
           Attributes h{child};
           std::string role = h.text("role");
           row.holders.push_back({h.text("server"), role == "copying"   ? ranges::Role::copying
--- a/src/aggregator/hot_restart/process_registry.cpp
+++ b/src/aggregator/hot_restart/process_registry.cpp
@@ -4,40 +4,40 @@
 
 namespace winchhall::hot_restart {
 
-void ProcessRegistry::saw(const std::vector<State>& states, Millis now) {
-  std::map<ProcessId, Known> next;
+void ProcessRegistry::update(const std::vector<State>& states, Millis now) {
+  std::map<ProcessId, KnownProcess> next;
   for (const State& s : states) {
     if (s.name != name_ || s.id == own_) continue;
     auto it = known_.find(s.id);
-    bool changed = it == known_.end() || it->second.state.number != s.number;
+    bool changed = it == known_.end() || it->second.state.sequence_number != s.sequence_number;
     next[s.id] = {s, changed ? now : it->second.changed_at};
   }
   known_ = std::move(next);
 }
 
-int ProcessRegistry::others(Millis now) const {
+int ProcessRegistry::other_count(Millis now) const {
   return static_cast<int>(
       std::count_if(known_.begin(), known_.end(), [&](auto& k) { return live(k.second, now); }));
 }
 
-bool ProcessRegistry::predecessor(Millis now) const {
+bool ProcessRegistry::has_predecessor(Millis now) const {
   return std::any_of(known_.begin(), known_.end(),
                      [&](auto& k) { return k.first < own_ && live(k.second, now); });
 }
 
-bool ProcessRegistry::successor(Millis now) const {
+bool ProcessRegistry::has_successor(Millis now) const {
   return std::any_of(known_.begin(), known_.end(), [&](auto& k) {
     return own_ < k.first && k.second.state.listens && live(k.second, now);
   });
 }
 
-int ProcessRegistry::listening(Millis now) const {
+int ProcessRegistry::listening_count(Millis now) const {
   return static_cast<int>(std::count_if(
       known_.begin(), known_.end(), [&](auto& k) { return k.second.state.listens && live(k.second, now); }));
 }
 
-bool ProcessRegistry::may_begin(Millis now) const {
-  if (now >= started_at_ + kAnswerWithin) return true;
+bool ProcessRegistry::may_serve(Millis now) const {
+  if (now >= started_at_ + kAcknowledgeTimeout) return true;
   return std::all_of(known_.begin(), known_.end(), [&](auto& k) {
     const auto& heard = k.second.state.known_processes;
     return own_ < k.first || std::find(heard.begin(), heard.end(), own_) != heard.end();
--- a/src/aggregator/hot_restart/process_registry.hpp
+++ b/src/aggregator/hot_restart/process_registry.hpp
@@ -21,38 +21,40 @@
 
   // Replaces the known states by those found in a scan. States of other names and this process's own are
   // ignored; a process whose state is no longer there has ended.
-  void saw(const std::vector<State>& states, Millis now);
-
-  // Number of other processes that may still serve: their state changed within kExpires.
-  int others(Millis now) const;
-  bool predecessor(Millis now) const;  // an older process is live
-  bool successor(Millis now) const;    // a newer process is live and listening
-  int listening(Millis now) const;     // number of other live processes that listen
-  // Whether this process may start to serve: every predecessor has acknowledged it, or kAnswerWithin is over.
-  bool may_begin(Millis now) const;
+  void update(const std::vector<State>& states, Millis now);
+
+  // Number of other processes that may still serve: their state changed within kStateTimeout.
+  int other_count(Millis now) const;
+  bool has_predecessor(Millis now) const;  // an older process is live
+  bool has_successor(Millis now) const;    // a newer process is live and listening
+  int listening_count(Millis now) const;   // number of other live processes that listen
+  // Whether this process may start to serve: every predecessor has acknowledged it, or kAcknowledgeTimeout is
+  // over.
+  bool may_serve(Millis now) const;
   // The other processes known here; published in this process's state as their acknowledgement.
   std::vector<ProcessId> known_processes() const;
   std::vector<ProcessId> expired(Millis now) const;  // no longer live: their files may be removed
   // The state with the newest endpoint list, or null if no process has one. Owned by the registry, valid
-  // until the next saw().
+  // until the next update().
   const State* latest_list() const;
 
-  static constexpr Millis kAnswerWithin =
-      1500;  // ms for predecessors to acknowledge: they scan twice a second
-  static constexpr Millis kExpires =
-      10000;  // ms: a stopped process may resume and act on old state until then
+  // ms for predecessors to acknowledge this process: they scan twice a second.
+  static constexpr Millis kAcknowledgeTimeout = 1500;
+  // ms without a new state after which a process counts as ended. Until then a stopped process may resume and
+  // act on old state.
+  static constexpr Millis kStateTimeout = 10000;
 
  private:
-  struct Known {
+  struct KnownProcess {
     State state{};
-    Millis changed_at = 0;  // when a new state number was first seen
+    Millis changed_at = 0;  // when the current sequence number was first seen
   };
-  bool live(const Known& known, Millis now) const { return now < known.changed_at + kExpires; }
+  bool live(const KnownProcess& known, Millis now) const { return now < known.changed_at + kStateTimeout; }
 
   std::string name_;
   ProcessId own_;
   Millis started_at_;
-  std::map<ProcessId, Known> known_;
+  std::map<ProcessId, KnownProcess> known_;
 };
 
 // Settings of one of `processes` processes of the same aggregator, such that all of them together stay within
--- a/src/aggregator/hot_restart/process_state.cpp
+++ b/src/aggregator/hot_restart/process_state.cpp
@@ -7,18 +7,18 @@
 #include "state.pb.h"
 
 namespace winchhall::hot_restart {
-namespace wire = winchhall::takeover::wire;  // the package that the files were written with
+namespace wire = winchhall::takeover::wire;  // the package name that the file format was defined with
 
 namespace {
 
-constexpr char kMagic[] = "WHSTATE1";  // magic; its last character is the format version
+constexpr char kMagic[] = "WHSTATE1";  // the last character is the format version
 constexpr std::size_t kMagicSize = sizeof kMagic - 1, kHeaderSize = kMagicSize + 8;
 
 std::uint64_t checksum(std::string_view body) { return XXH3_64bits(body.data(), body.size()); }
 
 ProcessId read(const wire::Who& id) { return {id.started_ms(), id.pid()}; }
 void write(const ProcessId& from, wire::Who& to) {
-  to.set_started_ms(from.started);
+  to.set_started_ms(from.started_ms);
   to.set_pid(from.pid);
 }
 
@@ -28,7 +28,7 @@
   wire::State w;
   w.set_name(state.name);
   write(state.id, *w.mutable_who());
-  w.set_number(state.number);
+  w.set_number(state.sequence_number);
   w.set_phase(state.phase);
   w.set_listens(state.listens);
   for (const ProcessId& id : state.known_processes) write(id, *w.add_heard_of());
@@ -51,11 +51,11 @@
 
 std::optional<State> decode(const std::string& bytes, std::string& why) {
   if (bytes.size() < kHeaderSize || bytes.compare(0, kMagicSize - 1, kMagic, kMagicSize - 1) != 0) {
-    why = "no state of an aggregator, or cut short";
+    why = "not a state file of an aggregator, or truncated";
     return std::nullopt;
   }
   if (bytes.compare(0, kMagicSize, kMagic) != 0) {
-    why = std::string("version ") + bytes[kMagicSize - 1] + ", known is " + kMagic[kMagicSize - 1];
+    why = std::string("format version ") + bytes[kMagicSize - 1] + ", expected " + kMagic[kMagicSize - 1];
     return std::nullopt;
   }
   std::uint64_t sum = 0;
@@ -64,13 +64,13 @@
   std::string body = bytes.substr(kHeaderSize);
   wire::State w;
   if (checksum(body) != sum || !w.ParseFromString(body)) {
-    why = "its checksum does not fit: cut short or spoilt";
+    why = "checksum mismatch: truncated or corrupted";
     return std::nullopt;
   }
   State s;
   s.name = w.name();
   s.id = read(w.who());
-  s.number = w.number();
+  s.sequence_number = w.number();
   s.phase = w.phase();
   s.listens = w.listens();
   for (const auto& id : w.heard_of()) s.known_processes.push_back(read(id));
--- a/src/aggregator/hot_restart/process_state.hpp
+++ b/src/aggregator/hot_restart/process_state.hpp
@@ -10,18 +10,18 @@
 
 namespace winchhall::hot_restart {
 
-// Identity of a process, ordered by start. `started`: ms since the Unix epoch.
+// Identity of a process, ordered by start. `started_ms` counts from the Unix epoch.
 struct ProcessId {
-  std::int64_t started = 0, pid = 0;
+  std::int64_t started_ms = 0, pid = 0;
   auto operator<=>(const ProcessId&) const = default;
-  std::string text() const { return std::to_string(started) + "-" + std::to_string(pid); }
+  std::string text() const { return std::to_string(started_ms) + "-" + std::to_string(pid); }
 };
 
 // Published state of one process.
 struct State {
   std::string name{};  // of the aggregator, from its configuration
   ProcessId id{};
-  std::uint64_t number = 0;                  // sequence number, incremented with each write
+  std::uint64_t sequence_number = 0;         // incremented with each write
   std::string phase{};                       // lifecycle phase, as in the log
   bool listens = false;                      // accepts client connections
   std::vector<ProcessId> known_processes{};  // acknowledged by this process
--- a/src/aggregator/hot_restart/state_folder.cpp
+++ b/src/aggregator/hot_restart/state_folder.cpp
@@ -15,22 +15,22 @@
   if (fs::is_directory(parent + "/winchhall", error)) path_ = parent + "/winchhall";
 }
 
-bool StateFolder::leave(const State& state) {
-  if (!works()) return false;
-  std::string file = file_of(state.id), is_new = file + ".new", bytes = encode(state);
+bool StateFolder::publish(const State& state) {
+  if (!is_usable()) return false;
+  std::string file = file_of(state.id), temporary = file + ".new", bytes = encode(state);
   {
-    std::ofstream out(is_new, std::ios::binary | std::ios::trunc);
+    std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
     out.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     // On a full disk an incomplete file must not replace the previous one.
     if (!out.flush()) return false;
   }
   std::error_code error;
-  fs::rename(is_new, file, error);
+  fs::rename(temporary, file, error);
   return !error;
 }
 
 void StateFolder::remove(const ProcessId& id) {
-  if (!works()) return;
+  if (!is_usable()) return;
   std::error_code error;
   fs::remove(file_of(id), error);
   fs::remove(file_of(id) + ".new", error);
@@ -38,13 +38,13 @@
 
 StateFolder::FolderScan StateFolder::scan() const {
   FolderScan found;
-  if (!works()) return found;
+  if (!is_usable()) return found;
   std::error_code error;
   for (auto it = fs::directory_iterator(path_, error); !error && it != fs::directory_iterator();
        it.increment(error)) {
     fs::path path = it->path();
     if (path.extension() != ".state") continue;  // being written, or set aside
-    std::string why = "larger than any state";
+    std::string why = "larger than the maximum size of a state file";
     std::optional<State> state;
     std::error_code gone;
     if (!it->is_regular_file(gone)) continue;
--- a/src/aggregator/hot_restart/state_folder.hpp
+++ b/src/aggregator/hot_restart/state_folder.hpp
@@ -14,12 +14,12 @@
 class StateFolder {
  public:
   // Creates the subfolder in `parent`, which must exist. If that fails, or `parent` is empty, nothing is
-  // written or found, and works() is false.
+  // written or found, and is_usable() is false.
   explicit StateFolder(const std::string& parent);
-  bool works() const { return !path_.empty(); }
+  bool is_usable() const { return !path_.empty(); }
 
   // Publishes a state. False if it couldn't be written; the previous file then stays.
-  bool leave(const State& state);
+  bool publish(const State& state);
   void remove(const ProcessId& id);  // of a process that shuts down or has expired; errors are ignored
 
   struct FolderScan {
--- a/tests/aggregator/app/program_test.cpp
+++ b/tests/aggregator/app/program_test.cpp
@@ -1,11 +1,11 @@
-// Starts the program as an operator would and speaks to it over sockets.
+// Tests of the program as an operator starts it, over its sockets and commands.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "tests/aggregator/support/program.hpp"
 
 using namespace winchhall;
 using namespace winchhall::testing;
 
-TEST_CASE("it serves, and after SIGTERM finishes what it took and what still arrives, then exits with 0") {
+TEST_CASE("after SIGTERM open queries and requests that still arrive are finished, then the exit code is 0") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   Program p(loop, make_configuration(leaf.listener.port()));
@@ -14,12 +14,13 @@
   p.run_until([&] { return has(p.ask(*client, kReady), "200 OK"); });
   CHECK(has(p.ask(*client, HttpFixture::query("q1", kTwoParts)), "\"exact\":true"));
 
-  std::vector<ScriptedLeaf::Part> held;
-  leaf.on_part = [&](const ScriptedLeaf::Part& part) { held.push_back(part); };
+  std::vector<ScriptedLeaf::Part> held_parts;
+  leaf.on_part = [&](const ScriptedLeaf::Part& part) { held_parts.push_back(part); };
   client->text.clear();
   client->stream->write(HttpFixture::query("q2", kTwoParts, "lookup", 20000));
-  p.run_until([&] { return held.size() == 2; });
-  // Two requests are half there when the signal comes, so that no haste is needed for their other halves.
+  p.run_until([&] { return held_parts.size() == 2; });
+  // Two requests are half sent when the signal arrives, so the test doesn't depend on how fast the rest is
+  // sent.
   std::string late = HttpFixture::query("q3", R"({"id":1,"w":1})", "lookup", 20000);
   front->stream->write(std::string(kReady, 20));
   other->stream->write(late.substr(0, 40));
@@ -29,15 +30,17 @@
   front->stream->write(kReady + 20);
   other->stream->write(late.substr(40));
   p.run_until([&] { return has(front->text, "HTTP/1.1 503"); });
-  p.run_until([&] { return held.size() == 3; });
-  for (const auto& part : held) ScriptedLeaf::answer(part);
+  p.run_until([&] { return held_parts.size() == 3; });
+  for (const auto& part : held_parts) ScriptedLeaf::answer(part);
   p.run_until([&] { return has(client->text, "\"exact\":true") && has(other->text, "\"exact\":true"); });
   CHECK(p.exit_code() == 0);
   CHECK(has(p.log, "phase leaving"));
   CHECK(has(p.log, "phase stopped"));
 }
 
-TEST_CASE("SIGHUP moves discovery by the file, keeps list and drains, and a bad file changes nothing") {
+TEST_CASE(
+    "SIGHUP changes the discovery address, keeps the list and its drains, and an invalid file changes "
+    "nothing") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop), second(loop);
   ScriptedDiscovery first(loop), moved(loop), last(loop);
@@ -51,12 +54,12 @@
   for (const char* bad : {"", "{", "{}", R"({"discovery":"127.0.0.1:2","settings":{"services":7}})"}) {
     p.log.clear();
     p.reload(bad);
-    p.run_until([&] { return has(p.log, "configuration not taken over"); });
+    p.run_until([&] { return has(p.log, "configuration rejected"); });
   }
-  std::string spoilt = make_configuration(port, moved.address());
+  std::string invalid = make_configuration(port, moved.address());
   p.log.clear();
-  p.reload(spoilt.replace(spoilt.find("1024"), 4, "\"1\""));
-  p.run_until([&] { return has(p.log, "limits.sockets is \"1\": wanted is a number"); });
+  p.reload(invalid.replace(invalid.find("1024"), 4, "\"1\""));
+  p.run_until([&] { return has(p.log, "limits.sockets is \"1\": expected a number"); });
   CHECK(!first.peers[0]->is_closed);
   CHECK(moved.calls.empty());
 
@@ -70,7 +73,7 @@
   CHECK(leaf.parts.empty());
   CHECK(second.parts.size() == 8);
 
-  // While draining it moves as well: what was taken still needs the list.
+  // The address changes during a drain as well: open queries still need the list.
   client->stream->write(std::string(kReady, 20));
   p.run_until([&] { return client->stream->unsent() == 0; });
   REQUIRE(kill(p.pid, SIGTERM) == 0);
@@ -82,7 +85,7 @@
   CHECK(p.exit_code() == 0);
 }
 
-TEST_CASE("out of descriptors it waits, and serves again when clients leave") {
+TEST_CASE("without free descriptors it waits, and serves again when clients have left") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   Program p(loop, make_configuration(leaf.listener.port()), "", 24);
@@ -90,15 +93,15 @@
   auto first = p.connect(port);
   p.run_until([&] { return has(p.ask(*first, kReady), "200 OK"); });
   CHECK(has(p.ask(*first, HttpFixture::query("q1", kTwoParts)), "\"exact\":true"));
-  std::vector<std::shared_ptr<Peer>> crowd;
-  for (int i = 0; i < 60; ++i) crowd.push_back(p.connect(port));
+  std::vector<std::shared_ptr<Peer>> extra_clients;
+  for (int i = 0; i < 60; ++i) extra_clients.push_back(p.connect(port));
   for (int i = 0; i < 5; ++i) CHECK(has(p.ask(*first, kReady), "200 OK"));
-  for (auto& peer : crowd) peer->stream->close();
+  for (auto& peer : extra_clients) peer->stream->close();
   auto late = p.connect(port);
   CHECK(has(p.ask(*late, HttpFixture::query("q2", kTwoParts)), "\"exact\":true"));
 }
 
-TEST_CASE("the Flight front is off, and an operator's file turns it on") {
+TEST_CASE("the Flight front end is off by default and on with an operator's file") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   {
@@ -107,14 +110,14 @@
     CHECK(!has(p.log, "Flight on port"));
   }
   Program p(loop, make_configuration(leaf.listener.port()), R"({"enabled":true,"listen":"127.0.0.1:0"})");
-  auto analyst = p.connect(p.port("Flight on port "));
-  analyst->stream->write(std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n") +
-                         std::string("\0\0\0\x04\0\0\0\0\0", 9));
-  p.run_until([&] { return analyst->text.size() >= 9; });
-  CHECK(analyst->text[3] == 4);  // the server's settings
+  auto flight_client = p.connect(p.port("Flight on port "));
+  flight_client->stream->write(std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n") +
+                               std::string("\0\0\0\x04\0\0\0\0\0", 9));
+  p.run_until([&] { return flight_client->text.size() >= 9; });
+  CHECK(flight_client->text[3] == 4);  // the server's SETTINGS frame
 }
 
-TEST_CASE("an operator's file turns moving ranges on; a change while the program drains; SIGHUP meanwhile") {
+TEST_CASE("ranges are enabled by an operator's file, and a split is followed during a drain and a reload") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   ScriptedDiscovery directory(loop);
@@ -135,29 +138,29 @@
   send_update(R"({"incarnation":1,"revision":5,"ranges":[{"id":0,"from":0,"to":)" + end +
               R"(,"holders":["s-1"]}]})");
   p.run_until([&] { return has(p.ask(*client, kReady), "200 OK"); });
-  std::vector<ScriptedLeaf::Part> held;
-  leaf.on_part = [&](const ScriptedLeaf::Part& part) { held.push_back(part); };
+  std::vector<ScriptedLeaf::Part> held_parts;
+  leaf.on_part = [&](const ScriptedLeaf::Part& part) { held_parts.push_back(part); };
   std::string body = R"({"spans":[{"from":0,"to":100}],"expr":"c41e"})";
   client->text.clear();
   client->stream->write("POST /lookup HTTP/1.1\r\nX-Request-ID: q1\r\nX-Timeout: 20000m\r\nContent-Length: " +
                         std::to_string(body.size()) + "\r\n\r\n" + body);
-  p.run_until([&] { return held.size() == 1; });
+  p.run_until([&] { return held_parts.size() == 1; });
   REQUIRE(kill(p.pid, SIGTERM) == 0);
   p.run_until([&] { return has(p.log, "phase leaving"); });
   REQUIRE(kill(p.pid, SIGHUP) == 0);
   send_update(
       R"({"incarnation":1,"revision":6,"changes":[{"op":"split","range":0,"from":0,"at":40,"left":1,"right":2,)"
       R"("left_weight":1,"right_weight":1}]})");
-  p.run_until([&] { return has(p.log, "configuration read again"); });
-  ScriptedLeaf::answer(held[0], 500);  // its children are asked while the program drains
-  p.run_until([&] { return held.size() == 3; });
-  for (std::size_t i = 1; i < 3; ++i) ScriptedLeaf::answer(held[i]);
+  p.run_until([&] { return has(p.log, "configuration reloaded"); });
+  ScriptedLeaf::answer(held_parts[0], 500);  // the new ranges are queried while the program drains
+  p.run_until([&] { return held_parts.size() == 3; });
+  for (std::size_t i = 1; i < 3; ++i) ScriptedLeaf::answer(held_parts[i]);
   p.run_until([&] { return has(client->text, "\"exact\":true"); });
   CHECK(has(client->text, R"("from":40,"rev":"1.6","to":100)"));
   CHECK(p.exit_code() == 0);
 }
 
-TEST_CASE("an operator's file with faults ends the program with each of them and its line") {
+TEST_CASE("an invalid operator's file ends the program, with every fault and its line in the log") {
   event_loop::Loop loop;
   Program p(
       loop, make_configuration(1),
@@ -170,7 +173,7 @@
   CHECK(has(p.log, ":3: "));
 }
 
-TEST_CASE("without an operator's file the XML library is not even loaded") {
+TEST_CASE("without an operator's file the XML library is not loaded") {
   event_loop::Loop loop;
   Program p(loop, make_configuration(1));
   p.port("listens on port ");
@@ -231,7 +234,8 @@
 }  // namespace
 
 TEST_CASE(
-    "nodes from files: followed while it serves, an operator's word, and a return from the store alone") {
+    "node files are followed while serving, a held change can be accepted, and the store suffices for a "
+    "restart") {
   namespace fs = std::filesystem;
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
@@ -251,13 +255,13 @@
     auto client = p.connect(at);
     p.run_until([&] { return has(p.ask(*client, kReady), "200 OK"); });
     CHECK(has(p.ask(*client, HttpFixture::query("q1", kTwoParts)), "\"exact\":true"));
-    // Half a file, then a whole one.
+    // First a truncated file, then a complete one.
     std::ofstream(root + "/files/nodes.xml") << nodes_file({port, 1}).substr(0, 60);
     p.run_until([&] { return has(p.log, "files refused: "); });
     CHECK(has(p.ask(*client, HttpFixture::query("q2", kTwoParts)), "\"exact\":true"));
     std::ofstream(root + "/files/nodes.xml") << nodes_file({port, 1, 2});
     p.run_until([&] { return has(p.log, "number 2, 3 nodes"); });
-    // It takes away two of three: an operator's word is awaited, and given.
+    // Removing two of three nodes is held until an operator accepts it.
     std::ofstream(root + "/files/nodes.xml") << nodes_file({port});
     p.run_until([&] { return has(p.log, "files held: generation "); });
     std::size_t word = p.log.find("files held: generation ") + 23;
@@ -277,7 +281,7 @@
     p.run_until([&] { return has(p.log, "kept 3") || has(p.ask(*client, kReady), "200 OK"); });
     REQUIRE(kill(p.pid, SIGKILL) == 0);
   }
-  // Files and discovery are away: it serves by the store.
+  // Without the files and discovery it serves from the store.
   fs::remove_all(root + "/files");
   Program p(loop, config, ops);
   int at = p.port("listens on port ");
@@ -288,7 +292,7 @@
   fs::remove_all(root);
 }
 
-TEST_CASE("on the platform no store is opened and no file is watched") {
+TEST_CASE("without an operator's file no store is opened and no file is watched") {
   event_loop::Loop loop;
   Program p(loop, make_configuration(1));
   p.port("listens on port ");
@@ -306,7 +310,7 @@
   }
 }
 
-TEST_CASE("a configuration that cannot be used ends the program with a plain message") {
+TEST_CASE("an invalid configuration ends the program with an error message") {
   event_loop::Loop loop;
   for (const char* text : {"{", "{}", R"({"settings":{"services":[{"name":"a"}]},"listen":"nowhere"})"}) {
     Program p(loop, text);
@@ -315,19 +319,22 @@
   }
 }
 
-TEST_CASE("SIGTERM: half a request gets its answer, a resting client an end in good order, then it exits") {
+TEST_CASE(
+    "after SIGTERM an incomplete request is answered, an idle client sees an orderly close, and the program "
+    "exits") {
   event_loop::Loop loop;
   ScriptedLeaf leaf(loop);
   Program p(loop, make_configuration(leaf.listener.port()));
   int port = p.port("listens on port ");
-  auto half = p.connect(port), resting = p.connect(port);
-  half->stream->write("POST /lookup?k=7f3a HTTP/1.1\r\nHost: x\r\n");
-  // Listening comes before being ready. Once it says so, what the other client sent before is read too.
-  p.run_until([&] { return has(p.ask(*resting, kReady), "200 OK"); });
+  auto half_sent = p.connect(port), idle_client = p.connect(port);
+  half_sent->stream->write("POST /lookup?k=7f3a HTTP/1.1\r\nHost: x\r\n");
+  // The program listens before it is ready. Once it answers that it is, it has also read what the other
+  // client sent before.
+  p.run_until([&] { return has(p.ask(*idle_client, kReady), "200 OK"); });
   REQUIRE(kill(p.pid, SIGTERM) == 0);
-  p.run_until([&] { return half->is_closed && resting->is_closed; });
-  CHECK(has(half->text, " 408 "));
-  CHECK_FALSE(half->stream->reset());
-  CHECK_FALSE(resting->stream->reset());
+  p.run_until([&] { return half_sent->is_closed && idle_client->is_closed; });
+  CHECK(has(half_sent->text, " 408 "));
+  CHECK_FALSE(half_sent->stream->reset());
+  CHECK_FALSE(idle_client->stream->reset());
   CHECK(p.exit_code() == 0);
 }
--- a/tests/aggregator/app/shutdown_integration_test.cpp
+++ b/tests/aggregator/app/shutdown_integration_test.cpp
@@ -1,4 +1,4 @@
-// Closings, and clients that leave: what comes in the very moment in which a side ends a connection.
+// Connections that end, and clients that leave: data that arrives while one side closes the connection.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "tests/aggregator/support/stalled_listener.hpp"
 
@@ -7,9 +7,9 @@
 
 namespace {
 
-// One query open, whose part is with a leaf that says nothing.
-struct Open : HttpFixture {
-  explicit Open(winchhall::Settings settings = long_deadlines())
+// One open query, whose part is at a leaf that doesn't answer.
+struct OpenQueryFixture : HttpFixture {
+  explicit OpenQueryFixture(winchhall::Settings settings = long_deadlines())
       : HttpFixture(std::move(settings)), leaf(loop) {
     leaf.on_part = [](const ScriptedLeaf::Part&) {};
     begin({member("a", leaf.listener.port(), 0)});
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-TEST_CASE("a client that sends much behind its request and goes is seen to go") {
-  Open s;
+TEST_CASE("a client that sends 1 MiB after its request and leaves is noticed to have left") {
+  OpenQueryFixture s;
   s.client->stream->write(std::string(1 << 20, 'x'));
   s.run_until([&] { return s.client->stream->unsent() == 0; });
   s.client->stream->close();
@@ -33,8 +33,10 @@
   s.run_until([&] { return s.leaf.cancelled.size() == 1; });
 }
 
-TEST_CASE("a client that sends much behind its request and stays gets its answer, and it is the last") {
-  Open s;
+TEST_CASE(
+    "a client that sends 1 MiB after its request and stays gets its answer, and then the connection is "
+    "closed") {
+  OpenQueryFixture s;
   s.client->stream->write(std::string(1 << 20, 'x'));
   s.run_until([&] { return s.client->stream->unsent() == 0; });
   ScriptedLeaf::answer(s.leaf.parts[0]);
@@ -45,8 +47,8 @@
   CHECK_FALSE(s.client->stream->reset());
 }
 
-TEST_CASE("a request behind an open one that fits is answered in its turn") {
-  Open s;
+TEST_CASE("a pipelined request is answered after the first one") {
+  OpenQueryFixture s;
   std::string next = HttpFixture::query("q2", R"({"id":2,"w":1})", "lookup", 60000);
   s.client->stream->write(next);
   s.run_until([&] { return s.client->stream->unsent() == 0; });
@@ -56,7 +58,9 @@
   CHECK(has(s.answer(*s.client), "\"v2\""));
 }
 
-TEST_CASE("sixty clients that leave in one turn leave nothing open, and nothing more is sent for them") {
+TEST_CASE(
+    "60 clients that leave in one turn of the event loop leave no query open, and nothing more is sent for "
+    "them") {
   HttpFixture s(long_deadlines());
   ScriptedLeaf leaf(s.loop);
   leaf.on_part = [](const ScriptedLeaf::Part&) {};
@@ -68,7 +72,7 @@
         HttpFixture::query("q" + std::to_string(i), R"({"id":1,"w":1})", "lookup", 60000));
   }
   s.run_until([&] { return leaf.parts.size() == 60; });
-  // Their leaf's connection breaks in the same turn: each part would be sent again.
+  // Their leaf's connection breaks in the same turn, after which each part would be retried.
   for (auto& c : clients) c->stream->close();
   for (auto& peer : leaf.peers) peer->stream->close();
   s.run_until([&] { return s.router.open_queries() == 0 && s.router.attempts_in_flight() == 0; });
@@ -76,11 +80,11 @@
   CHECK(s.router.counters()[0].withdrawn == 60);
 }
 
-TEST_CASE("a part that waits for its connection is taken back when its client leaves") {
+TEST_CASE("a part that waits for its connection is recalled when its client leaves") {
   auto settings = long_deadlines();
   bool may_cancel = false;
   SUBCASE("running attempts may be cancelled") { may_cancel = true; }
-  SUBCASE("they may not") {}
+  SUBCASE("running attempts may not be cancelled") {}
   settings.may_cancel = may_cancel;
   HttpFixture s(settings, {1, 32, 60000, 60000, 50});
   StalledListener listener;
@@ -95,7 +99,7 @@
   CHECK(s.router.attempts_in_flight() == 0);
 }
 
-TEST_CASE("a part that waits for its connection leaves a server that begins to drain") {
+TEST_CASE("a part that waits for its connection moves to another server when its server begins to drain") {
   HttpFixture s(long_deadlines(), {1, 32, 60000, 60000, 50});
   StalledListener listener;
   listener.fill_backlog();
@@ -110,7 +114,7 @@
   CHECK(has(s.answer(*client), "\"exact\":true"));
 }
 
-// A client whose socket the test holds itself: its errors are seen in the moment in which they come.
+// A client on a plain socket, so that the test sees its errors as soon as they occur.
 struct RawClient {
   explicit RawClient(int port) : fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in to = loopback(port);
@@ -128,9 +132,9 @@
   event_loop::UniqueFd fd;
 };
 
-// Its first request is on the way.
-struct Asked : HttpFixture {
-  Asked() : leaf(loop), client(front.port()) {
+// A client that has sent its first request.
+struct SentQueryFixture : HttpFixture {
+  SentQueryFixture() : leaf(loop), client(front.port()) {
     begin({member("a", leaf.listener.port(), 0)});
     client.send(query("q1", R"({"id":1,"w":1})"));
   }
@@ -138,24 +142,27 @@
   RawClient client;
 };
 
-TEST_CASE("a request that crosses the end of its resting connection: no reset, and nothing sent on") {
-  Asked s;
+TEST_CASE("a request sent while its idle connection is being closed causes no reset and isn't forwarded") {
+  SentQueryFixture s;
   s.run_until([&] { return s.router.counters()[0].complete == 1; });
-  for (int i = 0; i < 3; ++i) s.loop.run_once(1);  // its answer is written
+  for (int i = 0; i < 3; ++i) s.loop.run_once(1);  // the answer has been written
   s.front.close_idle();
-  s.client.send(HttpFixture::query("q2", R"({"id":2,"w":1})"));  // it has not read the end yet
+  s.client.send(
+      HttpFixture::query("q2", R"({"id":2,"w":1})"));  // it has not read the end of the connection yet
   for (int i = 0; i < 3; ++i) s.loop.run_once(1);
   CHECK(s.client.error() == 0);
   char all[4096];
-  ssize_t n = ::recv(s.client.fd.get(), all, sizeof all, MSG_WAITALL);  // up to our end
+  ssize_t n =
+      ::recv(s.client.fd.get(), all, sizeof all, MSG_WAITALL);  // up to the server's end of the connection
   REQUIRE(n > 0);
   CHECK(has(std::string(all, static_cast<std::size_t>(n)), "\"exact\":true"));
   CHECK(::recv(s.client.fd.get(), all, sizeof all, 0) == 0);
   CHECK(s.leaf.parts.size() == 1);
 }
 
-TEST_CASE("a client that rests and never closes is let go a while after our end") {
-  Asked s;
+TEST_CASE(
+    "the connection of an idle client that never closes is dropped some time after the server has ended it") {
+  SentQueryFixture s;
   s.run_until([&] { return s.router.counters()[0].complete == 1; });
   s.run_until([&] {
     s.front.close_idle();
@@ -164,9 +171,9 @@
   CHECK_FALSE(s.front.busy());
 }
 
-TEST_CASE("a connection that waits in the queue when listening ends is taken, and its request answered") {
-  Asked s;
-  s.front.stop_listening();  // before the loop has looked at the queue
+TEST_CASE("a connection in the accept queue when listening stops is accepted, and its request answered") {
+  SentQueryFixture s;
+  s.front.stop_listening();  // before the event loop has read the queue
   s.run_until([&] { return s.router.counters()[0].complete == 1; });
   CHECK(s.client.error() == 0);
 }
--- a/tests/aggregator/compatibility/stored_data_test.cpp
+++ b/tests/aggregator/compatibility/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// Opens what revision 1ef7631 left on disk: the store of sets of files, the state of a process for its
-// successor, and a folder of operators' files.
+// Reads data that revision 1ef7631 wrote: the store of configuration generations, the state file of a
+// process, and a folder of configuration files.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <stdlib.h>
@@ -27,9 +27,9 @@
 constexpr const char* kStateFile = "1700000000001-4711.state";
 constexpr std::uint64_t kTakenDigest = 0xe663dee409886257;
 constexpr std::uint64_t kHeldDigest = 0x46433f61ce11124f;
-constexpr std::size_t kMostBytes = 1 << 20;
+constexpr std::size_t kMaxFileBytes = 1 << 20;
 
-// A folder of this test alone with a copy of the recorded files, removed at its end.
+// A copy of the recorded files in a folder for one test, removed afterwards.
 struct DataCopy {
   DataCopy() {
     std::string pattern = (fs::temp_directory_path() / "winchhall-compatibility-XXXXXX").string();
@@ -58,15 +58,15 @@
 
 void check_state(const hot_restart::State& state) {
   CHECK(state.name == "aggregator-a");
-  CHECK(state.id.started == 1700000000001);
+  CHECK(state.id.started_ms == 1700000000001);
   CHECK(state.id.pid == 4711);
-  CHECK(state.number == 12);
+  CHECK(state.sequence_number == 12);
   CHECK(state.phase == "ready");
   CHECK(state.listens);
   REQUIRE(state.known_processes.size() == 2);
-  CHECK(state.known_processes[0].started == 1700000000002);
+  CHECK(state.known_processes[0].started_ms == 1700000000002);
   CHECK(state.known_processes[0].pid == 4712);
-  CHECK(state.known_processes[1].started == 1600000000003);
+  CHECK(state.known_processes[1].started_ms == 1600000000003);
   CHECK(state.revision == 41);
   REQUIRE(state.members.size() == 2);
   const auto& first = state.members[0];
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-TEST_CASE("the store of an earlier revision is opened with its sets, verdicts and orders") {
+TEST_CASE("the store of an earlier revision is opened with its generations, verdicts and commands") {
   const DataCopy copy;
   const dynamic_config::OpenedStore opened = dynamic_config::open(copy.path("store.db"));
   REQUIRE_MESSAGE(opened.store, opened.why);
@@ -130,7 +130,7 @@
   CHECK(opened.store->history(10).front().number == 4);
 }
 
-TEST_CASE("the commands print an earlier revision's store as it did") {
+TEST_CASE("`files history` prints the store of an earlier revision as that revision did") {
   const DataCopy copy;
   const auto text = compatibility::run_program(kProgram, "files history " + copy.path("store.db"));
   CHECK(text.exit_code == 0);
@@ -140,7 +140,7 @@
   CHECK(json.output == read_file(kData / "history.json"));
 }
 
-TEST_CASE("the state that a process of an earlier revision left is read, and written the same") {
+TEST_CASE("the state file of an earlier revision is decoded, and encoded to the same bytes") {
   const std::string recorded = read_file(kData / kStateFile);
   std::string why;
   const auto state = hot_restart::decode(recorded, why);
@@ -162,32 +162,32 @@
   CHECK_FALSE(fs::exists(copy.root / "winchhall" / kStateFile));
 }
 
-TEST_CASE("operators' files of an earlier revision are read with the same digest and values") {
+TEST_CASE("configuration files of an earlier revision are read with the same digest and values") {
   const DataCopy copy;
-  const dynamic_config::FolderContents look =
-      dynamic_config::read_config_folder(copy.path("files"), kMostBytes);
-  CHECK(look.exists);
-  CHECK(look.faults.empty());
-  CHECK(look.bytes == recorded_files());
-  CHECK(dynamic_config::digest_of(look.bytes) == kTakenDigest);
+  const dynamic_config::FolderContents contents =
+      dynamic_config::read_config_folder(copy.path("files"), kMaxFileBytes);
+  CHECK(contents.exists);
+  CHECK(contents.faults.empty());
+  CHECK(contents.bytes == recorded_files());
+  CHECK(dynamic_config::digest_of(contents.bytes) == kTakenDigest);
 
   dynamic_config::Rows rows;
   std::vector<dynamic_config::Fault> faults;
-  app::read_config_files(look.bytes, rows, faults);
+  app::read_config_files(contents.bytes, rows, faults);
   REQUIRE(faults.empty());
   CHECK(rows.revisions[Kind::nodes] == 7);
   CHECK(rows.revisions[Kind::ranges] == 12);
-  const auto made = dynamic_config::check(rows, kTakenDigest, dynamic_config::Bounds{}, faults);
+  const auto generation = dynamic_config::check(rows, kTakenDigest, dynamic_config::Bounds{}, faults);
   CHECK(faults.empty());
-  REQUIRE(made);
-  REQUIRE(made->members.size() == 3);
-  CHECK(made->weighted);
-  CHECK(made->members[0].entry.server == "node-1");
-  CHECK(made->members[0].endpoint == "127.0.0.1:9101");
-  CHECK(made->members[2].entry.size == 2.5);
-  REQUIRE(made->tenants.size() == 2);
-  CHECK(made->tenants[0].quota_per_s == 4);
-  CHECK(made->map);
+  REQUIRE(generation);
+  REQUIRE(generation->members.size() == 3);
+  CHECK(generation->weighted);
+  CHECK(generation->members[0].entry.server == "node-1");
+  CHECK(generation->members[0].endpoint == "127.0.0.1:9101");
+  CHECK(generation->members[2].entry.size == 2.5);
+  REQUIRE(generation->tenants.size() == 2);
+  CHECK(generation->tenants[0].quota_per_s == 4);
+  CHECK(generation->map);
 
   REQUIRE(rows.ranges.size() == 2);
   CHECK(rows.ranges[0].weight == 2);
@@ -195,7 +195,7 @@
   CHECK(rows.ranges[1].span.to == 9007199254740992);
 }
 
-TEST_CASE("the command checks operators' files of an earlier revision with the same verdict") {
+TEST_CASE("`files check` accepts the configuration files of an earlier revision with the same output") {
   const auto run = compatibility::run_program(
       "/usr/bin/env", "-C " + kData.string() + " " + kProgram + " files check files --json");
   CHECK(run.exit_code == 0);
--- a/tests/aggregator/hot_restart/hot_restart_test.cpp
+++ b/tests/aggregator/hot_restart/hot_restart_test.cpp
@@ -1,4 +1,5 @@
-// Two processes of one aggregator: what they tell each other, who may begin when, and what each may spend.
+// Hot restart with several processes of one aggregator: the published state, when a process may serve, and
+// each process's share of the limits.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -15,11 +16,11 @@
 
 namespace {
 
-State state(std::int64_t started, std::uint64_t number = 1, bool listens = true) {
+State make_state(std::int64_t started, std::uint64_t number = 1, bool listens = true) {
   State s;
   s.name = "n0";
   s.id = {started, 7};
-  s.number = number;
+  s.sequence_number = number;
   s.phase = "ready";
   s.listens = listens;
   s.revision = 41;
@@ -30,16 +31,17 @@
   return s;
 }
 
-struct Scratch {
+struct TemporaryFolder {
   std::string path = (fs::temp_directory_path() / "winchhall-takeover-XXXXXX").string();
-  Scratch() { REQUIRE(mkdtemp(path.data())); }
-  ~Scratch() { fs::remove_all(path); }
+  TemporaryFolder() { REQUIRE(mkdtemp(path.data())); }
+  ~TemporaryFolder() { fs::remove_all(path); }
 };
 
 }  // namespace
 
-TEST_CASE("a state is read as it was written, and cut at any length or spoilt at any byte it is none") {
-  State s = state(1000);
+TEST_CASE(
+    "a state is read as it was written, and rejected if truncated at any length or corrupted at any byte") {
+  State s = make_state(1000);
   s.known_processes = {{5, 6}, {7, 8}};
   std::string bytes = encode(s), why;
   auto read = decode(bytes, why);
@@ -56,25 +58,25 @@
     CHECK_FALSE(why.empty());
   }
   for (std::size_t i = 0; i < bytes.size(); ++i) {
-    std::string spoilt = bytes;
-    spoilt[i] = static_cast<char>(spoilt[i] ^ 0x20);
-    CHECK_FALSE(decode(spoilt, why));
+    std::string corrupted = bytes;
+    corrupted[i] = static_cast<char>(corrupted[i] ^ 0x20);
+    CHECK_FALSE(decode(corrupted, why));
   }
-  std::string later = bytes;
-  later[7] = '2';
-  CHECK_FALSE(decode(later, why));
-  CHECK(why == "version 2, known is 1");
+  std::string newer_format = bytes;
+  newer_format[7] = '2';
+  CHECK_FALSE(decode(newer_format, why));
+  CHECK(why == "format version 2, expected 1");
 }
 
-TEST_CASE("files that are no state are set aside and named; what is being written is left alone") {
-  Scratch scratch;
-  StateFolder folder(scratch.path);
-  REQUIRE(folder.works());
-  REQUIRE(folder.leave(state(1000)));
-  REQUIRE(folder.leave(state(2000)));
-  std::string dir = scratch.path + "/winchhall/";
+TEST_CASE("files that are no state are set aside and reported, and files being written are left alone") {
+  TemporaryFolder temporary;
+  StateFolder folder(temporary.path);
+  REQUIRE(folder.is_usable());
+  REQUIRE(folder.publish(make_state(1000)));
+  REQUIRE(folder.publish(make_state(2000)));
+  std::string dir = temporary.path + "/winchhall/";
   std::ofstream(dir + "foreign.state") << "hello";
-  std::ofstream(dir + "cut.state") << encode(state(3000)).substr(0, 30);
+  std::ofstream(dir + "cut.state") << encode(make_state(3000)).substr(0, 30);
   std::ofstream(dir + "4000-1.state.new") << "half";
   fs::create_directory(dir + "folder.state");
   auto found = folder.scan();
@@ -85,63 +87,64 @@
   CHECK(folder.scan().set_aside.empty());
   folder.remove({1000, 7});
   CHECK(folder.scan().states.size() == 1);
-  CHECK_FALSE(StateFolder("").works());
-  CHECK_FALSE(StateFolder(scratch.path + "/none/at/all").works());
+  CHECK_FALSE(StateFolder("").is_usable());
+  CHECK_FALSE(StateFolder(temporary.path + "/none/at/all").is_usable());
 }
 
-TEST_CASE("one begins when those before it have heard of it, and without them in a second and a half") {
+TEST_CASE("a process may serve once its predecessors have acknowledged it, and without them after 1.5 s") {
   ProcessRegistry p("n0", {2000, 1}, 0);
-  CHECK(p.may_begin(0));
-  State predecessor = state(1000);
-  p.saw({predecessor}, 0);
-  CHECK(p.predecessor(0));
-  CHECK_FALSE(p.may_begin(100));
-  CHECK(p.may_begin(1500));
+  CHECK(p.may_serve(0));
+  State predecessor = make_state(1000);
+  p.update({predecessor}, 0);
+  CHECK(p.has_predecessor(0));
+  CHECK_FALSE(p.may_serve(100));
+  CHECK(p.may_serve(1500));
   predecessor.known_processes = {{2000, 1}};
-  ++predecessor.number;
-  p.saw({predecessor}, 200);
-  CHECK(p.may_begin(200));
-  CHECK_FALSE(p.successor(200));
-  p.saw({predecessor, state(3000, 1, false)}, 300);
-  CHECK_FALSE(p.successor(300));  // it has not begun to listen
-  CHECK(p.may_begin(300));        // and need not have heard of us
-  p.saw({predecessor, state(3000, 2, true)}, 400);
-  CHECK(p.successor(400));
-  CHECK(p.others(400) == 2);
-  CHECK(p.listening(400) == 2);
+  ++predecessor.sequence_number;
+  p.update({predecessor}, 200);
+  CHECK(p.may_serve(200));
+  CHECK_FALSE(p.has_successor(200));
+  p.update({predecessor, make_state(3000, 1, false)}, 300);
+  CHECK_FALSE(p.has_successor(300));  // it does not listen yet
+  CHECK(p.may_serve(300));            // and need not have acknowledged this process
+  p.update({predecessor, make_state(3000, 2, true)}, 400);
+  CHECK(p.has_successor(400));
+  CHECK(p.other_count(400) == 2);
+  CHECK(p.listening_count(400) == 2);
 }
 
 TEST_CASE(
-    "a word that does not change expires; a file that is gone is gone at once; other names count nothing") {
+    "a state that does not change expires, a removed file takes effect at once, and other names are "
+    "ignored") {
   ProcessRegistry p("n0", {2000, 1}, 0);
-  State predecessor = state(1000), foreign = state(500);
+  State predecessor = make_state(1000), foreign = make_state(500);
   foreign.name = "n1";
-  p.saw({predecessor, foreign}, 0);
-  CHECK(p.others(0) == 1);
-  p.saw({predecessor, foreign}, 9000);
-  CHECK(p.others(9999) == 1);
-  CHECK(p.others(10000) == 0);
+  p.update({predecessor, foreign}, 0);
+  CHECK(p.other_count(0) == 1);
+  p.update({predecessor, foreign}, 9000);
+  CHECK(p.other_count(9999) == 1);
+  CHECK(p.other_count(10000) == 0);
   CHECK(p.expired(10000) == std::vector<ProcessId>{{1000, 7}});
-  ++predecessor.number;  // it had only been stopped
-  p.saw({predecessor}, 11000);
-  CHECK(p.others(11000) == 1);
-  p.saw({}, 11100);
-  CHECK(p.others(11100) == 0);
-  CHECK_FALSE(p.predecessor(11100));
+  ++predecessor.sequence_number;  // it had only been stopped, and goes on
+  p.update({predecessor}, 11000);
+  CHECK(p.other_count(11000) == 1);
+  p.update({}, 11100);
+  CHECK(p.other_count(11100) == 0);
+  CHECK_FALSE(p.has_predecessor(11100));
 }
 
-TEST_CASE("the later list is taken, of whoever has one") {
+TEST_CASE("the newest endpoint list of all processes that have one is used") {
   ProcessRegistry p("n0", {9000, 1}, 0);
   CHECK(p.latest_list() == nullptr);
-  State a = state(1000), b = state(2000), none = state(3000);
+  State a = make_state(1000), b = make_state(2000), none = make_state(3000);
   a.revision = 50;
   none.revision = 99;
   none.members.clear();
-  p.saw({a, b, none}, 0);
+  p.update({a, b, none}, 0);
   CHECK(p.latest_list()->revision == 50);
 }
 
-TEST_CASE("whatever number of processes, what they may spend together is never more than one may") {
+TEST_CASE("any number of processes together stays within the limits of one") {
   CHECK(rc::check([] {
     winchhall::Settings s;
     s.instances = *rc::gen::inRange(1, 400);
@@ -154,40 +157,38 @@
   }));
 }
 
-TEST_CASE(
-    "two that look at each other's words at any times: the new one never begins unknown while the old one "
-    "looks") {
+TEST_CASE("at any times of writing and scanning the new process never serves unknown to a live old process") {
   CHECK(rc::check([] {
     ProcessRegistry old_one("n0", {1000, 1}, 0);
-    double born = *rc::gen::inRange(0, 1000);
-    ProcessRegistry new_one("n0", {2000, 2}, born);
-    State a = state(1000), b = state(2000, 1, false);
+    double new_start = *rc::gen::inRange(0, 1000);
+    ProcessRegistry new_one("n0", {2000, 2}, new_start);
+    State a = make_state(1000), b = make_state(2000, 1, false);
     a.id = {1000, 1};
     b.id = {2000, 2};
-    // The old one writes and looks every half second from some moment on, the new one every tenth.
-    double next_old = *rc::gen::inRange(0, 500), next_new = born;
-    new_one.saw({a}, born);
+    // From some moment on the old process writes and scans every 500 ms, the new one every 100 ms.
+    double next_old = *rc::gen::inRange(0, 500), next_new = new_start;
+    new_one.update({a}, new_start);
     bool old_knows = false;
-    for (double now = 0; now < born + 3000; now += 10) {
+    for (double now = 0; now < new_start + 3000; now += 10) {
       if (now >= next_old) {
         next_old += 500;
-        ++a.number;
+        ++a.sequence_number;
         a.known_processes = old_one.known_processes();
-        if (now >= born) old_one.saw({b}, now);
-        bool knows = old_one.others(now) == 1;
-        if (knows && !old_knows) next_old = now;  // who has just come is told at once
+        if (now >= new_start) old_one.update({b}, now);
+        bool knows = old_one.other_count(now) == 1;
+        if (knows && !old_knows) next_old = now;  // a new process is acknowledged at once
         old_knows = knows;
       }
       if (now >= next_new) {
         next_new += 100;
-        new_one.saw({a}, now);
+        new_one.update({a}, now);
       }
-      if (now >= born && new_one.may_begin(now)) {
+      if (now >= new_start && new_one.may_serve(now)) {
         RC_ASSERT(old_knows);
-        RC_ASSERT(now < born + 1000);
+        RC_ASSERT(now < new_start + 1000);
         return;
       }
     }
-    RC_FAIL("it never began");
+    RC_FAIL("the new process never served");
   }));
 }
