--- a/src/aggregator/flight/arrow.cpp
+++ b/src/aggregator/flight/arrow.cpp
@@ -53,7 +53,7 @@
   return static_cast<std::int64_t>(column == 0 ? row.span.from : row.span.to);
 }
 
-// False for a value that the field can't have.
+// Returns false if the field can't have this value.
 bool set_integer_field(ArrowRow& row, Layout layout, std::size_t column, std::int64_t value) {
   if (layout == Layout::shards) {
     row.shard = static_cast<int>(value);
@@ -103,12 +103,12 @@
   return number;
 }
 
-// The rows of a batch that are being read, and where its columns are.
+// Reads the columns of a batch into its rows, one buffer after the other.
 struct BatchReader {
   const fb::RecordBatch& batch;
   const std::string& body;
   Layout layout;
-  ArrowRow* rows;  // the batch's first
+  ArrowRow* rows;  // the first row of the batch
   std::size_t row_count;
   flatbuffers::uoffset_t next_buffer = 0;
 
@@ -163,7 +163,7 @@
   BatchReader reader{batch, body, layout, &rows[first], count};
   const auto& expected = columns(layout);
   for (std::size_t column = 0; column < expected.size(); ++column) {
-    reader.take_buffer();  // validity: without nulls its content means nothing
+    reader.take_buffer();  // validity: not read, as the batch has no nulls
     const ColumnType type = expected[column].type;
     if (!(type == ColumnType::utf8 ? reader.read_strings(column) : reader.read_integers(column, type)))
       return false;
@@ -222,7 +222,7 @@
     }
     std::string numbers;
     for (const ArrowRow& row : rows) {
-      const std::int64_t value = integer_field(row, layout, column);  // little-endian, as Arrow's numbers
+      const std::int64_t value = integer_field(row, layout, column);  // little-endian, as in Arrow
       numbers.append(reinterpret_cast<const char*>(&value),
                      static_cast<std::size_t>(byte_width(expected[column].type)));
     }
@@ -236,7 +236,7 @@
 
 ArrowKind read_arrow(const std::string& header, const std::string& body, std::vector<ArrowRow>& rows,
                      Layout layout) {
-  // The verifier reads aligned numbers, and a std::string's bytes may begin anywhere.
+  // The verifier requires alignment, which the bytes of a std::string need not have.
   std::vector<std::uint64_t> aligned(header.size() / 8 + 1);
   std::memcpy(aligned.data(), header.data(), header.size());
   const auto* bytes = reinterpret_cast<const std::uint8_t*>(aligned.data());
--- a/src/aggregator/flight/arrow.hpp
+++ b/src/aggregator/flight/arrow.hpp
@@ -12,9 +12,10 @@
 
 namespace winchhall::flight {
 
-// Which of the two schemas.
+// Which of the two schemas a message has.
 enum class Layout { shards, spans };
 
+// One row of an answer; the fields that are used depend on the layout.
 struct ArrowRow {
   int shard = 0;  // Layout::shards
   std::string data{};
@@ -23,6 +24,7 @@
   bool operator==(const ArrowRow&) const = default;
 };
 
+// One IPC message, as FlightData carries it.
 struct ArrowMessage {
   std::string header{};  // a Message of Arrow's IPC metadata (FlatBuffers)
   std::string body{};
@@ -31,6 +33,7 @@
 ArrowMessage schema_message(Layout layout = Layout::shards);
 // The schema as FlightInfo carries it: continuation marker, length, message.
 std::string encapsulated_schema(Layout layout = Layout::shards);
+// A record batch with these rows.
 ArrowMessage batch_message(const std::vector<ArrowRow>& rows, Layout layout = Layout::shards);
 
 enum class ArrowKind { schema, batch, bad };
--- a/src/aggregator/flight/flight_pool.cpp
+++ b/src/aggregator/flight/flight_pool.cpp
@@ -11,8 +11,8 @@
 using coordination::Outcome;
 
 namespace {
-constexpr double kIdleShare = 0.8;                   // of the node's idle time: this side closes first
-constexpr event_loop::Millis kCloseInterval = 1000;  // ms between looks for unused connections
+constexpr double kIdleTimeoutShare = 0.8;  // of the node's idle timeout, so that this side closes first
+constexpr event_loop::Millis kCloseInterval = 1000;  // ms between checks for unused connections
 }  // namespace
 
 FlightPool::FlightPool(event_loop::Loop& loop, coordination::RequestRouter& router, NodeLimits limits)
@@ -26,20 +26,20 @@
 }
 
 void FlightPool::launch(const AttemptRequest& request) {
-  Connection* connection = find_capacity(request);
+  Connection* connection = find_connection(request);
   if (!connection) connection = open(request);
   if (connection) return connection->send(request);
   router_.attempt_ended(request.attempt, {.outcome = Outcome::unsent, .written = false});
 }
 
-FlightPool::Connection* FlightPool::find_capacity(const AttemptRequest& request) {
+FlightPool::Connection* FlightPool::find_connection(const AttemptRequest& request) {
   for (auto& connection : connections_)
     if (connection->has_capacity_for(request)) return connection.get();
   return nullptr;
 }
 
 FlightPool::Connection* FlightPool::open(const AttemptRequest& request) {
-  if (connections_.size() >= limits_.connections) {
+  if (connections_.size() >= limits_.max_connections) {
     auto idle = std::find_if(connections_.begin(), connections_.end(),
                              [](const auto& connection) { return connection->is_idle(); });
     if (idle == connections_.end()) return nullptr;
@@ -51,7 +51,7 @@
   return connection.get();
 }
 
-// Sending may end connections.
+// Works on a copy, because sending may remove connections.
 void FlightPool::flush() {
   const auto connections = connections_;
   for (const auto& connection : connections) connection->send_pending();
@@ -74,7 +74,7 @@
   connection->abandon(attempt);
 }
 
-// Until its connection is established, a request lies in the codec, which can drop it unsent.
+// Until its connection is established, a request is buffered in the codec, which can drop it unsent.
 bool FlightPool::recall(AttemptNumber attempt) {
   auto it = connection_of_.find(attempt);
   if (it == connection_of_.end() || it->second->was_connected()) return false;
@@ -84,7 +84,7 @@
   return true;
 }
 
-// Flight has no call that asks only for load; answers carry it.
+// Flight has no call that returns only the load; responses carry it.
 void FlightPool::probe(const std::string& server, const std::string&) {
   router_.probe_ended(server, Outcome::unsent, 0, {});
 }
@@ -105,7 +105,7 @@
   const event_loop::Millis now = loop_.now();
   const auto connections = connections_;
   for (const auto& connection : connections)
-    if (connection->is_idle_since(now - kIdleShare * limits_.idle) ||
+    if (connection->is_idle_since(now - kIdleTimeoutShare * limits_.idle_timeout) ||
         (connection->is_retired() && connection->is_idle()))
       remove(*connection);
   close_timer_ = loop_.run_at(now + kCloseInterval, [this] { close_unused(); });
--- a/src/aggregator/flight/flight_pool.hpp
+++ b/src/aggregator/flight/flight_pool.hpp
@@ -12,16 +12,17 @@
 
 namespace winchhall::flight {
 
+// Limits of the connections to ledger nodes.
 struct NodeLimits {
-  std::size_t streams = 32;                  // parts in flight on one connection
-  event_loop::Millis connect_timeout = 250;  // ms
-  event_loop::Millis idle = 30000;           // ms after which a node closes an idle connection
-  std::size_t connections = 400;             // to all nodes
+  std::size_t max_parts_per_connection = 32;  // in flight
+  event_loop::Millis connect_timeout = 250;   // ms
+  event_loop::Millis idle_timeout = 30000;    // ms after which a node closes an idle connection
+  std::size_t max_connections = 400;          // to all nodes together
 };
 
-// Every launched attempt that is neither abandoned nor recalled ends with exactly one
-// RequestRouter::attempt_ended(). Loop and router must outlive the pool; everything runs on the loop's
-// thread.
+// Connections to the nodes, opened on demand. Every launched attempt that is neither abandoned nor recalled
+// ends with exactly one RequestRouter::attempt_ended(). Loop and router must outlive the pool; everything
+// runs on the loop's thread.
 class FlightPool final : public coordination::Transport {
  public:
   FlightPool(event_loop::Loop& loop, coordination::RequestRouter& router, NodeLimits limits);
@@ -39,7 +40,7 @@
 
  private:
   class Connection;  // flight_pool_connection.hpp
-  Connection* find_capacity(const coordination::AttemptRequest& request);
+  Connection* find_connection(const coordination::AttemptRequest& request);
   Connection* open(const coordination::AttemptRequest& request);
   void remove(Connection& connection);
   void close_unused();
--- a/src/aggregator/flight/flight_pool_connection.cpp
+++ b/src/aggregator/flight/flight_pool_connection.cpp
@@ -79,7 +79,7 @@
   });
 }
 
-// A status of rejection counts only without data: then the part was not executed.
+// A status of rejection counts only if no data was received: then the part was not executed.
 AttemptResult PartResponse::take_result() {
   AttemptResult result;
   result.outcome = Outcome::error;
@@ -113,7 +113,7 @@
 bool FlightPool::Connection::connect() {
   auto address = event_loop::parse_address(endpoint_);
   if (!address || !http2_.connect(*address)) return false;
-  // A machine that is cut off never answers, without a sign.
+  // Connecting to an unreachable host may neither succeed nor fail, so the time is limited.
   connect_timer_ = pool_.loop_.run_at(pool_.loop_.now() + pool_.limits_.connect_timeout, [this] {
     connect_timer_ = {};
     on_disconnected();
@@ -128,7 +128,7 @@
 
 bool FlightPool::Connection::has_capacity_for(const AttemptRequest& request) const {
   return !is_retired_ && server_ == request.server && endpoint_ == request.endpoint && http2_.open() &&
-         calls_.size() < pool_.limits_.streams;
+         calls_.size() < pool_.limits_.max_parts_per_connection;
 }
 
 Headers FlightPool::Connection::request_headers(const AttemptRequest& request) const {
@@ -175,7 +175,7 @@
   calls_.erase(call);
 }
 
-// An attempt that was chosen in time may be written too late: it is recalled.
+// An attempt that was launched in time would be written too late if connecting took long: it is recalled.
 void FlightPool::Connection::on_connected() {
   was_connected_ = true;
   pool_.loop_.cancel(connect_timer_);
@@ -198,7 +198,7 @@
   unresponsiveness_.on_activity(pool_.loop_.now());
   auto call = calls_.find(stream);
   if (call == calls_.end() || call->second.response.add_data(bytes)) return;
-  spdlog::warn("node {} sent what is no answer of ours", server_);
+  spdlog::warn("node {} sent an invalid response to a part: stream cancelled", server_);
   http2_.reset_stream(stream, NGHTTP2_CANCEL);
   finish(call, {.outcome = Outcome::error});
 }
@@ -208,24 +208,24 @@
     finish(call, call->second.response.take_result());
 }
 
-// A stream that breaks halfway: the rows received are dropped with the attempt, so that another attempt
-// doesn't bring any twice. A refused stream was not executed.
+// If a stream breaks, the rows received so far are dropped with the attempt, so that a further attempt
+// doesn't return any of them twice. A refused stream was not executed.
 void FlightPool::Connection::on_stream_closed(StreamId stream, std::uint32_t error) {
   auto call = calls_.find(stream);
   if (call == calls_.end()) return;
   finish(call, {.outcome = error == NGHTTP2_REFUSED_STREAM ? Outcome::full : Outcome::reset});
 }
 
-// Bytes that can't be read are one error of a sound node, blamed on its oldest written part; the others are
-// cancelled.
+// Malformed bytes count as one error of an otherwise healthy node: it is attributed to the oldest written
+// part, and the other parts are cancelled.
 void FlightPool::Connection::on_disconnected() {
-  bool is_blamed = false;
+  bool has_error_outcome = false;
   for (const auto& [stream, call] : calls_) {
     const bool is_written = http2_.is_written(stream);
     Outcome outcome = is_written ? Outcome::reset : Outcome::connect_failed;
     if (http2_.has_protocol_error()) {
-      outcome = !is_written ? Outcome::unsent : is_blamed ? Outcome::cancelled : Outcome::error;
-      is_blamed |= is_written;
+      outcome = !is_written ? Outcome::unsent : has_error_outcome ? Outcome::cancelled : Outcome::error;
+      has_error_outcome |= is_written;
     }
     pool_.connection_of_.erase(call.attempt);
     pool_.router_.attempt_ended(call.attempt, {.outcome = outcome, .written = is_written});
--- a/src/aggregator/flight/flight_pool_connection.hpp
+++ b/src/aggregator/flight/flight_pool_connection.hpp
@@ -12,7 +12,7 @@
 
 namespace winchhall::flight {
 
-// The response to one part, as far as it has been received.
+// The response to one part, as far as it has been received. Sizes are in bytes.
 class PartResponse {
  public:
   PartResponse(int shard, const ranges::Span& span) : shard_(shard), span_(span) {}
@@ -31,16 +31,17 @@
   int shard_;
   ranges::Span span_;  // empty for a part of a shard
   Headers headers_;
-  std::string pending_;       // the beginning of a message
+  std::string pending_;       // an incomplete message
   std::size_t received_ = 0;  // bytes
   bool has_schema_ = false;
   std::vector<ArrowRow> rows_;
 };
 
+// Owns one HTTP/2 connection and the calls on it. Removes itself from the pool when it is disconnected.
 class FlightPool::Connection : public Http2Connection::Handler {
  public:
   Connection(FlightPool& pool, std::string server, std::string endpoint);
-  // False if there is no socket, or the endpoint can't be read.
+  // False if no socket was available or the endpoint is no address.
   bool connect();
   void close();
 
@@ -51,7 +52,7 @@
   void abandon(coordination::AttemptNumber attempt);
   // Drops an attempt that was not sent.
   void recall(coordination::AttemptNumber attempt);
-  // No new attempts are sent here.
+  // No new attempts are sent on this connection from now on.
   void retire() { is_retired_ = true; }
 
   const std::string& server() const { return server_; }
--- a/src/aggregator/flight/flight_server.cpp
+++ b/src/aggregator/flight/flight_server.cpp
@@ -6,7 +6,7 @@
 
 namespace winchhall::flight {
 namespace {
-constexpr event_loop::Millis kCheckInterval = 200;  // ms between checks for connections and calls that stall
+constexpr event_loop::Millis kCheckInterval = 200;  // ms between checks for stalled connections and calls
 }  // namespace
 
 FlightServer::FlightServer(event_loop::Loop& loop, coordination::RequestRouter& router,
@@ -24,7 +24,7 @@
   for (auto& connection : connections_) connection->close();
 }
 
-// A check may remove connections.
+// Works on a copy, because a check may remove connections.
 void FlightServer::check_connections() {
   const auto connections = connections_;
   for (const auto& connection : connections) connection->check(loop_.now());
@@ -44,7 +44,7 @@
 }
 
 std::string FlightServer::next_query_id() {
-  return "f" + std::to_string(options_.seed) + "-" + std::to_string(++query_ids_made_);
+  return "f" + std::to_string(options_.seed) + "-" + std::to_string(++generated_query_ids_);
 }
 
 void FlightServer::begin_drain() {
--- a/src/aggregator/flight/flight_server.hpp
+++ b/src/aggregator/flight/flight_server.hpp
@@ -12,10 +12,11 @@
 
 namespace winchhall::flight {
 
+// Configuration of the front end.
 struct FlightServerOptions {
   int shard_count = 0;
-  std::uint64_t seed = 0;           // part of the ids made for queries that come without one
-  std::size_t max_connections = 0;  // further ones are closed again
+  std::uint64_t seed = 0;           // part of the ids generated for queries without one
+  std::size_t max_connections = 0;  // further ones are closed at once
   bool allows_spans = false;        // queries may name account ranges
   bool shares_port = false;         // other processes of this installation listen on the same port
 };
@@ -28,9 +29,9 @@
                const FlightServerOptions& options);
   ~FlightServer();
 
-  // Draining: open calls are finished, clients are told to go (GOAWAY), and no connection is accepted.
+  // Draining: open calls are finished, clients receive GOAWAY, and no connection is accepted.
   void begin_drain();
-  // New connections are accepted again; those of before the drain stay told to go.
+  // New connections are accepted again. Those that have received GOAWAY stay closed to new calls.
   void end_drain() { is_draining_ = false; }
   void stop_listening() { listener_.close(); }
   // Whether a call is open or a response isn't sent completely.
@@ -48,7 +49,7 @@
   event_loop::Loop& loop_;
   coordination::RequestRouter& router_;
   const FlightServerOptions options_;
-  std::uint64_t query_ids_made_ = 0;
+  std::uint64_t generated_query_ids_ = 0;
   bool is_draining_ = false;
   std::set<std::shared_ptr<Connection>> connections_;
   std::set<std::string> open_query_ids_;
--- a/src/aggregator/flight/flight_server_connection.cpp
+++ b/src/aggregator/flight/flight_server_connection.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t kMaxRequestBytes = 96 * 1024;
 constexpr event_loop::Millis kFirstCallTimeout = 2000;  // ms from connecting to the first call
 constexpr event_loop::Millis kRequestTimeout = 2000;    // ms from a call's headers to the request's end
-constexpr event_loop::Millis kResponseTimeout = 1000;   // ms from a response until the client has taken it
-// ms before the deadline from which a failed query counts as out of time
+constexpr event_loop::Millis kResponseTimeout = 1000;   // ms for the client to receive a response
+// A query that fails within this time (ms) before its deadline is reported as deadline_exceeded.
 constexpr event_loop::Millis kDeadlineSlack = 50;
 
 const Headers kResponseHeaders{{":status", "200"}, {"content-type", "application/grpc"}};
@@ -45,7 +45,7 @@
   return query.spans.empty() ? Layout::shards : Layout::spans;
 }
 
-// The method that a request names, or nothing if it isn't one of the Flight service.
+// The method that a request names, or empty if it isn't one of the Flight service.
 std::string method_of(const std::string& path) {
   return path.rfind(kServicePrefix, 0) == 0 ? path.substr(kServicePrefix.size()) : "";
 }
@@ -64,7 +64,7 @@
 
 void FlightServer::Connection::check(event_loop::Millis now) {
   if (!is_first_call_overdue(now) && overdue_calls(now).empty()) return;
-  http2_.read_arrived();  // a process that is late has not read everything: that counts first
+  http2_.read_arrived();  // first: a process that runs late may not have read everything
   if (is_first_call_overdue(now)) return on_disconnected();
   for (StreamId stream : overdue_calls(now))
     if (auto it = calls_.find(stream); it != calls_.end())
@@ -86,7 +86,7 @@
 // ---- Events of the connection
 
 void FlightServer::Connection::on_headers(StreamId stream, const Headers& headers) {
-  if (calls_.count(stream)) return;  // trailers of a request mean nothing here
+  if (calls_.count(stream)) return;  // trailers of a request are ignored
   has_called_ = true;
   Call& call = calls_[stream];
   call.arrived_at = server_.loop_.now();
@@ -119,7 +119,8 @@
 
 // ---- Calls
 
-// The response has been sent, or the client has cancelled: then the query is withdrawn.
+// Called when the response has been sent, or the client has cancelled; in the latter case the query is
+// withdrawn.
 void FlightServer::Connection::forget(Calls::iterator it) {
   Call& call = it->second;
   if (call.query != 0) server_.router_.withdraw(call.query);
@@ -167,7 +168,7 @@
   wire::FlightInfo info;
   info.set_schema(schema);
   *info.mutable_flight_descriptor() = descriptor;
-  // No location: the ticket is redeemed where it was given.
+  // Without a location, the ticket is valid at the server that issued it.
   info.add_endpoint()->mutable_ticket()->set_ticket(descriptor.cmd());
   info.set_total_records(-1);
   info.set_total_bytes(-1);
@@ -205,9 +206,9 @@
   return true;
 }
 
-// The router gives each query exactly one result at `give_up_at` or before. So no timer of the call's own
-// ends it: in a process that runs late it would fire before the router, and reset the stream in place of the
-// answer.
+// The router gives each query exactly one result, at `give_up_at` or before. The call therefore has no timer
+// of its own: in a process that runs late it would fire before the router and reset the stream instead of
+// answering.
 void FlightServer::Connection::run_query(StreamId stream, Call& call, const std::string& message) {
   wire::Ticket ticket;
   if (!ticket.ParseFromString(message)) return reject(stream, call, {Status::invalid_argument, "no ticket"});
@@ -273,8 +274,8 @@
   http2_.send_pending();
 }
 
-// Resets the stream of a client that doesn't take its response: at the call's deadline, but never sooner than
-// kResponseTimeout after the response was given.
+// Resets the stream of a client that doesn't receive its response: at the call's deadline, but not before
+// kResponseTimeout has passed since the response.
 void FlightServer::Connection::limit_response_time(StreamId stream, Call& call) {
   const event_loop::Millis end = std::max(call.deadline, server_.loop_.now() + kResponseTimeout);
   call.response_timer = server_.loop_.run_at(end, [this, stream] {
--- a/src/aggregator/flight/flight_server_connection.hpp
+++ b/src/aggregator/flight/flight_server_connection.hpp
@@ -13,7 +13,7 @@
 
 namespace winchhall::flight {
 
-// A call is one stream. It ends by its one response, or by the client's reset, which withdraws the query.
+// A call is one stream. It ends with its one response, or with the client's reset, which withdraws the query.
 class FlightServer::Connection : public Http2Connection::Handler,
                                  public std::enable_shared_from_this<Connection> {
  public:
@@ -22,7 +22,8 @@
   void begin_drain() { http2_.send_goaway(); }
   bool busy() const { return !calls_.empty() || http2_.unsent() > 0; }
   void close();
-  // Ends a connection that never called, and calls whose request doesn't end: they would crowd out real ones.
+  // Ends a connection without a call, and calls whose request isn't completed in time: they would take the
+  // place of others.
   void check(event_loop::Millis now);
 
   void on_headers(StreamId stream, const Headers& headers) override;
@@ -45,7 +46,7 @@
   using Calls = std::map<StreamId, Call>;
 
   bool is_first_call_overdue(event_loop::Millis now) const;
-  // The calls whose request doesn't end.
+  // The calls whose request wasn't completed within the time limit.
   std::vector<StreamId> overdue_calls(event_loop::Millis now) const;
   void forget(Calls::iterator call);
   void serve(StreamId stream, Call& call);
--- a/src/aggregator/flight/grpc.cpp
+++ b/src/aggregator/flight/grpc.cpp
@@ -9,7 +9,7 @@
 
 namespace winchhall::flight {
 namespace {
-constexpr std::size_t kPrefixBytes = 5;     // of a message: a flag for compression, and its length
+constexpr std::size_t kPrefixBytes = 5;     // of a message: compression flag and length
 constexpr std::size_t kMaxTimeoutText = 9;  // characters: eight digits and a unit
 constexpr double kMaxTimeoutMs = 99999999;
 constexpr char kRetryInfoType[] = "type.googleapis.com/google.rpc.RetryInfo";
@@ -106,7 +106,7 @@
 
 }  // namespace
 
-// The message is one of ours and plain ASCII, so it needs no percent-encoding.
+// All messages of this program are plain ASCII, so they need no percent-encoding.
 Headers status_trailers(Status status, const std::string& message, double retry_after_ms) {
   const int code = static_cast<int>(status);
   Headers trailers{{"grpc-status", std::to_string(code)}};
--- a/src/aggregator/flight/grpc.hpp
+++ b/src/aggregator/flight/grpc.hpp
@@ -1,4 +1,4 @@
-// gRPC on top of HTTP/2, as its protocol page has it: message framing, deadlines, statuses. No I/O.
+// gRPC over HTTP/2, as in its protocol specification: message framing, deadlines, statuses. No I/O.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace winchhall::flight {
 
-// Status codes of gRPC that are sent or understood here.
+// The gRPC status codes that this program uses.
 enum class Status {
   ok = 0,
   cancelled = 1,
@@ -28,20 +28,20 @@
 
 constexpr std::size_t kMaxMessageBytes = 1024 * 1024;
 
-// The message with its prefix of five bytes, uncompressed.
+// The message with its 5-byte prefix, uncompressed.
 std::string frame_message(std::string_view message);
-// Removes one message from the front of `in`, if it is complete. Sets `malformed` if the bytes can't be a
-// message, or one of more than `max_bytes`.
+// Removes and returns the first message of `in` if it is complete. Sets `malformed` if the bytes aren't a
+// message, or it is larger than `max_bytes`.
 std::optional<std::string> take_message(std::string& in, std::size_t max_bytes, bool& malformed);
 
-// The value of grpc-timeout in ms, or nothing if it can't be read.
+// The value of grpc-timeout in ms, or nothing if it is invalid.
 std::optional<double> read_timeout(std::string_view text);
-// Rounds down to whole ms, to at least 1 ms.
+// Value of grpc-timeout, rounded down to whole ms, at least 1 ms.
 std::string write_timeout(double ms);
 
 // Trailers that end a call; `retry_after_ms` above 0 adds google.rpc.RetryInfo.
 Headers status_trailers(Status status, const std::string& message, double retry_after_ms = 0);
-// The delay of google.rpc.RetryInfo in ms, or nothing if the trailers have none that can be read.
+// The delay of google.rpc.RetryInfo in ms, or nothing if the trailers have no valid one.
 std::optional<double> read_retry_after(const Headers& trailers);
 
 // A node's rejection of a part whose range it doesn't own, in the trailer range-denial-bin. What can't be
--- a/src/aggregator/flight/http2_connection.cpp
+++ b/src/aggregator/flight/http2_connection.cpp
@@ -6,8 +6,8 @@
 namespace winchhall::flight {
 namespace {
 
-constexpr std::size_t kMaxUnsentBytes = 256 * 1024;   // ready ahead of a peer that reads slowly
-constexpr std::uint32_t kMaxConcurrentStreams = 100;  // calls that a client may have open on a connection
+constexpr std::size_t kMaxUnsentBytes = 256 * 1024;   // buffered for a peer that reads slowly
+constexpr std::uint32_t kMaxConcurrentStreams = 100;  // open calls of a client on one connection
 constexpr std::uint32_t kMaxHeaderListBytes = 16 * 1024;
 constexpr int kConnectionWindowBytes = 1024 * 1024;
 
@@ -46,7 +46,7 @@
   nghttp2_settings_entry settings[] = {{NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, kMaxConcurrentStreams},
                                        {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, kMaxHeaderListBytes},
                                        {NGHTTP2_SETTINGS_ENABLE_PUSH, 0}};
-  // ENABLE_PUSH is a setting of clients alone.
+  // Only clients may send ENABLE_PUSH.
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings, side == Side::server ? 2 : 3);
   nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, kConnectionWindowBytes);
 }
@@ -56,7 +56,7 @@
   nghttp2_session_del(session_);
 }
 
-// ---- What the codec reports
+// ---- Callbacks of the codec
 
 nghttp2_session_callbacks* Http2Connection::create_callbacks() {
   nghttp2_session_callbacks* callbacks = nullptr;
@@ -120,7 +120,7 @@
 }
 
 void Http2Connection::close() {
-  is_over_ = true;
+  is_closed_ = true;
   if (stream_) stream_->close();
 }
 
@@ -135,13 +135,13 @@
   ssize_t consumed =
       nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   is_in_codec_ = false;
-  if (is_over_) return;
+  if (is_closed_) return;
   if (consumed < 0) return fail();
   send_pending();
 }
 
 void Http2Connection::ended() {
-  if (std::exchange(is_over_, true)) return;
+  if (std::exchange(is_closed_, true)) return;
   handler_.on_disconnected();
 }
 
@@ -166,7 +166,7 @@
   is_in_codec_ = false;
   const bool codec_is_done = !nghttp2_session_want_read(session_) && !nghttp2_session_want_write(session_);
   if (open() && stream_->unsent() == 0 && codec_is_done) {
-    protocol_error_ = true;  // where calls are open: the codec gave the session up over what it read
+    protocol_error_ = true;  // if calls are open: the codec has ended the session because of malformed input
     stream_->close();
     loop_.defer([this, alive = std::weak_ptr<event_loop::Stream>(stream_)] {
       if (alive.lock()) ended();
--- a/src/aggregator/flight/http2_connection.hpp
+++ b/src/aggregator/flight/http2_connection.hpp
@@ -1,5 +1,4 @@
-// One HTTP/2 connection (RFC 9113) of gRPC calls: nghttp2 encodes and decodes, the event loop moves the
-// bytes.
+// One HTTP/2 connection (RFC 9113) for gRPC calls: nghttp2 encodes and decodes, the event loop does the I/O.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -22,13 +21,13 @@
 
 using StreamId = std::int32_t;
 
-// Owned by the Handler's side of the connection, which must outlive it. After on_disconnected() no method of
-// the handler is called; after close() at most those for bytes that are being decoded. Not thread-safe.
+// Owned by its Handler, which must outlive it. After on_disconnected() no method of the handler is called;
+// after close() at most those for bytes that are being decoded. Not thread-safe.
 class Http2Connection : public event_loop::Stream::Owner {
  public:
   enum class Side { client, server };
 
-  // What the owner is told, on the event loop's thread.
+  // Events for the owner, called on the event loop's thread.
   class Handler {
    public:
     virtual void on_connected() {}
@@ -61,20 +60,20 @@
   void read_arrived() { stream_->read_now(); }
   bool open() const { return stream_ && stream_->open(); }
 
-  // What is submitted goes out with the next send_pending().
-  // Returns the new stream, or a negative error of nghttp2.
+  // What is submitted is sent by the next send_pending(). Returns the new stream, or a negative error code of
+  // nghttp2.
   StreamId submit_request(const Headers& headers, std::string body);
   // Ends the stream with `trailers`. With an empty body they are sent in one block with the headers.
   void submit_response(StreamId stream, const Headers& headers, std::string body, const Headers& trailers);
   void reset_stream(StreamId stream, std::uint32_t error);
   // GOAWAY: open streams are finished, and no new ones are accepted.
   void send_goaway();
-  // Hands to the socket what is ready, up to a limit of unsent bytes.
+  // Passes encoded frames to the socket, up to a limit of unsent bytes.
   void send_pending();
 
   // Whether the kernel has accepted everything that was sent on the stream.
   bool is_written(StreamId stream) const;
-  // Whether the connection was ended because the peer's bytes are no valid HTTP/2.
+  // Whether the connection was ended because the peer's bytes aren't valid HTTP/2.
   bool has_protocol_error() const { return protocol_error_; }
   std::size_t unsent() const { return stream_ ? stream_->unsent() : 0; }
 
@@ -84,13 +83,14 @@
   void ended() override;
 
  private:
-  // The body and trailers of one stream on their way out.
+  // The body and trailers of one stream that are being sent.
   struct Outgoing {
     std::string body;
     std::size_t sent = 0;  // bytes of the body given to the codec
     Headers trailers;
     bool has_trailers = false, is_complete = false;
-    std::uint64_t end_offset = 0;  // of its last byte in all bytes queued on the connection; 0: not known yet
+    // Offset of the end of its last byte among all bytes queued on the connection; 0: not known yet.
+    std::uint64_t end_offset = 0;
   };
   nghttp2_session_callbacks* create_callbacks();
   static int on_header(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
@@ -110,8 +110,8 @@
   nghttp2_session* session_ = nullptr;
   std::shared_ptr<event_loop::Stream> stream_;
   std::map<StreamId, Outgoing> outgoing_;
-  std::map<StreamId, Headers> incoming_headers_;  // of blocks that are not complete
-  bool is_in_codec_ = false, is_over_ = false, protocol_error_ = false;
+  std::map<StreamId, Headers> incoming_headers_;  // of incomplete header blocks
+  bool is_in_codec_ = false, is_closed_ = false, protocol_error_ = false;
 };
 
 }  // namespace winchhall::flight
--- a/src/aggregator/flight/query_command.cpp
+++ b/src/aggregator/flight/query_command.cpp
@@ -8,7 +8,7 @@
 namespace winchhall::flight {
 namespace {
 
-constexpr std::size_t kMaxTextBytes = 64 * 1024;  // as for a body over HTTP
+constexpr std::size_t kMaxTextBytes = 64 * 1024;  // the same limit as for an HTTP body
 constexpr double kMicrosPerMilli = 1000;
 
 coordination::QueryPart to_query_part(const QueryCommand::Part& part) {
--- a/src/aggregator/flight/query_command.hpp
+++ b/src/aggregator/flight/query_command.hpp
@@ -1,4 +1,4 @@
-// A client's query as a Flight command: from its bytes to the router's QuerySpec.
+// Decoder of a client's query command: from its bytes to the router's QuerySpec.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace winchhall::flight {
 
-// The status with which a call is rejected.
+// Status and message with which a call is rejected.
 struct CallError {
   Status status = Status::internal;
   std::string message{};
 };
 
-// What a command is checked against.
+// The settings that a command is checked against.
 struct QueryCommandRules {
   const winchhall::Settings& settings;
   int shard_count = 0;
--- a/tests/aggregator/flight/flight_fixture.hpp
+++ b/tests/aggregator/flight/flight_fixture.hpp
@@ -1,4 +1,4 @@
-// A ledger node and a client that speak Flight, for tests of the Flight front end and of Flight calls to
+// A stub ledger node and a client that speak Flight, for tests of the Flight front end and of Flight calls to
 // nodes.
 #pragma once
 
@@ -28,17 +28,17 @@
   struct NodeConnection : Http2Connection::Handler {
     NodeConnection(StubNode& node, event_loop::Loop& loop)
         : owner(node), http2(loop, *this, Http2Connection::Side::server) {}
-    void on_headers(std::int32_t id, const Headers& headers) override { heads[id] = headers; }
-    void on_data(std::int32_t id, std::string_view bytes) override { in[id].append(bytes); }
+    void on_headers(std::int32_t id, const Headers& headers) override { headers_by_stream[id] = headers; }
+    void on_data(std::int32_t id, std::string_view bytes) override { request_bytes[id].append(bytes); }
     void on_end_stream(std::int32_t id) override {
       bool bad = false;
-      auto message = take_message(in[id], kMaxMessageBytes, bad);
+      auto message = take_message(request_bytes[id], kMaxMessageBytes, bad);
       wire::Ticket ticket;
       PartCommand command;
       REQUIRE(message);
       REQUIRE(ticket.ParseFromString(*message));
       REQUIRE(command.ParseFromString(ticket.ticket()));
-      REQUIRE(find_header(heads[id], "grpc-timeout"));
+      REQUIRE(find_header(headers_by_stream[id], "grpc-timeout"));
       owner.asked.push_back({this, id, command.shard(), command.text()});
       owner.on_part(owner.asked.back());
     }
@@ -48,8 +48,8 @@
     void on_disconnected() override { is_closed = true; }
     StubNode& owner;
     Http2Connection http2;
-    std::map<std::int32_t, Headers> heads;
-    std::map<std::int32_t, std::string> in;
+    std::map<std::int32_t, Headers> headers_by_stream;
+    std::map<std::int32_t, std::string> request_bytes;
     bool is_closed = false;
   };
   struct Part {
@@ -86,6 +86,7 @@
   int cancelled = 0;
 };
 
+// What the client has received of one response.
 struct Reply {
   Headers headers;
   std::string in;
--- a/tests/aggregator/flight/flight_integration_test.cpp
+++ b/tests/aggregator/flight/flight_integration_test.cpp
@@ -43,7 +43,7 @@
   SUBCASE("the stream is reset") {}
   SUBCASE("the connection ends") { closes_connection = true; }
   broken.on_part = [&](const StubNode::Part& p) {
-    // A schema and a batch with the part's row go out, and no end of the stream.
+    // A schema and a batch with the part's row are sent, but not the end of the stream.
     Headers none;
     std::string half = StubNode::rows(p.shard);
     p.connection->http2.submit_response(p.stream, {{":status", "200"}, {"content-type", "application/grpc"}},
@@ -71,7 +71,7 @@
   SUBCASE("by a reset") {}
   SUBCASE("by leaving") { drops = true; }
   node.on_part = [](const StubNode::Part& p) {
-    if (p.shard == 1) StubNode::answer(p);  // one part is in, the other runs
+    if (p.shard == 1) StubNode::answer(p);  // one part is answered, the other is still running
   };
   s.begin({member("a", node.listener.port(), 0)});
   std::int32_t id = s.get(FlightFixture::command({1, 2}));
@@ -101,34 +101,34 @@
   // A client that never widens its flow-control windows: only the first 64 KiB of the response can be sent.
   Peer raw(s.loop);
   raw.connect(s.front.port());
-  struct Quiet : Http2Connection::Handler {
+  struct NullHandler : Http2Connection::Handler {
     void on_headers(std::int32_t, const Headers&) override {}
     void on_data(std::int32_t, std::string_view) override {}
     void on_end_stream(std::int32_t) override {}
     void on_stream_closed(std::int32_t, std::uint32_t) override {}
     void on_disconnected() override {}
-  } quiet;
-  // Its bytes are made by the codec on another connection, recorded there and replayed.
+  } null_handler;
+  // Its bytes are produced by the codec on another connection, recorded there and replayed.
   std::string bytes;
-  std::vector<std::shared_ptr<Peer>> ears;
-  event_loop::Listener tap(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
-    auto ear = std::make_shared<Peer>(s.loop);
-    ears.push_back(ear);
-    ear->on_received = [&bytes](std::string& in) { bytes += std::exchange(in, {}); };
-    ear->adopt(std::move(fd));
+  std::vector<std::shared_ptr<Peer>> recorders;
+  event_loop::Listener recording_listener(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
+    auto recorder = std::make_shared<Peer>(s.loop);
+    recorders.push_back(recorder);
+    recorder->on_received = [&bytes](std::string& in) { bytes += std::exchange(in, {}); };
+    recorder->adopt(std::move(fd));
   });
-  Http2Connection scribe(s.loop, quiet, Http2Connection::Side::client);
-  REQUIRE(scribe.connect(loopback(tap.port())));
+  Http2Connection recorded_client(s.loop, null_handler, Http2Connection::Side::client);
+  REQUIRE(recorded_client.connect(loopback(recording_listener.port())));
   wire::Ticket ticket;
   ticket.set_ticket(FlightFixture::command({1}));
-  scribe.submit_request({{":method", "POST"},
-                         {":scheme", "http"},
-                         {":path", "/arrow.flight.protocol.FlightService/DoGet"},
-                         {":authority", "x"},
-                         {"content-type", "application/grpc"},
-                         {"grpc-timeout", "5S"}},
-                        frame_message(ticket.SerializeAsString()));
-  s.run_until([&] { return has(bytes, "x") && bytes.size() > 150 && scribe.unsent() == 0; });
+  recorded_client.submit_request({{":method", "POST"},
+                                  {":scheme", "http"},
+                                  {":path", "/arrow.flight.protocol.FlightService/DoGet"},
+                                  {":authority", "x"},
+                                  {"content-type", "application/grpc"},
+                                  {"grpc-timeout", "5S"}},
+                                 frame_message(ticket.SerializeAsString()));
+  s.run_until([&] { return has(bytes, "x") && bytes.size() > 150 && recorded_client.unsent() == 0; });
   std::size_t size = 0;
   s.run_until([&] { return std::exchange(size, bytes.size()) == bytes.size(); });
   raw.stream->write(bytes);
@@ -145,7 +145,7 @@
   std::vector<std::int32_t> calls;
   for (int i = 0; i < 3; ++i) calls.push_back(s.get(FlightFixture::command({1, 2}), "1S"));
   s.run_until([&] { return node.asked.size() == 6; });
-  std::this_thread::sleep_for(std::chrono::milliseconds(1500));  // as a SIGSTOP and a SIGCONT would
+  std::this_thread::sleep_for(std::chrono::milliseconds(1500));  // as between SIGSTOP and SIGCONT
   for (std::int32_t call : calls) {
     Reply& got = s.finish(call);
     CHECK(got.status() == static_cast<int>(Status::deadline_exceeded));
@@ -262,10 +262,10 @@
   std::string preface =
       std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n") + std::string("\0\0\0\x04\0\0\0\0\0", 9);
   auto no_bytes = connect(""), no_call = connect(preface);
-  auto half = connect(preface + std::string("\0\0\x06\x01\x04\0\0\0\x01\x83\x86\x84\x41\x01x", 15));
+  auto incomplete = connect(preface + std::string("\0\0\x06\x01\x04\0\0\0\x01\x83\x86\x84\x41\x01x", 15));
   s.run_until([&] { return no_bytes->is_closed && no_call->is_closed; });
   s.run_until([&] {  // headers come on its stream
-    std::string_view left = half->text;
+    std::string_view left = incomplete->text;
     for (std::size_t size = 0; left.size() >= 9; left.remove_prefix(std::min(left.size(), 9 + size))) {
       size = static_cast<unsigned char>(left[1]) * 256u + static_cast<unsigned char>(left[2]);
       if (left[3] == 1 && left[8] == 1) return true;
@@ -291,19 +291,19 @@
 TEST_CASE("bytes that can't be read are an error of one part, and the node is not ejected") {
   FlightFixture s(long_deadlines());
   StubNode healthy(s.loop);
-  std::vector<std::shared_ptr<Peer>> called;
-  event_loop::Listener mad(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
-    called.push_back(std::make_shared<Peer>(s.loop));
-    called.back()->on_received = [peer = called.back().get()](std::string& in) {
-      // Only once the part is there: a ticket names it.
+  std::vector<std::shared_ptr<Peer>> node_connections;
+  event_loop::Listener malformed_node(s.loop, loopback(0), [&](event_loop::UniqueFd fd) {
+    node_connections.push_back(std::make_shared<Peer>(s.loop));
+    node_connections.back()->on_received = [peer = node_connections.back().get()](std::string& in) {
+      // Only once the part has arrived: this text is in its ticket.
       if (has(in, "c41e77d0")) peer->stream->write("noise that no codec reads, at some length");
     };
-    called.back()->adopt(std::move(fd));
+    node_connections.back()->adopt(std::move(fd));
   });
-  s.begin({member("a", mad.port(), 0), member("b", healthy.listener.port(), 1)});
+  s.begin({member("a", malformed_node.port(), 0), member("b", healthy.listener.port(), 1)});
   for (std::size_t i = 1; i <= 2; ++i) {
     CHECK(s.finish(s.get(FlightFixture::command({1, 2}), "50S")).status() == 0);
-    CHECK(called.size() == i);
+    CHECK(node_connections.size() == i);
   }
 }
 
@@ -345,8 +345,8 @@
   CHECK(s.finish(s.get(FlightFixture::command({1, 2, 3, 4}, "report"), "60S")).status() != 0);
 }
 
-// Both front ends use the same decisions: of one mix of queries some are complete, some partial and some fail
-// at their nodes, over frames and over Flight.
+// Both front ends use the same decisions. In one mix of queries some are answered completely, some partially,
+// and some fail at their nodes, over frames and over Flight.
 TEST_CASE("the same queries over HTTP and Flight get the same results and service figures") {
   struct Item {
     std::string query_class;
@@ -358,14 +358,14 @@
     for (int j = 0; j < 2 + i % 3; ++j) shards.push_back((i + j) % 12);
     mix.push_back({i % 4 == 3 ? "report" : "lookup", shards});
   }
-  // Shard 11 errs at every node, for every attempt: what needs it fails, or is answered in part.
-  auto errs = [](int shard) { return shard == 11; };
+  // Shard 11 fails at every node, in every attempt: queries that need it fail or are answered partially.
+  auto fails = [](int shard) { return shard == 11; };
   std::vector<std::string> http, over_flight;
 
   HttpFixture h(long_deadlines());
   ScriptedLeaf ha(h.loop), hb(h.loop);
   ha.on_part =
-      hb.on_part = [&](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, errs(p.shard) ? 500 : 200); };
+      hb.on_part = [&](const ScriptedLeaf::Part& p) { ScriptedLeaf::answer(p, fails(p.shard) ? 500 : 200); };
   h.begin({member("a", ha.listener.port(), 0), member("b", hb.listener.port(), 1)});
   auto client = h.connect();
   for (std::size_t i = 0; i < mix.size(); ++i) {
@@ -384,7 +384,7 @@
   FlightFixture f(long_deadlines());
   StubNode fa(f.loop), fb(f.loop);
   fa.on_part = fb.on_part = [&](const StubNode::Part& p) {
-    if (errs(p.shard)) return StubNode::reply(p, "", status_trailers(Status::internal, "broken"));
+    if (fails(p.shard)) return StubNode::reply(p, "", status_trailers(Status::internal, "broken"));
     StubNode::answer(p);
   };
   f.begin({member("a", fa.listener.port(), 0), member("b", fb.listener.port(), 1)});
--- a/tests/aggregator/flight/grpc_test.cpp
+++ b/tests/aggregator/flight/grpc_test.cpp
@@ -29,7 +29,7 @@
   CHECK(malformed);
 }
 
-TEST_CASE("time-outs in every unit, and what is none") {
+TEST_CASE("time-outs in every unit, and invalid ones") {
   CHECK(read_timeout("2H") == 7200e3);
   CHECK(read_timeout("2M") == 120e3);
   CHECK(read_timeout("2S") == 2e3);
