--- a/tests/aggregator/compatibility/command_line_test.cpp
+++ b/tests/aggregator/compatibility/command_line_test.cpp
@@ -1,4 +1,4 @@
-// Holds the command line of winchhall still: commands, options and exit codes.
+// Compares the command line of winchhall with the recorded one: commands, options and exit codes.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <stdlib.h>
@@ -23,7 +23,7 @@
     "control",   "files", "files check", "files status", "files history", "files accept", "files rollback",
     "files diff"};
 
-// A folder of this test alone, removed at its end.
+// An empty folder for one test, removed afterwards.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
--- a/tests/aggregator/support/program.hpp
+++ b/tests/aggregator/support/program.hpp
@@ -1,4 +1,4 @@
-// The program as an operator starts it, for tests that speak to it over sockets.
+// Starts the program as an operator does, for tests that connect to it over sockets.
 #pragma once
 
 #include <fcntl.h>
@@ -14,6 +14,7 @@
 
 namespace winchhall::testing {
 
+// Writes a new file in TMPDIR and returns its path. The caller removes it.
 inline std::string write_temporary_file(const std::string& text) {
   const char* dir = std::getenv("TMPDIR");
   std::string path = std::string(dir ? dir : "/tmp") + "/winchhall-test-XXXXXX";
@@ -24,6 +25,7 @@
   return path;
 }
 
+// A configuration (JSON) with one leaf on 127.0.0.1.
 inline std::string make_configuration(int leaf_port, const std::string& discovery = "127.0.0.1:1") {
   return R"({"name":"t0","listen":"127.0.0.1:0","discovery":")" + discovery + R"(","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -38,6 +40,9 @@
       "membership_mode":"on_request","report":{"fields":["busy_reqs"],"how":"inline"},"tick":5}})";
 }
 
+// A process of the program with its log. `flight` is the text of an operator's file (XML) or of the older
+// Flight file (JSON), `files` the limit of descriptors (0: unchanged), `folder` its TMPDIR. It is killed by
+// the destructor.
 class Program {
  public:
   Program(event_loop::Loop& loop, const std::string& config, const std::string& flight = "", rlim_t files = 0,
@@ -91,6 +96,7 @@
       REQUIRE(loop_.now() < give_up);
     }
   }
+  // Waits for a log line with `before` and returns the number after it.
   int port(const std::string& before) {
     std::size_t at = std::string::npos;
     run_until([&] {
@@ -98,10 +104,12 @@
     });
     return std::stoi(log.substr(at + before.size()));
   }
+  // Replaces the configuration file and sends SIGHUP.
   void reload(const std::string& config) {
     std::ofstream(config_) << config;
     REQUIRE(kill(pid, SIGHUP) == 0);
   }
+  // Waits for the end of the process; -1 if a signal ended it.
   int exit_code() {
     int status = 0;
     run_until([&] { return waitpid(pid, &status, WNOHANG) == pid; });
@@ -113,6 +121,7 @@
     peer->connect(to);
     return peer;
   }
+  // Sends a request and waits for its response.
   std::string ask(Peer& peer, const std::string& request) {
     peer.text.clear();
     peer.stream->write(request);
--- a/tests/aggregator/support/program_fixture.hpp
+++ b/tests/aggregator/support/program_fixture.hpp
@@ -1,5 +1,5 @@
-// A stage for stories: the real loop, exchange, fronts and carriers over loopback, with peers that follow a
-// script on the same loop. One thread, ports from the kernel, waits on conditions.
+// The event loop, the request router, the HTTP front end and the leaf pool over loopback, with scripted peers
+// on the same loop. One thread; the kernel assigns the ports; tests wait for conditions, not for times.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -44,7 +44,7 @@
   return s;
 }
 
-// Times so long that no verdict depends on how fast the machine is.
+// Deadlines so long that no result depends on how fast the machine is.
 inline winchhall::Settings long_deadlines() {
   winchhall::Settings s = two_classes();
   for (auto& c : s.classes) {
@@ -68,7 +68,7 @@
   return m;
 }
 
-// One side of a connection whose bytes a script reads and writes.
+// One side of a connection, whose bytes the test reads and writes.
 class Peer : public event_loop::Stream::Owner {
  public:
   explicit Peer(event_loop::Loop& loop) : loop_(loop) {}
@@ -93,7 +93,7 @@
   event_loop::Loop& loop_;
 };
 
-// A leaf on frames. By default each part is answered with `v` and its shard.
+// A leaf that speaks frames. By default each part is answered with `v` and its shard.
 class ScriptedLeaf {
  public:
   struct Part {
@@ -150,7 +150,7 @@
   }
 };
 
-// Discovery that opens each watch and tells what the script has it tell.
+// A discovery server that opens every watch and sends the updates that the test makes.
 class ScriptedDiscovery {
  public:
   explicit ScriptedDiscovery(event_loop::Loop& loop)
@@ -186,12 +186,14 @@
   std::vector<std::string> calls;
 };
 
+// A membership source without servers.
 class NullMembershipSource : public coordination::MembershipSource {
  public:
   void watch(bool) override {}
   void fetch() override {}
 };
 
+// A request router with its leaf pool and HTTP front end on one event loop.
 class HttpFixture {
  public:
   explicit HttpFixture(winchhall::Settings settings = two_classes(),
@@ -206,7 +208,7 @@
 
   void begin(const std::vector<coordination::Member>& members) { router.start(members); }
 
-  // The limit only ends a test that hangs; nothing passes or fails by how long it took.
+  // The time limit only ends a test that hangs; no other result depends on it.
   void run_until(const std::function<bool()>& done, const char* what = "") {
     event_loop::Millis give_up = loop.now() + 60000;
     while (!done()) {
@@ -222,7 +224,7 @@
     peer->connect(front.port());
     return peer;
   }
-  // Waits for one whole answer and takes it from the peer's text.
+  // Waits for one complete response and removes it from the peer's text.
   std::string answer(Peer& peer) {
     std::size_t end = std::string::npos, size = 0;
     run_until([&] {
--- a/tests/aggregator/support/router_fixture.hpp
+++ b/tests/aggregator/support/router_fixture.hpp
@@ -1,4 +1,4 @@
-// A desk for stories about the exchange alone.
+// The request router without transport and event loop, for tests of its decisions.
 #pragma once
 
 #include <map>
@@ -7,7 +7,7 @@
 
 namespace winchhall::testing {
 
-// A carrier for stories in which nothing is sent.
+// A transport for tests in which nothing is sent.
 struct NullTransport : coordination::Transport {
   void launch(const coordination::AttemptRequest&) override {}
   void flush() override {}
@@ -18,7 +18,8 @@
   void retire(const std::string&) override {}
 };
 
-// The exchange by itself, on a clock that the test sets; the test is carrier, roster and directory of ranges.
+// The request router on a clock (ms) that the test sets. The fixture is its transport, membership source and
+// range source, with two servers "a" and "b".
 struct RouterFixture : coordination::Transport, coordination::MembershipSource, coordination::RangeSource {
   explicit RouterFixture(winchhall::Settings settings = two_classes())
       : router(
@@ -32,7 +33,8 @@
     in_flight.erase(n);
     ++abandoned;
   }
-  bool recall(coordination::AttemptNumber) override { return false; }  // all that is launched here is written
+  // Every attempt counts as written when launched.
+  bool recall(coordination::AttemptNumber) override { return false; }
   void probe(const std::string&, const std::string&) override {}
   void close_idle(const std::string&) override {}
   void retire(const std::string&) override {}
@@ -40,9 +42,9 @@
   void fetch() override {}
   void refresh() override { ++refreshed; }
 
-  void submit(int query_class, coordination::Millis lasts, int parts = 4) {
+  void submit(int query_class, coordination::Millis timeout, int parts = 4) {
     coordination::QuerySpec q{
-        .id = "q" + std::to_string(query_count++), .query_class = query_class, .give_up_at = now + lasts};
+        .id = "q" + std::to_string(query_count++), .query_class = query_class, .give_up_at = now + timeout};
     for (int i = 0; i < parts; ++i) q.parts.push_back({i, 1.0 / parts, 10.0});
     last_query = router.submit(q, [this](coordination::QueryResult v) {
       results.push_back(v);
@@ -50,10 +52,10 @@
     });
     router.run();
   }
-  void submit_spans(int query_class, coordination::Millis lasts, std::vector<ranges::Span> spans) {
+  void submit_spans(int query_class, coordination::Millis timeout, std::vector<ranges::Span> spans) {
     last_query = router.submit({.id = "q" + std::to_string(query_count++),
                                 .query_class = query_class,
-                                .give_up_at = now + lasts,
+                                .give_up_at = now + timeout,
                                 .spans = std::move(spans)},
                                [this](coordination::QueryResult v) {
                                  results.push_back(v);
@@ -65,10 +67,10 @@
     router.update_ranges(map);
     router.run();
   }
-  // The attempt in flight for this span.
+  // The attempt in flight for this span; fails the test if there is none.
   coordination::AttemptNumber attempt_for(const ranges::Span& span) {
-    for (const auto& [n, order] : in_flight)
-      if (order.span == span) return n;
+    for (const auto& [n, request] : in_flight)
+      if (request.span == span) return n;
     FAIL("no attempt in flight for ", ranges::text_of(span));
     return 0;
   }
@@ -76,10 +78,10 @@
     return std::any_of(in_flight.begin(), in_flight.end(),
                        [&](const auto& o) { return o.second.span == span; });
   }
-  void deny(coordination::AttemptNumber n, ranges::Denial words) {
+  void deny(coordination::AttemptNumber n, ranges::Denial denial) {
     in_flight.erase(n);
     coordination::AttemptResult r{.outcome = coordination::Outcome::not_mine};
-    r.denial = std::make_shared<const ranges::Denial>(std::move(words));
+    r.denial = std::make_shared<const ranges::Denial>(std::move(denial));
     router.attempt_ended(n, r);
     router.run();
   }
@@ -91,6 +93,7 @@
     router.attempt_ended(n, r);
     router.run();
   }
+  // Runs the router every 5 ms for `time` ms.
   void advance(coordination::Millis time) {
     for (coordination::Millis until = now + time; now < until; now += 5) router.run();
   }
--- a/tests/aggregator/support/router_setup.hpp
+++ b/tests/aggregator/support/router_setup.hpp
@@ -1,4 +1,4 @@
-// Queries that give the module learned figures to go by.
+// Queries that train the coordinator's estimates.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace winchhall::testing {
 
-// Answers `rounds` single-part queries so that the learned figures are trusted; each takes `took` ms.
+// Answers `rounds` single-part queries, each after `took` ms, so that the learned estimates are trusted.
 inline void train_estimates(Driver& d, int rounds, Millis took, double hint = 100) {
   for (int i = 0; i < rounds; ++i) {
     std::string id = "teach" + std::to_string(d.now) + "." + std::to_string(i);
--- a/tests/aggregator/support/stalled_listener.hpp
+++ b/tests/aggregator/support/stalled_listener.hpp
@@ -1,4 +1,4 @@
-// A listening socket whose connections come up when the test says so: its queue is full until then.
+// A listening socket whose backlog the test can fill, so that further connections are not established.
 #pragma once
 
 #include <sys/socket.h>
@@ -10,20 +10,21 @@
 class StalledListener {
  public:
   StalledListener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-    sockaddr_in at = loopback(0);
-    socklen_t size = sizeof at;
-    REQUIRE(::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
+    sockaddr_in address = loopback(0);
+    socklen_t size = sizeof address;
+    REQUIRE(::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     REQUIRE(::listen(fd_.get(), 0) == 0);
-    REQUIRE(::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&at), &size) == 0);
-    at_ = at;
+    REQUIRE(::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&address), &size) == 0);
+    address_ = address;
   }
-  int port() const { return ntohs(at_.sin_port); }
+  int port() const { return ntohs(address_.sin_port); }
 
-  // From now on no connection comes up. One waits in a queue of length 0, and those behind it are not heard.
+  // From now on no connection is established: with a backlog of 0 one connection waits in the queue, and the
+  // SYNs of later ones are dropped.
   void fill_backlog() {
     for (int i = 0; i < 2; ++i) {
-      plugs_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-      ::connect(plugs_.back().get(), reinterpret_cast<const sockaddr*>(&at_), sizeof at_);
+      backlog_sockets_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+      ::connect(backlog_sockets_.back().get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_);
     }
   }
   event_loop::UniqueFd accept() {
@@ -32,8 +33,8 @@
 
  private:
   event_loop::UniqueFd fd_;
-  sockaddr_in at_{};
-  std::vector<event_loop::UniqueFd> plugs_;
+  sockaddr_in address_{};
+  std::vector<event_loop::UniqueFd> backlog_sockets_;
 };
 
 }  // namespace winchhall::testing
--- a/tests/compatibility/child_process.hpp
+++ b/tests/compatibility/child_process.hpp
@@ -1,4 +1,4 @@
-// A process of a program under test, ended with its owner.
+// A child process of a program under test.
 #pragma once
 
 #include <fcntl.h>
@@ -11,10 +11,11 @@
 
 namespace winchhall::compatibility {
 
+// Kills the process and waits for its end when it is destroyed.
 class ChildProcess {
  public:
-  // Starts `program COMMAND --settings SETTINGS`; what it prints goes to `log`. Throws where there is no
-  // process.
+  // Starts `program COMMAND --settings SETTINGS`; its output is appended to the file `log`. Throws
+  // std::runtime_error if fork() fails.
   ChildProcess(const std::string& program, const std::string& command, const std::string& settings,
                const std::string& log)
       : pid_(fork()) {
--- a/tests/compatibility/json_lines.hpp
+++ b/tests/compatibility/json_lines.hpp
@@ -1,4 +1,4 @@
-// Writes JSON texts as sorted lines of key paths, to be compared with a recorded list.
+// Flattens JSON texts into lines of key paths, to be compared with a recorded list.
 #pragma once
 
 #include <boost/json.hpp>
@@ -10,11 +10,11 @@
 
 enum class JsonDetail {
   values,  // "path = value"; elements of lists are numbered
-  types    // "path: type"; elements of lists are not told apart
+  types    // "path: type"; elements of lists have no index
 };
 
-// Adds a line for each value in `json` that is no object or list, and one for each empty object or list.
-// `path` is the place of `json` itself, empty at the top.
+// Adds a line for each value in `json` that is not an object or list, and one for each empty object or list.
+// `path` is the path of `json` itself, empty at the top level.
 inline void add_json_lines(const boost::json::value& json, const std::string& path, JsonDetail detail,
                            std::vector<std::string>& lines) {
   const bool has_fields = json.is_object() && !json.get_object().empty();
@@ -44,7 +44,7 @@
   }
 }
 
-// The lines of a JSON text. Throws where it cannot be parsed.
+// The lines of a JSON text. Throws std::runtime_error if it can't be parsed.
 inline std::vector<std::string> json_lines(const std::string& text, JsonDetail detail) {
   boost::system::error_code error;
   const boost::json::value json = boost::json::parse(text, error);
--- a/tests/compatibility/program_run.hpp
+++ b/tests/compatibility/program_run.hpp
@@ -1,4 +1,4 @@
-// Runs a program as an operator would and keeps what it printed and its exit code.
+// Runs a program as an operator would, and returns its output and exit code.
 #pragma once
 
 #include <sys/wait.h>
@@ -11,6 +11,7 @@
 
 namespace winchhall::compatibility {
 
+// Result of one run.
 struct ProgramRun {
   int exit_code = -1;  // -1: ended by a signal
   std::string output;  // standard output and standard error
--- a/tests/compatibility/proto_fields.hpp
+++ b/tests/compatibility/proto_fields.hpp
@@ -1,5 +1,5 @@
-// Reads what the wire depends on from the text of .proto files: field numbers, types, labels and enum
-// numbers.
+// Reads the properties that the wire format depends on from the text of .proto files: field numbers, types,
+// labels and enum numbers.
 //
 // The programs are built with the lite runtime, which has no descriptors, so the text itself is parsed. Field
 // names are not part of the result, since they are not part of the wire format.
@@ -23,13 +23,13 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// Parses the subset of proto3 that the project uses. Anything else is an error, so that nothing is passed
-// over.
+// Parses the subset of proto3 that the project uses. Anything else is an error, so that nothing is skipped
+// silently.
 class ProtoFieldReader {
  public:
   // One line for each field ("message MESSAGE NUMBER LABEL TYPE") and each enum value ("enum ENUM NUMBER
   // VALUE"). Messages are named with their package. A field of a oneof has the label "oneofN", the Nth of its
-  // message. Throws std::runtime_error where the text cannot be parsed.
+  // message. Throws std::runtime_error if the text can't be parsed.
   static std::set<std::string> read(const std::string& text) {
     ProtoFieldReader reader(text);
     reader.read_file();
@@ -44,7 +44,7 @@
            character == '-';
   }
 
-  // Words, quoted texts and single characters of punctuation; comments are left out.
+  // Splits into words, quoted strings and punctuation characters; comments are dropped.
   void split(const std::string& text) {
     for (std::size_t at = 0; at < text.size();) {
       if (std::isspace(static_cast<unsigned char>(text[at])) != 0) {
@@ -98,7 +98,7 @@
     if (found != wanted) throw std::runtime_error("'" + wanted + "' expected, found '" + found + "'");
   }
 
-  // A number in decimal without signs or leading zeros, as the record has it.
+  // A decimal number without sign, as in the record.
   std::string take_number() {
     const std::string number = take();
     if (number.empty() || number.find_first_not_of("0123456789") != std::string::npos) {
--- a/tests/compatibility/recorded_lines.hpp
+++ b/tests/compatibility/recorded_lines.hpp
@@ -1,4 +1,4 @@
-// Recorded lists of lines, which tests compare with what the present code gives.
+// Recorded lists of lines, which tests compare with the results of the current code.
 #pragma once
 
 #include <filesystem>
@@ -10,7 +10,7 @@
 namespace winchhall::compatibility {
 
 // The lines of a recorded list, without comments (lines that begin with '#') and empty lines. Throws
-// std::runtime_error where the file cannot be read.
+// std::runtime_error if the file can't be read.
 inline std::set<std::string> read_recorded_lines(const std::filesystem::path& path) {
   std::ifstream file(path);
   if (!file) throw std::runtime_error(path.string() + ": cannot be read");
--- a/tests/fuzz/set_fuzz.cpp
+++ b/tests/fuzz/set_fuzz.cpp
@@ -1,5 +1,6 @@
-// Whatever the bytes of a set's file are: read without a crash, and what is taken is sound as a whole.
-// The first byte chooses the file; the others beside it are small sound ones.
+// Any bytes in one of the watched configuration files: reading must not crash, and an accepted configuration
+// must be consistent. The first byte selects the file that gets the remaining bytes; nodes.xml is otherwise a
+// small valid one.
 #include <cstdint>
 #include <cstdlib>
 
@@ -22,9 +23,10 @@
   for (const Fault& f : faults)
     if (f.what.empty()) std::abort();
   if (!faults.empty()) return 0;
-  auto made = check(rows, digest_of(bytes), {}, faults);
-  if ((made == nullptr) == faults.empty()) std::abort();
-  if (!made) return 0;
-  if (made->members.empty() || (made->map && made->map->find(0).span.from != 0)) std::abort();
+  auto generation = check(rows, digest_of(bytes), {}, faults);
+  if ((generation == nullptr) == faults.empty()) std::abort();
+  if (!generation) return 0;
+  if (generation->members.empty() || (generation->map && generation->map->find(0).span.from != 0))
+    std::abort();
   return 0;
 }
--- a/tests/fuzz/store_fuzz.cpp
+++ b/tests/fuzz/store_fuzz.cpp
@@ -1,5 +1,5 @@
-// Whatever the bytes of a store's file are: it is opened, or set aside, without a crash; what it gives is a
-// set that still has its digest; and a set can be kept in what is there then.
+// Any bytes as the store's database file: it must be opened or set aside without a crash, a configuration
+// read from it must match its digest, and another one can be stored afterwards.
 #include <unistd.h>
 
 #include <cstdint>
@@ -24,15 +24,15 @@
   dynamic_config::OpenedStore opened;
   winchhall_open_store(path, false, opened);
   if (opened.store) {
-    if (auto kept = opened.store->newest_taken())
-      if (dynamic_config::digest_of(kept->bytes) != kept->digest) std::abort();
+    if (auto stored = opened.store->newest_taken())
+      if (dynamic_config::digest_of(stored->bytes) != stored->digest) std::abort();
     opened.store->history(10);
     opened.store->pending_commands();
-    dynamic_config::StoredSet k;
-    k.bytes[dynamic_config::Kind::nodes] = "x";
-    k.digest = dynamic_config::digest_of(k.bytes);
-    k.verdict = "taken";
-    opened.store->put(k);
+    dynamic_config::StoredSet set;
+    set.bytes[dynamic_config::Kind::nodes] = "x";
+    set.digest = dynamic_config::digest_of(set.bytes);
+    set.verdict = "taken";
+    opened.store->put(set);
   }
   opened.store.reset();
   fs::remove_all(folder);
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -1,4 +1,5 @@
-// Whatever a directory or a node says: read without a crash, taken whole or refused with a reason.
+// Any text as a range directory's update or a node's denial: reading must not crash, and an update must be
+// applied completely or rejected with a reason.
 #include <cstdint>
 #include <cstdlib>
 
@@ -22,8 +23,8 @@
       {0, {0, ranges::kKeyEnd}, 1, std::make_shared<const ranges::Holders>(ranges::Holders{{"a"}})});
   follower.apply_update(first, 0);
   auto before = follower.map().revision();
-  auto taken = follower.apply_update(*update, 1);
-  if (taken != ranges::UpdateResult::applied && follower.map().revision() != before) std::abort();
+  auto result = follower.apply_update(*update, 1);
+  if (result != ranges::UpdateResult::applied && follower.map().revision() != before) std::abort();
   std::string why;
   if (!ranges::RangeMap::build({1, 1}, follower.map().all(), why)) std::abort();
   return 0;
