--- a/tests/aggregator/flight/flight_fixture.hpp
+++ b/tests/aggregator/flight/flight_fixture.hpp
@@ -1,4 +1,4 @@
-// A ledger node and a client that speak Flight, for tests of the Flight front end and of Flight calls to
+// A stub ledger node and a client that speak Flight, for tests of the Flight front end and of Flight calls to
 // nodes.
 #pragma once
 
@@ -28,29 +28,29 @@
   struct NodeConnection : Http2Connection::Handler {
     NodeConnection(StubNode& node, event_loop::Loop& loop)
         : owner(node), http2(loop, *this, Http2Connection::Side::server) {}
-    void on_headers(std::int32_t id, const Headers& headers) override { heads[id] = headers; }
-    void on_data(std::int32_t id, std::string_view bytes) override { in[id].append(bytes); }
+    void on_headers(std::int32_t id, const Headers& headers) override { headers_by_stream[id] = headers; }
+    void on_data(std::int32_t id, std::string_view bytes) override { request_bytes[id].append(bytes); }
     void on_end_stream(std::int32_t id) override {
       bool bad = false;
-      auto message = take_message(in[id], kMaxMessageBytes, bad);
+      auto message = take_message(request_bytes[id], kMaxMessageBytes, bad);
       wire::Ticket ticket;
       PartCommand command;
       REQUIRE(message);
       REQUIRE(ticket.ParseFromString(*message));
       REQUIRE(command.ParseFromString(ticket.ticket()));
-      REQUIRE(find_header(heads[id], "grpc-timeout"));
+      REQUIRE(find_header(headers_by_stream[id], "grpc-timeout"));
       owner.asked.push_back({this, id, command.shard(), command.text()});
       owner.on_part(owner.asked.back());
     }
     void on_stream_closed(std::int32_t, std::uint32_t error) override {
       owner.cancelled += error == NGHTTP2_CANCEL;
     }
-    void on_disconnected() override { over = true; }
+    void on_disconnected() override { is_closed = true; }
     StubNode& owner;
     Http2Connection http2;
-    std::map<std::int32_t, Headers> heads;
-    std::map<std::int32_t, std::string> in;
-    bool over = false;
+    std::map<std::int32_t, Headers> headers_by_stream;
+    std::map<std::int32_t, std::string> request_bytes;
+    bool is_closed = false;
   };
   struct Part {
     NodeConnection* connection;
@@ -86,6 +86,7 @@
   int cancelled = 0;
 };
 
+// What the client has received of one response.
 struct Reply {
   Headers headers;
   std::string in;
@@ -123,7 +124,7 @@
   }
   void on_disconnected() override { lost = true; }
 
-  void until(const std::function<bool()>& done) {
+  void run_until(const std::function<bool()>& done) {
     event_loop::Millis give_up = loop.now() + 60000;  // only ends a test that hangs
     while (!done()) {
       loop.run_once(std::clamp(router.next_due() - loop.now(), 0.0, 20.0));
@@ -165,7 +166,7 @@
     return call("DoGet", ticket.SerializeAsString(), timeout, id);
   }
   Reply& finish(std::int32_t stream) {
-    until([&] { return replies[stream].done; });
+    run_until([&] { return replies[stream].done; });
     return replies[stream];
   }
   static std::vector<ArrowRow> read(Reply& r, std::string* metadata = nullptr) {
@@ -185,7 +186,7 @@
 
   event_loop::Loop loop;
   coordination::RequestRouter router;
-  NoDiscovery none;
+  NullMembershipSource none;
   FlightPool pool;
   FlightServer front;
   Http2Connection client;
