--- a/tests/aggregator/app/operations_test.cpp
+++ b/tests/aggregator/app/operations_test.cpp
@@ -171,8 +171,7 @@
   CHECK(both.classes[2].name == "new");
   CHECK(both.classes[3].name == "gone");
   CHECK(both.max_attempts == 2);
-  CHECK_FALSE(
-      transition.complete_if_due(1300));  // clients may have sent requests under the old settings until 1.2 s
+  CHECK_FALSE(transition.complete_if_due(1300));  // clients may have used the old settings until 1.2 s
   auto settled = transition.complete_if_due(1700);
   REQUIRE(settled);
   CHECK(*settled == fresh);
--- a/tests/aggregator/app/shutdown_integration_test.cpp
+++ b/tests/aggregator/app/shutdown_integration_test.cpp
@@ -147,13 +147,12 @@
   s.run_until([&] { return s.router.counters()[0].complete == 1; });
   for (int i = 0; i < 3; ++i) s.loop.run_once(1);  // the answer has been written
   s.front.close_idle();
-  s.client.send(
-      HttpFixture::query("q2", R"({"id":2,"w":1})"));  // it has not read the end of the connection yet
+  // The client has not read the end of the connection yet.
+  s.client.send(HttpFixture::query("q2", R"({"id":2,"w":1})"));
   for (int i = 0; i < 3; ++i) s.loop.run_once(1);
   CHECK(s.client.error() == 0);
   char all[4096];
-  ssize_t n =
-      ::recv(s.client.fd.get(), all, sizeof all, MSG_WAITALL);  // up to the server's end of the connection
+  ssize_t n = ::recv(s.client.fd.get(), all, sizeof all, MSG_WAITALL);  // up to the server's end
   REQUIRE(n > 0);
   CHECK(has(std::string(all, static_cast<std::size_t>(n)), "\"exact\":true"));
   CHECK(::recv(s.client.fd.get(), all, sizeof all, 0) == 0);
