--- a/tests/cluster/consensus/catch_up_test.cpp
+++ b/tests/cluster/consensus/catch_up_test.cpp
@@ -1,5 +1,5 @@
-// A member that was absent during many changes catches up within the documented time, transfers data in
-// proportion to what it missed, and never leads or votes with outdated state.
+// A member that was absent during hundreds of changes catches up within the documented time, transfers data
+// in proportion to what it missed, and never leads or votes with outdated state.
 #include <catch2/catch.hpp>
 #include <cstdio>
 
